--- a/src/request/heap.h
+++ b/src/request/heap.h
@@ -1,10 +1,10 @@
 #ifndef KQ_REQUEST_HEAP_H
 #define KQ_REQUEST_HEAP_H
 
-/* heap: a binary heap of nodes that stand inside the caller's own structs.
+/* heap: an intrusive binary min-heap; the nodes are members of the caller's structs.
  *
- * The smallest key is on top; equal keys come out in the order given by `order`. A node
- * knows its place, so that removing one from the middle costs O(log n) too. */
+ * Nodes with equal keys are ordered by `order`. Each node stores its index, so that any
+ * node can be removed in O(log n). */
 
 #include <stdbool.h>
 #include <stddef.h>
@@ -14,8 +14,8 @@
 {
   int64_t key;
   uint64_t order;
-  size_t place; /* 1 is the top; 0: in no heap */
-  void *owner;  /* the struct the node stands in */
+  size_t place; /* index in the heap's array; 1: the top, 0: in no heap */
+  void *owner;  /* the struct that contains the node */
 } KqHeapNode;
 
 typedef struct
@@ -25,11 +25,11 @@
   size_t capacity;
 } KqHeap;
 
-/* Nodes still inside are forgotten, not freed. */
+/* Frees the array; nodes still in the heap are not freed. */
 void kq_heap_free (KqHeap *h);
 void kq_heap_add (KqHeap *h, KqHeapNode *node, int64_t key, uint64_t order, void *owner);
 void kq_heap_remove (KqHeap *h, KqHeapNode *node);
-/* Gives the node another key; it must be inside. */
+/* Changes the key of a node, which must be in the heap. */
 void kq_heap_move (KqHeap *h, KqHeapNode *node, int64_t key);
 KqHeapNode *kq_heap_top (const KqHeap *h); /* NULL: empty */
 
--- a/src/request/link.c
+++ b/src/request/link.c
@@ -3,28 +3,28 @@
 void
 kq_link_init (KqLinkBudget *b, int64_t rate)
 {
-  *b = (KqLinkBudget){ .rate = rate, .left = rate };
+  *b = (KqLinkBudget){ .rate = rate, .available = rate };
 }
 
 static void
-advance (KqLinkBudget *b, KqTime now)
+refill (KqLinkBudget *b, KqTime now)
 {
-  KqTime span = now - b->at < 10 * KQ_SEC ? now - b->at : 10 * KQ_SEC;
-  int64_t more = span > 0 ? b->rate * span / KQ_SEC : 0;
-  /* Less than a byte's time is left for the next call, so that rounding doesn't starve a
-   * small rate. */
-  if (more > 0)
+  KqTime span = now - b->refilled_at < 10 * KQ_SEC ? now - b->refilled_at : 10 * KQ_SEC;
+  int64_t added = span > 0 ? b->rate * span / KQ_SEC : 0;
+  /* A time too short for one byte is left to the next call: with a small rate, frequent
+   * calls would otherwise round every refill down to 0. */
+  if (added > 0)
     {
-      b->left += more;
-      b->at = now;
+      b->available += added;
+      b->refilled_at = now;
     }
-  if (b->left > b->rate)
-    b->left = b->rate;
+  if (b->available > b->rate)
+    b->available = b->rate;
 }
 
-/* A request larger than the whole bucket may go when the bucket is full. */
+/* A request larger than the bucket needs a full bucket. */
 static int64_t
-need (const KqLinkBudget *b, int64_t bytes)
+required (const KqLinkBudget *b, int64_t bytes)
 {
   return bytes < b->rate ? bytes : b->rate;
 }
@@ -32,25 +32,25 @@
 bool
 kq_link_allows (KqLinkBudget *b, int64_t bytes, KqTime now)
 {
-  advance (b, now);
-  return b->rate > 0 && b->left >= need (b, bytes);
+  refill (b, now);
+  return b->rate > 0 && b->available >= required (b, bytes);
 }
 
 void
 kq_link_spend (KqLinkBudget *b, int64_t bytes, KqTime now)
 {
-  advance (b, now);
-  b->left -= bytes;
+  refill (b, now);
+  b->available -= bytes;
   b->spent += bytes;
 }
 
 KqTime
 kq_link_wait (KqLinkBudget *b, int64_t bytes, KqTime now)
 {
-  int64_t lacking;
-  advance (b, now);
-  lacking = need (b, bytes) - b->left;
-  if (lacking <= 0)
+  int64_t missing;
+  refill (b, now);
+  missing = required (b, bytes) - b->available;
+  if (missing <= 0)
     return 0;
-  return b->rate > 0 ? lacking * KQ_SEC / b->rate + 1 : KQ_TIME_NEVER;
+  return b->rate > 0 ? missing * KQ_SEC / b->rate + 1 : KQ_TIME_NEVER;
 }
--- a/src/request/link.h
+++ b/src/request/link.h
@@ -1,15 +1,16 @@
 #ifndef KQ_REQUEST_LINK_H
 #define KQ_REQUEST_LINK_H
 
-/* link: this node's part of the bytes on the link between the regions.
+/* link: this node's byte budget for requests over the link between the regions.
  *
- * Load pattern: the own region is full and the far one has room, so requests overflow
- * into a link of 30 Mbit/s that control traffic, jobs and every other node share, and
- * that is paid by the byte. Without a budget the overflow fills the link: far requests
- * take seconds, and heartbeats between the regions are late. The budget is a bucket of
- * one second's bytes: a burst may take a second's share at once, never more. What a
- * request will cost is only known afterwards, so that the bucket may go below zero and
- * nothing is sent until it has recovered. */
+ * When the own region is full and the other one has room, requests go over a link of
+ * 30 Mbit/s, which is paid by the byte and shared with control traffic, jobs and all
+ * other nodes. Without a budget they fill the link: requests to the other region take
+ * seconds, and heartbeats between the regions are late.
+ *
+ * The budget is a token bucket that holds one second's bytes, which limits a burst. The
+ * bytes of a request are known only afterwards, so that the bucket may become negative;
+ * nothing is sent then until it has been refilled. */
 
 #include "base/time.h"
 
@@ -17,17 +18,18 @@
 
 typedef struct
 {
-  int64_t rate; /* bytes per second */
-  int64_t left;
-  int64_t spent; /* bytes over the node's life */
-  KqTime at;
+  int64_t rate;      /* bytes per second */
+  int64_t available; /* bytes in the bucket; may be negative */
+  int64_t spent;     /* total bytes since the start */
+  KqTime refilled_at;
 } KqLinkBudget;
 
 void kq_link_init (KqLinkBudget *b, int64_t rate);
-/* Whether that many bytes may be sent now. */
+/* Whether so many bytes may be sent now. */
 bool kq_link_allows (KqLinkBudget *b, int64_t bytes, KqTime now);
+/* Takes bytes that were sent or received from the bucket. */
 void kq_link_spend (KqLinkBudget *b, int64_t bytes, KqTime now);
-/* How long until that many bytes may be sent. */
+/* Time until so many bytes may be sent; KQ_TIME_NEVER with a rate of 0. */
 KqTime kq_link_wait (KqLinkBudget *b, int64_t bytes, KqTime now);
 
 #endif
--- a/src/request/map.c
+++ b/src/request/map.c
@@ -5,7 +5,7 @@
 #include <assert.h>
 #include <stdlib.h>
 
-#define BUCKETS_FIRST 16
+#define INITIAL_BUCKETS 16
 
 static KqMapNode **
 bucket (const KqMap *m, uint64_t hash)
@@ -17,16 +17,16 @@
 grow (KqMap *m)
 {
   KqMap larger = { 0 };
-  larger.n_buckets = m->n_buckets > 0 ? m->n_buckets * 2 : BUCKETS_FIRST;
+  larger.n_buckets = m->n_buckets > 0 ? m->n_buckets * 2 : INITIAL_BUCKETS;
   larger.buckets = kq_alloc (larger.n_buckets * sizeof (KqMapNode *));
   for (size_t i = 0; i < m->n_buckets; i++)
     while (m->buckets[i] != NULL)
       {
         KqMapNode *node = m->buckets[i];
-        KqMapNode **at = bucket (&larger, node->hash);
+        KqMapNode **link = bucket (&larger, node->hash);
         m->buckets[i] = node->next;
-        node->next = *at;
-        *at = node;
+        node->next = *link;
+        *link = node;
       }
   free (m->buckets);
   m->buckets = larger.buckets;
@@ -44,27 +44,27 @@
 void
 kq_map_add (KqMap *m, KqMapNode *node, uint64_t hash, void *owner)
 {
-  KqMapNode **at;
+  KqMapNode **link;
   if (m->n >= m->n_buckets)
     grow (m);
-  at = bucket (m, hash);
-  *node = (KqMapNode){ *at, hash, owner };
-  *at = node;
-  if ((size_t)(at - m->buckets) < m->first)
-    m->first = (size_t)(at - m->buckets);
+  link = bucket (m, hash);
+  *node = (KqMapNode){ *link, hash, owner };
+  *link = node;
+  if ((size_t)(link - m->buckets) < m->first)
+    m->first = (size_t)(link - m->buckets);
   m->n++;
 }
 
 void
 kq_map_remove (KqMap *m, KqMapNode *node)
 {
-  KqMapNode **at = bucket (m, node->hash);
-  while (*at != node)
+  KqMapNode **link = bucket (m, node->hash);
+  while (*link != node)
     {
-      assert (*at != NULL);
-      at = &(*at)->next;
+      assert (*link != NULL);
+      link = &(*link)->next;
     }
-  *at = node->next;
+  *link = node->next;
   node->next = NULL;
   m->n--;
 }
@@ -84,10 +84,10 @@
 KqMapNode *
 kq_map_more (const KqMapNode *node)
 {
-  KqMapNode *other = node->next;
-  while (other != NULL && other->hash != node->hash)
-    other = other->next;
-  return other;
+  KqMapNode *next = node->next;
+  while (next != NULL && next->hash != node->hash)
+    next = next->next;
+  return next;
 }
 
 KqMapNode *
--- a/src/request/retry.c
+++ b/src/request/retry.c
@@ -2,45 +2,46 @@
 
 #include <math.h>
 
-/* Tokens fade with this time constant: the unused budget of an hour without
- * failures must not allow a burst of retries later. */
-#define FADE (10 * KQ_SEC)
-/* One retry a second is always allowed. */
-#define FLOOR_PER_S 1.0
-#define FLOOR_MAX 3.0
-#define BACKOFF_FIRST (20 * KQ_MS)
+/* Time constant of the decay of unused tokens: an hour without failures must not allow a
+ * burst of retries later. */
+#define BUDGET_DECAY (10 * KQ_SEC)
+/* A budget below MIN_TOKENS is refilled at this rate (in tokens per second), so that a
+ * service with few requests can retry too. */
+#define MIN_REFILL_PER_S 1.0
+#define MIN_TOKENS 3.0
+#define BACKOFF_MIN (20 * KQ_MS)
 #define BACKOFF_MAX KQ_SEC
-#define SUCCESSOR_GAP (200 * KQ_MS)
-/* What the gap allows within the wait, and the tries before: below the numbers that one
- * request has for its tries. */
-#define SUCCESSOR_TRIES 13
+#define SUCCESSOR_RETRY_INTERVAL (200 * KQ_MS)
+/* The retries that fit into KQ_RETRY_SUCCESSOR_WAIT and the tries before them; must be
+ * less than KQ_TRY_IDS. */
+#define SUCCESSOR_TRIES_MAX 13
 
 static void
-advance (KqRetryBudget *b, KqTime now)
+update (KqRetryBudget *b, KqTime now)
 {
-  double s = (double)(now - b->at) / KQ_SEC;
-  if (b->at == 0)
-    b->tokens = FLOOR_MAX;
+  double s = (double)(now - b->updated_at) / KQ_SEC;
+  if (b->updated_at == 0)
+    b->tokens = MIN_TOKENS;
   else if (s > 0)
     {
-      b->tokens *= exp (-s * KQ_SEC / FADE);
-      if (b->tokens < FLOOR_MAX)
-        b->tokens = fmin (FLOOR_MAX, b->tokens + s * FLOOR_PER_S);
+      b->tokens *= exp (-s * KQ_SEC / BUDGET_DECAY);
+      if (b->tokens < MIN_TOKENS)
+        b->tokens = fmin (MIN_TOKENS, b->tokens + s * MIN_REFILL_PER_S);
     }
-  b->at = now;
+  b->updated_at = now;
 }
 
 void
 kq_retry_first (KqRetryBudget *b, int64_t percent, KqTime now)
 {
-  advance (b, now);
+  update (b, now);
   b->tokens += (double)percent / 100;
 }
 
 bool
 kq_retry_take (KqRetryBudget *b, KqTime now)
 {
-  advance (b, now);
+  update (b, now);
   if (b->tokens < 1)
     return false;
   b->tokens -= 1;
@@ -50,16 +51,16 @@
 KqTime
 kq_retry_for_successor (KqTime handed_back_at, int tries, KqTime now)
 {
-  if (handed_back_at == 0 || tries >= SUCCESSOR_TRIES
+  if (handed_back_at == 0 || tries >= SUCCESSOR_TRIES_MAX
       || now - handed_back_at >= KQ_RETRY_SUCCESSOR_WAIT)
     return 0;
-  return now + SUCCESSOR_GAP;
+  return now + SUCCESSOR_RETRY_INTERVAL;
 }
 
 KqTime
 kq_retry_backoff (KqRand *rand, int n)
 {
-  KqTime wait = BACKOFF_FIRST;
+  KqTime wait = BACKOFF_MIN;
   while (n > 1 && wait < BACKOFF_MAX)
     {
       wait *= 2;
--- a/src/request/retry.h
+++ b/src/request/retry.h
@@ -1,44 +1,50 @@
 #ifndef KQ_REQUEST_RETRY_H
 #define KQ_REQUEST_RETRY_H
 
-/* retry: how many tries may follow failed ones, and when.
+/* retry: decides whether a failed request may be retried, and when.
  *
- * Load pattern: targets fail or refuse for a while, and every caller's request is tried
- * again. Without a budget three tries triple the load just when capacity is missing, and
- * the overload outlasts its cause. The budget is a part (retry_percent of the service
- * row, 10 by default) of the first tries of the last ten seconds, so that retries add at
- * most that part; a small floor lets a quiet service retry at all. Only the entry node
- * retries, never the owner as well: two layers would multiply.
- * Backoff doubles from 20 ms (the round trip between regions) to 1 s; the wait is drawn
- * evenly from half of it to all of it, so that what failed together doesn't come back
- * together. */
+ * When targets fail or refuse for a while, unlimited retries (three tries) would triple
+ * the load just when capacity is missing, and the overload would outlast its cause. So
+ * each service has a budget: a percentage (retry_percent of the service row, 10 by
+ * default) of the first tries of the last ten seconds. A small minimum lets a service
+ * with few requests retry at all. Only the entry node retries, never the owner as well,
+ * because retries at two layers would multiply.
+ *
+ * The backoff doubles from 20 ms (the latency between regions) to 1 s. The wait is
+ * drawn uniformly from half of it to all of it, so that requests that failed at the same
+ * time aren't retried at the same time. */
 
 #include "base/rand.h"
 #include "base/time.h"
 
 #include <stdbool.h>
 
-/* A hand-over takes a store transaction, the journal's replay and one digest: some 0.3 s.
- * Owners keep their runners for 2 s without a successor; past that there is none. */
+/* A handover takes a store transaction, a replay of the journal and one digest: some
+ * 0.3 s. An owner without a successor keeps its runners for 2 s; if none was found by
+ * then, there is none. */
 #define KQ_RETRY_SUCCESSOR_WAIT (2 * KQ_SEC)
 
 typedef struct
 {
   double tokens;
-  KqTime at; /* when the tokens were last counted */
+  KqTime updated_at; /* 0: never */
 } KqRetryBudget;
 
+/* Counts a first try. percent: retry_percent of the service row. */
 void kq_retry_first (KqRetryBudget *b, int64_t percent, KqTime now);
+/* Takes one retry from the budget; false: there is none left. */
 bool kq_retry_take (KqRetryBudget *b, KqTime now);
+/* How long to wait before retry n, counted from 1. */
 KqTime kq_retry_backoff (KqRand *rand, int n);
 
-/* Between two owners: an owner that stops as planned hands back what it has queued, and
- * for a moment nobody else has its runners. Refused then, a part of the queue is lost at
- * every roll-out (1 to 4 of 8 requests, when the stop came 0.3 s after a take-over). So
- * what was handed back, and nothing else, may wait for the successor.
+/* When to look again for the successor of a draining owner. A draining owner hands back
+ * the requests in its queue, and for a short time no other owner has its runners. If they
+ * were refused then, each roll-out would fail a part of the queue (1 to 4 of 8 requests
+ * when the owner stopped 0.3 s after it had taken over). So requests that were handed
+ * back, and no others, wait for the successor.
  *
- * handed_back_at: when the owner gave it back; 0: never. tries: so far. The time of the
- * next look; 0: don't wait (any more). */
+ * handed_back_at: when the owner handed the request back; 0: never. tries: so far.
+ * Returns 0 if the request should not wait, or has waited too long. */
 KqTime kq_retry_for_successor (KqTime handed_back_at, int tries, KqTime now);
 
 #endif
