--- a/src/request/entry.c
+++ b/src/request/entry.c
@@ -6,13 +6,13 @@
 #include <stdlib.h>
 
 static void
-send (KqGateway *g, KqNodeId to, const KqMsg *m)
+send_msg (KqGateway *g, KqNodeId to, const KqMsg *m)
 {
   kq_mail_send_msg (g->config.mesh, to, m);
 }
 
 static void
-forget (KqGateway *g, KqFlight *f)
+remove_flight (KqGateway *g, KqFlight *f)
 {
   g_hash_table_remove (g->flights, &f->id.number);
 }
@@ -26,8 +26,8 @@
   kq_account_ended (g->account, kq_name_str (&f->service), end);
 }
 
-/* The word on the claim: what a repeat with the same key will be told. Goes by way of
- * our own node's task, which knows the claim shard's owner. */
+/* Reports the end of a claimed request, from which repeats with the same key are
+ * answered. This node's own task forwards it to the owner of the claim shard. */
 static void
 send_claim_done (KqGateway *g, KqFlight *f, KqRan ran)
 {
@@ -44,7 +44,7 @@
       d->n_headers = f->n_answer_headers;
       d->body = kq_buf_str (&f->answer);
     }
-  send (g, g->config.self, &m);
+  send_msg (g, g->config.self, &m);
   kq_claim_ends_add (g->ends, &m, kq_loop_now (g->loop));
 }
 
@@ -54,26 +54,26 @@
   KqMsg m = { .kind = KQ_MSG_REQ_CANCEL };
   m.u.req_cancel.flight = kq_flight_try_id (f);
   m.u.req_cancel.reason = reason;
-  send (g, f->owner, &m);
+  send_msg (g, f->owner, &m);
 }
 
-/* The flight is no longer at an owner. */
+/* Tells the route module that the try at the owner, if there is one, has ended. */
 static void
-leave_owner (KqGateway *g, KqFlight *f, KqTime now)
+end_try_at_owner (KqGateway *g, KqFlight *f, KqTime now)
 {
   if (f->state == KQ_FLIGHT_SENT || f->state == KQ_FLIGHT_ANSWERING)
     kq_route_ended (g->route, f->owner, kq_name_str (&f->service), now);
 }
 
-/* Ends the flight; it stays in the table only while its caller takes the answer, or a
- * late word on its claim is due. */
+/* Ends the flight. It stays in the table while its caller reads the answer, or while a
+ * reply on its claim is expected. */
 static void
 end_flight (KqGateway *g, KqFlight *f)
 {
   f->state = KQ_FLIGHT_ENDED;
   kq_buf_free (&f->body);
   if (f->exchange == NULL && f->claim_deadline == 0)
-    forget (g, f);
+    remove_flight (g, f);
 }
 
 void
@@ -81,21 +81,21 @@
                KqTime now)
 {
   bool answering = f->state == KQ_FLIGHT_ANSWERING;
-  KqRan told = answering || f->may_have_run ? KQ_RAN_UNKNOWN : ran;
-  leave_owner (g, f, now);
+  KqRan reported = answering || f->may_have_run ? KQ_RAN_UNKNOWN : ran;
+  end_try_at_owner (g, f, now);
   kq_counter_result (g->config.counters, code);
-  kq_recent_add (&g->recent, f, code, told, now);
+  kq_recent_add (&g->recent, f, code, reported, now);
   if (f->claimed)
-    send_claim_done (g, f, told);
-  count_end (g, f, told == KQ_RAN_NO ? KQ_END_REFUSED : KQ_END_UNKNOWN);
+    send_claim_done (g, f, reported);
+  count_end (g, f, reported == KQ_RAN_NO ? KQ_END_REFUSED : KQ_END_UNKNOWN);
   if (f->exchange != NULL && answering)
     {
-      /* Its first bytes are at the caller, so an error can only be told by a cut. */
-      ++*g->cut;
+      /* The caller has the status already: only an aborted connection shows an error. */
+      ++*g->cut_answers;
       kq_http_abort (f->exchange);
     }
   else if (f->exchange != NULL)
-    kq_problem_reply (f->exchange, code, told, retry_after, kq_str (f->id_text),
+    kq_problem_reply (f->exchange, code, reported, retry_after, kq_str (f->id_text),
                       kq_str (""));
   end_flight (g, f);
 }
@@ -117,26 +117,26 @@
   o->claim_key = f->key;
   o->headers = f->headers;
   o->n_headers = f->n_headers;
-  send (g, f->owner, &m);
+  send_msg (g, f->owner, &m);
 }
 
-/* When to look again for an owner of the runners, if the refusal means that they are
- * between two; 0: it doesn't, or there is no time left. */
+/* When to look again for an owner, if the refusal means that the runners are just being
+ * handed over to a successor; 0: they are not, or the deadline comes first. */
 static KqTime
-successor_due (const KqFlight *f, KqResult code, KqRan ran, KqTime now)
+successor_retry_time (const KqFlight *f, KqResult code, KqRan ran, KqTime now)
 {
   KqTime next = kq_retry_for_successor (f->handed_back_at, f->tries, now);
-  bool between = code == KQ_ERR_NO_TARGET || code == KQ_ERR_DRAINING;
-  return between && ran == KQ_RAN_NO && next < f->deadline ? next : 0;
+  bool no_owner = code == KQ_ERR_NO_TARGET || code == KQ_ERR_DRAINING;
+  return no_owner && ran == KQ_RAN_NO && next < f->deadline ? next : 0;
 }
 
 static void
-route (KqGateway *g, KqFlight *f, KqNodeId avoid, KqTime now)
+send_to_owner (KqGateway *g, KqFlight *f, KqNodeId avoid, KqTime now)
 {
   KqStr service = kq_name_str (&f->service);
   int64_t bytes = f->body_length > 0 ? f->body_length : (int64_t)f->body.len;
   KqRouteChoice c = kq_route_choose (g->route, service, bytes, avoid, now);
-  KqTime next = successor_due (f, c.code, KQ_RAN_NO, now);
+  KqTime next = successor_retry_time (f, c.code, KQ_RAN_NO, now);
   if (c.node == 0 && next != 0)
     {
       f->state = KQ_FLIGHT_BACKOFF;
@@ -159,20 +159,20 @@
   f->state = KQ_FLIGHT_SENT;
   kq_route_sent (g->route, f->owner, service, now);
   send_open (g, f, now);
-  kq_entry_pump (g, f);
+  kq_entry_send_body (g, f);
 }
 
 void
-kq_entry_pump (KqGateway *g, KqFlight *f)
+kq_entry_send_body (KqGateway *g, KqFlight *f)
 {
   KqMsg m = { .kind = KQ_MSG_REQ_BODY };
   if (f->state != KQ_FLIGHT_SENT && f->state != KQ_FLIGHT_ANSWERING)
     return;
   while (kq_flight_next_chunk (f, &m.u.body))
     {
-      send (g, f->owner, &m);
+      send_msg (g, f->owner, &m);
       if (f->far)
-        kq_route_spent (g->route, (int64_t)m.u.body.bytes.len, kq_loop_now (g->loop));
+        kq_route_link_used (g->route, (int64_t)m.u.body.bytes.len, kq_loop_now (g->loop));
       kq_flight_chunk_sent (f, &m.u.body);
     }
 }
@@ -185,8 +185,8 @@
   uint64_t h = kq_hash2 (kq_str_hash (kq_name_str (&f->service)), kq_str_hash (f->key));
   int region = 0;
   int first = 0;
-  /* Without a home the first region of the settings: the same from every entry node, so
-   * that a repeat through another region finds the claim. */
+  /* Without a home region, the first one of the settings: every entry node must choose
+   * the same, so that a repeat that enters in another region finds the claim. */
   for (int i = 0; i < s->n_regions && home.len > 0; i++)
     {
       if (kq_str_eq (kq_name_str (&s->regions[i].name), home))
@@ -204,14 +204,14 @@
   KqMsgClaimBegin *b = &m.u.claim_begin;
   f->state = KQ_FLIGHT_CLAIMING;
   f->claim_shard = claim_shard (g, f);
-  f->claim_deadline = now + KQ_CLAIM_WAIT;
+  f->claim_deadline = now + KQ_CLAIM_TIMEOUT;
   b->flight = f->id;
   b->shard = f->claim_shard;
   b->service = kq_name_str (&f->service);
   b->caller = kq_name_str (&f->caller);
   b->key = f->key;
   b->body_hash = kq_flight_body_hash (f);
-  send (g, g->config.self, &m);
+  send_msg (g, g->config.self, &m);
 }
 
 void
@@ -220,12 +220,12 @@
   if (f->key.len > 0)
     begin_claim (g, f, now);
   else
-    route (g, f, 0, now);
+    send_to_owner (g, f, 0, now);
 }
 
-/* Whether one more try is allowed, and why it is safe. */
+/* Whether another try is safe and allowed. */
 static bool
-may_try_again (KqGateway *g, KqFlight *f, KqResult code, KqRan ran, KqTime now)
+may_retry (KqGateway *g, KqFlight *f, KqResult code, KqRan ran, KqTime now)
 {
   if (f->state != KQ_FLIGHT_SENT || !kq_flight_can_resend (f))
     return false;
@@ -233,8 +233,8 @@
     return false;
   if (f->tries >= KQ_TRIES_MAX || now >= f->deadline || f->exchange == NULL)
     return false;
-  /* An owner that stops as planned hands its queue back once. Charged to the budget, the
-   * part of the queue beyond it would be refused, and every roll-out would show. */
+  /* A draining owner hands back its queue once. If these retries were charged to the
+   * budget, each roll-out would refuse the part of the queue that exceeds it. */
   if (code == KQ_ERR_DRAINING && ran == KQ_RAN_NO)
     return true;
   if (kq_route_may_retry (g->route, kq_name_str (&f->service), now))
@@ -243,7 +243,7 @@
   return false;
 }
 
-/* A try ended without an answer. */
+/* A try ended without an answer: retries or fails the flight. */
 static void
 try_failed (KqGateway *g, KqFlight *f, KqResult code, KqRan ran, KqTime retry_after,
             KqTime now)
@@ -251,22 +251,22 @@
   KqTime next;
   if (code == KQ_ERR_DRAINING && ran == KQ_RAN_NO && f->handed_back_at == 0)
     f->handed_back_at = now;
-  next = successor_due (f, code, ran, now);
+  next = successor_retry_time (f, code, ran, now);
   if (f->tries > 1 && next != 0 && f->state == KQ_FLIGHT_SENT && kq_flight_can_resend (f)
       && f->exchange != NULL)
     {
-      leave_owner (g, f, now);
+      end_try_at_owner (g, f, now);
       kq_counter_result (g->config.counters, code);
       f->state = KQ_FLIGHT_BACKOFF;
       f->retry_at = next;
       return;
     }
-  if (!may_try_again (g, f, code, ran, now))
+  if (!may_retry (g, f, code, ran, now))
     {
       kq_entry_fail (g, f, code, ran, retry_after, now);
       return;
     }
-  leave_owner (g, f, now);
+  end_try_at_owner (g, f, now);
   f->may_have_run = f->may_have_run || ran != KQ_RAN_NO;
   kq_counter_result (g->config.counters, code);
   kq_counter_result (g->config.counters,
@@ -276,7 +276,7 @@
 }
 
 static void
-on_head (KqFlight *f, const KqMsgRespHead *h)
+on_answer_head (KqFlight *f, const KqMsgRespHead *h)
 {
   KqHeader *headers = kq_alloc ((h->n_headers + 1) * sizeof *headers);
   size_t n = 0;
@@ -284,12 +284,12 @@
   f->status = h->status;
   for (size_t i = 0; i < h->n_headers; i++)
     {
-      if (!kq_header_is_hop (h->headers[i].name))
+      if (!kq_header_is_hop_by_hop (h->headers[i].name))
         headers[n++] = h->headers[i];
     }
   headers[n++] = (KqHeader){ KQ_STR ("X-Kq-Request"), kq_str (f->id_text) };
   if (f->claimed)
-    kq_flight_keep_head (f, headers, n);
+    kq_flight_store_answer_headers (f, headers, n);
   if (f->exchange != NULL)
     kq_http_reply_begin (f->exchange, h->status, headers, n, h->body_length);
   free (headers);
@@ -299,19 +299,19 @@
 grant_credit (KqGateway *g, KqFlight *f)
 {
   KqMsg m = { .kind = KQ_MSG_RESP_CREDIT };
-  uint64_t wanted = f->answer_taken + KQ_WINDOW;
+  uint64_t wanted = f->answer_consumed + KQ_WINDOW;
   if (f->state != KQ_FLIGHT_ANSWERING || wanted < f->answer_credit + KQ_WINDOW / 4)
     return;
   m.u.credit.flight = kq_flight_try_id (f);
   m.u.credit.bytes = wanted - f->answer_credit;
   f->answer_credit = wanted;
-  send (g, f->owner, &m);
+  send_msg (g, f->owner, &m);
 }
 
 static void
-answer_whole (KqGateway *g, KqFlight *f, KqTime now)
+finish_answer (KqGateway *g, KqFlight *f, KqTime now)
 {
-  leave_owner (g, f, now);
+  end_try_at_owner (g, f, now);
   kq_recent_add (&g->recent, f, KQ_OK, KQ_RAN_YES, now);
   if (f->claimed)
     send_claim_done (g, f, KQ_RAN_YES);
@@ -321,10 +321,10 @@
 }
 
 static void
-on_body (KqGateway *g, KqFlight *f, const KqMsgBody *b, KqTime now)
+on_answer_body (KqGateway *g, KqFlight *f, const KqMsgBody *b, KqTime now)
 {
-  /* Messages between two nodes come in order; a gap means that some were lost, and the
-   * caller would get a body with a hole. */
+  /* Messages between two nodes arrive in order; a gap means that some were lost, and the
+   * caller would get an incomplete body. */
   if (f->state != KQ_FLIGHT_ANSWERING || b->offset != f->answer_offset)
     {
       send_cancel (g, f, KQ_ERR_FRAME_FORMAT);
@@ -333,40 +333,40 @@
     }
   f->answer_offset += b->bytes.len;
   if (f->claimed)
-    kq_flight_keep_bytes (f, b->bytes);
+    kq_flight_store_answer_bytes (f, b->bytes);
   if (f->far)
-    kq_route_spent (g->route, (int64_t)b->bytes.len, now);
+    kq_route_link_used (g->route, (int64_t)b->bytes.len, now);
   if (f->exchange != NULL)
     kq_http_reply_data (f->exchange, b->bytes);
   if (b->end)
     {
-      answer_whole (g, f, now);
+      finish_answer (g, f, now);
       return;
     }
   if (f->exchange == NULL)
-    f->answer_taken = f->answer_offset;
+    f->answer_consumed = f->answer_offset;
   grant_credit (g, f);
 }
 
 void
-kq_entry_drained (KqGateway *g, KqFlight *f)
+kq_entry_answer_consumed (KqGateway *g, KqFlight *f)
 {
-  f->answer_taken = f->answer_offset - kq_http_unsent (f->exchange);
+  f->answer_consumed = f->answer_offset - kq_http_unsent (f->exchange);
   grant_credit (g, f);
 }
 
-/* The claim was recorded, or an earlier request with the key decides. */
+/* The claim was granted, or the reply tells the state of an earlier request's claim. */
 static void
-on_claim (KqGateway *g, KqFlight *f, const KqMsgClaimReply *c, KqTime now)
+on_claim_reply (KqGateway *g, KqFlight *f, const KqMsgClaimReply *c, KqTime now)
 {
-  /* A grant that comes twice: the request is under way, and "not run" would free its key
-   * for a second run. */
+  /* A duplicate grant: the request is in progress already. Reporting "not run" below
+   * would release its key for a second run. */
   if (f->claimed)
     return;
   f->claim_deadline = 0;
   if (f->state != KQ_FLIGHT_CLAIMING)
     {
-      /* The caller was told "not run" or has left: the key must be free again. */
+      /* The caller was told "not run" or has disconnected: release the key. */
       if (c->verdict == KQ_CLAIM_GRANTED)
         send_claim_done (g, f, KQ_RAN_NO);
       end_flight (g, f);
@@ -379,7 +379,7 @@
       if (f->exchange == NULL)
         kq_entry_fail (g, f, KQ_ERR_CALLER_GONE, KQ_RAN_NO, 0, now);
       else
-        route (g, f, 0, now);
+        send_to_owner (g, f, 0, now);
       break;
     case KQ_CLAIM_ANSWERED:
       f->status = c->status;
@@ -409,7 +409,7 @@
 }
 
 static KqFlightId
-flight_of (const KqMsg *m)
+flight_id_of (const KqMsg *m)
 {
   switch (m->kind)
     {
@@ -430,47 +430,47 @@
 void
 kq_entry_message (KqGateway *g, KqNodeId from, const KqMsg *m, KqTime now)
 {
-  KqFlightId id = flight_of (m);
+  KqFlightId id = flight_id_of (m);
   KqFlight *f = find_flight (g, id);
   bool at_owner = f != NULL && f->owner == from && kq_flight_eq (id, kq_flight_try_id (f))
                   && (f->state == KQ_FLIGHT_SENT || f->state == KQ_FLIGHT_ANSWERING);
   if (f != NULL && m->kind == KQ_MSG_CLAIM_REPLY)
     {
-      on_claim (g, f, &m->u.claim_reply, now);
+      on_claim_reply (g, f, &m->u.claim_reply, now);
       return;
     }
-  /* Late, twice, or from an owner that has been given up: it belongs to nobody now. */
+  /* Late or duplicate, or from an owner that is no longer used. */
   if (!at_owner)
     {
-      ++*g->late;
+      ++*g->late_messages;
       return;
     }
   switch (m->kind)
     {
     case KQ_MSG_RESP_HEAD:
       if (f->state == KQ_FLIGHT_SENT)
-        on_head (f, &m->u.resp_head);
+        on_answer_head (f, &m->u.resp_head);
       break;
     case KQ_MSG_RESP_BODY:
-      on_body (g, f, &m->u.body, now);
+      on_answer_body (g, f, &m->u.body, now);
       break;
     case KQ_MSG_RESP_FAIL:
       try_failed (g, f, m->u.resp_fail.code, m->u.resp_fail.ran,
                   m->u.resp_fail.retry_after_us, now);
       break;
     default:
-      f->body_allowed += m->u.credit.bytes;
-      kq_entry_pump (g, f);
+      f->body_credit += m->u.credit.bytes;
+      kq_entry_send_body (g, f);
       if (f->exchange != NULL && f->body.len < KQ_WINDOW)
         kq_http_resume_upload (f->exchange);
       break;
     }
 }
 
-/* Calls fn for every flight; fn may end and forget the one it is given. */
+/* Calls fn for every flight; fn may end and free the one it is given. */
 static void
-each_flight (KqGateway *g, void (*fn) (KqGateway *, KqFlight *, const void *, KqTime),
-             const void *arg, KqTime now)
+for_each_flight (KqGateway *g, void (*fn) (KqGateway *, KqFlight *, const void *, KqTime),
+                 const void *arg, KqTime now)
 {
   GList *all = g_hash_table_get_values (g->flights);
   for (GList *at = all; at != NULL; at = at->next)
@@ -479,7 +479,7 @@
 }
 
 static void
-owner_lost (KqGateway *g, KqFlight *f, const void *arg, KqTime now)
+fail_try_at_peer (KqGateway *g, KqFlight *f, const void *arg, KqTime now)
 {
   const KqMailPeer *p = arg;
   KqRan ran = p->was_up ? KQ_RAN_UNKNOWN : KQ_RAN_NO;
@@ -493,7 +493,7 @@
 void
 kq_entry_peer_down (KqGateway *g, const KqMailPeer *p, KqTime now)
 {
-  each_flight (g, owner_lost, p, now);
+  for_each_flight (g, fail_try_at_peer, p, now);
   kq_claim_ends_node_lost (g->ends, now);
 }
 
@@ -502,20 +502,20 @@
 {
   if (now < f->claim_deadline && now < f->deadline)
     return;
-  /* The record may still be written: the end of the claim is repeated until its owner
-   * has replied, or a repeat by the caller would find the key taken. */
+  /* The claim may still be recorded: its end is resent until the claim's owner has
+   * replied, otherwise a repeat by the caller would find the key in use. */
   kq_entry_fail (g, f, KQ_ERR_CLAIM_UNAVAILABLE, KQ_RAN_NO, KQ_SEC, now);
   send_claim_done (g, f, KQ_RAN_NO);
   f->retry_at = now + KQ_SEC;
 }
 
 static void
-tick_late_claim (KqGateway *g, KqFlight *f, KqTime now)
+resend_late_claim_end (KqGateway *g, KqFlight *f, KqTime now)
 {
   if (now < f->retry_at)
     return;
   f->retry_at = now + KQ_SEC;
-  if (now > f->claim_deadline + KQ_CLAIM_LATE)
+  if (now > f->claim_deadline + KQ_CLAIM_END_RESEND_TIME)
     {
       f->claim_deadline = 0;
       end_flight (g, f);
@@ -541,7 +541,7 @@
       if (now >= f->deadline)
         kq_entry_fail (g, f, KQ_ERR_DEADLINE_PASSED, KQ_RAN_NO, 0, now);
       else if (now >= f->retry_at)
-        route (g, f, f->owner, now);
+        send_to_owner (g, f, f->owner, now);
       break;
     case KQ_FLIGHT_SENT:
       if (now >= f->deadline + KQ_DEADLINE_GRACE)
@@ -550,50 +550,50 @@
           kq_entry_fail (g, f, KQ_ERR_OUTCOME_UNKNOWN, KQ_RAN_UNKNOWN, 0, now);
         }
       break;
-    case KQ_FLIGHT_ANSWERING: /* the deadline is for the head; a body takes its time */
+    case KQ_FLIGHT_ANSWERING: /* the deadline applies to the head, not to the body */
       break;
     case KQ_FLIGHT_ENDED:
       if (f->claim_deadline != 0)
-        tick_late_claim (g, f, now);
+        resend_late_claim_end (g, f, now);
       break;
     }
 }
 
 static void
-send_end_again (void *arg, const KqMsg *done)
+resend_claim_end (void *arg, const KqMsg *done)
 {
   KqGateway *g = arg;
-  send (g, g->config.self, done);
+  send_msg (g, g->config.self, done);
 }
 
 void
 kq_entry_tick (KqGateway *g, KqTime now)
 {
-  kq_claim_ends_tick (g->ends, now, send_end_again, g);
-  each_flight (g, tick_flight, NULL, now);
+  kq_claim_ends_tick (g->ends, now, resend_claim_end, g);
+  for_each_flight (g, tick_flight, NULL, now);
 }
 
-/* The caller left before its answer was whole. A claimed request goes on, because the
- * caller will come back with its key and wants the answer. */
+/* The caller disconnected before it had the whole answer. A claimed request continues:
+ * the caller is expected to repeat it with the same key and then gets the answer. */
 static void
-abandoned (KqGateway *g, KqFlight *f, KqTime now)
+on_caller_gone (KqGateway *g, KqFlight *f, KqTime now)
 {
   count_end (g, f, KQ_END_ABANDONED);
   kq_counter_result (g->config.counters, KQ_ERR_CALLER_GONE);
   if (f->claimed || f->state == KQ_FLIGHT_CLAIMING)
     {
-      f->answer_taken = f->answer_offset;
+      f->answer_consumed = f->answer_offset;
       grant_credit (g, f);
       return;
     }
   if (f->state == KQ_FLIGHT_SENT || f->state == KQ_FLIGHT_ANSWERING)
     send_cancel (g, f, KQ_ERR_CALLER_GONE);
-  leave_owner (g, f, now);
+  end_try_at_owner (g, f, now);
   end_flight (g, f);
 }
 
 void
-kq_entry_gone (KqGateway *g, KqFlight *f, bool whole, KqTime now)
+kq_entry_exchange_ended (KqGateway *g, KqFlight *f, bool whole, KqTime now)
 {
   f->exchange = NULL;
   if (whole)
@@ -604,5 +604,5 @@
       end_flight (g, f);
     }
   else if (!whole)
-    abandoned (g, f, now);
+    on_caller_gone (g, f, now);
 }
--- a/src/request/entry.h
+++ b/src/request/entry.h
@@ -1,8 +1,8 @@
 #ifndef KQ_REQUEST_ENTRY_H
 #define KQ_REQUEST_ENTRY_H
 
-/* entry: a flight's way from the gateway to an owner and back. Used by gateway.c only;
- * the struct stands here because the two files are one task. */
+/* entry: sends flights from the gateway to owners and returns the answers to callers.
+ * Used by gateway.c only; the struct is here because both files implement one task. */
 
 #include "api/calls.h"
 #include "port/mail.h"
@@ -17,16 +17,16 @@
 #include <ev.h>
 #include <glib.h>
 
-/* Tries of one request, the first included: enough to get past one owner that died and
- * one that refuses; more would be a load of its own (the retry budget bounds the sum). */
+/* Tries of one request, including the first: enough if one owner has died and another
+ * one refuses. More tries would add load; the retry budget bounds the sum. */
 #define KQ_TRIES_MAX 3
-/* How long a claim may take to be recorded: many store latencies, yet short enough that
- * a caller with a deadline of seconds can try again. */
-#define KQ_CLAIM_WAIT (2 * KQ_SEC)
-/* Behind the deadline, for the owner's own word to arrive over the mesh. */
+/* Time limit for recording a claim: many store latencies, yet short enough that a caller
+ * with a deadline of some seconds can try again. */
+#define KQ_CLAIM_TIMEOUT (2 * KQ_SEC)
+/* Added to the deadline, so that the owner's own report of it can arrive first. */
 #define KQ_DEADLINE_GRACE (250 * KQ_MS)
-/* How long an end of a claim is repeated while its reply is missing. */
-#define KQ_CLAIM_LATE (30 * KQ_SEC)
+/* How long the end of a claim is resent while the reply to its begin is missing. */
+#define KQ_CLAIM_END_RESEND_TIME (30 * KQ_SEC)
 
 struct KqGateway
 {
@@ -35,35 +35,36 @@
   KqGatewayConfig config;
   KqHttpServer *http;
   KqRoute *route;
-  KqTable *table; /* NULL before the first */
+  KqTable *table; /* NULL: none received yet */
   KqAccount *account;
   KqCalls *calls;
   KqClaimEnds *ends;
   KqRecent recent;
   GHashTable *flights; /* number -> KqFlight */
-  GHashTable *nodes;   /* id -> what is known of an owner, for the route module */
+  GHashTable *nodes;   /* id -> KnownNode of gateway.c */
   uint64_t next_number;
   bool draining;
-  bool drained_told;
+  bool drained_reported;
   ev_timer tick;
-  uint64_t *late;
-  uint64_t *cut;
+  uint64_t *late_messages; /* counter */
+  uint64_t *cut_answers;   /* counter */
 };
 
-/* Everything that is to be sent first has been collected, or streaming starts. */
+/* Starts the flight: its body has been collected, or is to be streamed. */
 void kq_entry_start (KqGateway *g, KqFlight *f, KqTime now);
-/* Sends body bytes the owner has credit for. */
-void kq_entry_pump (KqGateway *g, KqFlight *f);
-/* The flight's final word to its caller; "not run" frees its claim. */
+/* Sends the body bytes for which the owner has granted credit. */
+void kq_entry_send_body (KqGateway *g, KqFlight *f);
+/* Ends the flight and reports the error to its caller. ran: of the last try; KQ_RAN_NO
+ * releases the idempotency key, unless an earlier try may have run. */
 void kq_entry_fail (KqGateway *g, KqFlight *f, KqResult code, KqRan ran,
                     KqTime retry_after, KqTime now);
-/* RESP_*, REQ_CREDIT or CLAIM_REPLY. */
+/* Handles RESP_*, REQ_CREDIT and CLAIM_REPLY. */
 void kq_entry_message (KqGateway *g, KqNodeId from, const KqMsg *m, KqTime now);
 void kq_entry_peer_down (KqGateway *g, const KqMailPeer *p, KqTime now);
 void kq_entry_tick (KqGateway *g, KqTime now);
-/* The caller's exchange is over. */
-void kq_entry_gone (KqGateway *g, KqFlight *f, bool whole, KqTime now);
-/* The caller took answer bytes. */
-void kq_entry_drained (KqGateway *g, KqFlight *f);
+/* The caller's exchange has ended. whole: the answer was sent completely. */
+void kq_entry_exchange_ended (KqGateway *g, KqFlight *f, bool whole, KqTime now);
+/* The caller has read answer bytes: grants credit for more. */
+void kq_entry_answer_consumed (KqGateway *g, KqFlight *f);
 
 #endif
--- a/src/request/flight.c
+++ b/src/request/flight.c
@@ -13,8 +13,8 @@
   f->id = (KqFlightId){ node, incarnation, number };
   snprintf (f->id_text, sizeof f->id_text, "%08x-%08x-%llx", (unsigned)(node >> 32),
             (unsigned)(incarnation >> 32), (unsigned long long)number);
-  f->taken_at = now;
-  f->body_whole = true;
+  f->accepted_at = now;
+  f->body_kept = true;
   f->answer_kept = true;
   return f;
 }
@@ -43,23 +43,25 @@
 }
 
 bool
-kq_header_is_hop (KqStr name)
+kq_header_is_hop_by_hop (KqStr name)
 {
-  static const char *const hops[]
+  static const char *const names[]
       = { "Connection",          "Keep-Alive", "Proxy-Authenticate",
           "Proxy-Authorization", "TE",         "Trailer",
           "Transfer-Encoding",   "Upgrade",    "Host",
           "Content-Length",      "Expect",     "X-Kq-Caller-Token",
           "X-Kq-Deadline-Ms",    "X-Kq-Ran" };
-  for (size_t i = 0; i < sizeof hops / sizeof hops[0]; i++)
+  for (size_t i = 0; i < sizeof names / sizeof names[0]; i++)
     {
-      if (name.len == strlen (hops[i]) && strncasecmp (name.ptr, hops[i], name.len) == 0)
+      if (name.len == strlen (names[i])
+          && strncasecmp (name.ptr, names[i], name.len) == 0)
         return true;
     }
   return false;
 }
 
-/* Copies headers into one text and an array that points into it. */
+/* Copies the headers that are forwarded: their strings to `text`, and to *out a new array
+ * that points into it. reserve: bytes that the caller will add to `text`. */
 static void
 copy_headers (const KqHeader *h, size_t n, size_t reserve, KqBuf *text, KqHeader **out,
               size_t *n_out)
@@ -67,14 +69,14 @@
   size_t total = reserve;
   for (size_t i = 0; i < n; i++)
     total += h[i].name.len + h[i].value.len;
-  /* Reserved whole first: the array points into the text, which must not move. */
+  /* The array points into the text, which must not be reallocated later. */
   kq_buf_reserve (text, total);
   *out = kq_alloc (n * sizeof **out);
   *n_out = 0;
   for (size_t i = 0; i < n; i++)
     {
       KqHeader *c = &(*out)[*n_out];
-      if (kq_header_is_hop (h[i].name))
+      if (kq_header_is_hop_by_hop (h[i].name))
         continue;
       c->name = kq_str_n (text->ptr + text->len, h[i].name.len);
       kq_buf_add_str (text, h[i].name);
@@ -97,7 +99,7 @@
 bool
 kq_flight_can_resend (const KqFlight *f)
 {
-  return f->body_whole && f->body_base == 0;
+  return f->body_kept && f->body_base == 0;
 }
 
 void
@@ -106,23 +108,23 @@
   assert (kq_flight_can_resend (f));
   f->body_sent = 0;
   f->body_end_sent = f->body_length == 0;
-  f->body_allowed = KQ_WINDOW;
+  f->body_credit = KQ_WINDOW;
   f->answer_offset = 0;
-  f->answer_taken = 0;
+  f->answer_consumed = 0;
   f->answer_credit = KQ_WINDOW;
 }
 
 bool
 kq_flight_next_chunk (const KqFlight *f, KqMsgBody *out)
 {
-  uint64_t have = f->body_base + f->body.len;
-  uint64_t n = have - f->body_sent;
+  uint64_t available = f->body_base + f->body.len;
+  uint64_t n = available - f->body_sent;
   bool last;
   if (n > KQ_CHUNK_MAX)
     n = KQ_CHUNK_MAX;
-  if (f->body_sent + n > f->body_allowed)
-    n = f->body_allowed > f->body_sent ? f->body_allowed - f->body_sent : 0;
-  last = f->body_end && f->body_sent + n == have;
+  if (f->body_sent + n > f->body_credit)
+    n = f->body_credit > f->body_sent ? f->body_credit - f->body_sent : 0;
+  last = f->body_end && f->body_sent + n == available;
   if (f->body_end_sent || (n == 0 && !last))
     return false;
   out->flight = kq_flight_try_id (f);
@@ -137,7 +139,7 @@
 {
   f->body_sent = chunk->offset + chunk->bytes.len;
   f->body_end_sent = chunk->end;
-  if (f->body_whole)
+  if (f->body_kept)
     return;
   kq_buf_drop (&f->body, (size_t)(f->body_sent - f->body_base));
   f->body_base = f->body_sent;
@@ -147,12 +149,12 @@
 kq_flight_body_hash (const KqFlight *f)
 {
   uint64_t h = kq_hash2 (kq_str_hash (kq_name_str (&f->method)), kq_str_hash (f->path));
-  assert (f->body_whole);
+  assert (f->body_kept);
   return kq_hash2 (h, kq_str_hash (kq_buf_str (&f->body)));
 }
 
 void
-kq_flight_keep_head (KqFlight *f, const KqHeader *h, size_t n)
+kq_flight_store_answer_headers (KqFlight *f, const KqHeader *h, size_t n)
 {
   kq_buf_clear (&f->answer_text);
   free (f->answer_headers);
@@ -160,9 +162,9 @@
 }
 
 void
-kq_flight_keep_bytes (KqFlight *f, KqStr bytes)
+kq_flight_store_answer_bytes (KqFlight *f, KqStr bytes)
 {
-  if (f->answer.len + bytes.len > KQ_CLAIM_ANSWER_MAX)
+  if (f->answer.len + bytes.len > KQ_CLAIM_ANSWER_MAX_BYTES)
     f->answer_kept = false;
   if (f->answer_kept)
     kq_buf_add_str (&f->answer, bytes);
--- a/src/request/flight.h
+++ b/src/request/flight.h
@@ -1,91 +1,91 @@
 #ifndef KQ_REQUEST_FLIGHT_H
 #define KQ_REQUEST_FLIGHT_H
 
-/* flight: one request on its way, as its entry node knows it.
+/* flight: the state of one request in flight at its entry node.
  *
- * The entry node holds the caller's connection. It keeps the request's body from byte 0
- * as long as the request may have to be sent again (small bodies); of a larger one only
- * what the owner has given no credit for. */
+ * The entry node holds the caller's connection and sends the request to an owner, which
+ * runs it; each time that it does so is a try. A small body is kept whole, so that it can
+ * be sent again. Of a larger one only the bytes that were not yet sent are kept. */
 
 #include "base/time.h"
 #include "http/server.h"
 #include "table/table.h"
 #include "wire/msg.h"
 
-/* A body up to this length is kept whole, so that a try that did not run can be
- * repeated at another owner. */
-#define KQ_KEEP_MAX (64 * 1024)
-/* Tries of one flight have numbers of their own: an owner that still holds the first try
- * would take the second for a repeated message, and a late answer to the first would pass
- * for one to the second. A flight's number is a multiple of this. */
+/* A body up to this length is kept whole, so that the request can be sent again. */
+#define KQ_RESEND_BODY_MAX_BYTES (64 * 1024)
+/* A flight's number is a multiple of this; the numbers up to the next flight identify its
+ * tries. With one number for all tries, an owner that still has the first one would take
+ * the second for a duplicate, and a late answer to the first would end the second. */
 #define KQ_TRY_IDS 16
-/* A request with an idempotency key is hashed whole before it runs. */
-#define KQ_KEYED_MAX (1024 * 1024)
-/* Body bytes that may be on the way to the owner (or the answer's to the entry node)
- * without a credit for more: what one flight can hold in memory on each side. At 20 ms
- * between regions 256 KB fill a 30 Mbit/s link three times over. */
+/* Limit for the body of a request with an idempotency key: it is hashed as a whole, and
+ * so must be in memory, before the request runs. */
+#define KQ_KEYED_BODY_MAX_BYTES (1024 * 1024)
+/* Flow control: bytes of a request's body (or of an answer) that may be sent before the
+ * receiver grants credit for more. This bounds the memory of a flight on each side. With
+ * 20 ms between the regions, 256 KB are three times what fills a 30 Mbit/s link. */
 #define KQ_WINDOW (256 * 1024)
-/* An answer is kept with its claim up to this length. */
-#define KQ_CLAIM_ANSWER_MAX (64 * 1024)
+/* An answer up to this length is stored with its claim. */
+#define KQ_CLAIM_ANSWER_MAX_BYTES (64 * 1024)
 
 typedef enum
 {
   KQ_FLIGHT_COLLECTING, /* the body is being read before anything is sent */
   KQ_FLIGHT_CLAIMING,   /* waits for its idempotency key to be recorded */
-  KQ_FLIGHT_BACKOFF,    /* waits before it is tried again */
-  KQ_FLIGHT_SENT,       /* at an owner, no answer yet */
-  KQ_FLIGHT_ANSWERING,  /* the answer's head has been handed on */
-  KQ_FLIGHT_ENDED       /* answered or told why not; waits for the caller to take it */
+  KQ_FLIGHT_BACKOFF,    /* waits before the next try */
+  KQ_FLIGHT_SENT,       /* sent to an owner, no answer yet */
+  KQ_FLIGHT_ANSWERING,  /* the answer's status and headers were passed to the caller */
+  KQ_FLIGHT_ENDED       /* answered or failed; the caller may still be reading */
 } KqFlightState;
 
 typedef struct KqFlight
 {
-  int tag; /* first: tells exchanges of requests from those of the job interface */
+  int tag; /* must be first: distinguishes a KqFlight from the data of a job request */
   KqFlightId id;
   char id_text[40];
   KqFlightState state;
-  KqHttpExchange *exchange; /* NULL: the caller has left */
-  KqTime taken_at;
+  KqHttpExchange *exchange; /* NULL: the caller has disconnected */
+  KqTime accepted_at;
   KqTime deadline;
   KqTime retry_at;
-  KqTime handed_back_at; /* by an owner that stops as planned; 0: never */
+  KqTime handed_back_at; /* when a draining owner first handed it back; 0: never */
   KqName service;
   KqName caller;
   KqName method;
   bool idempotent;
-  bool counted; /* its end is in the account */
+  bool counted; /* its end was counted in the account */
   KqServiceRow row;
-  /* Text of path, key and headers lies in `text`; the offsets are into it. */
+  /* `text` holds the strings of path, key and headers. */
   KqBuf text;
   KqStr path;
   KqStr key;
   KqHeader *headers;
   size_t n_headers;
-  /* The body: bytes from `body_base` on are in `body`. */
+  /* The request's body; `body` holds the bytes from offset `body_base` on. */
   KqBuf body;
   uint64_t body_base;
   uint64_t body_sent;
-  uint64_t body_allowed; /* by the owner's credits */
-  int64_t body_length;   /* announced; -1: unknown */
-  bool body_whole;       /* kept from byte 0 */
-  bool body_end;         /* all of it has come */
+  uint64_t body_credit; /* offset up to which the owner has granted credit */
+  int64_t body_length;  /* announced; -1: unknown */
+  bool body_kept;       /* `body` keeps bytes that were sent, for another try */
+  bool body_end;        /* received completely */
   bool body_end_sent;
-  /* The owner it is at. */
+  /* The owner of the current or last try. */
   KqNodeId owner;
-  bool far;
+  bool far; /* the owner is in the other region */
   int tries;
-  bool may_have_run; /* by an earlier try: no later refusal makes that "not run" */
+  bool may_have_run; /* in an earlier try: later refusals must not report "not run" */
   /* The claim of its idempotency key. */
   uint32_t claim_shard;
-  bool claimed;
-  KqTime claim_deadline;
+  bool claimed;          /* granted */
+  KqTime claim_deadline; /* 0: no reply from the claim's owner is expected */
   /* The answer. */
   int status;
   uint64_t answer_offset;
-  uint64_t answer_taken;  /* by the caller */
-  uint64_t answer_credit; /* granted to the owner */
-  KqBuf answer;           /* kept for the claim */
-  bool answer_kept;
+  uint64_t answer_consumed; /* bytes that the caller has read */
+  uint64_t answer_credit;   /* offset up to which the owner may send */
+  KqBuf answer;             /* body, stored for the claim */
+  bool answer_kept;         /* false: too long, dropped */
   KqHeader *answer_headers;
   size_t n_answer_headers;
   KqBuf answer_text;
@@ -94,25 +94,25 @@
 KqFlight *kq_flight_new (KqNodeId node, uint64_t incarnation, uint64_t number,
                          KqTime now);
 void kq_flight_free (KqFlight *f);
-/* The id under which the present try is known to its owner. */
+/* The id of the current try, by which its owner knows it. */
 KqFlightId kq_flight_try_id (const KqFlight *f);
-/* Copies path, key and those headers that go on to the runner. */
+/* Copies path, key and the headers that are forwarded to the runner. */
 void kq_flight_set_request (KqFlight *f, KqStr path, KqStr key, const KqHeader *h,
                             size_t n);
-/* Whether another try can still send everything. */
+/* Whether the whole body is still there for another try. */
 bool kq_flight_can_resend (const KqFlight *f);
-/* Forgets what was sent, for another try. */
+/* Resets the send state for another try. */
 void kq_flight_rewind (KqFlight *f);
-/* The next chunk the owner has credit for; false: none now. */
+/* The next chunk within the owner's credit, pointing into f; false: none now. */
 bool kq_flight_next_chunk (const KqFlight *f, KqMsgBody *out);
-/* The chunk was sent: forgets bytes that aren't kept. */
+/* The chunk was sent: drops its bytes unless the body is kept. */
 void kq_flight_chunk_sent (KqFlight *f, const KqMsgBody *chunk);
-/* Over method, path and body: the same key with another request is refused. */
+/* Hash of method, path and body, to refuse another request with the same key. */
 uint64_t kq_flight_body_hash (const KqFlight *f);
-/* Copies an answer's headers, for the claim. */
-void kq_flight_keep_head (KqFlight *f, const KqHeader *h, size_t n);
-void kq_flight_keep_bytes (KqFlight *f, KqStr bytes);
-/* A header that belongs to one connection, or to us, and doesn't go on. */
-bool kq_header_is_hop (KqStr name);
+/* Copy an answer's headers, and bytes of its body, to be stored with the claim. */
+void kq_flight_store_answer_headers (KqFlight *f, const KqHeader *h, size_t n);
+void kq_flight_store_answer_bytes (KqFlight *f, KqStr bytes);
+/* Whether a header is not forwarded: it belongs to one connection or to this system. */
+bool kq_header_is_hop_by_hop (KqStr name);
 
 #endif
--- a/src/request/gateway.c
+++ b/src/request/gateway.c
@@ -10,23 +10,23 @@
 #include <string.h>
 
 #define PART "gateway"
-/* Deadlines, backoffs and claims are looked over this often; a tenth of the shortest
+/* Interval at which deadlines, backoffs and claims are checked: a tenth of the shortest
  * deadline that makes sense over the internet. */
 #define TICK_S 0.02
 #define DEADLINE_MS_MAX (3600 * 1000)
-#define KEY_MAX 200
-/* How long an owner whose connection was lost isn't chosen, if it doesn't come back
- * sooner: as long as suspicion takes with the default heartbeat. */
-#define LOST_OWNER_REST (2 * KQ_SEC)
+#define KEY_MAX_BYTES 200
+/* How long an owner whose connection was lost is not chosen, unless it reconnects sooner:
+ * the time after which missing heartbeats make a node suspect, with default settings. */
+#define LOST_OWNER_EXCLUSION (2 * KQ_SEC)
 
-/* What an exchange's data points at: a KqFlight or a JobExchange; both begin with it. */
+/* First member of the data of an exchange, which is a KqFlight or a JobExchange. */
 enum
 {
   TAG_FLIGHT = 1,
   TAG_JOB = 2
 };
 
-/* A request of the jobs' interface; its body is collected. */
+/* A request to the jobs API, whose body is collected. */
 typedef struct
 {
   int tag;
@@ -34,9 +34,10 @@
   bool too_large;
 } JobExchange;
 
-/* The refusal of a request that never became a flight. */
+/* Refuses a request for which no flight was started. */
 static void
-refuse (KqGateway *g, KqHttpExchange *x, KqStr service, KqResult code, KqTime retry)
+refuse_request (KqGateway *g, KqHttpExchange *x, KqStr service, KqResult code,
+                KqTime retry)
 {
   kq_account_taken (g->account, service);
   kq_account_ended (g->account, service, KQ_END_REFUSED);
@@ -84,8 +85,8 @@
 {
   *key = kq_http_header (x, "Idempotency-Key");
   if (f->idempotent)
-    *key = kq_str (""); /* running twice does no harm: nothing to record */
-  if (key->len > KEY_MAX)
+    *key = kq_str (""); /* running twice is harmless: no claim needed */
+  if (key->len > KEY_MAX_BYTES)
     return KQ_ERR_BAD_REQUEST;
   return KQ_OK;
 }
@@ -95,14 +96,14 @@
 {
   if (length > f->row.body_max_mb * 1024 * 1024)
     return KQ_ERR_BODY_TOO_LARGE;
-  if (key.len > 0 && length > KQ_KEYED_MAX)
+  if (key.len > 0 && length > KQ_KEYED_BODY_MAX_BYTES)
     return KQ_ERR_BODY_TOO_LARGE;
   return KQ_OK;
 }
 
-/* Reads everything the request says of itself; `rest` is its path at the runner. */
+/* Reads the request's properties to f. path_rest: the path to request from the runner. */
 static KqResult
-read_request (KqGateway *g, KqHttpExchange *x, KqFlight *f, KqStr rest, KqTime now)
+read_request (KqGateway *g, KqHttpExchange *x, KqFlight *f, KqStr path_rest, KqTime now)
 {
   KqStr method = kq_http_method (x);
   KqStr key;
@@ -125,7 +126,7 @@
   if (r != KQ_OK)
     return r;
   h = kq_http_headers (x, &n);
-  kq_buf_printf (&path, "/%.*s", KQ_STR_ARG (rest));
+  kq_buf_printf (&path, "/%.*s", KQ_STR_ARG (path_rest));
   if (kq_http_query (x).len > 0)
     kq_buf_printf (&path, "?%.*s", KQ_STR_ARG (kq_http_query (x)));
   kq_flight_set_request (f, kq_buf_str (&path), key, h, n);
@@ -146,9 +147,10 @@
 }
 
 static void
-take_flight (KqGateway *g, KqFlight *f, KqTime now)
+accept_flight (KqGateway *g, KqFlight *f, KqTime now)
 {
-  bool stream = f->key.len == 0 && (f->body_length < 0 || f->body_length > KQ_KEEP_MAX);
+  bool stream = f->key.len == 0
+                && (f->body_length < 0 || f->body_length > KQ_RESEND_BODY_MAX_BYTES);
   g_hash_table_insert (g->flights, &f->id.number, f);
   kq_account_taken (g->account, kq_name_str (&f->service));
   kq_http_set_data (f->exchange, f);
@@ -159,9 +161,9 @@
 }
 
 static void
-begin_request (KqGateway *g, KqHttpExchange *x, KqStr rest, KqTime now)
+begin_request (KqGateway *g, KqHttpExchange *x, KqStr path_rest, KqTime now)
 {
-  KqStr service = kq_str_cut (&rest, '/');
+  KqStr service = kq_str_cut (&path_rest, '/');
   const KqRow *row = NULL;
   KqFlight *f;
   KqResult r;
@@ -173,18 +175,18 @@
       KqResult why = g->draining        ? KQ_ERR_DRAINING
                      : g->table == NULL ? KQ_ERR_TABLE_NONE
                                         : KQ_ERR_NO_SERVICE;
-      refuse (g, x, row != NULL ? service : KQ_STR ("-"), why, KQ_SEC);
+      refuse_request (g, x, row != NULL ? service : KQ_STR ("-"), why, KQ_SEC);
       return;
     }
   f = new_flight (g, x, row, now);
-  r = read_request (g, x, f, rest, now);
+  r = read_request (g, x, f, path_rest, now);
   if (r != KQ_OK)
     {
       kq_flight_free (f);
-      refuse (g, x, service, r, 0);
+      refuse_request (g, x, service, r, 0);
       return;
     }
-  take_flight (g, f, now);
+  accept_flight (g, f, now);
 }
 
 static void
@@ -209,10 +211,10 @@
 static void
 flight_body (KqGateway *g, KqFlight *f, KqStr chunk)
 {
-  uint64_t have = f->body_base + f->body.len + chunk.len;
+  uint64_t received = f->body_base + f->body.len + chunk.len;
   if (f->state == KQ_FLIGHT_ENDED)
     return;
-  if (check_length (f, (int64_t)have, f->key) != KQ_OK)
+  if (check_length (f, (int64_t)received, f->key) != KQ_OK)
     {
       kq_entry_fail (g, f, KQ_ERR_BODY_TOO_LARGE,
                      f->state == KQ_FLIGHT_COLLECTING ? KQ_RAN_NO : KQ_RAN_UNKNOWN, 0,
@@ -222,10 +224,10 @@
   kq_buf_add_str (&f->body, chunk);
   if (f->state == KQ_FLIGHT_COLLECTING)
     return;
-  /* A streamed body is too large to keep for another try once it has passed the limit. */
-  if (f->body_whole && f->body.len > KQ_KEEP_MAX)
-    f->body_whole = false;
-  kq_entry_pump (g, f);
+  /* A streamed body beyond the limit is no longer kept for another try. */
+  if (f->body_kept && f->body.len > KQ_RESEND_BODY_MAX_BYTES)
+    f->body_kept = false;
+  kq_entry_send_body (g, f);
   if (f->body.len >= KQ_WINDOW)
     kq_http_pause_upload (f->exchange);
 }
@@ -254,7 +256,7 @@
       kq_entry_start (g, f, now);
     }
   else
-    kq_entry_pump (g, f);
+    kq_entry_send_body (g, f);
 }
 
 static void
@@ -283,20 +285,20 @@
 }
 
 static void
-on_drained (void *arg, KqHttpExchange *x)
+on_answer_consumed (void *arg, KqHttpExchange *x)
 {
   int *tag = kq_http_data (x);
   if (tag != NULL && *tag == TAG_FLIGHT)
-    kq_entry_drained (arg, (KqFlight *)tag);
+    kq_entry_answer_consumed (arg, (KqFlight *)tag);
 }
 
 static void
-on_gone (void *arg, KqHttpExchange *x, bool whole)
+on_exchange_ended (void *arg, KqHttpExchange *x, bool whole)
 {
   KqGateway *g = arg;
   int *tag = kq_http_data (x);
   if (tag != NULL && *tag == TAG_FLIGHT)
-    kq_entry_gone (g, (KqFlight *)tag, whole, kq_loop_now (g->loop));
+    kq_entry_exchange_ended (g, (KqFlight *)tag, whole, kq_loop_now (g->loop));
   else if (tag != NULL)
     {
       JobExchange *j = (JobExchange *)tag;
@@ -306,27 +308,27 @@
     }
 }
 
-/* What the route module is told of a node comes from two sides: its state from our own
- * node's task, its lines from its heartbeats. */
+/* What is known of another node, for the route module: its state, which this node's own
+ * task reports, and the digests of its services, from its heartbeats. */
 typedef struct
 {
   KqNodeId id;
   KqRouteNode state;
-  KqTime cut_until; /* its connection was lost; not chosen before */
-  KqServiceDigest *lines;
-  size_t n_lines;
+  KqTime excluded_until; /* not chosen before, because its connection was lost */
+  KqServiceDigest *digests;
+  size_t n_digests;
 } KnownNode;
 
 static void
-free_known (gpointer p)
+free_known_node (gpointer p)
 {
   KnownNode *k = p;
-  free (k->lines);
+  free (k->digests);
   free (k);
 }
 
 static KnownNode *
-get_known (KqGateway *g, KqNodeId id)
+get_known_node (KqGateway *g, KqNodeId id)
 {
   KnownNode *k = g_hash_table_lookup (g->nodes, &id);
   if (k != NULL)
@@ -339,63 +341,65 @@
 }
 
 static void
-tell_route (KqGateway *g, const KnownNode *k, KqTime now)
+update_route (KqGateway *g, const KnownNode *k, KqTime now)
 {
   KqRouteNode n = k->state;
-  n.usable = n.usable && now >= k->cut_until;
-  kq_route_set_node (g->route, &n, k->lines, k->n_lines, now);
+  n.usable = n.usable && now >= k->excluded_until;
+  kq_route_set_node (g->route, &n, k->digests, k->n_digests, now);
 }
 
-/* Suspicion takes several heartbeats. Until then every request given to a dead owner
- * would cost a try and a part of the retry budget; a lost connection tells at once. */
+/* A node becomes suspect only after several missing heartbeats. Until then each request
+ * sent to a dead owner would cost a try and a part of the retry budget, so a lost
+ * connection excludes the owner at once. */
 static void
-take_peer (KqGateway *g, const KqMailPeer *p, KqTime now)
+on_peer (KqGateway *g, const KqMailPeer *p, KqTime now)
 {
   KnownNode *k = g_hash_table_lookup (g->nodes, &p->peer);
   if (k != NULL)
     {
-      k->cut_until = p->up ? 0 : now + LOST_OWNER_REST;
-      tell_route (g, k, now);
+      k->excluded_until = p->up ? 0 : now + LOST_OWNER_EXCLUSION;
+      update_route (g, k, now);
     }
   if (!p->up)
     kq_entry_peer_down (g, p, now);
 }
 
 static void
-take_heartbeat (KqGateway *g, const KqMsgHeartbeat *h, KqTime now)
+on_heartbeat (KqGateway *g, const KqMsgHeartbeat *h, KqTime now)
 {
-  KnownNode *k = get_known (g, h->node);
+  KnownNode *k = get_known_node (g, h->node);
   size_t n = 0;
   for (size_t i = 0; i < h->n_shards; i++)
     n += h->shards[i].n_services;
-  free (k->lines);
-  k->lines = kq_alloc (n * sizeof *k->lines);
-  k->n_lines = 0;
+  free (k->digests);
+  k->digests = kq_alloc (n * sizeof *k->digests);
+  k->n_digests = 0;
   for (size_t i = 0; i < h->n_shards; i++)
     {
       for (size_t s = 0; s < h->shards[i].n_services; s++)
-        k->lines[k->n_lines++] = h->shards[i].services[s];
+        k->digests[k->n_digests++] = h->shards[i].services[s];
     }
-  tell_route (g, k, now);
+  update_route (g, k, now);
 }
 
-/* "requests": the account by service. "explain": how one request ended, and why. */
+/* Answers "explain": how the request `id` ended, and why. NULL: unknown id. */
 static json_t *
 explain (const KqGateway *g, KqStr id)
 {
-  const KqRecentLine *l = kq_recent_find (&g->recent, id);
+  const KqRecentEntry *e = kq_recent_find (&g->recent, id);
   json_t *o;
-  if (l == NULL)
+  if (e == NULL)
     return NULL;
-  o = json_pack ("{s:s, s:i, s:s, s:s, s:i, s:i, s:I}", "request", l->id_text, "code",
-                 (int)l->code, "name", kq_result_name (l->code), "why",
-                 kq_result_meaning (l->code), "status", l->status, "tries", l->tries,
-                 "took_ms", (json_int_t)(l->took / KQ_MS));
-  json_object_set_new (o, "service", json_stringn (l->service.bytes, l->service.len));
-  json_object_set_new (o, "caller", json_stringn (l->caller.bytes, l->caller.len));
+  o = json_pack ("{s:s, s:i, s:s, s:s, s:i, s:i, s:I}", "request", e->id_text, "code",
+                 (int)e->code, "name", kq_result_name (e->code), "why",
+                 kq_result_meaning (e->code), "status", e->status, "tries", e->tries,
+                 "took_ms", (json_int_t)(e->duration / KQ_MS));
+  json_object_set_new (o, "service", json_stringn (e->service.bytes, e->service.len));
+  json_object_set_new (o, "caller", json_stringn (e->caller.bytes, e->caller.len));
   return o;
 }
 
+/* Answers the queries "requests" (the account, by service) and "explain". */
 static void
 answer_query (KqGateway *g, KqNodeId from, const KqMsgQuery *q)
 {
@@ -409,7 +413,7 @@
 }
 
 static void
-take_message (KqGateway *g, KqNodeId from, const KqMsg *m, KqTime now)
+on_message (KqGateway *g, KqNodeId from, const KqMsg *m, KqTime now)
 {
   switch (m->kind)
     {
@@ -417,7 +421,7 @@
       answer_query (g, from, &m->u.query);
       break;
     case KQ_MSG_HEARTBEAT:
-      take_heartbeat (g, &m->u.heartbeat, now);
+      on_heartbeat (g, &m->u.heartbeat, now);
       break;
     case KQ_MSG_JOB_REPLY:
     case KQ_MSG_ANSWER:
@@ -430,7 +434,7 @@
 }
 
 static void
-take_table (KqGateway *g, KqTable *t)
+on_table (KqGateway *g, KqTable *t)
 {
   if (g->table != NULL)
     kq_table_unref (g->table);
@@ -439,9 +443,9 @@
 }
 
 static void
-take_node (KqGateway *g, const KqMailNode *n, KqTime now)
+on_node (KqGateway *g, const KqMailNode *n, KqTime now)
 {
-  KnownNode *k = get_known (g, n->node);
+  KnownNode *k = get_known_node (g, n->node);
   k->state = (KqRouteNode){ n->node, n->region, n->depot, n->usable };
   if (n->gone)
     {
@@ -449,17 +453,17 @@
       g_hash_table_remove (g->nodes, &n->node);
     }
   else
-    tell_route (g, k, now);
+    update_route (g, k, now);
 }
 
 static void
-tell_drained (KqGateway *g)
+report_drained (KqGateway *g)
 {
   KqMail *m;
-  if (!g->draining || g->drained_told || kq_gateway_open (g) > 0
+  if (!g->draining || g->drained_reported || kq_gateway_open (g) > 0
       || kq_calls_open (g->calls) > 0)
     return;
-  g->drained_told = true;
+  g->drained_reported = true;
   m = kq_mail_new (KQ_MAIL_DRAINED);
   m->u.drained = PART;
   kq_task_send (g->config.node, m);
@@ -472,16 +476,16 @@
   switch (mail->kind)
     {
     case KQ_MAIL_MSG:
-      take_message (g, mail->u.msg.peer, mail->u.msg.msg, now);
+      on_message (g, mail->u.msg.peer, mail->u.msg.msg, now);
       break;
     case KQ_MAIL_PEER:
-      take_peer (g, &mail->u.peer, now);
+      on_peer (g, &mail->u.peer, now);
       break;
     case KQ_MAIL_TABLE:
-      take_table (g, mail->u.table);
+      on_table (g, mail->u.table);
       break;
     case KQ_MAIL_NODE:
-      take_node (g, &mail->u.node, now);
+      on_node (g, &mail->u.node, now);
       break;
     case KQ_MAIL_DRAIN:
       g->draining = true;
@@ -502,7 +506,7 @@
   (void)events;
   kq_entry_tick (g, now);
   kq_calls_tick (g->calls, now);
-  tell_drained (g);
+  report_drained (g);
 }
 
 static void
@@ -517,7 +521,8 @@
   const KqSettings *s = c->settings;
   KqRouteNode self = { c->self, s->region, s->depot, true };
   KqGateway *g = kq_alloc (sizeof *g);
-  KqHttpHandler h = { g, on_begin, on_body, on_end, on_drained, on_gone };
+  KqHttpHandler h
+      = { g, on_begin, on_body, on_end, on_answer_consumed, on_exchange_ended };
   g->loop = loop;
   g->config = *c;
   g->http = kq_http_server_new (loop, s->caller_ip, s->caller_port, &h);
@@ -531,11 +536,11 @@
   g->ends = kq_claim_ends_new ();
   g->calls = kq_calls_new (KQ_CALLS_GATEWAY, c->self, c->mesh, c->counters);
   g->flights = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, free_flight);
-  g->nodes = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, free_known);
-  g->late = kq_counter (c->counters, "kq_late_messages_total", "",
-                        "Answers that came late, twice, or for nobody.");
-  g->cut = kq_counter (c->counters, "kq_cut_answers_total", "",
-                       "Answers cut because the rest was lost.");
+  g->nodes = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, free_known_node);
+  g->late_messages = kq_counter (c->counters, "kq_late_messages_total", "",
+                                 "Answers that came late, twice, or for nobody.");
+  g->cut_answers = kq_counter (c->counters, "kq_cut_answers_total", "",
+                               "Answers cut because the rest was lost.");
   kq_task_init (&g->task, loop, PART, g, on_mail);
   ev_timer_init (&g->tick, on_tick, TICK_S, TICK_S);
   g->tick.data = g;
--- a/src/request/gateway.h
+++ b/src/request/gateway.h
@@ -1,12 +1,13 @@
 #ifndef KQ_REQUEST_GATEWAY_H
 #define KQ_REQUEST_GATEWAY_H
 
-/* gateway: the task that owns the callers' connections (the entry node's side).
+/* gateway: the task that holds the callers' HTTP connections. Its node is the entry node
+ * of these callers' requests.
  *
  *   ANY /s/SERVICE/PATH   a request for a service
- *       X-Kq-Caller            the caller's name; "anonymous" without
- *       X-Kq-Caller-Token      where the caller's row has one
- *       X-Kq-Deadline-Ms       time left; the service row's default without
+ *       X-Kq-Caller            the caller's name; default "anonymous"
+ *       X-Kq-Caller-Token      required if the caller's row has a token
+ *       X-Kq-Deadline-Ms       time left; default: deadline_ms of the service row
  *       Idempotency-Key        for POST, PATCH and services that are not idempotent
  *   /v1/jobs...           see api/jobs_http.h
  *
@@ -30,7 +31,7 @@
 
 typedef struct KqGateway KqGateway;
 
-/* NULL when the address can't be bound. */
+/* NULL: the address can't be bound. */
 KqGateway *kq_gateway_new (KqLoop *loop, const KqGatewayConfig *c);
 void kq_gateway_free (KqGateway *g);
 int kq_gateway_port (const KqGateway *g);
--- a/src/request/problem.c
+++ b/src/request/problem.c
@@ -7,7 +7,7 @@
 
 static const char *const ran_names[] = { "no", "yes", "unknown" };
 
-/* Whole seconds, rounded up: the header has no smaller unit. */
+/* Retry-After has whole seconds; rounds up. */
 static int
 retry_seconds (KqTime t)
 {
--- a/src/request/problem.h
+++ b/src/request/problem.h
@@ -1,13 +1,13 @@
 #ifndef KQ_REQUEST_PROBLEM_H
 #define KQ_REQUEST_PROBLEM_H
 
-/* problem: error answers to callers and operators, as application/problem+json with the
- * result's number and name, and whether the request ran. */
+/* problem: error answers to callers and operators, as application/problem+json (RFC 7807)
+ * with the number and name of the result, and whether the request ran. */
 
 #include "http/server.h"
 
-/* retry_after 0: no advice. id: the request's id for `kumquatctl explain`; "" without.
- * detail "": the result's own meaning. */
+/* retry_after: 0: not told. id: the request's id for `kumquatctl explain`; "": none.
+ * detail: "": the general meaning of the result. */
 void kq_problem_reply (KqHttpExchange *x, KqResult code, KqRan ran, KqTime retry_after,
                        KqStr id, KqStr detail);
 
--- a/src/request/recent.h
+++ b/src/request/recent.h
@@ -16,17 +16,17 @@
   KqRan ran;
   int status;
   int tries;
-  KqTime took;
-} KqRecentLine;
+  KqTime duration;
+} KqRecentEntry;
 
 typedef struct
 {
-  KqRecentLine lines[KQ_RECENT_MAX];
-  size_t next;
+  KqRecentEntry entries[KQ_RECENT_MAX];
+  size_t next; /* count of all added; modulo KQ_RECENT_MAX the next to overwrite */
 } KqRecent;
 
 void kq_recent_add (KqRecent *r, const KqFlight *f, KqResult code, KqRan ran, KqTime now);
-/* The last line with that id, or NULL. */
-const KqRecentLine *kq_recent_find (const KqRecent *r, KqStr id_text);
+/* The entry of the request with that id, or NULL. */
+const KqRecentEntry *kq_recent_find (const KqRecent *r, KqStr id_text);
 
 #endif
--- a/src/request/route.c
+++ b/src/request/route.c
@@ -7,27 +7,31 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Extra time on the way, one request and its answer: the brief's latencies. */
-#define DEPOT_COST (2 * KQ_MS)
-#define REGION_COST (40 * KQ_MS)
-/* A far request must save this much wait for each 64 KB it moves: the link carries that
- * in 17 ms when it is idle, and every byte is paid for and shared with all traffic. */
-#define FAR_CHUNK 65536
-#define FAR_WORTH (50 * KQ_MS)
-/* What an answer is expected to weigh before any is known. */
-#define ANSWER_BYTES 16384
-/* Owners of one tier that are all weighed; a region has 12 at the target. */
-#define OWNERS_WEIGHED 16
-/* Digests are about this old when they are used. */
-#define HORIZON (500 * KQ_MS)
-#define RUN_UNKNOWN (10 * KQ_MS)
+/* Extra network time of a request and its answer if the owner is in another depot of the
+ * region, or in the other region. */
+#define OTHER_DEPOT_RTT (2 * KQ_MS)
+#define OTHER_REGION_RTT (40 * KQ_MS)
+/* A request goes to the far region only if that saves this much wait for each 64 KB it
+ * moves. The idle link carries 64 KB in 17 ms, but it is paid by the byte and shared with
+ * all other traffic between the regions. */
+#define FAR_CHUNK_BYTES 65536
+#define FAR_SAVING_PER_CHUNK (50 * KQ_MS)
+/* Assumed size of an answer, which is unknown when the owner is chosen. */
+#define EXPECTED_ANSWER_BYTES 16384
+/* Up to so many owners of a tier are all weighed; a region has 12 at the target size. */
+#define OWNERS_WEIGHED_MAX 16
+/* Typical age of a digest when it is used. */
+#define DIGEST_AGE (500 * KQ_MS)
+/* Assumed for a service whose owner has reported no run time yet. */
+#define DEFAULT_RUN_TIME (10 * KQ_MS)
 #define RETRY_AFTER KQ_SEC
 
+/* Owners by their distance from this node. */
 typedef enum
 {
-  TIER_DEPOT,
-  TIER_REGION,
-  TIER_FAR,
+  TIER_DEPOT,  /* in the own depot */
+  TIER_REGION, /* in another depot of the own region */
+  TIER_FAR,    /* in the other region */
   TIERS
 } Tier;
 
@@ -38,16 +42,16 @@
 {
   Node *node;
   KqServiceDigest digest;
-  int64_t open;           /* our own requests there */
-  int64_t open_at_digest; /* the same when the digest came */
-} Place;
+  int64_t n_open;           /* this node's requests there that have not ended */
+  int64_t n_open_at_digest; /* the value of n_open when the digest arrived */
+} Endpoint;
 
 struct Node
 {
   KqMapNode by_id;
   KqRouteNode info;
-  Place **places; /* in order of the digest's lines */
-  size_t n_places;
+  Endpoint **endpoints; /* in the order in which the node reports them */
+  size_t n_endpoints;
 };
 
 typedef struct
@@ -56,7 +60,7 @@
   KqName name;
   KqRetryBudget budget;
   const KqServiceRow *row; /* of r->table; NULL: no such service */
-  Place **places[TIERS];
+  Endpoint **endpoints[TIERS];
   size_t n[TIERS];
   size_t capacity[TIERS];
 } Service;
@@ -101,7 +105,7 @@
 }
 
 static Service *
-need_service (KqRoute *r, KqStr name)
+get_service (KqRoute *r, KqStr name)
 {
   Service *s = find_service (r, name);
   if (s != NULL)
@@ -129,41 +133,42 @@
 }
 
 static void
-add_place (Service *s, Tier t, Place *p)
+add_endpoint (Service *s, Tier t, Endpoint *e)
 {
   if (s->n[t] == s->capacity[t])
     {
       s->capacity[t] = s->capacity[t] > 0 ? s->capacity[t] * 2 : 8;
-      s->places[t] = kq_realloc (s->places[t], s->capacity[t] * sizeof (Place *));
+      s->endpoints[t]
+          = kq_realloc (s->endpoints[t], s->capacity[t] * sizeof (Endpoint *));
     }
-  s->places[t][s->n[t]++] = p;
+  s->endpoints[t][s->n[t]++] = e;
 }
 
 static void
-remove_place (Service *s, Tier t, const Place *p)
+remove_endpoint (Service *s, Tier t, const Endpoint *e)
 {
   for (size_t i = 0; i < s->n[t]; i++)
-    if (s->places[t][i] == p)
+    if (s->endpoints[t][i] == e)
       {
-        s->places[t][i] = s->places[t][--s->n[t]];
+        s->endpoints[t][i] = s->endpoints[t][--s->n[t]];
         return;
       }
 }
 
 static void
-free_places (KqRoute *r, Node *n)
+free_endpoints (KqRoute *r, Node *n)
 {
   Tier t = tier_of (r, &n->info);
-  for (size_t i = 0; i < n->n_places; i++)
+  for (size_t i = 0; i < n->n_endpoints; i++)
     {
-      Service *s = find_service (r, kq_name_str (&n->places[i]->digest.service));
+      Service *s = find_service (r, kq_name_str (&n->endpoints[i]->digest.service));
       if (s != NULL)
-        remove_place (s, t, n->places[i]);
-      free (n->places[i]);
+        remove_endpoint (s, t, n->endpoints[i]);
+      free (n->endpoints[i]);
     }
-  free (n->places);
-  n->places = NULL;
-  n->n_places = 0;
+  free (n->endpoints);
+  n->endpoints = NULL;
+  n->n_endpoints = 0;
 }
 
 void
@@ -177,7 +182,7 @@
       Service *s = node->owner;
       kq_map_remove (&r->services, node);
       for (int t = 0; t < TIERS; t++)
-        free (s->places[t]);
+        free (s->endpoints[t]);
       free (s);
     }
   kq_map_free (&r->nodes);
@@ -190,10 +195,10 @@
 void
 kq_route_set_table (KqRoute *r, KqTable *t)
 {
-  KqTable *former = r->table;
+  KqTable *old = r->table;
   r->table = kq_table_ref (t);
-  if (former != NULL)
-    kq_table_unref (former);
+  if (old != NULL)
+    kq_table_unref (old);
   for (size_t b = 0; b < r->services.n_buckets; b++)
     for (KqMapNode *n = r->services.buckets[b]; n != NULL; n = n->next)
       {
@@ -202,55 +207,55 @@
       }
 }
 
-static Place *
-place_of (const Node *n, KqStr service)
+static Endpoint *
+find_endpoint (const Node *n, KqStr service)
 {
-  for (size_t i = 0; n != NULL && i < n->n_places; i++)
-    if (kq_str_eq (kq_name_str (&n->places[i]->digest.service), service))
-      return n->places[i];
+  for (size_t i = 0; n != NULL && i < n->n_endpoints; i++)
+    if (kq_str_eq (kq_name_str (&n->endpoints[i]->digest.service), service))
+      return n->endpoints[i];
   return NULL;
 }
 
-/* `former` keeps the count of our own open requests over the change of digests. */
+/* Adds the endpoints of n; the counts of open requests are taken over from `old`. */
 static void
-add_places (KqRoute *r, Node *n, const Node *former, const KqServiceDigest *lines,
-            size_t n_lines)
+add_endpoints (KqRoute *r, Node *n, const Node *old, const KqServiceDigest *digests,
+               size_t n_digests)
 {
-  n->places = kq_alloc (n_lines * sizeof (Place *));
-  for (size_t i = 0; i < n_lines; i++)
+  n->endpoints = kq_alloc (n_digests * sizeof (Endpoint *));
+  for (size_t i = 0; i < n_digests; i++)
     {
-      KqStr name = kq_name_str (&lines[i].service);
-      const Place *before = place_of (former, name);
-      Place *p;
-      if (lines[i].slots <= 0)
+      KqStr name = kq_name_str (&digests[i].service);
+      const Endpoint *old_endpoint = find_endpoint (old, name);
+      Endpoint *e;
+      if (digests[i].slots <= 0)
         continue;
-      p = kq_alloc (sizeof *p);
-      *p = (Place){ .node = n, .digest = lines[i] };
-      p->open = p->open_at_digest = before != NULL ? before->open : 0;
-      n->places[n->n_places++] = p;
-      add_place (need_service (r, name), tier_of (r, &n->info), p);
+      e = kq_alloc (sizeof *e);
+      *e = (Endpoint){ .node = n, .digest = digests[i] };
+      e->n_open = e->n_open_at_digest = old_endpoint != NULL ? old_endpoint->n_open : 0;
+      n->endpoints[n->n_endpoints++] = e;
+      add_endpoint (get_service (r, name), tier_of (r, &n->info), e);
     }
 }
 
 void
-kq_route_set_node (KqRoute *r, const KqRouteNode *info, const KqServiceDigest *lines,
-                   size_t n_lines, KqTime now)
+kq_route_set_node (KqRoute *r, const KqRouteNode *info, const KqServiceDigest *digests,
+                   size_t n_digests, KqTime now)
 {
   Node *n = find_node (r, info->node);
-  Node former;
+  Node old;
   (void)now;
   if (n == NULL)
     {
       n = kq_alloc (sizeof *n);
       kq_map_add (&r->nodes, &n->by_id, info->node, n);
     }
-  former = *n;
-  n->places = NULL;
-  n->n_places = 0;
+  old = *n;
+  n->endpoints = NULL;
+  n->n_endpoints = 0;
   n->info = *info;
   if (info->usable)
-    add_places (r, n, &former, lines, n_lines);
-  free_places (r, &former);
+    add_endpoints (r, n, &old, digests, n_digests);
+  free_endpoints (r, &old);
 }
 
 void
@@ -259,118 +264,120 @@
   Node *n = find_node (r, id);
   if (n == NULL)
     return;
-  free_places (r, n);
+  free_endpoints (r, n);
   kq_map_remove (&r->nodes, &n->by_id);
   free (n);
 }
 
 static KqTime
-run_at (const Place *p)
+run_time (const Endpoint *e)
 {
-  return p->digest.p50_us > 0 ? p->digest.p50_us : RUN_UNKNOWN;
+  return e->digest.p50_us > 0 ? e->digest.p50_us : DEFAULT_RUN_TIME;
 }
 
-/* How long a request sent now would wait there: the part of the expected work that is
- * more than the slots hold, over the slots. What runs in slots makes nobody wait. */
+/* How long a request sent now is expected to wait: the work of the requests that exceed
+ * the slots, divided by the slots. */
 static KqTime
-wait_at (const Place *p)
+expected_wait (const Endpoint *e)
 {
-  const KqServiceDigest *d = &p->digest;
-  int64_t known = (int64_t)d->busy + d->queued;
-  int64_t over = known + p->open - p->open_at_digest - d->slots;
-  KqTime each = known > 0 && d->work_us / known > 0 ? d->work_us / known : run_at (p);
-  return over > 0 ? over * each / d->slots : 0;
+  const KqServiceDigest *d = &e->digest;
+  int64_t reported = (int64_t)d->busy + d->queued;
+  int64_t excess = reported + e->n_open - e->n_open_at_digest - d->slots;
+  KqTime run
+      = reported > 0 && d->work_us / reported > 0 ? d->work_us / reported : run_time (e);
+  return excess > 0 ? excess * run / d->slots : 0;
 }
 
-/* True for the part of all requests that should go elsewhere to save `saved`. What is
- * known of an owner is half a second old, and all entry nodes know the same: if everyone
- * went where it looked best, that owner would be flooded and the others idle until the
- * next digest (six owners, 0.8 load: p99 259 ms in place of 185 ms). Moving
- * saved / (saved + horizon) removes about the difference within one digest. */
+/* Decides at random whether a request goes to another owner to save the wait `saved`.
+ * All entry nodes see the same digests, which are half a second old: if all requests went
+ * to the owner that looks best, it would be overloaded and the others idle until the next
+ * digest (six owners at 0.8 load: p99 259 ms instead of 185 ms). Moving a fraction of
+ * saved / (saved + DIGEST_AGE) about evens out the waits by the next digest. */
 static bool
-move_part (KqRoute *r, KqTime saved)
+should_move (KqRoute *r, KqTime saved)
 {
   if (saved <= 0)
     return false;
-  return kq_rand_unit (&r->rand) * (double)(saved + HORIZON) < (double)saved;
+  return kq_rand_unit (&r->rand) * (double)(saved + DIGEST_AGE) < (double)saved;
 }
 
-/* One drawn at random that isn't `avoid`; NULL: there is none. */
-static Place *
-draw (KqRoute *r, const Service *s, Tier t, KqNodeId avoid)
+/* Draws an endpoint uniformly, but not at `avoid`; NULL: there is none. */
+static Endpoint *
+choose_uniform (KqRoute *r, const Service *s, Tier t, KqNodeId avoid)
 {
-  size_t at;
+  size_t i;
   if (s->n[t] == 0)
     return NULL;
-  at = kq_rand_below (&r->rand, s->n[t]);
-  if (s->places[t][at]->node->info.node != avoid)
-    return s->places[t][at];
-  return s->n[t] > 1 ? s->places[t][(at + 1) % s->n[t]] : NULL;
+  i = kq_rand_below (&r->rand, s->n[t]);
+  if (s->endpoints[t][i]->node->info.node != avoid)
+    return s->endpoints[t][i];
+  return s->n[t] > 1 ? s->endpoints[t][(i + 1) % s->n[t]] : NULL;
 }
 
-/* Requests a second that it can take in, less when there is a queue already. */
+/* The rate of requests that the endpoint can serve, reduced by the expected wait. */
 static double
-pull (const Place *p)
+weight (const Endpoint *e)
 {
-  double rate = (double)p->digest.slots / (double)run_at (p);
-  return rate / (1 + (double)wait_at (p) / HORIZON);
+  double rate = (double)e->digest.slots / (double)run_time (e);
+  return rate / (1 + (double)expected_wait (e) / DIGEST_AGE);
 }
 
-/* One of all, drawn by what each can take in. Owners hold unlike numbers of runners: of
- * two drawn evenly and then weighed, one with a tenth of the slots among three still got
- * a fifth of the requests, and refused them at 0.6 of the load (bench-load-live). */
-static Place *
-draw_by_pull (KqRoute *r, const Service *s, Tier t, KqNodeId avoid)
+/* Draws one of all owners by weight. Drawing two uniformly and choosing one of these by
+ * weight gives small owners too many requests: one of three that had a tenth of the slots
+ * still got a fifth of the requests, and refused them at 0.6 load (bench-load-live). */
+static Endpoint *
+choose_weighted (KqRoute *r, const Service *s, Tier t, KqNodeId avoid)
 {
   double total = 0;
-  double at;
-  Place *last = NULL;
+  double left;
+  Endpoint *last = NULL;
   for (size_t i = 0; i < s->n[t]; i++)
     {
-      if (s->places[t][i]->node->info.node != avoid)
-        total += pull (s->places[t][i]);
+      if (s->endpoints[t][i]->node->info.node != avoid)
+        total += weight (s->endpoints[t][i]);
     }
-  at = kq_rand_unit (&r->rand) * total;
+  left = kq_rand_unit (&r->rand) * total;
   for (size_t i = 0; i < s->n[t]; i++)
     {
-      Place *p = s->places[t][i];
-      if (p->node->info.node == avoid)
+      Endpoint *e = s->endpoints[t][i];
+      if (e->node->info.node == avoid)
         continue;
-      last = p;
-      at -= pull (p);
-      if (at < 0)
+      last = e;
+      left -= weight (e);
+      if (left < 0)
         break;
     }
   return last;
 }
 
-/* Among many owners two drawn evenly stand for all: looking at each would cost more than
- * the request's other decisions together. */
-static Place *
-draw_of_two (KqRoute *r, const Service *s, Tier t, KqNodeId avoid)
+/* Draws two owners uniformly, then one of these by weight. With many owners, weighing all
+ * of them would cost more than the request's other decisions together. */
+static Endpoint *
+choose_of_two (KqRoute *r, const Service *s, Tier t, KqNodeId avoid)
 {
-  Place *a = draw (r, s, t, avoid);
-  Place *b = draw (r, s, t, avoid);
+  Endpoint *a = choose_uniform (r, s, t, avoid);
+  Endpoint *b = choose_uniform (r, s, t, avoid);
   if (a == NULL)
     return NULL;
-  return kq_rand_unit (&r->rand) * (pull (a) + pull (b)) < pull (a) ? a : b;
+  return kq_rand_unit (&r->rand) * (weight (a) + weight (b)) < weight (a) ? a : b;
 }
 
-static Place *
-draw_better (KqRoute *r, const Service *s, Tier t, KqNodeId avoid)
+static Endpoint *
+choose_in_tier (KqRoute *r, const Service *s, Tier t, KqNodeId avoid)
 {
   if (!s->row->choice)
-    return draw (r, s, t, avoid);
-  return s->n[t] <= OWNERS_WEIGHED ? draw_by_pull (r, s, t, avoid)
-                                   : draw_of_two (r, s, t, avoid);
+    return choose_uniform (r, s, t, avoid);
+  return s->n[t] <= OWNERS_WEIGHED_MAX ? choose_weighted (r, s, t, avoid)
+                                       : choose_of_two (r, s, t, avoid);
 }
 
-/* Own depot unless the other depots save more than the way there costs. */
-static Place *
-draw_near (KqRoute *r, const Service *s, KqNodeId avoid)
+/* Chooses in the own depot, or in another one if that saves more wait than the network
+ * round trip costs. */
+static Endpoint *
+choose_in_region (KqRoute *r, const Service *s, KqNodeId avoid)
 {
-  Place *own = draw_better (r, s, TIER_DEPOT, avoid);
-  Place *other = draw_better (r, s, TIER_REGION, avoid);
+  Endpoint *own = choose_in_tier (r, s, TIER_DEPOT, avoid);
+  Endpoint *other = choose_in_tier (r, s, TIER_REGION, avoid);
   if (own == NULL || other == NULL)
     return own != NULL ? own : other;
   if (!s->row->choice)
@@ -378,32 +385,36 @@
                    < s->n[TIER_DEPOT]
                ? own
                : other;
-  return move_part (r, wait_at (own) - wait_at (other) - DEPOT_COST) ? other : own;
+  return should_move (r, expected_wait (own) - expected_wait (other) - OTHER_DEPOT_RTT)
+             ? other
+             : own;
 }
 
+/* The wait that must be saved for a request that moves so many bytes over the link. */
 static KqTime
-far_worth (int64_t bytes)
+far_min_saving (int64_t bytes)
 {
-  return REGION_COST + FAR_WORTH * (bytes / FAR_CHUNK + 1);
+  return OTHER_REGION_RTT + FAR_SAVING_PER_CHUNK * (bytes / FAR_CHUNK_BYTES + 1);
 }
 
 KqRouteChoice
 kq_route_choose (KqRoute *r, KqStr service, int64_t bytes, KqNodeId avoid, KqTime now)
 {
   Service *s = find_service (r, service);
-  int64_t moved = bytes + ANSWER_BYTES;
-  Place *near;
-  Place *far;
+  int64_t link_bytes_needed = bytes + EXPECTED_ANSWER_BYTES;
+  Endpoint *near;
+  Endpoint *far;
   if (s == NULL || s->row == NULL)
     return (KqRouteChoice){ .code = find_row (r, service) != NULL ? KQ_ERR_NO_TARGET
                                                                   : KQ_ERR_NO_SERVICE,
                             .retry_after = RETRY_AFTER };
-  near = draw_near (r, s, avoid);
-  far = s->row->far ? draw_better (r, s, TIER_FAR, avoid) : NULL;
+  near = choose_in_region (r, s, avoid);
+  far = s->row->far ? choose_in_tier (r, s, TIER_FAR, avoid) : NULL;
   if (near != NULL && far != NULL
-      && !move_part (r, wait_at (near) - wait_at (far) - far_worth (moved)))
+      && !should_move (r, expected_wait (near) - expected_wait (far)
+                              - far_min_saving (link_bytes_needed)))
     far = NULL;
-  if (far != NULL && kq_link_allows (&r->link, moved, now))
+  if (far != NULL && kq_link_allows (&r->link, link_bytes_needed, now))
     return (KqRouteChoice){ .node = far->node->info.node, .far = true };
   if (near != NULL)
     return (KqRouteChoice){ .node = near->node->info.node };
@@ -411,48 +422,49 @@
     return kq_route_choose (r, service, bytes, 0, now);
   if (far != NULL)
     return (KqRouteChoice){ .code = KQ_ERR_LINK_BUDGET,
-                            .retry_after = kq_link_wait (&r->link, moved, now) };
+                            .retry_after
+                            = kq_link_wait (&r->link, link_bytes_needed, now) };
   return (KqRouteChoice){ .code = KQ_ERR_NO_TARGET, .retry_after = RETRY_AFTER };
 }
 
 void
 kq_route_sent (KqRoute *r, KqNodeId node, KqStr service, KqTime now)
 {
-  Place *p = place_of (find_node (r, node), service);
+  Endpoint *e = find_endpoint (find_node (r, node), service);
   (void)now;
-  if (p != NULL)
-    p->open++;
+  if (e != NULL)
+    e->n_open++;
 }
 
 void
 kq_route_ended (KqRoute *r, KqNodeId node, KqStr service, KqTime now)
 {
-  Place *p = place_of (find_node (r, node), service);
+  Endpoint *e = find_endpoint (find_node (r, node), service);
   (void)now;
-  if (p != NULL && p->open > 0)
-    p->open--;
+  if (e != NULL && e->n_open > 0)
+    e->n_open--;
 }
 
 void
-kq_route_spent (KqRoute *r, int64_t bytes, KqTime now)
+kq_route_link_used (KqRoute *r, int64_t bytes, KqTime now)
 {
   kq_link_spend (&r->link, bytes, now);
 }
 
-/* Only names of the table get a budget: a caller can't fill the memory with others. */
+/* Adds services of the table only: callers could fill the memory with other names. */
 static Service *
-known_service (KqRoute *r, KqStr name)
+get_table_service (KqRoute *r, KqStr name)
 {
   Service *s = find_service (r, name);
   if (s == NULL && find_row (r, name) != NULL)
-    s = need_service (r, name);
+    s = get_service (r, name);
   return s != NULL && s->row != NULL ? s : NULL;
 }
 
 void
 kq_route_first_try (KqRoute *r, KqStr service, KqTime now)
 {
-  Service *s = known_service (r, service);
+  Service *s = get_table_service (r, service);
   if (s != NULL)
     kq_retry_first (&s->budget, s->row->retry_percent, now);
 }
@@ -460,7 +472,7 @@
 bool
 kq_route_may_retry (KqRoute *r, KqStr service, KqTime now)
 {
-  Service *s = known_service (r, service);
+  Service *s = get_table_service (r, service);
   if (s == NULL)
     return false;
   return !s->row->retry || kq_retry_take (&s->budget, now);
--- a/src/request/route.h
+++ b/src/request/route.h
@@ -1,16 +1,18 @@
 #ifndef KQ_REQUEST_ROUTE_H
 #define KQ_REQUEST_ROUTE_H
 
-/* route: the entry node's side of requests: which owner gets a request.
+/* route: selects the owner to which an entry node sends a request.
  *
- * Owners' queue digests ride on heartbeats. Two candidates are drawn at random; the
- * chance of each is what it can take in (slots over run time, less with a queue).
- * Own depot first, then the own region, then the far region only when the saved wait
- * pays for the bytes (a byte budget on the link), each for the part of the requests that
- * evens out the waits. Taking always the better one of two by a digest half a second old
- * was worse than drawing at random (bench-load, owners, seed 1: p50 61 ms against 28 ms):
- * all entry nodes flood the owner that looked best. Also: the retry budget per service,
- * and how long to wait before a retry. No socket, no clock. */
+ * Heartbeats carry a load digest of each service at each owner. Owners are drawn at
+ * random, weighted by what they can serve: slots over run time, less with a queue.
+ * The own depot is preferred, then the own region. The other ("far") region is used only
+ * if the saved wait justifies the bytes sent over the link, for which there is a budget.
+ * Only the part of the requests that evens out the waits goes to the next tier.
+ *
+ * Always choosing the less loaded of two owners was worse than drawing at random
+ * (bench-load, owners, seed 1: p50 61 ms against 28 ms): digests are half a second old,
+ * so that all entry nodes overloaded the same owner. The module also holds the retry
+ * budget of each service and computes the backoff. It uses no socket and no clock. */
 
 #include "base/rand.h"
 #include "table/table.h"
@@ -38,25 +40,27 @@
 KqRoute *kq_route_new (const KqRouteNode *self, int64_t link_bytes, uint64_t seed);
 void kq_route_free (KqRoute *r);
 void kq_route_set_table (KqRoute *r, KqTable *t);
-/* An owner's service lines as of now; replaces its former ones. */
+/* Replaces what is known of an owner and the digests of its services. */
 void kq_route_set_node (KqRoute *r, const KqRouteNode *n, const KqServiceDigest *s,
                         size_t n_services, KqTime now);
 void kq_route_drop_node (KqRoute *r, KqNodeId node);
-/* bytes: the request's body as far as known. avoid: an owner already tried, taken again
- * only when there is no other one (it has other runners); 0: none. */
+/* bytes: length of the request's body as far as known. avoid: the owner that was tried
+ * last, chosen again only if there is no other (it may use another runner); 0: none. */
 KqRouteChoice kq_route_choose (KqRoute *r, KqStr service, int64_t bytes, KqNodeId avoid,
                                KqTime now);
-/* A request went to the node, and its end: our own part of its load between digests. */
+/* Count a request sent to the node, and its end. Until the next digest includes them,
+ * this node's own requests are added to the load that the owner has reported. */
 void kq_route_sent (KqRoute *r, KqNodeId node, KqStr service, KqTime now);
 void kq_route_ended (KqRoute *r, KqNodeId node, KqStr service, KqTime now);
-/* Bytes that crossed the link. */
-void kq_route_spent (KqRoute *r, int64_t bytes, KqTime now);
+/* Charges bytes sent or received over the region link to its budget. */
+void kq_route_link_used (KqRoute *r, int64_t bytes, KqTime now);
 
-/* A first try was made; feeds the retry budget. */
+/* Counts the first try of a request, which adds to the retry budget. */
 void kq_route_first_try (KqRoute *r, KqStr service, KqTime now);
-/* Whether one more try may be made; takes from the budget. */
+/* Whether a retry is allowed; if so, takes it from the budget. Always allowed if the
+ * service row has no retry budget (`retry` false). */
 bool kq_route_may_retry (KqRoute *r, KqStr service, KqTime now);
-/* Backoff with jitter before try number n (1: the first retry). */
+/* Backoff with jitter before retry n, counted from 1. */
 KqTime kq_route_backoff (KqRoute *r, int n);
 
 #endif
--- a/src/request/route_test.c
+++ b/src/request/route_test.c
@@ -8,7 +8,7 @@
 #include <cmocka.h>
 
 #define SERVICE KQ_STR ("tracker")
-#define RUN (10 * KQ_MS)
+#define RUN_TIME (10 * KQ_MS)
 
 typedef struct
 {
@@ -24,15 +24,15 @@
   KqTable *empty = kq_table_new (1);
   KqResult why;
   size_t which;
-  KqTable *former = f->table;
+  KqTable *old = f->table;
   c.row.u.service.far = far;
   c.row.u.service.choice = choice;
   c.row.u.service.retry = retry;
   f->table = kq_table_change (empty, 2, &c, 1, &why, &which);
   kq_table_unref (empty);
   kq_route_set_table (f->r, f->table);
-  if (former != NULL)
-    kq_table_unref (former);
+  if (old != NULL)
+    kq_table_unref (old);
 }
 
 static void
@@ -52,10 +52,11 @@
   kq_table_unref (f->table);
 }
 
-/* An owner of 8 slots where a request would wait so long; one of `run` each. */
+/* Sets the digest of an owner with 8 slots and so many queued requests, of the run time
+ * `run` each, that a new request has to wait for `wait`. */
 static void
-owner_of (Fixture *f, KqNodeId id, const char *region, const char *depot, KqTime wait,
-          KqTime run, bool usable)
+set_owner_run_time (Fixture *f, KqNodeId id, const char *region, const char *depot,
+                    KqTime wait, KqTime run, bool usable)
 {
   KqRouteNode n = { .node = id, .usable = usable };
   KqServiceDigest d = { .slots = 8, .p50_us = run };
@@ -69,10 +70,10 @@
 }
 
 static void
-owner (Fixture *f, KqNodeId id, const char *region, const char *depot, KqTime wait,
-       bool usable)
+set_owner (Fixture *f, KqNodeId id, const char *region, const char *depot, KqTime wait,
+           bool usable)
 {
-  owner_of (f, id, region, depot, wait, RUN, usable);
+  set_owner_run_time (f, id, region, depot, wait, RUN_TIME, usable);
 }
 
 static KqRouteChoice
@@ -81,9 +82,9 @@
   return kq_route_choose (f->r, SERVICE, bytes, avoid, f->now);
 }
 
-/* How many of 1000 go to the node. */
+/* How many of 1000 requests go to the node. */
 static int
-part (Fixture *f, int64_t bytes, KqNodeId node)
+count_chosen (Fixture *f, int64_t bytes, KqNodeId node)
 {
   int n = 0;
   for (int i = 0; i < 1000; i++)
@@ -91,9 +92,9 @@
   return n;
 }
 
-/* Own depot; of a wait that another one of the region would save, the part that evens
- * out within a digest goes there; the far region only when the saved wait pays for the
- * bytes; none: the reason. */
+/* Requests go to the own depot. If another depot of the region would save wait, the part
+ * that evens out the waits goes there. The far region is used only if the saved wait
+ * justifies the bytes. Without an owner the error tells why. */
 static void
 test_tiers (void **state)
 {
@@ -103,27 +104,27 @@
   assert_int_equal (choose (&f, 0, 0).code, KQ_ERR_NO_TARGET);
   assert_int_equal (kq_route_choose (f.r, KQ_STR ("none"), 0, 0, f.now).code,
                     KQ_ERR_NO_SERVICE);
-  owner (&f, 30, "north", "n1", 0, true);
+  set_owner (&f, 30, "north", "n1", 0, true);
   assert_int_equal (choose (&f, 0, 0).node, 30);
-  owner (&f, 20, "south", "s2", 0, true);
-  owner (&f, 10, "south", "s1", 0, true);
-  assert_int_equal (part (&f, 0, 10), 1000);
-  owner (&f, 10, "south", "s1", 100 * KQ_MS, true);
-  assert_in_range (part (&f, 0, 20), 120, 210);
-  owner (&f, 10, "south", "s1", 500 * KQ_MS, true);
-  owner (&f, 20, "south", "s2", 500 * KQ_MS, true);
-  assert_in_range (part (&f, 0, 30), 390, 510);
-  assert_int_equal (part (&f, 1 << 20, 30), 0);
+  set_owner (&f, 20, "south", "s2", 0, true);
+  set_owner (&f, 10, "south", "s1", 0, true);
+  assert_int_equal (count_chosen (&f, 0, 10), 1000);
+  set_owner (&f, 10, "south", "s1", 100 * KQ_MS, true);
+  assert_in_range (count_chosen (&f, 0, 20), 120, 210);
+  set_owner (&f, 10, "south", "s1", 500 * KQ_MS, true);
+  set_owner (&f, 20, "south", "s2", 500 * KQ_MS, true);
+  assert_in_range (count_chosen (&f, 0, 30), 390, 510);
+  assert_int_equal (count_chosen (&f, 1 << 20, 30), 0);
   set_row (&f, false, true, true);
-  assert_int_equal (part (&f, 0, 30), 0);
-  owner (&f, 10, "south", "s1", 0, false);
+  assert_int_equal (count_chosen (&f, 0, 30), 0);
+  set_owner (&f, 10, "south", "s1", 0, false);
   kq_route_drop_node (f.r, 20);
   assert_int_equal (choose (&f, 0, 0).code, KQ_ERR_NO_TARGET);
   stop (&f);
 }
 
-/* The own region is full for long and much would like to overflow: the link carries its
- * budget and no more, the rest waits here, or is told why it can't go. */
+/* While the own region is full, no more than the budget goes over the link. The rest
+ * stays in the own region or, without an owner there, fails with LINK_BUDGET. */
 static void
 test_link_budget (void **state)
 {
@@ -132,15 +133,15 @@
   KqRouteChoice c = { 0 };
   (void)state;
   start (&f);
-  owner (&f, 10, "south", "s1", 5 * KQ_SEC, true);
-  owner (&f, 30, "north", "n1", 0, true);
+  set_owner (&f, 10, "south", "s1", 5 * KQ_SEC, true);
+  set_owner (&f, 30, "north", "n1", 0, true);
   for (int i = 0; i < 10000; i++)
     {
       c = choose (&f, 4000, 0);
       if (c.far)
         {
           moved += 20000;
-          kq_route_spent (f.r, 20000, f.now);
+          kq_route_link_used (f.r, 20000, f.now);
         }
       else
         assert_int_equal (c.node, 10);
@@ -148,17 +149,17 @@
     }
   assert_in_range (moved, 900000, 1150000);
   kq_route_drop_node (f.r, 10);
-  kq_route_spent (f.r, 1000000, f.now);
+  kq_route_link_used (f.r, 1000000, f.now);
   c = choose (&f, 4000, 0);
   assert_int_equal (c.code, KQ_ERR_LINK_BUDGET);
   assert_true (c.retry_after > KQ_SEC);
   stop (&f);
 }
 
-/* Requests of ten seconds, two owners, one with 24 of them. Between two digests an entry
- * node sees only its own part of the load. It counts that part: 200 requests even out at
- * 112 each. Without, nearly all of them would go to the owner that looked idle. A new
- * digest that has them in it doesn't count them twice. */
+/* Two owners with run times of ten seconds, one of which has 24 requests. Between two
+ * digests the entry node must count the requests that it sends itself: 200 requests then
+ * even out at 112 per owner, otherwise nearly all would go to the owner reported as idle.
+ * A new digest that includes them must not make them count twice. */
 static void
 test_own_part_counts (void **state)
 {
@@ -166,8 +167,8 @@
   int to[3] = { 0 };
   (void)state;
   start (&f);
-  owner_of (&f, 1, "south", "s1", 20 * KQ_SEC, 10 * KQ_SEC, true);
-  owner_of (&f, 2, "south", "s1", 0, 10 * KQ_SEC, true);
+  set_owner_run_time (&f, 1, "south", "s1", 20 * KQ_SEC, 10 * KQ_SEC, true);
+  set_owner_run_time (&f, 2, "south", "s1", 0, 10 * KQ_SEC, true);
   for (int i = 0; i < 200; i++)
     {
       KqNodeId n = choose (&f, 0, 0).node;
@@ -175,9 +176,9 @@
       kq_route_sent (f.r, n, SERVICE, f.now);
     }
   assert_in_range (to[2], 100, 130);
-  owner_of (&f, 1, "south", "s1", 0, 10 * KQ_SEC, true);
-  owner_of (&f, 2, "south", "s1", 0, 10 * KQ_SEC, true);
-  assert_in_range (part (&f, 0, 1), 440, 560);
+  set_owner_run_time (&f, 1, "south", "s1", 0, 10 * KQ_SEC, true);
+  set_owner_run_time (&f, 2, "south", "s1", 0, 10 * KQ_SEC, true);
+  assert_in_range (count_chosen (&f, 0, 1), 440, 560);
   for (int i = 0; i < 300; i++)
     kq_route_ended (f.r, 1, SERVICE, f.now);
   assert_int_equal (choose (&f, 0, 2).node, 1);
@@ -187,8 +188,8 @@
   stop (&f);
 }
 
-/* An owner of one runner among owners of three and six gets a tenth of the requests, as
- * it has of the slots; a fifth would overload it at 0.5 of the load. */
+/* An owner of one runner among owners of three and six runners has a tenth of the slots
+ * and must get a tenth of the requests; a fifth would overload it at 0.5 load. */
 static void
 test_owners_of_unlike_size (void **state)
 {
@@ -199,19 +200,19 @@
   for (KqNodeId id = 1; id <= 3; id++)
     {
       KqRouteNode n = { .node = id, .usable = true };
-      KqServiceDigest d = { .slots = slots[id - 1], .p50_us = RUN };
+      KqServiceDigest d = { .slots = slots[id - 1], .p50_us = RUN_TIME };
       n.region = kq_name (KQ_STR ("south"));
       n.depot = kq_name (KQ_STR ("s1"));
       d.service = kq_name (SERVICE);
       kq_route_set_node (f.r, &n, &d, 1, f.now);
     }
-  assert_in_range (part (&f, 0, 1), 70, 130);
-  assert_in_range (part (&f, 0, 3), 550, 650);
+  assert_in_range (count_chosen (&f, 0, 1), 70, 130);
+  assert_in_range (count_chosen (&f, 0, 3), 550, 650);
   stop (&f);
 }
 
-/* Ten owners: one whose requests take four times as long gets a 37th of all, one with a
- * queue of two seconds a 46th; with the switch off each gets its tenth. */
+/* Ten owners. One with four times the run time gets a 37th of the requests, one with a
+ * queue of two seconds a 46th. With weighting off (`choice` false) each gets a tenth. */
 static void
 test_shares_by_pull (void **state)
 {
@@ -219,17 +220,18 @@
   (void)state;
   start (&f);
   for (KqNodeId id = 1; id <= 10; id++)
-    owner (&f, id, "south", "s1", 0, true);
-  assert_in_range (part (&f, 0, 1), 70, 130);
-  owner_of (&f, 1, "south", "s1", 0, 4 * RUN, true);
-  assert_in_range (part (&f, 0, 1), 12, 43);
-  owner (&f, 1, "south", "s1", 2 * KQ_SEC, true);
-  assert_in_range (part (&f, 0, 1), 8, 37);
+    set_owner (&f, id, "south", "s1", 0, true);
+  assert_in_range (count_chosen (&f, 0, 1), 70, 130);
+  set_owner_run_time (&f, 1, "south", "s1", 0, 4 * RUN_TIME, true);
+  assert_in_range (count_chosen (&f, 0, 1), 12, 43);
+  set_owner (&f, 1, "south", "s1", 2 * KQ_SEC, true);
+  assert_in_range (count_chosen (&f, 0, 1), 8, 37);
   set_row (&f, false, false, true);
-  assert_in_range (part (&f, 0, 1), 70, 130);
+  assert_in_range (count_chosen (&f, 0, 1), 70, 130);
   stop (&f);
 }
 
+/* Retries are limited by the budget, unless the service row switches it off. */
 static void
 test_retry_switch (void **state)
 {
