--- a/src/request/claim_ends.c
+++ b/src/request/claim_ends.c
@@ -2,22 +2,21 @@
 
 #include <stdlib.h>
 
-/* An end is kept for the time in which its claim's owner may have died without our
- * knowing: a node lease and the wait for its lapse, twice over. */
-#define KEEP (30 * KQ_SEC)
-/* After a node is lost its shards change hands within a lease and a recovery; ends are
- * told again during that time and the successor's grace. */
-#define AGAIN_FOR (40 * KQ_SEC)
-#define AGAIN_EVERY (2 * KQ_SEC)
-/* Answers kept with claims are at most 64 KB each; this bounds them all. The oldest go
- * first: theirs have most likely been committed. */
-#define BYTES_MAX (8 * 1024 * 1024)
+/* An end is kept while its claim's owner may have died unnoticed: twice the sum of a node
+ * lease and the wait for its expiry. */
+#define KEEP_TIME (30 * KQ_SEC)
+/* Covers a lost node's lease, the recovery at the successors and their grace time. */
+#define RESEND_TIME (40 * KQ_SEC)
+#define RESEND_INTERVAL (2 * KQ_SEC)
+/* Bounds the sum of the answers, each of which has at most 64 KB. The oldest are dropped
+ * first: they have most likely been committed. */
+#define TOTAL_MAX_BYTES (8 * 1024 * 1024)
 
 typedef struct End
 {
   struct End *next;
   KqMsg *msg;
-  KqTime at;
+  KqTime added_at;
   size_t bytes;
 } End;
 
@@ -27,8 +26,8 @@
   End *last;
   size_t n;
   size_t bytes;
-  KqTime again_until;
-  KqTime again_at;
+  KqTime resend_until;
+  KqTime next_resend;
 };
 
 KqClaimEnds *
@@ -65,7 +64,7 @@
 {
   End *x = kq_alloc (sizeof *x);
   x->msg = kq_msg_copy (done);
-  x->at = now;
+  x->added_at = now;
   x->bytes = sizeof *x + done->u.claim_done.body.len;
   if (e->last != NULL)
     e->last->next = x;
@@ -74,27 +73,28 @@
   e->last = x;
   e->n++;
   e->bytes += x->bytes;
-  while (e->bytes > BYTES_MAX && e->first != x)
+  while (e->bytes > TOTAL_MAX_BYTES && e->first != x)
     drop_first (e);
 }
 
 void
 kq_claim_ends_node_lost (KqClaimEnds *e, KqTime now)
 {
-  e->again_until = now + AGAIN_FOR;
-  if (e->again_at < now)
-    e->again_at = now + AGAIN_EVERY;
+  e->resend_until = now + RESEND_TIME;
+  if (e->next_resend < now)
+    e->next_resend = now + RESEND_INTERVAL;
 }
 
 void
 kq_claim_ends_tick (KqClaimEnds *e, KqTime now,
                     void (*send) (void *arg, const KqMsg *done), void *arg)
 {
-  while (e->first != NULL && now - e->first->at > KEEP && now >= e->again_until)
+  while (e->first != NULL && now - e->first->added_at > KEEP_TIME
+         && now >= e->resend_until)
     drop_first (e);
-  if (now >= e->again_until || now < e->again_at)
+  if (now >= e->resend_until || now < e->next_resend)
     return;
-  e->again_at = now + AGAIN_EVERY;
+  e->next_resend = now + RESEND_INTERVAL;
   for (End *x = e->first; x != NULL; x = x->next)
     send (arg, x->msg);
 }
--- a/src/request/claim_ends.h
+++ b/src/request/claim_ends.h
@@ -1,13 +1,14 @@
 #ifndef KQ_REQUEST_CLAIM_ENDS_H
 #define KQ_REQUEST_CLAIM_ENDS_H
 
-/* claim_ends: the ends of claimed requests that their entry node may have to tell again.
+/* claim_ends: recent ends of claimed requests, which their entry node may have to resend.
  *
- * The end of a claim (its answer, "not run" or "unknown") is one message without an
- * answer. If the claim's owner dies before it is committed, the successor finds the claim
- * open, waits a grace time for the entry node's word, and then tells repeats "outcome
- * unknown" though the answer was given. So recent ends are kept, and while the ownership
- * of shards may be changing they are sent again; a repeated end changes nothing. */
+ * An entry node reports the end of a claimed request (its answer, "not run" or "unknown")
+ * to the claim's owner in one message, which isn't acknowledged. If the owner dies before
+ * the end is committed, its successor finds the claim open, waits a grace time for the
+ * entry node's report, and then tells repeats "outcome unknown" although there was an
+ * answer. So recent ends are kept, and are resent while shards may be changing owners.
+ * A duplicate has no effect. */
 
 #include "wire/msg.h"
 
@@ -15,11 +16,11 @@
 
 KqClaimEnds *kq_claim_ends_new (void);
 void kq_claim_ends_free (KqClaimEnds *e);
-/* Keeps a CLAIM_DONE. */
+/* Keeps a copy of a CLAIM_DONE message. */
 void kq_claim_ends_add (KqClaimEnds *e, const KqMsg *done, KqTime now);
-/* A node was lost: its shards' claims go to others some time from now. */
+/* A node was lost: other owners will take over its shards. Starts resending. */
 void kq_claim_ends_node_lost (KqClaimEnds *e, KqTime now);
-/* Forgets old ends; gives each that is to be sent again to `send`. */
+/* Drops old ends; calls `send` for each end that is to be resent now. */
 void kq_claim_ends_tick (KqClaimEnds *e, KqTime now,
                          void (*send) (void *arg, const KqMsg *done), void *arg);
 size_t kq_claim_ends_count (const KqClaimEnds *e);
--- a/src/request/claim_ends_test.c
+++ b/src/request/claim_ends_test.c
@@ -15,9 +15,9 @@
   ++*n;
 }
 
-/* The claim's owner dies right after the request's end was sent to it. Nothing is sent
- * while all is well; after the loss the end is told again until well behind the time in
- * which the successor recovers, then it is forgotten. */
+/* The claim's owner dies right after the end was sent to it, before it was committed. The
+ * end must be resent until the successor has recovered, and then be dropped. Without a
+ * lost node nothing is resent. */
 static void
 test_told_again_after_a_loss (void **state)
 {
@@ -42,7 +42,7 @@
   kq_claim_ends_free (e);
 }
 
-/* Many large answers: the memory stays bounded, the newest are kept. */
+/* With many large answers the memory must stay bounded; the newest are kept. */
 static void
 test_bounded (void **state)
 {
--- a/src/request/claim_records.c
+++ b/src/request/claim_records.c
@@ -31,10 +31,12 @@
 void
 kq_claim_record_pack (KqClaimRecordType t, const KqClaimFields *f, KqBuf *out)
 {
-  size_t more = t == KQ_CLAIM_RECORD_OPENED ? 7 : t == KQ_CLAIM_RECORD_ANSWERED ? 4 : 0;
+  size_t n_extra = t == KQ_CLAIM_RECORD_OPENED     ? 7
+                   : t == KQ_CLAIM_RECORD_ANSWERED ? 4
+                                                   : 0;
   KqPacker p;
   kq_packer_init (&p, out);
-  kq_pack_array (&p, 2 + more);
+  kq_pack_array (&p, 2 + n_extra);
   kq_pack_u64 (&p, f->number);
   kq_pack_i64 (&p, f->ttl);
   if (t == KQ_CLAIM_RECORD_OPENED)
--- a/src/request/claim_records.h
+++ b/src/request/claim_records.h
@@ -3,9 +3,9 @@
 
 /* claim_records: the journal records of claims, version 1, as msgpack arrays.
  *
- * Times are spans that were left when the record was written: clocks of two owners have
- * nothing in common. A successor thus remembers a claim for as long again, never
- * shorter. */
+ * A time is stored as the time left when the record was written, because the clocks of
+ * two owners are unrelated. After a takeover a claim is thus kept longer, never shorter.
+ */
 
 #include "shard/journal.h"
 #include "wire/msg.h"
@@ -19,7 +19,7 @@
   KQ_CLAIM_RECORD_ANSWERED = 101,
   KQ_CLAIM_RECORD_FREED = 102,   /* provably not run: the key may be used again */
   KQ_CLAIM_RECORD_UNKNOWN = 103, /* may have run; its answer is lost */
-  KQ_CLAIM_RECORD_NUMBER = 104   /* in snapshots: the last number given */
+  KQ_CLAIM_RECORD_NUMBER = 104   /* in snapshots: the last number assigned */
 } KqClaimRecordType;
 
 typedef struct
@@ -31,15 +31,17 @@
   KqStr caller;       /* OPENED */
   KqStr key;          /* OPENED */
   uint64_t body_hash; /* OPENED */
-  bool kept;          /* ANSWERED */
+  bool kept;          /* ANSWERED: status, headers and body are stored */
   int32_t status;     /* ANSWERED */
-  KqHeader *headers;  /* ANSWERED; freed by _clear */
+  KqHeader *headers;  /* ANSWERED; array owned, freed by kq_claim_record_clear */
   size_t n_headers;
   KqStr body; /* ANSWERED */
 } KqClaimFields;
 
+/* Appends the record's body to `out`. */
 void kq_claim_record_pack (KqClaimRecordType t, const KqClaimFields *f, KqBuf *out);
-/* After true, f's strings point into u, and _clear is due. */
+/* Unpacks a record's body. If true, the strings of f point into u, and both must be freed
+ * by kq_claim_record_clear. False: the body is damaged; nothing to free. */
 bool kq_claim_record_open (KqClaimRecordType t, KqStr body, KqUnpacked *u,
                            KqClaimFields *f);
 void kq_claim_record_clear (KqUnpacked *u, KqClaimFields *f);
--- a/src/request/claim_set.c
+++ b/src/request/claim_set.c
@@ -47,17 +47,17 @@
 }
 
 static size_t
-size_of (const KqClaim *claim)
+claim_size (const KqClaim *claim)
 {
   return sizeof *claim + claim->key.len;
 }
 
 void
-kq_claim_set_time (KqClaimSet *c, KqClaim *claim, KqTime at)
+kq_claim_set_expire_at (KqClaimSet *c, KqClaim *claim, KqTime at)
 {
-  if (claim->by_time.place > 0)
-    kq_heap_remove (&c->by_time, &claim->by_time);
-  kq_heap_add (&c->by_time, &claim->by_time, at, c->order++, claim);
+  if (claim->by_expiry.place > 0)
+    kq_heap_remove (&c->by_expiry, &claim->by_expiry);
+  kq_heap_add (&c->by_expiry, &claim->by_expiry, at, c->next_order++, claim);
 }
 
 KqClaim *
@@ -79,9 +79,9 @@
   *(c->last != NULL ? &c->last->next : &c->first) = claim;
   c->last = claim;
   c->last_number = f->number;
-  c->bytes += size_of (claim);
-  /* An entry node that lives but never tells the end: given up after the ttl. */
-  kq_claim_set_time (c, claim, now + claim->ttl);
+  c->bytes += claim_size (claim);
+  /* In case its entry node never reports the end. */
+  kq_claim_set_expire_at (c, claim, now + claim->ttl);
   return claim;
 }
 
@@ -100,11 +100,11 @@
   kq_map_remove (&c->by_key, &claim->by_key);
   kq_map_remove (&c->by_flight, &claim->by_flight);
   kq_map_remove (&c->by_number, &claim->by_number);
-  kq_heap_remove (&c->by_time, &claim->by_time);
+  kq_heap_remove (&c->by_expiry, &claim->by_expiry);
   *(claim->prev != NULL ? &claim->prev->next : &c->first) = claim->next;
   *(claim->next != NULL ? &claim->next->prev : &c->last) = claim->prev;
   drop_answer (c, claim);
-  c->bytes -= size_of (claim);
+  c->bytes -= claim_size (claim);
   free ((char *)claim->key.ptr);
   free (claim);
 }
@@ -117,7 +117,7 @@
     return NULL;
   claim->waiters = w->next;
   claim->n_waiters--;
-  kq_heap_remove (&c->waits, &w->by_time);
+  kq_heap_remove (&c->waiters_by_timeout, &w->by_timeout);
   return w;
 }
 
@@ -126,11 +126,11 @@
                   KqTime now)
 {
   claim->state = state;
-  kq_claim_set_time (c, claim, now + ttl);
+  kq_claim_set_expire_at (c, claim, now + ttl);
 }
 
 void
-kq_claim_set_keep (KqClaimSet *c, KqClaim *claim, KqStr record)
+kq_claim_set_store_answer (KqClaimSet *c, KqClaim *claim, KqStr record)
 {
   drop_answer (c, claim);
   kq_buf_add_str (&claim->answer, record);
@@ -151,6 +151,6 @@
   kq_map_free (&c->by_key);
   kq_map_free (&c->by_flight);
   kq_map_free (&c->by_number);
-  kq_heap_free (&c->by_time);
-  kq_heap_free (&c->waits);
+  kq_heap_free (&c->by_expiry);
+  kq_heap_free (&c->waiters_by_timeout);
 }
--- a/src/request/claim_set.h
+++ b/src/request/claim_set.h
@@ -1,9 +1,9 @@
 #ifndef KQ_REQUEST_CLAIM_SET_H
 #define KQ_REQUEST_CLAIM_SET_H
 
-/* claim_set: the claims of one shard in memory, found by key, flight and number, with
- * those who wait for them, their times and the bytes they take. What a claim's state
- * means and when it changes is decided in claims.c. */
+/* claim_set: the claims of one shard in memory, indexed by key, flight, number and
+ * expiry, with the repeats that wait for them and the memory they use. When a claim
+ * changes its state is decided in claims.c. */
 
 #include "request/claim_records.h"
 #include "request/heap.h"
@@ -18,10 +18,10 @@
 
 typedef struct KqClaim KqClaim;
 
-/* A repeat that waits for the first one's end. */
+/* A repeat that waits for the end of the claim. */
 typedef struct KqClaimWaiter
 {
-  KqHeapNode by_time;
+  KqHeapNode by_timeout;
   struct KqClaimWaiter *next;
   KqClaim *claim;
   KqFlightId flight;
@@ -32,19 +32,19 @@
   KqMapNode by_key;
   KqMapNode by_flight;
   KqMapNode by_number;
-  KqHeapNode by_time; /* when an open claim is given up, an ended one forgotten */
-  KqClaim *prev;      /* in order of numbers */
+  KqHeapNode by_expiry; /* when an open claim becomes unknown, an ended one is removed */
+  KqClaim *prev;        /* in order of numbers */
   KqClaim *next;
   uint64_t number;
-  KqFlightId flight; /* of the one that was granted */
+  KqFlightId flight; /* the one to which the claim was granted */
   KqName service;
   KqName caller;
   KqStr key; /* owned */
   uint64_t body_hash;
   KqTime ttl;
   KqClaimState state;
-  KqSeq seq;    /* the record that made the state: nobody hears of it before */
-  KqBuf answer; /* the ANSWERED record's body; empty: not kept */
+  KqSeq seq;    /* record of the state; to be committed before a reply tells the state */
+  KqBuf answer; /* the body of the ANSWERED record; empty: not stored */
   KqClaimWaiter *waiters;
   size_t n_waiters;
 };
@@ -54,31 +54,32 @@
   KqMap by_key;
   KqMap by_flight;
   KqMap by_number;
-  KqHeap by_time;
-  KqHeap waits; /* of all claims, by when they are given up */
-  uint64_t order;
+  KqHeap by_expiry;
+  KqHeap waiters_by_timeout; /* of all claims */
+  uint64_t next_order;       /* for the heaps */
   KqClaim *first;
   KqClaim *last;
   uint64_t last_number;
-  size_t bytes;
-  size_t answer_bytes;
+  size_t bytes;        /* of all claims with keys and stored answers */
+  size_t answer_bytes; /* of the stored answers */
 } KqClaimSet;
 
 void kq_claim_set_free (KqClaimSet *c);
 KqClaim *kq_claim_set_find (const KqClaimSet *c, KqStr service, KqStr caller, KqStr key);
 KqClaim *kq_claim_set_find_flight (const KqClaimSet *c, KqFlightId f);
 KqClaim *kq_claim_set_find_number (const KqClaimSet *c, uint64_t number);
-/* An open claim; its number must be above all others. Given up after its ttl. */
+/* Adds an open claim that expires after its ttl. Its number must be the largest. */
 KqClaim *kq_claim_set_add (KqClaimSet *c, const KqClaimFields *f, KqTime now);
-/* No one may wait for it. */
+/* Removes and frees a claim, which must not have waiters. */
 void kq_claim_set_remove (KqClaimSet *c, KqClaim *claim);
-/* Its time of being given up or forgotten. */
-void kq_claim_set_time (KqClaimSet *c, KqClaim *claim, KqTime at);
+/* Sets the time of by_expiry. */
+void kq_claim_set_expire_at (KqClaimSet *c, KqClaim *claim, KqTime at);
+/* Sets the state of an ended claim, which expires after ttl. */
 void kq_claim_set_end (KqClaimSet *c, KqClaim *claim, KqClaimState state, KqTime ttl,
                        KqTime now);
-/* Keeps the body of the ANSWERED record. */
-void kq_claim_set_keep (KqClaimSet *c, KqClaim *claim, KqStr record);
-/* The caller frees it. NULL: nobody waits. */
+/* Stores a copy of the body of the ANSWERED record. */
+void kq_claim_set_store_answer (KqClaimSet *c, KqClaim *claim, KqStr record);
+/* Removes a waiter, which the caller must free; NULL: there is none. */
 KqClaimWaiter *kq_claim_set_take_waiter (KqClaimSet *c, KqClaim *claim);
 
 #endif
--- a/src/request/claims.c
+++ b/src/request/claims.c
@@ -6,31 +6,31 @@
 #include <inttypes.h>
 #include <stdlib.h>
 
-/* Bounds of one shard. A node holds some shards and has 128 MB for all control; a
- * snapshot of 8 MB is eight store values. Beyond them a new key is refused as not run:
- * dropping an old claim instead would let its request run twice. */
+/* Limits per shard. A node owns several shards and has 128 MB for the whole control
+ * plane; a snapshot of 8 MB takes eight store values. Beyond them new keys are refused as
+ * not run, since dropping an old claim could let its request run twice. */
 #define CLAIMS_MAX 20000
-#define BYTES_MAX (8 << 20)
-/* An answer larger than this isn't kept: one store value holds many claims' records. */
-#define ANSWER_MAX 65536
-/* All kept answers together. Beyond, an answer isn't kept. */
-#define ANSWERS_MAX (4 << 20)
-/* Repeats that wait for one claim; each holds a caller's connection at its entry node. */
+#define CLAIMS_MAX_BYTES (8 << 20)
+/* Larger answers aren't stored: one store value holds the records of many claims. */
+#define ANSWER_MAX_BYTES 65536
+/* Total of stored answers; beyond it no more are stored. */
+#define ANSWERS_MAX_BYTES (4 << 20)
+/* Repeats that wait for one claim; each occupies a caller's connection. */
 #define WAITERS_MAX 64
-/* A repeat waits at most so long; entry nodes give up sooner by their deadlines. */
+/* Longest wait of a repeat; usually the deadline at its entry node comes earlier. */
 #define WAIT_MAX (30 * KQ_SEC)
-/* After a takeover an entry node needs to see the new owner (heartbeat 0.5 s, table of
- * owners by the store's watch) and to send the end again; 10 s is that with room. */
-#define GRACE (10 * KQ_SEC)
-/* With a record waiting longer than this the store is away or slow: a new claim would
- * only make its caller wait for its deadline. */
-#define LAG_MAX (2 * KQ_SEC)
+/* After a takeover an entry node must learn of the new owner (by a heartbeat every 0.5 s,
+ * or the store's watch) and resend the ends of its claims. 10 s leave room for delays. */
+#define TAKEOVER_GRACE (10 * KQ_SEC)
+/* If a record has waited longer for its commit, the store is unreachable or slow: the
+ * caller of a new claim would only wait until its deadline. */
+#define JOURNAL_LAG_MAX (2 * KQ_SEC)
 
 struct KqClaims
 {
   uint32_t shard;
   KqLogPort log;
-  bool opened; /* recovery is over */
+  bool recovered;
   KqClaimSet set;
 };
 
@@ -52,8 +52,8 @@
   free (c);
 }
 
-/* The number orders the records of all claims: one that was seen is never opened anew,
- * so that applying records a second time changes nothing. */
+/* Numbers of claims increase; an OPENED record with a number that was already seen is
+ * ignored, so that applying records twice changes nothing. */
 static void
 apply_fields (KqClaims *c, KqClaimRecordType t, const KqClaimFields *f, KqStr body,
               KqTime now)
@@ -73,7 +73,7 @@
     {
       kq_claim_set_end (&c->set, claim, KQ_CLAIM_STATE_ANSWERED, f->ttl, now);
       if (f->kept)
-        kq_claim_set_keep (&c->set, claim, body);
+        kq_claim_set_store_answer (&c->set, claim, body);
     }
 }
 
@@ -82,7 +82,7 @@
 {
   KqUnpacked u;
   KqClaimFields f;
-  assert (!c->opened);
+  assert (!c->recovered);
   if (r->version != KQ_CLAIM_RECORD_VERSION)
     return KQ_ERR_JOURNAL_VERSION;
   if (!kq_claim_record_open ((KqClaimRecordType)r->type, r->body, &u, &f))
@@ -95,10 +95,10 @@
 void
 kq_claims_opened (KqClaims *c, KqTime now)
 {
-  c->opened = true;
+  c->recovered = true;
   for (KqClaim *claim = c->set.first; claim != NULL; claim = claim->next)
     if (claim->state == KQ_CLAIM_STATE_OPEN)
-      kq_claim_set_time (&c->set, claim, now + GRACE);
+      kq_claim_set_expire_at (&c->set, claim, now + TAKEOVER_GRACE);
 }
 
 static KqClaimFields
@@ -133,7 +133,7 @@
 static void
 snapshot_claim (Snapshot *s, const KqClaim *claim, KqTime now)
 {
-  KqTime left = claim->by_time.key > now ? claim->by_time.key - now : 0;
+  KqTime left = claim->by_expiry.key > now ? claim->by_expiry.key - now : 0;
   KqClaimFields f = fields_of (claim, claim->ttl);
   KqUnpacked u;
   snapshot_add (s, KQ_CLAIM_RECORD_OPENED, &f);
@@ -239,7 +239,8 @@
   *w = (KqClaimWaiter){ .next = claim->waiters, .claim = claim, .flight = f };
   claim->waiters = w;
   claim->n_waiters++;
-  kq_heap_add (&c->set.waits, &w->by_time, now + WAIT_MAX, c->set.order++, w);
+  kq_heap_add (&c->set.waiters_by_timeout, &w->by_timeout, now + WAIT_MAX,
+               c->set.next_order++, w);
 }
 
 static KqSeq
@@ -266,9 +267,9 @@
                       .body_hash = m->body_hash };
   if (claim == NULL)
     {
-      /* Recovering, store away, or no room: refused before anything was recorded. */
-      if (c->opened && c->set.by_key.n < CLAIMS_MAX && c->set.bytes < BYTES_MAX
-          && kq_log_port_lag (c->log, now) <= LAG_MAX)
+      /* Refused while recovering, without room or with lagging commits. */
+      if (c->recovered && c->set.by_key.n < CLAIMS_MAX && c->set.bytes < CLAIMS_MAX_BYTES
+          && kq_log_port_lag (c->log, now) <= JOURNAL_LAG_MAX)
         return open_claim (c, &f, now, out);
       reply (out, m->flight, KQ_CLAIM_REFUSED, KQ_ERR_CLAIM_UNAVAILABLE, 0);
       return 0;
@@ -287,10 +288,10 @@
   return claim->seq;
 }
 
-/* The key is free again: the first waiter's request takes its place, the others go on
- * waiting. */
+/* The request didn't run: removes the claim. If repeats wait, one is granted a new claim
+ * and the others wait for that. */
 static KqSeq
-free_claim (KqClaims *c, KqClaim *claim, KqTime now, KqOutbox *out)
+release_key (KqClaims *c, KqClaim *claim, KqTime now, KqOutbox *out)
 {
   KqClaimFields f = fields_of (claim, claim->ttl);
   KqClaimWaiter *w = kq_claim_set_take_waiter (&c->set, claim);
@@ -321,7 +322,7 @@
 }
 
 static KqSeq
-make_unknown (KqClaims *c, KqClaim *claim, KqTime now, KqOutbox *out)
+mark_unknown (KqClaims *c, KqClaim *claim, KqTime now, KqOutbox *out)
 {
   KqClaimFields f = fields_of (claim, claim->ttl);
   KqClaimWaiter *w;
@@ -335,28 +336,28 @@
   return claim->seq;
 }
 
-/* Waiters get the answer also when there is no room to keep it. */
+/* Waiters get the answer even if there is no room to store it. */
 static KqSeq
 answer_claim (KqClaims *c, KqClaim *claim, const KqMsgClaimDone *m, KqTime now,
               KqOutbox *out)
 {
   KqClaimFields f = { .number = claim->number,
                       .ttl = claim->ttl,
-                      .kept = m->kept && m->body.len <= ANSWER_MAX,
+                      .kept = m->kept && m->body.len <= ANSWER_MAX_BYTES,
                       .status = m->status,
                       .headers = m->headers,
                       .n_headers = m->n_headers,
                       .body = m->body };
   KqClaimWaiter *w;
   KqBuf record;
-  bool room;
+  bool stored;
   kq_buf_init (&record);
   kq_claim_record_pack (KQ_CLAIM_RECORD_ANSWERED, &f, &record);
-  if (!f.kept || record.len > ANSWER_MAX + ANSWER_MAX / 8)
+  if (!f.kept || record.len > ANSWER_MAX_BYTES + ANSWER_MAX_BYTES / 8)
     kq_buf_clear (&record);
-  room = record.len > 0 && c->set.answer_bytes + record.len <= ANSWERS_MAX;
-  if (room)
-    kq_claim_set_keep (&c->set, claim, kq_buf_str (&record));
+  stored = record.len > 0 && c->set.answer_bytes + record.len <= ANSWERS_MAX_BYTES;
+  if (stored)
+    kq_claim_set_store_answer (&c->set, claim, kq_buf_str (&record));
   else
     f = (KqClaimFields){ .number = claim->number, .ttl = claim->ttl };
   claim->seq = append (c, KQ_CLAIM_RECORD_ANSWERED, &f, now);
@@ -379,8 +380,8 @@
   if (m->ran == KQ_RAN_YES)
     return answer_claim (c, claim, m, now, out);
   if (m->ran == KQ_RAN_NO)
-    return free_claim (c, claim, now, out);
-  return claim->state == KQ_CLAIM_STATE_OPEN ? make_unknown (c, claim, now, out) : 0;
+    return release_key (c, claim, now, out);
+  return claim->state == KQ_CLAIM_STATE_OPEN ? mark_unknown (c, claim, now, out) : 0;
 }
 
 KqSeq
@@ -391,15 +392,15 @@
   for (KqClaim *claim = c->set.first; claim != NULL; claim = claim->next)
     if (claim->state == KQ_CLAIM_STATE_OPEN && claim->flight.node == node
         && claim->flight.incarnation == incarnation)
-      seq = make_unknown (c, claim, now, out);
+      seq = mark_unknown (c, claim, now, out);
   return seq;
 }
 
 static void
-give_up_waits (KqClaims *c, KqTime now, KqOutbox *out)
+time_out_waiters (KqClaims *c, KqTime now, KqOutbox *out)
 {
   KqHeapNode *top;
-  while ((top = kq_heap_top (&c->set.waits)) != NULL && top->key <= now)
+  while ((top = kq_heap_top (&c->set.waiters_by_timeout)) != NULL && top->key <= now)
     {
       KqClaimWaiter *w = top->owner;
       KqClaimWaiter **at = &w->claim->waiters;
@@ -407,7 +408,7 @@
         at = &(*at)->next;
       *at = w->next;
       w->claim->n_waiters--;
-      kq_heap_remove (&c->set.waits, top);
+      kq_heap_remove (&c->set.waiters_by_timeout, top);
       reply (out, w->flight, KQ_CLAIM_REFUSED, KQ_ERR_CLAIM_PENDING, w->claim->number);
       free (w);
     }
@@ -418,14 +419,14 @@
 {
   KqSeq seq = 0;
   KqHeapNode *top;
-  if (!c->opened)
+  if (!c->recovered)
     return 0;
-  give_up_waits (c, now, out);
-  while ((top = kq_heap_top (&c->set.by_time)) != NULL && top->key <= now)
+  time_out_waiters (c, now, out);
+  while ((top = kq_heap_top (&c->set.by_expiry)) != NULL && top->key <= now)
     {
       KqClaim *claim = top->owner;
       if (claim->state == KQ_CLAIM_STATE_OPEN)
-        seq = make_unknown (c, claim, now, out);
+        seq = mark_unknown (c, claim, now, out);
       else
         kq_claim_set_remove (&c->set, claim);
     }
--- a/src/request/claims.h
+++ b/src/request/claims.h
@@ -1,31 +1,35 @@
 #ifndef KQ_REQUEST_CLAIMS_H
 #define KQ_REQUEST_CLAIMS_H
 
-/* claims: idempotency keys of one shard: at most one run for each key.
+/* claims: the idempotency keys of one shard. A request with a key runs at most once.
  *
- * The claim is committed before the request is sent. A repeat waits for the first one's
- * answer, gets the stored answer, or is told that the outcome is unknown; never a second
- * run. The same key with another request is refused. Functions append to `out` and
- * return the record after which those items may leave (0: at once).
+ * A claim records that a request with a key was granted to run. It is committed to the
+ * journal before the request is sent to an owner of runners. A repeat with the same key
+ * waits for the answer of the first request, gets the stored answer, or is told that the
+ * outcome is unknown; it never causes a second run. Another request with the same key is
+ * refused.
  *
- * A key is (service, caller, Idempotency-Key); the request is told from another one by
- * body_hash. An open claim ends in one of three ways: answered, unknown, or provably not
- * run, which frees the key and grants it to the first repeat that waits. What an entry
- * node says later of its own run corrects "unknown".
+ * The full key is (service, caller, Idempotency-Key); body_hash detects another request.
+ * An open claim ends in one of three ways: answered, unknown, or provably not run. "Not
+ * run" releases the key and grants it to a waiting repeat, if any. An unknown claim is
+ * corrected if its entry node reports the end later.
  *
- * Answers are kept up to 64 KB each and 4 MB a shard; beyond that a repeat is told
- * UNKNOWN with KQ_ERR_CLAIM_NOT_KEPT (it ran, its answer isn't here) and the number of
- * the claim. At 20,000 claims or 8 MB a shard new keys are refused as not run: dropping
- * an old claim would let its request run twice.
+ * Answers up to 64 KB each and 4 MB per shard are stored. Without a stored answer a
+ * repeat is told UNKNOWN with KQ_ERR_CLAIM_NOT_KEPT (it ran, the answer is not available)
+ * and the number of the claim. With 20,000 claims or 8 MB in a shard, new keys are
+ * refused as not run: dropping an old claim could let its request run twice.
  *
- * A claim is remembered for `ttl` after its end; an open one whose entry node never tells
- * the end becomes unknown after `ttl`. A successor counts these spans anew.
+ * A claim is kept for `ttl` after its end. An open claim whose entry node doesn't report
+ * the end becomes unknown after `ttl`. A successor starts these times again.
  *
- * Nothing is withdrawn from the journal: a grant that waits for its commit leaves after
- * it or not at all. An entry node that gives up before (its deadline, the store away)
- * has sent nothing, tells its caller "not run", and says KQ_RAN_NO here, also when a
- * grant reaches it after that. While the journal lags more than two seconds new keys are
- * refused with KQ_ERR_CLAIM_UNAVAILABLE, not run. */
+ * Records are never withdrawn from the journal: a grant is sent after its commit or not
+ * at all. An entry node that stops waiting for it (deadline passed, store unreachable)
+ * has not sent the request. It tells its caller "not run" and reports KQ_RAN_NO here,
+ * also if the grant arrives later. While commits lag more than two seconds behind, new
+ * keys are refused with KQ_ERR_CLAIM_UNAVAILABLE, not run.
+ *
+ * Functions append messages to `out` and return the number of the record that must be
+ * committed before these may be sent (0: they may be sent at once). */
 
 #include "shard/log_port.h"
 #include "wire/msg.h"
@@ -34,22 +38,24 @@
 
 KqClaims *kq_claims_new (uint32_t shard, KqLogPort log);
 void kq_claims_free (KqClaims *c);
-/* A record of types 100-199, in order, while recovering. KQ_OK, or why it can't be read:
- * the host must not go on without it, or a key could run twice. */
+/* Applies a record of types 100-199 during recovery, in journal order. On an error (the
+ * record can't be read) the shard's host must not continue: a key could run twice. */
 KqResult kq_claims_apply (KqClaims *c, const KqRecord *r, KqTime now);
-/* Recovery is over: claims that were open become unknown unless their entry node (still
- * in the life that opened them) reports their end within a grace time. */
+/* Ends recovery. Open claims become unknown unless the process of the entry node that
+ * opened them reports their end within a grace time. */
 void kq_claims_opened (KqClaims *c, KqTime now);
-/* Gives every record that rebuilds the state to `add`. */
+/* Calls `add` for each of the records from which the state can be rebuilt. */
 void kq_claims_snapshot (const KqClaims *c, KqTime now,
                          void (*add) (void *arg, const KqRecord *r), void *arg);
+/* An entry node asks for a claim. ttl: for a new claim. */
 KqSeq kq_claims_begin (KqClaims *c, const KqMsgClaimBegin *m, KqTime ttl, KqTime now,
                        KqOutbox *out);
+/* An entry node reports the end of its claimed request; duplicates have no effect. */
 KqSeq kq_claims_done (KqClaims *c, const KqMsgClaimDone *m, KqTime now, KqOutbox *out);
-/* The entry node of open claims is gone: their outcome is unknown. */
+/* A process of an entry node has ended: its open claims become unknown. */
 KqSeq kq_claims_node_gone (KqClaims *c, KqNodeId node, uint64_t incarnation, KqTime now,
                            KqOutbox *out);
-/* Expires old claims, gives up waits that last too long. */
+/* Expires claims and refuses repeats that have waited too long. */
 KqSeq kq_claims_tick (KqClaims *c, KqTime now, KqOutbox *out);
 size_t kq_claims_count (const KqClaims *c);
 size_t kq_claims_bytes (const KqClaims *c);
--- a/src/request/claims_test.c
+++ b/src/request/claims_test.c
@@ -10,8 +10,8 @@
 #include <cmocka.h>
 
 #define TTL (60 * KQ_SEC)
-#define ENTRY 5 /* the node that holds the callers' connections */
-#define LIFE 9
+#define ENTRY 5 /* id of the entry node */
+#define INCARNATION 9
 #define KEYS 5
 #define FLIGHTS 4000
 
@@ -21,7 +21,7 @@
   KqClaims *claims;
   KqOutbox out;
   KqTime now;
-  KqSeq after; /* what the last call returned */
+  KqSeq after; /* result of the last call */
 } Fixture;
 
 static KqLogPort
@@ -63,7 +63,7 @@
 static KqFlightId
 flight (uint64_t number)
 {
-  return (KqFlightId){ ENTRY, LIFE, number };
+  return (KqFlightId){ ENTRY, INCARNATION, number };
 }
 
 static void
@@ -146,9 +146,8 @@
   assert_true (kq_outbox_empty (&f->out));
 }
 
-/* A parent changes a pickup and the answer is lost on the way; the app sends it again,
- * while the first one runs and once more afterwards. The change is made once, and both
- * repeats get the first one's answer. The grant may only leave after its record. */
+/* A request is repeated during its run and after its end. It must run once, both repeats
+ * must get its answer, and the grant must not be sent before its commit. */
 static void
 test_repeat_waits_and_gets_answer (void **state)
 {
@@ -171,7 +170,7 @@
   stop (&f);
 }
 
-/* A message sent twice is one request: the same verdict, no second record. */
+/* A duplicate message must get the same verdict without a second record. */
 static void
 test_same_flight_again (void **state)
 {
@@ -198,15 +197,15 @@
   (void)state;
   start (&f);
   grant (&f, 1);
-  begin_key (&f, 2, "key-1", 78);
+  begin_key (&f, 2, "key-1", 78); /* another body */
   expect (&f, 2, KQ_CLAIM_REFUSED, KQ_ERR_CLAIM_MISMATCH);
   begin_key (&f, 3, "key-2", 78);
   expect (&f, 3, KQ_CLAIM_GRANTED, KQ_OK);
   stop (&f);
 }
 
-/* The first request could not be sent, provably. The key is free: of two repeats that
- * wait, one is granted and the other gets its answer. */
+/* The first request provably did not run, which releases the key. Of two waiting repeats
+ * one must be granted, and the other must get that one's answer. */
 static void
 test_not_run_frees_key (void **state)
 {
@@ -232,8 +231,8 @@
   stop (&f);
 }
 
-/* The runner's connection broke in the middle. Nobody can say whether the change was
- * made: waiting repeats and later ones are told so, and none of them runs. */
+/* The connection to the runner broke during the request, so that it is unknown whether it
+ * ran. Waiting and later repeats must be told so, and must not run. */
 static void
 test_unknown_outcome (void **state)
 {
@@ -249,8 +248,8 @@
   stop (&f);
 }
 
-/* The entry node dies with the request under way; a restarted process of the same node is
- * not the one that was granted. */
+/* The entry node dies during the request: its claims become unknown. The end of another
+ * process of the same node must not affect them. */
 static void
 test_entry_node_gone (void **state)
 {
@@ -259,15 +258,16 @@
   start (&f);
   grant (&f, 1);
   begin (&f, 2);
-  assert_int_equal (kq_claims_node_gone (f.claims, ENTRY, LIFE + 1, f.now, &f.out), 0);
+  assert_int_equal (kq_claims_node_gone (f.claims, ENTRY, INCARNATION + 1, f.now, &f.out),
+                    0);
   expect_nothing (&f);
-  assert_int_equal (kq_claims_node_gone (f.claims, ENTRY, LIFE, f.now, &f.out), 2);
+  assert_int_equal (kq_claims_node_gone (f.claims, ENTRY, INCARNATION, f.now, &f.out), 2);
   expect (&f, 2, KQ_CLAIM_UNKNOWN, KQ_ERR_OUTCOME_UNKNOWN);
   stop (&f);
 }
 
-/* An answer too large to keep: who waits gets it told that the request ran, and so does a
- * later repeat. It never runs again. */
+/* The answer is too large to be stored. Waiting and later repeats, also after a takeover,
+ * must be told that the request ran, and must not run. */
 static void
 test_answer_not_kept (void **state)
 {
@@ -288,8 +288,8 @@
   free (large);
 }
 
-/* Kept answers fill their bound. Answers beyond it are still given to who waits, but not
- * kept; memory stays bounded, and nothing runs twice. */
+/* Stored answers reach their limit. Further answers must still reach waiting repeats, but
+ * not be stored; the memory stays bounded, and no request runs twice. */
 static void
 test_memory_bounded (void **state)
 {
@@ -320,8 +320,8 @@
   free (body);
 }
 
-/* The table of claims is full: a new key is refused as not run, because forgetting an old
- * one would let that one run twice. */
+/* The table of claims is full: a new key must be refused as not run, since dropping an
+ * old claim could let its request run twice. */
 static void
 test_table_full (void **state)
 {
@@ -342,9 +342,9 @@
   stop (&f);
 }
 
-/* A key is remembered for its time after the end, then it is new again. An open claim
- * whose entry node never tells the end is given up after that time, never granted
- * again before another such time has passed. */
+/* A claim is kept for its ttl after its end, then its key may be used again. An open
+ * claim whose entry node doesn't report the end becomes unknown after the ttl; its key
+ * must not be granted before another ttl has passed. */
 static void
 test_expiry (void **state)
 {
@@ -393,8 +393,8 @@
   take_over (f);
 }
 
-/* The owner dies with a claim open. The entry node lives and tells the successor the end
- * within the grace time: the repeat gets the answer. */
+/* The owner dies while a claim is open. The entry node reports the end to the successor
+ * within the grace time: the waiting repeat must get the answer. */
 static void
 test_takeover_end_told (void **state)
 {
@@ -409,8 +409,8 @@
   stop (&f);
 }
 
-/* The same, but nobody tells the end: unknown after the grace time. What the entry node
- * says later is still believed, because it is the truth about that one run. */
+/* The same, but no end is reported within the grace time: the claim becomes unknown. A
+ * later report by the entry node must still be accepted, as only it knows the outcome. */
 static void
 test_takeover_end_not_told (void **state)
 {
@@ -426,8 +426,8 @@
   stop (&f);
 }
 
-/* The grant was committed and lost with the owner. The entry node, which has sent nothing
- * yet, asks the successor: it is granted the same claim; another request isn't. */
+/* The grant was committed, but its message was lost with the owner. When the entry node
+ * asks the successor, the claim must be granted to the same flight, and to no other. */
 static void
 test_takeover_grant_lost (void **state)
 {
@@ -441,7 +441,8 @@
   stop (&f);
 }
 
-/* Before recovery is over: refused as not run. (Commits behind: shard_host_test.) */
+/* Before the end of recovery new keys must be refused as not run. The refusal while
+ * commits lag is tested in shard_host_test. */
 static void
 test_not_yet_opened (void **state)
 {
@@ -484,9 +485,9 @@
   kq_fake_log_free (&y);
 }
 
-/* Random claims, repeats and ends. From any prefix of their records: applied once,
- * applied twice, and rebuilt from the snapshot, the state is the same; and the whole log
- * gives the state that the owner had. */
+/* Random claims, repeats and ends. For prefixes of the log, the state must be the same if
+ * the records are applied once, applied twice, or rebuilt from a snapshot. The whole log
+ * must give the state of its owner. */
 static void
 test_replay (void **state)
 {
@@ -528,14 +529,13 @@
   stop (&f);
 }
 
-/* Random messages, doubled and reordered, with takeovers in between: for each key the
- * number of requests that ran, or may have run, between two proofs of "not run" or
- * expiry is never above one. The fake entry node sends a request for the first grant of
- * its flight only. */
+/* Random messages with duplicates and reordering, and takeovers in between. For each key
+ * at most one request may have run until it is proved "not run". The test acts as the
+ * entry node and runs a request only on the first grant of its flight. */
 static void
 test_never_twice (void **state)
 {
-  static int fate[FLIGHTS]; /* 0 asked, 1 granted, 2 ended */
+  static int progress[FLIGHTS]; /* 0: begun, 1: granted, 2: ended */
   int running[KEYS] = { 0 };
   Fixture f;
   KqRand rand = kq_rand (22);
@@ -553,17 +553,17 @@
       while (kq_outbox_take (&f.out, &item))
         {
           const KqMsgClaimReply *r = &item.u.send.msg->u.claim_reply;
-          if (r->verdict == KQ_CLAIM_GRANTED && fate[r->flight.number] == 0)
+          if (r->verdict == KQ_CLAIM_GRANTED && progress[r->flight.number] == 0)
             {
-              fate[r->flight.number] = 1;
+              progress[r->flight.number] = 1;
               assert_int_equal (running[r->flight.number % KEYS]++, 0);
             }
           kq_out_clear (&item);
         }
-      if (fate[other] == 1)
+      if (progress[other] == 1)
         {
           KqRan ran = (KqRan)kq_rand_below (&rand, 3);
-          fate[other] = 2;
+          progress[other] = 2;
           running[other % KEYS] -= ran == KQ_RAN_NO;
           done (&f, other, ran);
         }
