--- a/src/request/claim_records.c
+++ b/src/request/claim_records.c
@@ -11,7 +11,7 @@
   kq_pack_str (p, f->service);
   kq_pack_str (p, f->caller);
   kq_pack_str (p, f->key);
-  kq_pack_u64 (p, f->body_hash);
+  kq_pack_u64 (p, f->request_hash);
 }
 
 static void
@@ -54,7 +54,7 @@
   f->service = kq_read_str (r);
   f->caller = kq_read_str (r);
   f->key = kq_read_str (r);
-  f->body_hash = kq_read_u64 (r);
+  f->request_hash = kq_read_u64 (r);
 }
 
 static void
--- a/src/request/claim_records.h
+++ b/src/request/claim_records.h
@@ -4,8 +4,7 @@
 /* claim_records: the journal records of claims, version 1, as msgpack arrays.
  *
  * A time is stored as the time left when the record was written, because the clocks of
- * two owners are unrelated. After a takeover a claim is thus kept longer, never shorter.
- */
+ * two owners are unrelated. A takeover can thus prolong a claim, but never shorten it. */
 
 #include "shard/journal.h"
 #include "wire/msg.h"
@@ -26,14 +25,14 @@
 {
   uint64_t number;
   KqTime ttl;
-  KqFlightId flight;  /* OPENED */
-  KqStr service;      /* OPENED */
-  KqStr caller;       /* OPENED */
-  KqStr key;          /* OPENED */
-  uint64_t body_hash; /* OPENED */
-  bool kept;          /* ANSWERED: status, headers and body are stored */
-  int32_t status;     /* ANSWERED */
-  KqHeader *headers;  /* ANSWERED; array owned, freed by kq_claim_record_clear */
+  KqFlightId flight;     /* OPENED */
+  KqStr service;         /* OPENED */
+  KqStr caller;          /* OPENED */
+  KqStr key;             /* OPENED */
+  uint64_t request_hash; /* OPENED; of method, path and body */
+  bool kept;             /* ANSWERED: status, headers and body are stored */
+  int32_t status;        /* ANSWERED */
+  KqHeader *headers;     /* ANSWERED; array owned, freed by kq_claim_record_clear */
   size_t n_headers;
   KqStr body; /* ANSWERED */
 } KqClaimFields;
--- a/src/request/claim_set.c
+++ b/src/request/claim_set.c
@@ -69,7 +69,7 @@
   claim->service = kq_name (f->service);
   claim->caller = kq_name (f->caller);
   claim->key = kq_str_own (f->key);
-  claim->body_hash = f->body_hash;
+  claim->request_hash = f->request_hash;
   claim->ttl = f->ttl;
   kq_map_add (&c->by_key, &claim->by_key, key_hash (f->service, f->caller, f->key),
               claim);
--- a/src/request/claim_set.h
+++ b/src/request/claim_set.h
@@ -40,7 +40,7 @@
   KqName service;
   KqName caller;
   KqStr key; /* owned */
-  uint64_t body_hash;
+  uint64_t request_hash;
   KqTime ttl;
   KqClaimState state;
   KqSeq seq;    /* record of the state; to be committed before a reply tells the state */
--- a/src/request/claims.c
+++ b/src/request/claims.c
@@ -110,7 +110,7 @@
                           .service = kq_name_str (&claim->service),
                           .caller = kq_name_str (&claim->caller),
                           .key = claim->key,
-                          .body_hash = claim->body_hash };
+                          .request_hash = claim->request_hash };
 }
 
 typedef struct
@@ -264,7 +264,7 @@
                       .service = m->service,
                       .caller = m->caller,
                       .key = m->key,
-                      .body_hash = m->body_hash };
+                      .request_hash = m->body_hash };
   if (claim == NULL)
     {
       /* Refused while recovering, without room or with lagging commits. */
@@ -274,7 +274,7 @@
       reply (out, m->flight, KQ_CLAIM_REFUSED, KQ_ERR_CLAIM_UNAVAILABLE, 0);
       return 0;
     }
-  if (claim->body_hash != m->body_hash)
+  if (claim->request_hash != m->body_hash)
     {
       reply (out, m->flight, KQ_CLAIM_REFUSED, KQ_ERR_CLAIM_MISMATCH, claim->number);
       return 0;
--- a/src/request/claims.h
+++ b/src/request/claims.h
@@ -9,7 +9,8 @@
  * outcome is unknown; it never causes a second run. Another request with the same key is
  * refused.
  *
- * The full key is (service, caller, Idempotency-Key); body_hash detects another request.
+ * The full key is (service, caller, Idempotency-Key). Another request is detected by a
+ * hash of its method, path and body.
  * An open claim ends in one of three ways: answered, unknown, or provably not run. "Not
  * run" releases the key and grants it to a waiting repeat, if any. An unknown claim is
  * corrected if its entry node reports the end later.
--- a/src/request/entry.c
+++ b/src/request/entry.c
@@ -210,7 +210,7 @@
   b->service = kq_name_str (&f->service);
   b->caller = kq_name_str (&f->caller);
   b->key = f->key;
-  b->body_hash = kq_flight_body_hash (f);
+  b->body_hash = kq_flight_request_hash (f);
   send_msg (g, g->config.self, &m);
 }
 
--- a/src/request/flight.c
+++ b/src/request/flight.c
@@ -146,7 +146,7 @@
 }
 
 uint64_t
-kq_flight_body_hash (const KqFlight *f)
+kq_flight_request_hash (const KqFlight *f)
 {
   uint64_t h = kq_hash2 (kq_str_hash (kq_name_str (&f->method)), kq_str_hash (f->path));
   assert (f->body_kept);
--- a/src/request/flight.h
+++ b/src/request/flight.h
@@ -108,7 +108,7 @@
 /* The chunk was sent: drops its bytes unless the body is kept. */
 void kq_flight_chunk_sent (KqFlight *f, const KqMsgBody *chunk);
 /* Hash of method, path and body, to refuse another request with the same key. */
-uint64_t kq_flight_body_hash (const KqFlight *f);
+uint64_t kq_flight_request_hash (const KqFlight *f);
 /* Copy an answer's headers, and bytes of its body, to be stored with the claim. */
 void kq_flight_store_answer_headers (KqFlight *f, const KqHeader *h, size_t n);
 void kq_flight_store_answer_bytes (KqFlight *f, KqStr bytes);
--- a/src/request/gateway.h
+++ b/src/request/gateway.h
@@ -23,10 +23,10 @@
 {
   const KqSettings *settings; /* outlives the gateway */
   KqNodeId self;
-  uint64_t incarnation;
+  uint64_t incarnation; /* identifies this process of the node */
   KqCounters *counters;
-  KqTask *mesh;
-  KqTask *node;
+  KqTask *mesh; /* sends messages to other nodes */
+  KqTask *node; /* this node's own task */
 } KqGatewayConfig;
 
 typedef struct KqGateway KqGateway;
--- a/src/request/route.h
+++ b/src/request/route.h
@@ -1,7 +1,8 @@
 #ifndef KQ_REQUEST_ROUTE_H
 #define KQ_REQUEST_ROUTE_H
 
-/* route: selects the owner to which an entry node sends a request.
+/* route: selects the owner to which an entry node sends a request. The entry node holds
+ * the caller's connection; an owner passes requests to the runners of its shards.
  *
  * Heartbeats carry a load digest of each service at each owner. Owners are drawn at
  * random, weighted by what they can serve: slots over run time, less with a queue.
