--- a/src/request/claim_records.c
+++ b/src/request/claim_records.c
@@ -11,7 +11,7 @@
   kq_pack_str (p, f->service);
   kq_pack_str (p, f->caller);
   kq_pack_str (p, f->key);
-  kq_pack_u64 (p, f->body_hash);
+  kq_pack_u64 (p, f->request_hash);
 }
 
 static void
@@ -31,10 +31,12 @@
 void
 kq_claim_record_pack (KqClaimRecordType t, const KqClaimFields *f, KqBuf *out)
 {
-  size_t more = t == KQ_CLAIM_RECORD_OPENED ? 7 : t == KQ_CLAIM_RECORD_ANSWERED ? 4 : 0;
+  size_t n_extra = t == KQ_CLAIM_RECORD_OPENED     ? 7
+                   : t == KQ_CLAIM_RECORD_ANSWERED ? 4
+                                                   : 0;
   KqPacker p;
   kq_packer_init (&p, out);
-  kq_pack_array (&p, 2 + more);
+  kq_pack_array (&p, 2 + n_extra);
   kq_pack_u64 (&p, f->number);
   kq_pack_i64 (&p, f->ttl);
   if (t == KQ_CLAIM_RECORD_OPENED)
@@ -52,7 +54,7 @@
   f->service = kq_read_str (r);
   f->caller = kq_read_str (r);
   f->key = kq_read_str (r);
-  f->body_hash = kq_read_u64 (r);
+  f->request_hash = kq_read_u64 (r);
 }
 
 static void
