--- a/src/sched/adopted_pace_test.c
+++ b/src/sched/adopted_pace_test.c
@@ -7,8 +7,8 @@
 
 #include <cmocka.h>
 
-/* A leader that has just taken over hears of a filling task, which uses so much of the
- * 1,000 thousandths of a core that it asks for. */
+/* A new leader finds a filling task that uses `load` of the 1,000 thousandths of a core
+ * that it asks for. */
 static void
 adopt_filling_task (KqSchedDesk *d, int load)
 {
@@ -28,8 +28,8 @@
   kq_sched_desk_list_runs (d, "r0", &row, 1);
 }
 
-/* A job stands still: an earlier leader has slowed its task to nothing, and the next one
- * takes it for one at full speed. */
+/* A task that an earlier leader has slowed must be set to full speed; the new leader
+ * would otherwise take it for one at full speed, and the job would stall. */
 static void
 test_slow_task_of_an_earlier_leader_is_released (void **state)
 {
--- a/src/sched/disturb.c
+++ b/src/sched/disturb.c
@@ -6,28 +6,30 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What is believed before any report: no pair harmful, but each quite possibly so. */
-#define FIRST_VARIANCE 36.0
-/* Beliefs age by this much variance with each report that bears on them: what images do
- * to each other may change, slowly. */
-#define DRIFT 0.002
-/* An image counts as harmful by what exceeds so many standard deviations: most pairs are
- * harmless, and the noise of many would add up over the tasks of a runner. */
-#define SURE 0.4
-/* A difference further off than this is taken for so far off: queues can explode for a
- * moment without the images being to blame. */
-#define SURPRISE_MAX 3.0
+/* Variance of a pair's loss before any report: the expected loss is 0, but a harmful pair
+ * is quite possible. */
+#define INITIAL_VARIANCE 36.0
+/* Variance added by each report that has the filling image in it, as the disturbance
+ * between two images may change slowly. */
+#define DRIFT_VARIANCE 0.002
+/* The lower bound of a loss is this many standard deviations below its estimate. Most
+ * pairs are harmless, and the noise of many estimates would add up over the tasks of a
+ * runner. */
+#define BOUND_DEVIATIONS 0.4
+/* Larger differences between report and model are cut to this: a queue can grow without
+ * bound for a moment without the images being the cause. */
+#define ERROR_MAX 3.0
 
 typedef struct
 {
-  double value[KQ_DISTURB_IMAGES];
-  double variance[KQ_DISTURB_IMAGES][KQ_DISTURB_IMAGES];
-  double press[KQ_DISTURB_IMAGES]; /* follows from both: kq_disturb_press */
-} Model;
+  double value[KQ_DISTURB_IMAGES_MAX];
+  double variance[KQ_DISTURB_IMAGES_MAX][KQ_DISTURB_IMAGES_MAX];
+  double bound[KQ_DISTURB_IMAGES_MAX]; /* of the loss, from below */
+} ImageModel;
 
 typedef struct
 {
-  char *names[KQ_DISTURB_IMAGES];
+  char *names[KQ_DISTURB_IMAGES_MAX];
   int n;
 } Names;
 
@@ -35,7 +37,7 @@
 {
   Names serving;
   Names filling;
-  Model *models[KQ_DISTURB_IMAGES]; /* by serving image */
+  ImageModel *models[KQ_DISTURB_IMAGES_MAX]; /* by serving image */
 };
 
 KqDisturb *
@@ -58,19 +60,19 @@
     return;
   free_names (&d->serving);
   free_names (&d->filling);
-  for (int i = 0; i < KQ_DISTURB_IMAGES; i++)
+  for (int i = 0; i < KQ_DISTURB_IMAGES_MAX; i++)
     free (d->models[i]);
   free (d);
 }
 
 static int
-place_of (Names *n, KqStr image)
+index_of (Names *n, KqStr image)
 {
   for (int i = 0; i < n->n; i++)
     if (kq_str_eq (kq_str (n->names[i]), image))
       return i;
-  if (n->n == KQ_DISTURB_IMAGES)
-    return KQ_DISTURB_IMAGES - 1;
+  if (n->n == KQ_DISTURB_IMAGES_MAX)
+    return KQ_DISTURB_IMAGES_MAX - 1;
   n->names[n->n] = kq_str_dup (image);
   return n->n++;
 }
@@ -78,80 +80,80 @@
 int
 kq_disturb_serving (KqDisturb *d, KqStr image)
 {
-  int at = place_of (&d->serving, image);
-  Model *m = d->models[at];
+  int index = index_of (&d->serving, image);
+  ImageModel *m = d->models[index];
   if (m != NULL)
-    return at;
-  m = d->models[at] = kq_alloc (sizeof *m);
-  for (int i = 0; i < KQ_DISTURB_IMAGES; i++)
-    m->variance[i][i] = FIRST_VARIANCE;
-  return at;
+    return index;
+  m = d->models[index] = kq_alloc (sizeof *m);
+  for (int i = 0; i < KQ_DISTURB_IMAGES_MAX; i++)
+    m->variance[i][i] = INITIAL_VARIANCE;
+  return index;
 }
 
 int
 kq_disturb_filling (KqDisturb *d, KqStr image)
 {
-  return place_of (&d->filling, image);
+  return index_of (&d->filling, image);
 }
 
 static void
-work_out_press (Model *m, int filling)
+update_bound (ImageModel *m, int filling)
 {
   double variance = m->variance[filling][filling];
-  double v = m->value[filling] - SURE * sqrt (variance > 0 ? variance : 0);
-  m->press[filling] = v > 0 ? v : 0;
+  double v = m->value[filling] - BOUND_DEVIATIONS * sqrt (variance > 0 ? variance : 0);
+  m->bound[filling] = v > 0 ? v : 0;
 }
 
 void
 kq_disturb_learn (KqDisturb *d, int serving, double lost, double variance,
-                  const double shares[KQ_DISTURB_IMAGES])
+                  const double shares[KQ_DISTURB_IMAGES_MAX])
 {
-  Model *m = d->models[serving];
+  ImageModel *m = d->models[serving];
   int n = d->filling.n;
-  int there[KQ_DISTURB_IMAGES]; /* images with a share: few */
-  int n_there = 0;
-  double gain[KQ_DISTURB_IMAGES];
-  double spread = variance;
-  double surprise = lost;
+  int present[KQ_DISTURB_IMAGES_MAX]; /* images with a share: few */
+  int n_present = 0;
+  double gain[KQ_DISTURB_IMAGES_MAX];
+  double total_variance = variance;
+  double error = lost;
   for (int i = 0; i < n; i++)
     {
       if (shares[i] == 0)
         continue;
-      there[n_there++] = i;
-      m->variance[i][i] += DRIFT;
-      surprise -= m->value[i] * shares[i];
+      present[n_present++] = i;
+      m->variance[i][i] += DRIFT_VARIANCE;
+      error -= m->value[i] * shares[i];
     }
   for (int i = 0; i < n; i++)
     {
       gain[i] = 0;
-      for (int k = 0; k < n_there; k++)
-        gain[i] += m->variance[i][there[k]] * shares[there[k]];
-      spread += gain[i] * shares[i];
+      for (int k = 0; k < n_present; k++)
+        gain[i] += m->variance[i][present[k]] * shares[present[k]];
+      total_variance += gain[i] * shares[i];
     }
-  surprise = fmax (-SURPRISE_MAX, fmin (SURPRISE_MAX, surprise));
+  error = fmax (-ERROR_MAX, fmin (ERROR_MAX, error));
   for (int i = 0; i < n; i++)
-    m->value[i] += gain[i] / spread * surprise;
+    m->value[i] += gain[i] / total_variance * error;
   for (int i = 0; i < n; i++)
     for (int k = 0; k <= i; k++)
       {
-        m->variance[i][k] -= gain[i] * gain[k] / spread;
+        m->variance[i][k] -= gain[i] * gain[k] / total_variance;
         m->variance[k][i] = m->variance[i][k];
       }
   for (int i = 0; i < n; i++)
-    work_out_press (m, i);
+    update_bound (m, i);
 }
 
 double
-kq_disturb_press (const KqDisturb *d, int serving, int filling)
+kq_disturb_loss_bound (const KqDisturb *d, int serving, int filling)
 {
-  return d->models[serving]->press[filling];
+  return d->models[serving]->bound[filling];
 }
 
 double
-kq_disturb_loss (const KqDisturb *d, int serving, const double shares[KQ_DISTURB_IMAGES],
-                 double *variance)
+kq_disturb_loss (const KqDisturb *d, int serving,
+                 const double shares[KQ_DISTURB_IMAGES_MAX], double *variance)
 {
-  const Model *m = d->models[serving];
+  const ImageModel *m = d->models[serving];
   double loss = 0;
   *variance = 0;
   for (int i = 0; i < d->filling.n; i++)
@@ -166,8 +168,8 @@
   return loss;
 }
 
-/* First field of the stored form. */
-#define FORM 2
+/* First field of the stored form: its version. */
+#define STORED_VERSION 2
 
 void
 kq_disturb_pack (const KqDisturb *d, KqBuf *out)
@@ -175,14 +177,14 @@
   KqPacker p;
   kq_packer_init (&p, out);
   kq_pack_array (&p, 3);
-  kq_pack_i64 (&p, FORM);
+  kq_pack_i64 (&p, STORED_VERSION);
   kq_pack_array (&p, (size_t)d->filling.n);
   for (int i = 0; i < d->filling.n; i++)
     kq_pack_str (&p, kq_str (d->filling.names[i]));
   kq_pack_array (&p, (size_t)d->serving.n);
   for (int i = 0; i < d->serving.n; i++)
     {
-      const Model *m = d->models[i];
+      const ImageModel *m = d->models[i];
       kq_pack_array (&p, 1 + 2 * (size_t)d->filling.n);
       kq_pack_str (&p, kq_str (d->serving.names[i]));
       for (int k = 0; k < d->filling.n; k++)
@@ -197,12 +199,12 @@
 read_model (KqDisturb *d, KqReader *r, int filling)
 {
   KqStr name = kq_read_str (r);
-  int at;
-  Model *m;
-  if (r->bad || d->serving.n == KQ_DISTURB_IMAGES)
+  int index;
+  ImageModel *m;
+  if (r->bad || d->serving.n == KQ_DISTURB_IMAGES_MAX)
     return;
-  at = kq_disturb_serving (d, name);
-  m = d->models[at];
+  index = kq_disturb_serving (d, name);
+  m = d->models[index];
   for (int k = 0; k < filling; k++)
     {
       double value = kq_read_double (r);
@@ -211,7 +213,7 @@
         continue;
       m->value[k] = value;
       m->variance[k][k] = variance;
-      work_out_press (m, k);
+      update_bound (m, k);
     }
 }
 
@@ -224,9 +226,9 @@
   bool good;
   if (!kq_unpacked_open (&u, stored, &r))
     return false;
-  good = kq_read_i64 (&r) == FORM;
+  good = kq_read_i64 (&r) == STORED_VERSION;
   kq_read_array (&r, &list);
-  good = good && list.left <= KQ_DISTURB_IMAGES;
+  good = good && list.left <= KQ_DISTURB_IMAGES_MAX;
   for (uint32_t n = list.left; good && n > 0; n--)
     kq_disturb_filling (d, kq_read_str (&list));
   kq_read_join (&r, &list);
--- a/src/sched/disturb_test.c
+++ b/src/sched/disturb_test.c
@@ -9,7 +9,7 @@
 
 #include <cmocka.h>
 
-/* The next leader knows what this one has learned, from the stored form. */
+/* The next leader reads the same model from the stored form, and no truncated form. */
 static void
 check_next_leader (KqDisturb *d, const int s[2], const int f[3])
 {
@@ -19,8 +19,8 @@
   assert_true (kq_disturb_unpack (next, kq_buf_str (&b)));
   for (int v = 0; v < 2; v++)
     for (int i = 0; i < 3; i++)
-      assert_true (kq_disturb_press (next, s[v], f[i])
-                   == kq_disturb_press (d, s[v], f[i]));
+      assert_true (kq_disturb_loss_bound (next, s[v], f[i])
+                   == kq_disturb_loss_bound (d, s[v], f[i]));
   for (size_t n = 0; n < b.len; n++)
     {
       KqDisturb *cut = kq_disturb_new ();
@@ -31,11 +31,11 @@
   kq_disturb_free (next);
 }
 
-/* Load: two serving images beside three filling ones, of which one disturbs the first
- * serving image and another the second. Each report is compared with one of another task
- * of its step, so that the load they share drops out; what is left is rough, and now and
- * then a queue explodes. After some hundred comparisons the harmful pairs must stand out,
- * and no other pair. */
+/* Two serving images beside three filling ones; one of these disturbs the first serving
+ * image, another the second. Each report is compared with that of another task of the
+ * step, so that their common load cancels out; the rest is noisy, and now and then a
+ * queue grows without bound. After some hundred comparisons the two harmful pairs must be
+ * found, and no other. */
 static void
 test_harmful_pairs_stand_out (void **state)
 {
@@ -50,7 +50,7 @@
   (void)state;
   for (int n = 0; n < 600; n++)
     {
-      double x[KQ_DISTURB_IMAGES] = { 0 };
+      double x[KQ_DISTURB_IMAGES_MAX] = { 0 };
       double lost = (kq_rand_unit (&r) - 0.5) * 0.8;
       int v = n % 2;
       for (int i = 0; i < 3; i++)
@@ -64,7 +64,7 @@
   for (int v = 0; v < 2; v++)
     for (int i = 0; i < 3; i++)
       {
-        double press = kq_disturb_press (d, s[v], f[i]);
+        double press = kq_disturb_loss_bound (d, s[v], f[i]);
         if (truth[v][i] > 0)
           assert_true (press > 0.6 * truth[v][i] && press < 1.4 * truth[v][i]);
         else
@@ -79,13 +79,13 @@
 {
   KqDisturb *d = kq_disturb_new ();
   (void)state;
-  assert_true (kq_disturb_press (d, kq_disturb_serving (d, KQ_STR ("s")),
-                                 kq_disturb_filling (d, KQ_STR ("f")))
+  assert_true (kq_disturb_loss_bound (d, kq_disturb_serving (d, KQ_STR ("s")),
+                                      kq_disturb_filling (d, KQ_STR ("f")))
                == 0);
-  for (int i = 0; i < 2 * KQ_DISTURB_IMAGES; i++)
+  for (int i = 0; i < 2 * KQ_DISTURB_IMAGES_MAX; i++)
     {
       char name[2] = { (char)('!' + i), '\0' };
-      assert_true (kq_disturb_filling (d, kq_str (name)) < KQ_DISTURB_IMAGES);
+      assert_true (kq_disturb_filling (d, kq_str (name)) < KQ_DISTURB_IMAGES_MAX);
     }
   kq_disturb_free (d);
 }
@@ -97,8 +97,8 @@
                         leader };
 }
 
-/* Runners are spread by the hosts' processors, and the leader keeps its own for
- * decisions. */
+/* Runners are spread over the hosts by their share of a processor, and the leader's host
+ * takes none while there is another. */
 static void
 test_runners_go_to_hosts_by_share (void **state)
 {
--- a/src/sched/explain.c
+++ b/src/sched/explain.c
@@ -1,4 +1,4 @@
-/* explain: what a job waits for, in lines for operators. */
+/* explain: tells operators, in lines of text, what a job waits for. */
 
 #include "sched/state.h"
 
@@ -15,7 +15,8 @@
   else if (st->done + st->active < p->width && !s->settled
            && o->job->revision < s->config.epoch)
     kq_buf_printf (out, ", waits until all runners have told what runs");
-  else if (st->done + st->active < p->width && !kq_place_ever (s, &o->job->spec, step))
+  else if (st->done + st->active < p->width
+           && !kq_place_any_fits (s, &o->job->spec, step))
     kq_buf_printf (out, ", no runner is large enough");
   else if (st->done + st->active < p->width && o->job->spec.advised && st->advice != NULL
            && st->advice->agent >= 0)
--- a/src/sched/harm_test.c
+++ b/src/sched/harm_test.c
@@ -20,18 +20,19 @@
   char runner[16];
   char task[96];
   uint32_t run;
-} Listed;
+} ListedRun;
 
-/* Two tasks of one serving step, one on each runner; a filling task beside one. */
+/* Two tasks of one serving step, each on its own runner, and a filling task beside one of
+ * them. */
 typedef struct
 {
-  Listed beside;
-  Listed alone;
-  Listed filling;
-} Scene;
+  ListedRun beside;
+  ListedRun alone;
+  ListedRun filling;
+} Setup;
 
 static void
-take_last_start (KqSchedDesk *d, Listed *out)
+take_last_start (KqSchedDesk *d, ListedRun *out)
 {
   memcpy (out->runner, d->runner, sizeof out->runner);
   memcpy (out->task, d->task, sizeof out->task);
@@ -41,20 +42,22 @@
 }
 
 static void
-set_scene (KqSchedDesk *d, Scene *s)
+set_up_serving (KqSchedDesk *d, Setup *s)
 {
   KqStep serves = kq_sched_desk_step ();
-  Listed last;
+  ListedRun last;
   serves.lasting = true;
   serves.width = 2;
   serves.cpu_milli = 2500;
   serves.target_ms = TARGET_MS;
   serves.image = KQ_STR ("serves");
   kq_sched_desk_submit (d, "aa", serves, false);
-  kq_sched_desk_run (d, 5 * KQ_SEC); /* of two runners one is kept free for a while */
+  kq_sched_desk_run (
+      d, 5 * KQ_SEC); /* one of the two runners is kept free of lasting tasks at first */
   assert_int_equal (d->starts, 2);
   take_last_start (d, &last);
-  /* Both tasks of the step began as run 1; the last start was its second task. */
+  /* Both tasks of the step started as run 1; the last start was that of its second task.
+   */
   s->beside = s->alone = last;
   s->beside.task[strlen (last.task) - 1] = '0';
   s->beside.runner[1] = last.runner[1] == '0' ? '1' : '0'; /* r0 or r1 */
@@ -63,7 +66,7 @@
 }
 
 static void
-start_filling (KqSchedDesk *d, Scene *s)
+start_filling (KqSchedDesk *d, Setup *s)
 {
   KqStep fills = kq_sched_desk_step ();
   fills.filling = true;
@@ -76,14 +79,14 @@
   take_last_start (d, &s->filling);
   if (strcmp (s->filling.runner, s->beside.runner) != 0)
     {
-      Listed swap = s->beside;
+      ListedRun other = s->beside;
       s->beside = s->alone;
-      s->alone = swap;
+      s->alone = other;
     }
 }
 
 static KqRunRow
-row_of (const Listed *l, int percent, int load)
+row_of (const ListedRun *l, int percent, int load)
 {
   return (KqRunRow){ .task = kq_str (l->task),
                      .run = l->run,
@@ -92,9 +95,9 @@
                      .load = load };
 }
 
-/* Half a second's reports: what the two tasks' tails are. */
+/* Reports the tails of the two serving tasks for half a second. */
 static void
-report (KqSchedDesk *d, const Scene *s, int n, double tail_beside, double tail_alone)
+report (KqSchedDesk *d, const Setup *s, int n, double tail_beside, double tail_alone)
 {
   KqRunRow first[2] = { row_of (&s->beside, 100, (int)tail_beside),
                         row_of (&s->filling, 1 + n % 90, 1500) };
@@ -104,9 +107,9 @@
   kq_sched_desk_run (d, 500 * KQ_MS);
 }
 
-/* The same without the filling task: both tails are alike. */
+/* The same without the filling task, both tails alike. */
 static void
-report_alone (KqSchedDesk *d, const Scene *s, double tail)
+report_alone (KqSchedDesk *d, const Setup *s, double tail)
 {
   KqRunRow first = row_of (&s->beside, 100, (int)tail);
   KqRunRow second = row_of (&s->alone, 100, (int)tail);
@@ -115,16 +118,15 @@
   kq_sched_desk_run (d, 500 * KQ_MS);
 }
 
-/* Callers of batch work wait for nothing: their task is held back beside a serving task
- * that it doesn't disturb. The load of the serving step rises, for all of its tasks
- * alike, just when the batch task comes, which was blamed for it. The task beside which
- * nothing fills shows that the load is the cause. */
+/* A filling task must not be slowed for a rise of the load. The load of the serving step
+ * rises for all of its tasks just when the filling task starts; the task without a
+ * filling neighbour shows that the load is the cause. */
 static void
 test_common_load_is_not_blamed_on_what_fills (void **state)
 {
   KqSchedDesk *d = *state;
-  Scene s;
-  set_scene (d, &s);
+  Setup s;
+  set_up_serving (d, &s);
   for (int n = 0; n < 20; n++)
     report_alone (d, &s, TARGET_MS * 0.3);
   start_filling (d, &s);
@@ -137,20 +139,20 @@
   assert_int_equal (d->stops, 0);
 }
 
-/* Users of the serving task wait too long whenever its load is high, and only where the
- * batch task runs beside it, which takes from the slack there: it must be slowed within
- * the first two swings of the load. */
+/* A filling task that takes slack from a serving task must be slowed. The serving task
+ * beside it is over its target whenever the load is high; this must be found within the
+ * first two periods of the load. */
 static void
 test_harm_beside_one_task_is_seen (void **state)
 {
   KqSchedDesk *d = *state;
-  Scene s;
-  set_scene (d, &s);
+  Setup s;
+  set_up_serving (d, &s);
   start_filling (d, &s);
   for (int n = 0; n < 56 && d->slowed == 0; n++)
     {
-      double swing = sin (2 * M_PI * n * 0.5 / PERIOD_S);
-      double alone = TARGET_MS * (0.45 + 0.2 * swing);
+      double wave = sin (2 * M_PI * n * 0.5 / PERIOD_S);
+      double alone = TARGET_MS * (0.45 + 0.2 * wave);
       double slack = TARGET_MS / alone - 0.7;
       report (d, &s, n, TARGET_MS / slack, alone);
     }
--- a/src/sched/pace.c
+++ b/src/sched/pace.c
@@ -1,9 +1,10 @@
-/* pace: filling tasks are slowed where they push a serving task over its latency target.
+/* pace: sets the pace, in percent of full speed, of filling tasks that push a serving
+ * task over its latency target.
  *
- * Load pattern: most pairs of images don't disturb each other and some do, strongly, and
- * the load of a serving step swings within seconds. So only those filling tasks are
- * slowed that the learned pairs (sched/disturb.h) make responsible, just as far as the
- * load that is expected next (sched/swing.h) asks for. */
+ * Most pairs of images don't disturb each other and some do strongly, and the load of a
+ * serving step changes within seconds. So only filling tasks are slowed that the
+ * disturbance model (sched/disturb.h) makes responsible, and no further than the load
+ * predicted for the serving step (sched/swing.h) requires. */
 
 #include "sched/pace.h"
 #include "sched/harm.h"
@@ -11,54 +12,55 @@
 #include <math.h>
 #include <stdlib.h>
 
-/* Changes smaller than this aren't worth a call. */
-#define STEP_PERCENT 15
-/* Reports cover the last half second; lists that come sooner repeat most of it. */
-#define REPORT_GAP (450 * KQ_MS)
-/* Below this the task may as well stand. */
-#define LEAST_PERCENT 10
-/* With a tail this far over the target nobody may be known to be at fault yet: then all
- * filling tasks there are slowed to this. Without it days with faults earned 0.004 less
- * of what could be earned (8 days, 66 runners). */
-#define BLIND_RATIO 1.3
-#define BLIND_PERCENT 30
-/* A task that uses so much of the cpu it asks for isn't slowed. */
-#define FULL_SPEED_PERCENT 70
+/* Smaller changes of pace aren't ordered. */
+#define CHANGE_MIN_PERCENT 15
+/* Least time between two updates: reports cover the last half second, so that sooner ones
+ * repeat most of it. */
+#define UPDATE_INTERVAL_MIN (450 * KQ_MS)
+/* Below this pace the task is stopped altogether. */
+#define PACE_MIN_PERCENT 10
+/* With a tail this many times over its target, and no filling image known to be the
+ * cause, all filling tasks there are slowed to the given pace. */
+#define UNEXPLAINED_RATIO 1.3
+#define UNEXPLAINED_PACE_PERCENT 30
+/* A task that uses this share of the cpu it asks for isn't slowed by its runner. */
+#define FULL_SPEED_LOAD_PERCENT 70
 
 bool
-kq_pace_worth_a_call (int ordered, int wanted)
+kq_pace_worth_order (int ordered, int wanted)
 {
-  /* Standing still is the last means: at 12% beside a task long over its target filling
-   * tasks were left at 12%, for 4 s. */
+  /* Pace 0 is always ordered, as it is the last means: filling tasks at 12% beside a task
+   * long over its target would otherwise stay at 12%, as seen for 4 s. */
   if (wanted == 0)
     return ordered != 0;
-  return abs (wanted - ordered) >= STEP_PERCENT;
+  return abs (wanted - ordered) >= CHANGE_MIN_PERCENT;
 }
 
-/* A serving task beside which others fill, and the slack that it can still lose. */
+/* A serving task with filling tasks beside it. */
 typedef struct
 {
   const KqRun *run;
   int image;
-  double left;
-  bool over; /* far over its target, and nobody known to be at fault: see BLIND_RATIO */
-} Beside;
+  double left; /* slack that it can still lose */
+  bool over;   /* far over its target without known cause: see UNEXPLAINED_RATIO */
+} ServingTask;
 
-/* The serving tasks of the runner; false: one has been over its target for too long. */
+/* Lists the runner's serving tasks; false if one has been over its target for too long.
+ */
 static bool
-list_beside (const KqSched *s, const KqRunnerState *r, GArray *list, KqTime now)
+list_serving_tasks (const KqSched *s, const KqRunnerState *r, GArray *list, KqTime now)
 {
   for (const KqRun *run = r->runs; run != NULL; run = run->next)
     {
-      Beside b = { .run = run };
-      if (!kq_harm_serves (run))
+      ServingTask b = { .run = run };
+      if (!kq_harm_has_report (run))
         continue;
-      if (kq_harm_over_for_long (run, now))
+      if (kq_harm_over_too_long (run, now))
         return false;
       b.image = kq_run_image (run);
       b.left = kq_harm_headroom (run, now + KQ_HARM_AHEAD);
-      b.over = run->load > BLIND_RATIO * kq_run_step (run)->target_ms
-               && b.left >= kq_harm_press_by (s, r, b.image);
+      b.over = run->load > UNEXPLAINED_RATIO * kq_run_step (run)->target_ms
+               && b.left >= kq_harm_loss_by_runner (s, r, b.image);
       g_array_append_val (list, b);
     }
   return true;
@@ -72,48 +74,48 @@
   return x->placed_at < y->placed_at ? -1 : x->placed_at > y->placed_at;
 }
 
-/* What the filling task should work at, of what those before it have left; 100: nothing
- * is in its way. */
+/* The pace for the filling task, given the slack that older ones have left, from which
+ * its own loss is then subtracted; 100 if it disturbs nobody. */
 static int
-wanted_pace (const KqSched *s, const KqRun *filling, GArray *beside)
+wanted_pace (const KqSched *s, const KqRun *filling, GArray *serving_tasks)
 {
   double pace = 1;
-  for (guint i = 0; i < beside->len; i++)
+  for (guint i = 0; i < serving_tasks->len; i++)
     {
-      const Beside *b = &g_array_index (beside, Beside, i);
-      double press = kq_harm_press_of (s, filling, b->image);
-      if (press > KQ_HARM_PRESS_LEAST)
-        pace = fmin (pace, fmax (b->left, 0) / press);
+      const ServingTask *b = &g_array_index (serving_tasks, ServingTask, i);
+      double loss = kq_harm_loss_by_run (s, filling, b->image);
+      if (loss > KQ_HARM_LOSS_MIN)
+        pace = fmin (pace, fmax (b->left, 0) / loss);
       else if (b->over)
-        pace = fmin (pace, BLIND_PERCENT / 100.0);
+        pace = fmin (pace, UNEXPLAINED_PACE_PERCENT / 100.0);
     }
-  if (pace * 100 < LEAST_PERCENT)
+  if (pace * 100 < PACE_MIN_PERCENT)
     pace = 0;
-  for (guint i = 0; i < beside->len; i++)
+  for (guint i = 0; i < serving_tasks->len; i++)
     {
-      Beside *b = &g_array_index (beside, Beside, i);
-      b->left -= pace * kq_harm_press_of (s, filling, b->image);
+      ServingTask *b = &g_array_index (serving_tasks, ServingTask, i);
+      b->left -= pace * kq_harm_loss_by_run (s, filling, b->image);
     }
   return (int)(pace * 100);
 }
 
 static void
-pace_run (KqSched *s, KqRun *run, int to, KqTime now)
+order_pace (KqSched *s, KqRun *run, int to, KqTime now)
 {
-  if (to < LEAST_PERCENT)
+  if (to < PACE_MIN_PERCENT)
     to = 0;
-  if (to > 100 - STEP_PERCENT / 2)
+  if (to > 100 - CHANGE_MIN_PERCENT / 2)
     to = 100;
-  if (run->pace_unknown || kq_pace_worth_a_call (run->pace, to))
+  if (run->pace_unknown || kq_pace_worth_order (run->pace, to))
     kq_run_pace (s, run, to, now);
 }
 
-/* A filling task that an earlier leader started isn't slowed if it uses most of the cpu
- * that it asks for. */
+/* Clears pace_unknown if the reported load shows that no earlier leader has slowed the
+ * task. */
 static void
-look_at_speed (KqRun *run)
+check_full_speed (KqRun *run)
 {
-  if (run->load >= kq_run_step (run)->cpu_milli * FULL_SPEED_PERCENT / 100)
+  if (run->load >= kq_run_step (run)->cpu_milli * FULL_SPEED_LOAD_PERCENT / 100)
     run->pace_unknown = false;
 }
 
@@ -124,24 +126,24 @@
     {
       if (!kq_run_step (run)->filling || run->phase != KQ_RUN_RUNNING)
         continue;
-      look_at_speed (run);
+      check_full_speed (run);
       if (run->pace < 100 || run->pace_unknown)
-        pace_run (s, run, 100, now);
+        order_pace (s, run, 100, now);
     }
 }
 
-/* The oldest filling tasks work at full speed, the youngest at what is left: all of them
- * at the same part of their speed would end later, most of them, and none sooner. */
+/* Serves the oldest filling tasks first, which gives them full speed and the youngest
+ * what is left. With equal paces for all, most would end later and none sooner. */
 void
 kq_pace_set (KqSched *s, KqRunnerState *r, KqTime now)
 {
-  GArray *beside = g_array_new (FALSE, FALSE, sizeof (Beside));
+  GArray *serving_tasks = g_array_new (FALSE, FALSE, sizeof (ServingTask));
   GPtrArray *filling = g_ptr_array_new ();
-  bool any = list_beside (s, r, beside, now);
+  bool may_run = list_serving_tasks (s, r, serving_tasks, now);
   for (KqRun *run = r->runs; run != NULL; run = run->next)
     if (kq_run_step (run)->filling && run->phase == KQ_RUN_RUNNING)
       {
-        look_at_speed (run);
+        check_full_speed (run);
         g_ptr_array_add (filling, run);
       }
   if (filling->len > 0)
@@ -149,16 +151,16 @@
   for (guint i = 0; i < filling->len; i++)
     {
       KqRun *run = g_ptr_array_index (filling, i);
-      pace_run (s, run, any ? wanted_pace (s, run, beside) : 0, now);
+      order_pace (s, run, may_run ? wanted_pace (s, run, serving_tasks) : 0, now);
     }
   g_ptr_array_free (filling, TRUE);
-  g_array_free (beside, TRUE);
+  g_array_free (serving_tasks, TRUE);
 }
 
 void
 kq_pace_runner (KqSched *s, KqRunnerState *r, KqTime now)
 {
-  if (now - r->paced_at < REPORT_GAP)
+  if (now - r->paced_at < UPDATE_INTERVAL_MIN)
     return;
   r->paced_at = now;
   kq_harm_learn (s, r, now);
--- a/src/sched/pace.h
+++ b/src/sched/pace.h
@@ -1,11 +1,11 @@
 #ifndef KQ_SCHED_PACE_H
 #define KQ_SCHED_PACE_H
 
-/* pace: when a filling task's new pace is worth a call to its runner. */
+/* pace: whether a change of a filling task's pace is worth an order to its runner. */
 
 #include <stdbool.h>
 
-/* Paces in percent, as ordered last and as wanted now. */
-bool kq_pace_worth_a_call (int ordered, int wanted);
+/* Paces in percent: the one ordered last, and the one wanted now. */
+bool kq_pace_worth_order (int ordered, int wanted);
 
 #endif
--- a/src/sched/pace_test.c
+++ b/src/sched/pace_test.c
@@ -7,28 +7,26 @@
 
 #include <cmocka.h>
 
-/* Users of a serving task wait too long for seconds on end, though everything beside it
- * was to stand still. Filling tasks had been slowed to 12% before; from there to 0 is a
- * small step, and small steps were saved as not worth a call. Standing still always is.
- */
+/* Pace 0 must always be ordered. Filling tasks at 12% beside a serving task over its
+ * target were left at 12%, as the change to 0 counted as too small for an order. */
 static void
 test_standing_still_is_always_ordered (void **state)
 {
   (void)state;
   for (int ordered = 1; ordered <= 100; ordered++)
-    assert_true (kq_pace_worth_a_call (ordered, 0));
-  assert_false (kq_pace_worth_a_call (0, 0));
+    assert_true (kq_pace_worth_order (ordered, 0));
+  assert_false (kq_pace_worth_order (0, 0));
 }
 
 static void
 test_small_steps_are_saved (void **state)
 {
   (void)state;
-  assert_false (kq_pace_worth_a_call (50, 50));
-  assert_false (kq_pace_worth_a_call (50, 58));
-  assert_false (kq_pace_worth_a_call (50, 42));
-  assert_true (kq_pace_worth_a_call (50, 75));
-  assert_true (kq_pace_worth_a_call (50, 20));
+  assert_false (kq_pace_worth_order (50, 50));
+  assert_false (kq_pace_worth_order (50, 58));
+  assert_false (kq_pace_worth_order (50, 42));
+  assert_true (kq_pace_worth_order (50, 75));
+  assert_true (kq_pace_worth_order (50, 20));
 }
 
 int
--- a/src/sched/pass.c
+++ b/src/sched/pass.c
@@ -1,11 +1,11 @@
-/* pass: one placing pass over all tasks whose turn has come.
+/* pass: one placing pass over all steps that have tasks waiting to run.
  *
- * Load pattern: in a burst more work waits than the runners hold. First come jobs that
- * can still meet their objective, the earliest objective first, then tasks that last,
- * then late jobs. Tasks that last never give their room back: put first, they took what
- * short jobs live on, and 65% instead of 77% of these met their objective (simulation of
- * 48 runners whose room is nearly all reserved). A job that has become late steps behind
- * those that aren't: with the objective alone as order every job of a long burst would
+ * In a burst more tasks wait than the runners can hold. First come jobs that can still
+ * meet their objective, those with the earliest objective first, then lasting tasks, then
+ * late jobs. Lasting tasks don't give their room back, so if they came first they would
+ * take the room that short jobs need: in a simulation of 48 runners with nearly all room
+ * reserved, 65% of the short jobs met their objective instead of 77%. Late jobs come
+ * behind those in time: with the objective alone as order every job of a long burst would
  * end just too late. */
 
 #include "sched/state.h"
@@ -13,23 +13,25 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Ranks, lowest first. */
+/* Ranks, served in this order. */
 enum
 {
-  RANK_LOST, /* a lasting task that was running has waited for too long */
+  RANK_LOST, /* a lasting task that has run before and has waited for too long */
   RANK_IN_TIME,
   RANK_LASTING,
-  RANK_LATE,    /* of some use up to LATE_TIMES the objective */
-  RANK_HOPELESS /* still owed, behind all others */
+  RANK_LATE,    /* can end within HOPELESS_RATIO times the objective */
+  RANK_HOPELESS /* must still be run, but after all others */
 };
-#define LATE_TIMES 3
-/* When hosts go down in numbers, short jobs in time took the room of the lasting tasks
- * that had to move, for 14 s on end; their users are without them all that while. */
-#define LOST_FOR (2 * KQ_SEC)
-/* What waits is looked at again after so long, even if nothing happens: ranks, and what a
- * task puts up with, change with the time that it has waited. */
-#define AGAIN (500 * KQ_MS)
-/* Run numbers of a term start here; a task isn't started so often in one term. */
+#define HOPELESS_RATIO 3
+/* A lasting task that has lost its runner goes first after this time. When many hosts
+ * went down, short jobs in time kept the room from these tasks for 14 s, during which
+ * their callers had no service. */
+#define LOST_WAIT_MAX (2 * KQ_SEC)
+/* A pass follows at the latest after this time while tasks wait, even if nothing has
+ * happened: ranks change with time, and so does what a waiting task accepts. */
+#define PASS_INTERVAL_MAX (500 * KQ_MS)
+/* Run numbers of a leader's term begin at a multiple of this; no task is started so often
+ * in one term. */
 #define RUNS_PER_TERM 1000
 
 typedef struct
@@ -37,49 +39,50 @@
   KqOccurrence *occurrence;
   int32_t step;
   int rank;
-  KqTime due; /* the objective's time */
-  bool lost;  /* only of its lasting tasks those that have run */
-} Turn;
+  KqTime due; /* when the objective ends */
+  bool lost;  /* only for those lasting tasks of the step that have run before */
+} WaitingStep;
 
-/* How room is found for a task. */
+/* Which room a task may use. */
 typedef enum
 {
   FOR_FILLING,
   FOR_RESERVED,
-  FOR_LASTING, /* as RESERVED, but not in what is kept from them */
-  FOR_ANY      /* wherever it fits, whatever is kept: found by none of the others */
+  FOR_LASTING, /* as FOR_RESERVED, less what is kept free of lasting tasks */
+  FOR_ANY /* any room, also what is kept free; a failure says nothing about the others */
 } RoomKind;
 
-/* What found no room in this pass: a larger one needn't look. */
+/* The size of a step that found no room in this pass: steps of the same kind that are at
+ * least as large aren't tried. */
 typedef struct
 {
   const KqPool *pool;
   RoomKind kind;
   int32_t cpu_milli;
   int32_t mem_mb;
-} Misfit;
-#define MISFITS_MAX 16
+} NoRoom;
+#define NO_ROOM_MAX 16
 
 typedef struct
 {
-  Misfit list[MISFITS_MAX];
+  NoRoom list[NO_ROOM_MAX];
   int n;
-} Misfits;
+} NoRoomList;
 
 static RoomKind
-room_kind (const Turn *t, KqTime now)
+room_kind (const WaitingStep *t, KqTime now)
 {
   const KqStep *p = &t->occurrence->job->spec.steps[t->step];
-  bool idles = kq_place_idles (t->occurrence, t->step, now);
+  bool starved = kq_place_starved (t->occurrence, t->step, now);
   if (p->filling)
-    return idles ? FOR_ANY : FOR_FILLING;
+    return starved ? FOR_ANY : FOR_FILLING;
   if (!p->lasting)
     return FOR_RESERVED;
-  return idles || t->occurrence->steps[t->step].lost_at != 0 ? FOR_ANY : FOR_LASTING;
+  return starved || t->occurrence->steps[t->step].lost_at != 0 ? FOR_ANY : FOR_LASTING;
 }
 
 static bool
-known_misfit (const Misfits *m, const Turn *t, KqTime now)
+known_no_room (const NoRoomList *m, const WaitingStep *t, KqTime now)
 {
   const KqJob *j = t->occurrence->job;
   const KqStep *p = &j->spec.steps[t->step];
@@ -92,29 +95,29 @@
 }
 
 static void
-note_misfit (Misfits *m, const Turn *t, KqTime now)
+note_no_room (NoRoomList *m, const WaitingStep *t, KqTime now)
 {
   const KqSpec *spec = &t->occurrence->job->spec;
   const KqStep *p = &spec->steps[t->step];
   RoomKind kind = room_kind (t, now);
-  /* With limits of its own it says nothing about others; what waits for a ticket says
-   * nothing about room. */
-  if (m->n == MISFITS_MAX || p->label.len > 0 || p->per_runner_max > 0 || p->gpus > 0
+  /* A step with limits of its own says nothing about other steps, and one that waits for
+   * a ticket says nothing about room. */
+  if (m->n == NO_ROOM_MAX || p->label.len > 0 || p->per_runner_max > 0 || p->gpus > 0
       || p->gang || spec->advised || kind == FOR_ANY)
     return;
-  m->list[m->n++] = (Misfit){ t->occurrence->job->pool, kind, p->cpu_milli, p->mem_mb };
+  m->list[m->n++] = (NoRoom){ t->occurrence->job->pool, kind, p->cpu_milli, p->mem_mb };
 }
 
-static Turn
-turn_of (KqOccurrence *o, int32_t step, KqTime now)
+static WaitingStep
+make_waiting_step (KqOccurrence *o, int32_t step, KqTime now)
 {
   const KqSpec *spec = &o->job->spec;
   KqTime objective = kq_spec_objective_ms (spec) * KQ_MS;
   KqTime end = now + o->chain_left_ms * KQ_MS;
-  Turn t = { o, step, RANK_IN_TIME, o->due_at + objective, false };
+  WaitingStep t = { o, step, RANK_IN_TIME, o->due_at + objective, false };
   if (spec->steps[step].lasting)
     t.rank = RANK_LASTING;
-  else if (end > o->due_at + LATE_TIMES * objective)
+  else if (end > o->due_at + HOPELESS_RATIO * objective)
     t.rank = RANK_HOPELESS;
   else if (end > t.due)
     t.rank = RANK_LATE;
@@ -122,62 +125,64 @@
 }
 
 static void
-end_wait (KqJob *j, KqStepState *st, KqTime now)
+record_wait_end (KqJob *j, KqStepState *st, KqTime now)
 {
   if (st->waits_since != 0)
     j->spent.waited += now - st->waits_since;
   st->lost_at = st->waits_since = 0;
 }
 
-/* A job that we hear of while another may lead can be stored after its epoch: it takes
- * the job for one that nobody else knows, and starts it. */
+/* Whether the job's tasks may not be started yet. Either another leader may have taken
+ * over when this one learned of the job: the job may then be stored after that leader's
+ * epoch, and that leader would start it, certain that nobody else has. Or runs of an
+ * earlier leader may still be unknown, and the job is old enough to have some. */
 static bool
-must_wait (KqSched *s, const KqJob *j)
+start_forbidden (KqSched *s, const KqJob *j)
 {
-  bool in_doubt = j->learned_at >= s->lead_until;
-  s->held_back = s->held_back || in_doubt;
-  return in_doubt || (!s->settled && j->revision < s->config.epoch);
+  bool leader_uncertain = j->learned_at >= s->lead_until;
+  s->held_back = s->held_back || leader_uncertain;
+  return leader_uncertain || (!s->settled && j->revision < s->config.epoch);
 }
 
 static void
-collect (KqSched *s, GArray *turns, KqTime now)
+collect_waiting_steps (KqSched *s, GArray *waiting, KqTime now)
 {
   for (KqJob *j = s->open; j != NULL; j = j->next)
     {
-      if (j->state >= KQ_JOB_COMPLETED || must_wait (s, j))
+      if (j->state >= KQ_JOB_COMPLETED || start_forbidden (s, j))
         continue;
       for (KqOccurrence *o = j->occurrences; o != NULL; o = o->next)
         for (int32_t i = 0; i < j->spec.n_steps; i++)
           {
             KqStepState *st = &o->steps[i];
-            Turn t;
+            WaitingStep t;
             if (st->done + st->active >= j->spec.steps[i].width)
-              end_wait (j, st, now);
+              record_wait_end (j, st, now);
             if (!st->open || st->done + st->active >= j->spec.steps[i].width)
               continue;
             if (st->waits_since == 0)
               st->waits_since = now;
-            kq_pools_waiting (j->pool, &j->spec.steps[i],
-                              j->spec.steps[i].width - st->done - st->active);
-            t = turn_of (o, i, now);
-            g_array_append_val (turns, t);
+            kq_pools_add_waiting (j->pool, &j->spec.steps[i],
+                                  j->spec.steps[i].width - st->done - st->active);
+            t = make_waiting_step (o, i, now);
+            g_array_append_val (waiting, t);
             if (st->lost_at != 0 && !kq_book_lost_waits (st, &j->spec.steps[i]))
               st->lost_at = 0;
-            if (st->lost_at != 0 && now - st->lost_at >= LOST_FOR)
+            if (st->lost_at != 0 && now - st->lost_at >= LOST_WAIT_MAX)
               {
                 t.rank = RANK_LOST;
                 t.lost = true;
-                g_array_append_val (turns, t);
+                g_array_append_val (waiting, t);
               }
           }
     }
 }
 
 static int
-by_turn (const void *a, const void *b)
+compare_waiting_steps (const void *a, const void *b)
 {
-  const Turn *x = a;
-  const Turn *y = b;
+  const WaitingStep *x = a;
+  const WaitingStep *y = b;
   if (x->rank != y->rank)
     return x->rank < y->rank ? -1 : 1;
   if (x->due != y->due)
@@ -204,8 +209,8 @@
     g_strlcpy (st->rack, r->rack, sizeof st->rack);
   if (o->job->spec.steps[step].lasting)
     {
-      kq_pools_taken (r, o->job->spec.steps[step].cpu_milli);
-      kq_runners_changed (s, r); /* it isn't kept from lasting tasks any more */
+      kq_pools_lasting_placed (r, o->job->spec.steps[step].cpu_milli);
+      kq_runners_changed (s, r); /* lasting tasks may use it from now on */
     }
   if (!o->job->begun)
     kq_histogram_add (&s->first_start, now - o->due_at);
@@ -216,11 +221,11 @@
   return run;
 }
 
-/* Runs of one step that start in one pass share a line, as long as it is not longer. */
-#define STARTS_LINE 1500
+/* Runs of a step that start in one pass share a log line, up to this length in bytes. */
+#define STARTS_LINE_MAX 1500
 
 static void
-tell_starts (const KqOccurrence *o, int32_t step, KqBuf *starts)
+log_starts (const KqOccurrence *o, int32_t step, KqBuf *starts)
 {
   if (starts->len > 0)
     kq_log (KQ_LOG_DEBUG, PART, "Starting runs. step=%.*s.%d.%d runs=%.*s",
@@ -230,63 +235,64 @@
 }
 
 static void
-note_start (const KqRun *run, KqBuf *starts, KqTime now)
+add_start_to_log (const KqRun *run, KqBuf *starts, KqTime now)
 {
   const KqRunnerState *r = run->runner;
   kq_buf_printf (starts, "%s%d:%u@%s/%lld/%lld", starts->len > 0 ? "," : "", run->index,
                  run->number, r->id, (long long)(r->room.cpu_milli - r->used.cpu_milli),
                  (long long)((now - r->heard_at) / KQ_MS));
-  if (starts->len > STARTS_LINE)
-    tell_starts (run->occurrence, run->step, starts);
+  if (starts->len > STARTS_LINE_MAX)
+    log_starts (run->occurrence, run->step, starts);
 }
 
-/* False: some waiting task of the step found no room. */
+/* Places the step's waiting tasks. Returns false if one of them found no room. */
 static bool
 place_tasks (KqSched *s, KqOccurrence *o, int32_t step, bool lost, KqTime now)
 {
   const KqStep *p = &o->job->spec.steps[step];
   KqPlacing placing;
   KqBuf starts = { 0 };
-  /* Beside what fills already there is room for one, whatever its speed. */
-  bool only_one = p->filling && kq_place_idles (o, step, now);
-  bool whole = true;
+  /* A starved job's filling task is placed whatever its speed, but only one of them. */
+  bool one_only = p->filling && kq_place_starved (o, step, now);
+  bool all_placed = true;
   kq_placing_begin (&placing, s, o, step, now);
-  for (int32_t i = 0; i < p->width && whole && kq_window_open (&s->window); i++)
+  for (int32_t i = 0; i < p->width && all_placed && kq_window_open (&s->window); i++)
     {
       KqTaskState *t = &o->steps[step].tasks[i];
       KqRunnerState *r;
       if (t->phase != KQ_TASK_WAITING || (lost && !t->has_run))
         continue;
       r = kq_placing_next (&placing, i);
-      whole = r != NULL;
-      if (whole)
-        note_start (start_task (s, o, step, i, next_run (s, t), r, now), &starts, now);
-      if (only_one)
+      all_placed = r != NULL;
+      if (all_placed)
+        add_start_to_log (start_task (s, o, step, i, next_run (s, t), r, now), &starts,
+                          now);
+      if (one_only)
         break;
     }
   kq_placing_end (&placing);
-  tell_starts (o, step, &starts);
+  log_starts (o, step, &starts);
   kq_buf_free (&starts);
-  if (!whole && o->job->spec.advised)
-    kq_tickets_want (s, o, step, now);
-  return whole;
+  if (!all_placed && o->job->spec.advised)
+    kq_tickets_request (s, o, step, now);
+  return all_placed;
 }
 
-/* A gang is placed whole or not at all: members that wait for others hold their room for
- * nothing. Placed tentatively first, so that the room of one member counts for the next.
- */
+/* Places all tasks of a gang step or none: members that wait for others would hold their
+ * room for nothing. Runs are created first, so that the room of one member counts for the
+ * next one, and their start orders are sent only if all have found room. */
 static bool
 place_gang (KqSched *s, KqOccurrence *o, int32_t step, KqTime now)
 {
   const KqStep *p = &o->job->spec.steps[step];
-  KqRun **made = kq_alloc ((size_t)p->width * sizeof (KqRun *));
+  KqRun **runs = kq_alloc ((size_t)p->width * sizeof (KqRun *));
   KqPlacing placing;
   KqBuf starts = { 0 };
   uint32_t number = 0;
   int32_t n = 0;
   kq_placing_begin (&placing, s, o, step, now);
   if (o->steps[step].active > 0)
-    goto out; /* the last run's members have yet to go */
+    goto out; /* runs of the previous attempt have yet to end */
   for (int32_t i = 0; i < p->width; i++)
     {
       uint32_t next = next_run (s, &o->steps[step].tasks[i]);
@@ -297,21 +303,21 @@
       KqRunnerState *r = kq_placing_next (&placing, n);
       if (r == NULL)
         break;
-      made[n] = kq_run_new (s, o->job, o, step, n, r, number, now);
+      runs[n] = kq_run_new (s, o->job, o, step, n, r, number, now);
       if (p->one_rack && o->steps[step].rack[0] == '\0')
         g_strlcpy (o->steps[step].rack, r->rack, sizeof o->steps[step].rack);
     }
   if (n < p->width && o->job->spec.advised)
-    kq_tickets_want (s, o, step, now);
+    kq_tickets_request (s, o, step, now);
   for (int32_t i = 0; i < n; i++)
     {
       if (n == p->width)
         {
-          note_start (made[i], &starts, now);
-          kq_run_send_start (s, made[i], now);
+          add_start_to_log (runs[i], &starts, now);
+          kq_run_send_start (s, runs[i], now);
         }
       else
-        kq_run_over (s, made[i], now);
+        kq_run_over (s, runs[i], now);
     }
   if (n == p->width)
     {
@@ -320,55 +326,56 @@
     }
   else
     o->steps[step].rack[0] = '\0';
-  tell_starts (o, step, &starts);
+  log_starts (o, step, &starts);
 out:
   kq_placing_end (&placing);
   kq_buf_free (&starts);
-  free (made);
+  free (runs);
   return n == p->width;
 }
 
-#define WINDOW_TOLD_GAP KQ_SEC
+#define WINDOW_LOG_INTERVAL KQ_SEC
 
 static void
-tell_window (KqSched *s, KqTime now)
+log_closed_window (KqSched *s, KqTime now)
 {
-  if (kq_window_open (&s->window) || now - s->window_told_at < WINDOW_TOLD_GAP)
+  if (kq_window_open (&s->window) || now - s->window_logged_at < WINDOW_LOG_INTERVAL)
     return;
-  s->window_told_at = now;
-  kq_log (KQ_LOG_INFO, PART, "Starts wait for answers to others. under_way=%d window=%d",
+  s->window_logged_at = now;
+  kq_log (KQ_LOG_INFO, PART,
+          "Start orders wait for answers to earlier ones. under_way=%d window=%d",
           s->window.under_way, s->window.size);
 }
 
 void
 kq_pass (KqSched *s, KqTime now)
 {
-  GArray *turns = g_array_new (FALSE, FALSE, sizeof (Turn));
-  Misfits misfits = { 0 };
+  GArray *waiting = g_array_new (FALSE, FALSE, sizeof (WaitingStep));
+  NoRoomList no_room = { 0 };
   s->passes++;
-  s->passing = true;
-  kq_pools_look (s);
-  collect (s, turns, now);
-  kq_pools_looked (s, now);
-  if (turns->len > 0)
-    qsort (turns->data, turns->len, sizeof (Turn), by_turn);
-  for (guint i = 0; i < turns->len && kq_window_open (&s->window); i++)
+  s->in_pass = true;
+  kq_pools_begin_pass (s);
+  collect_waiting_steps (s, waiting, now);
+  kq_pools_update_kept_free (s, now);
+  if (waiting->len > 0)
+    qsort (waiting->data, waiting->len, sizeof (WaitingStep), compare_waiting_steps);
+  for (guint i = 0; i < waiting->len && kq_window_open (&s->window); i++)
     {
-      const Turn *t = &g_array_index (turns, Turn, i);
+      const WaitingStep *t = &g_array_index (waiting, WaitingStep, i);
       const KqSpec *spec = &t->occurrence->job->spec;
       const KqStep *p = &spec->steps[t->step];
-      bool whole;
-      if (known_misfit (&misfits, t, now))
+      bool all_placed;
+      if (known_no_room (&no_room, t, now))
         continue;
-      whole = p->gang ? place_gang (s, t->occurrence, t->step, now)
-                      : place_tasks (s, t->occurrence, t->step, t->lost, now);
-      if (!whole)
-        note_misfit (&misfits, t, now);
+      all_placed = p->gang ? place_gang (s, t->occurrence, t->step, now)
+                           : place_tasks (s, t->occurrence, t->step, t->lost, now);
+      if (!all_placed)
+        note_no_room (&no_room, t, now);
     }
-  tell_window (s, now);
-  if (turns->len > 0 && (s->work_at == 0 || s->work_at > now + AGAIN))
-    s->work_at = now + AGAIN;
-  g_array_free (turns, TRUE);
-  s->passing = false;
+  log_closed_window (s, now);
+  if (waiting->len > 0 && (s->work_at == 0 || s->work_at > now + PASS_INTERVAL_MAX))
+    s->work_at = now + PASS_INTERVAL_MAX;
+  g_array_free (waiting, TRUE);
+  s->in_pass = false;
   s->work = false;
 }
--- a/src/sched/placing.c
+++ b/src/sched/placing.c
@@ -1,30 +1,32 @@
-/* placing: a runner for each of a step's equal tasks.
+/* placing: finds runners for the tasks of a step, one after the other.
  *
- * Load pattern: wide steps, tens of tasks to be placed at once on a fleet of thousands of
- * runners, and hundreds of steps that wait for room. All tasks of a step want the same,
- * so the runners are scored once; a task that is placed changes its own runner only. A
- * step that found none looks only at runners that have changed since. */
+ * A step may have tens of tasks to place at once, the fleet thousands of runners, and
+ * hundreds of steps may wait for room. All tasks of a step have the same requirements, so
+ * the runners are scored once per step and kept in a heap; placing a task changes the
+ * score of its own runner only. A step that found no runner looks only at runners that
+ * have changed since. */
 
 #include "sched/state.h"
 
-/* What a step puts up with, and what is kept free, change with time: so often it looks at
- * all runners again. */
-#define LOOK_AT_ALL (100 * KQ_MS)
-/* Of a large fleet with much room so many runners that would do are enough for a step,
- * and so many for each of its tasks: the best of them is hardly worse than the best of
- * all. Lasting tasks stay for long, and for them all are looked at. */
-#define ENOUGH 128
-#define ENOUGH_A_TASK 4
+/* Interval at which a step that finds no runner searches all of them again: what it
+ * accepts, and what is kept free, change with time without any change of a runner. */
+#define FULL_SEARCH_INTERVAL (100 * KQ_MS)
+/* In a large fleet with much room the search ends after CANDIDATES_BASE suitable runners,
+ * plus CANDIDATES_PER_TASK for each waiting task: the best of them is hardly worse than
+ * the best of all. For gangs, and for lasting tasks, which stay for long, all runners are
+ * searched. */
+#define CANDIDATES_BASE 128
+#define CANDIDATES_PER_TASK 4
 
-static KqSpot *
-spot (const KqPlacing *p, guint i)
+static KqPlacingCandidate *
+candidate_at (const KqPlacing *p, guint i)
 {
-  return &g_array_index (p->heap, KqSpot, i);
+  return &g_array_index (p->heap, KqPlacingCandidate, i);
 }
 
-/* The first of the list among equals. */
+/* Whether `a` has the higher score; among equals the runner that was created first. */
 static bool
-better (const KqSpot *a, const KqSpot *b)
+better (const KqPlacingCandidate *a, const KqPlacingCandidate *b)
 {
   return a->score > b->score
          || (a->score == b->score && a->runner->number < b->runner->number);
@@ -36,15 +38,15 @@
   for (;;)
     {
       guint best = at;
-      KqSpot held;
+      KqPlacingCandidate held;
       for (guint child = 2 * at + 1; child <= 2 * at + 2 && child < p->heap->len; child++)
-        if (better (spot (p, child), spot (p, best)))
+        if (better (candidate_at (p, child), candidate_at (p, best)))
           best = child;
       if (best == at)
         return;
-      held = *spot (p, at);
-      *spot (p, at) = *spot (p, best);
-      *spot (p, best) = held;
+      held = *candidate_at (p, at);
+      *candidate_at (p, at) = *candidate_at (p, best);
+      *candidate_at (p, best) = held;
       at = best;
     }
 }
@@ -52,27 +54,27 @@
 static void
 sift_up (const KqPlacing *p, guint at)
 {
-  while (at > 0 && better (spot (p, at), spot (p, (at - 1) / 2)))
+  while (at > 0 && better (candidate_at (p, at), candidate_at (p, (at - 1) / 2)))
     {
-      KqSpot held = *spot (p, at);
-      *spot (p, at) = *spot (p, (at - 1) / 2);
-      *spot (p, (at - 1) / 2) = held;
+      KqPlacingCandidate held = *candidate_at (p, at);
+      *candidate_at (p, at) = *candidate_at (p, (at - 1) / 2);
+      *candidate_at (p, (at - 1) / 2) = held;
       at = (at - 1) / 2;
     }
 }
 
-static KqSpot
+static KqPlacingCandidate
 take_top (const KqPlacing *p)
 {
-  KqSpot top = *spot (p, 0);
-  *spot (p, 0) = *spot (p, p->heap->len - 1);
+  KqPlacingCandidate top = *candidate_at (p, 0);
+  *candidate_at (p, 0) = *candidate_at (p, p->heap->len - 1);
   g_array_set_size (p->heap, p->heap->len - 1);
   sift_down (p, 0);
   return top;
 }
 
 static void
-put (const KqPlacing *p, KqSpot s)
+heap_insert (const KqPlacing *p, KqPlacingCandidate s)
 {
   g_array_append_val (p->heap, s);
   sift_up (p, p->heap->len - 1);
@@ -94,9 +96,9 @@
 }
 
 static void
-add (const KqPlacing *p, KqRunnerState *r)
+add_if_suitable (const KqPlacing *p, KqRunnerState *r)
 {
-  KqSpot n = { .runner = r };
+  KqPlacingCandidate n = { .runner = r };
   ++*p->sched->looks;
   if (!may_take (p, r))
     return;
@@ -104,31 +106,34 @@
   g_array_append_val (p->heap, n);
 }
 
-/* Members of a gang and tasks of one rack need several runners at once, changed or not;
- * tickets come from elsewhere. In a small fleet looking costs nothing. */
+/* Whether changed runners aren't enough. Gangs and one-rack steps need several runners at
+ * once, changed or not; for advised steps, tickets come without a change of the runner.
+ * In a small fleet a full search costs nothing. */
 static bool
-must_look_at_all (const KqPlacing *p)
+needs_full_search (const KqPlacing *p)
 {
   const KqSpec *spec = &p->occurrence->job->spec;
   const KqStep *step = &spec->steps[p->step];
   const KqStepState *st = &p->occurrence->steps[p->step];
-  return p->sched->runner_list->len <= ENOUGH || step->gang || step->one_rack
-         || spec->advised || st->tried_at == 0 || st->tried_lost != p->lost
-         || p->now - st->tried_at >= LOOK_AT_ALL;
+  return p->sched->runner_list->len <= CANDIDATES_BASE || step->gang || step->one_rack
+         || spec->advised || st->searched_at == 0 || st->searched_lost != p->lost
+         || p->now - st->searched_at >= FULL_SEARCH_INTERVAL;
 }
 
-/* Begins where the last step has ended, so that all runners get their turn. */
+/* Searches on until there are enough candidates. Begins where the previous step's search
+ * ended, so that all runners get used. */
 static void
-look_further (KqPlacing *p)
+search_further (KqPlacing *p)
 {
   KqSched *s = p->sched;
   const KqStep *step = &p->occurrence->job->spec.steps[p->step];
   const KqStepState *st = &p->occurrence->steps[p->step];
   guint n = s->runner_list->len;
   guint waiting = (guint)(step->width - st->done - st->active);
-  guint enough = step->lasting || step->gang ? n : ENOUGH + ENOUGH_A_TASK * waiting;
-  for (; p->not_seen > 0 && p->heap->len < enough; p->not_seen--)
-    add (p, g_ptr_array_index (s->runner_list, s->look_from++ % n));
+  guint enough
+      = step->lasting || step->gang ? n : CANDIDATES_BASE + CANDIDATES_PER_TASK * waiting;
+  for (; p->n_unsearched > 0 && p->heap->len < enough; p->n_unsearched--)
+    add_if_suitable (p, g_ptr_array_index (s->runner_list, s->scan_from++ % n));
 }
 
 static void
@@ -138,66 +143,67 @@
   const KqStepState *st = &p->occurrence->steps[p->step];
   p->built = true;
   p->lost = lost;
-  p->all = must_look_at_all (p);
+  p->full_search = needs_full_search (p);
   g_array_set_size (p->heap, 0);
-  p->not_seen = p->all ? s->runner_list->len : 0;
-  if (p->all)
-    look_further (p);
+  p->n_unsearched = p->full_search ? s->runner_list->len : 0;
+  if (p->full_search)
+    search_further (p);
   else
-    for (KqRunnerState *r = s->changed_last; r != NULL && r->changed > st->tried;
-         r = r->changed_before)
-      add (p, r);
+    for (KqRunnerState *r = s->changed_last;
+         r != NULL && r->changed > st->searched_change; r = r->changed_before)
+      add_if_suitable (p, r);
   heapify (p);
 }
 
 static void
-note_tried (const KqPlacing *p)
+record_failed_search (const KqPlacing *p)
 {
   KqStepState *st = &p->occurrence->steps[p->step];
-  if (p->all)
-    st->tried_at = p->now;
-  st->tried = p->sched->changes;
-  st->tried_lost = p->lost;
+  if (p->full_search)
+    st->searched_at = p->now;
+  st->searched_change = p->sched->changes;
+  st->searched_lost = p->lost;
 }
 
-/* The best spot out of the heap; false: none. */
+/* Takes the best candidate out of the heap; false if there is none. */
 static bool
-take_best (const KqPlacing *p, KqSpot *out)
+take_best (const KqPlacing *p, KqPlacingCandidate *out)
 {
   const KqStep *step = &p->occurrence->job->spec.steps[p->step];
   while (p->heap->len > 0)
     {
       *out = take_top (p);
-      /* Room kept free of lasting tasks shrinks with each one that is placed. */
+      /* The room that lasting tasks may use shrinks with each one that is placed. */
       if (!step->lasting || may_take (p, out->runner))
         return true;
     }
   return false;
 }
 
-/* A task that has failed somewhere goes elsewhere unless that is far worse. */
+/* Replaces the runner on which the task failed or stalled last by the next best one,
+ * unless that has a score lower by more than KQ_PLACE_AVOID. */
 static void
-avoid (const KqPlacing *p, KqSpot *best)
+avoid_last_failure (const KqPlacing *p, KqPlacingCandidate *best)
 {
-  KqSpot other;
-  KqSpot lowered = *best;
+  KqPlacingCandidate other;
+  KqPlacingCandidate lowered = *best;
   lowered.score -= KQ_PLACE_AVOID;
   if (!take_best (p, &other))
     return;
   if (better (&other, &lowered))
     {
-      put (p, *best);
+      heap_insert (p, *best);
       *best = other;
     }
   else
-    put (p, other);
+    heap_insert (p, other);
 }
 
 void
 kq_placing_begin (KqPlacing *p, KqSched *s, KqOccurrence *o, int32_t step, KqTime now)
 {
   *p = (KqPlacing){ .sched = s, .occurrence = o, .step = step, .now = now };
-  p->heap = g_array_new (FALSE, FALSE, sizeof (KqSpot));
+  p->heap = g_array_new (FALSE, FALSE, sizeof (KqPlacingCandidate));
 }
 
 KqRunnerState *
@@ -206,28 +212,28 @@
   const KqStepState *st = &p->occurrence->steps[p->step];
   const KqStep *step = &p->occurrence->job->spec.steps[p->step];
   const KqTaskState *t = &st->tasks[index];
-  bool rack_chosen = step->one_rack && p->taken && !p->rack_known;
-  KqSpot best;
+  bool rack_chosen = step->one_rack && p->has_last && !p->rack_known;
+  KqPlacingCandidate best;
   if (!p->built || rack_chosen || (step->lasting && t->has_run != p->lost))
     build (p, t->has_run);
-  else if (p->taken && may_take (p, p->last.runner))
+  else if (p->has_last && may_take (p, p->last.runner))
     {
       p->last.score = kq_place_score (p->sched, p->last.runner, p->occurrence, p->step);
-      put (p, p->last);
+      heap_insert (p, p->last);
     }
   p->rack_known = p->rack_known || rack_chosen;
-  while (!(p->taken = take_best (p, &best)) && p->not_seen > 0)
+  while (!(p->has_last = take_best (p, &best)) && p->n_unsearched > 0)
     {
-      look_further (p);
+      search_further (p);
       heapify (p);
     }
-  if (!p->taken)
+  if (!p->has_last)
     {
-      note_tried (p);
+      record_failed_search (p);
       return NULL;
     }
   if (t->avoid == best.runner)
-    avoid (p, &best);
+    avoid_last_failure (p, &best);
   p->last = best;
   return best.runner;
 }
--- a/src/sched/placing_test.c
+++ b/src/sched/placing_test.c
@@ -11,7 +11,7 @@
 #include <cmocka.h>
 
 static double
-looks_a_start (int runners, double load)
+looks_per_start (int runners, double load)
 {
   KqSchedLoadConfig c
       = { .runners = runners, .load = load, .span = 3 * KQ_SEC, .seed = 7 };
@@ -20,15 +20,17 @@
   return (double)r.looks / (double)r.starts;
 }
 
-/* The leader of a large fleet falls behind in a burst: each task looks at each runner. */
+/* In a burst the leader of a large fleet would fall behind if it scored every runner for
+ * each task. */
 static void
 test_a_task_looks_at_a_small_part_of_a_large_fleet (void **state)
 {
   (void)state;
-  assert_true (looks_a_start (1600, 1.3) < 1600.0 / 8);
+  assert_true (looks_per_start (1600, 1.3) < 1600.0 / 8);
 }
 
-/* A task that waits for room must hear of it before it looks at all runners again. */
+/* A waiting task must be placed when its room becomes free, not only at the next search
+ * of all runners. */
 static void
 test_room_that_becomes_free_is_seen_at_once (void **state)
 {
--- a/src/sched/pools.c
+++ b/src/sched/pools.c
@@ -1,30 +1,30 @@
-/* pools: how much of a service's room is kept from lasting tasks.
+/* pools: how much of a service's room is kept free of lasting tasks.
  *
- * Load pattern: lasting tasks stay for longer than anything else and take, one after the
- * other, whatever is free. What is left then are the remainders of every runner, each
- * smaller than a lasting task. Tasks that end by themselves but are larger than such a
- * remainder never find room: of those over 5 cores beside lasting tasks of 6.4 four out
- * of five were never done. So as many runners stay free of lasting tasks as the short
- * ones have needed at their peak of late; what fills uses them meanwhile, and disturbs
- * nobody there. */
+ * Lasting tasks would take all free room one after the other, and hold it for longer than
+ * any other task. What is left on each runner is then smaller than a lasting task, and
+ * tasks that end by themselves but are larger than that remainder find no room: of tasks
+ * of over 5 cores beside lasting ones of 6.4 cores, four out of five were never done. So
+ * as many runners are kept without lasting tasks as the other tasks have needed at their
+ * recent peak. Filling tasks use these runners meanwhile, and disturb no serving task
+ * there. */
 
 #include "sched/state.h"
 
 #include <math.h>
 #include <stdlib.h>
 
-/* A peak of short work is remembered for about so long. */
-#define PEAK_FADES (30.0 * KQ_SEC)
-/* Before any short work has been seen, this part of the room is kept for it, in percent,
- * and the less the longer none comes: lasting tasks that came first could only be moved
- * again by ending them. */
-#define KEEP_FIRST_PERCENT 28
-#define FIRST_FADES (30.0 * KQ_SEC)
-/* More of the room than this isn't kept, in percent: lasting tasks are work as well. */
-#define KEEP_MOST_PERCENT 28
-/* While less of the room than this is reserved, in percent, no job stands still for long:
- * half of the room, and a little for what the runners have yet to tell. */
-#define HALF_PERCENT 52
+/* Time constant with which the recorded peak decays. */
+#define PEAK_DECAY (30.0 * KQ_SEC)
+/* Until other tasks have been seen, this share of the room is kept free of lasting tasks.
+ * It decays with this time constant: lasting tasks that were placed first could be moved
+ * only by ending them. */
+#define KEEP_INITIAL_PERCENT 28
+#define INITIAL_DECAY (30.0 * KQ_SEC)
+/* At most this share of the room is kept free of lasting tasks. */
+#define KEEP_MAX_PERCENT 28
+/* The room counts as half free while less than this share of it is reserved: half, and a
+ * little for ends that runners have yet to report. */
+#define HALF_RESERVED_PERCENT 52
 
 static void
 free_pool (gpointer p)
@@ -57,72 +57,75 @@
 }
 
 void
-kq_pools_look (KqSched *s)
+kq_pools_begin_pass (KqSched *s)
 {
   for (guint i = 0; i < s->pools->len; i++)
     {
       KqPool *p = g_ptr_array_index (s->pools, i);
-      p->room_milli = p->used_milli = p->open_milli = p->need_milli = 0;
+      p->room_milli = p->used_milli = p->no_lasting_milli = p->demand_milli = 0;
     }
   for (guint i = 0; i < s->runner_list->len; i++)
     {
       const KqRunnerState *r = g_ptr_array_index (s->runner_list, i);
       KqPool *p = r->pool;
-      p->need_milli += r->used.cpu_milli - r->lasting;
+      p->demand_milli += r->used.cpu_milli - r->lasting;
       if (r->n_lasting == 0)
-        p->need_milli += r->filling;
+        p->demand_milli += r->filling;
       if (!r->in_store || r->draining || r->leaving || r->silent)
         continue;
       p->room_milli += r->room.cpu_milli;
       p->used_milli += r->used.cpu_milli;
       if (r->n_lasting == 0)
-        p->open_milli += r->room.cpu_milli;
+        p->no_lasting_milli += r->room.cpu_milli;
     }
 }
 
 void
-kq_pools_waiting (KqPool *pool, const KqStep *p, int32_t n)
+kq_pools_add_waiting (KqPool *pool, const KqStep *p, int32_t n)
 {
   if (!p->lasting)
-    pool->need_milli += (int64_t)p->cpu_milli * n;
+    pool->demand_milli += (int64_t)p->cpu_milli * n;
 }
 
 void
-kq_pools_looked (KqSched *s, KqTime now)
+kq_pools_update_kept_free (KqSched *s, KqTime now)
 {
-  double first = KEEP_FIRST_PERCENT * exp (-(double)(now - s->started_at) / FIRST_FADES);
+  double initial_percent
+      = KEEP_INITIAL_PERCENT * exp (-(double)(now - s->started_at) / INITIAL_DECAY);
   for (guint i = 0; i < s->pools->len; i++)
     {
       KqPool *p = g_ptr_array_index (s->pools, i);
-      double faded = p->need_peak * exp (-(double)(now - p->looked_at) / PEAK_FADES);
-      p->need_peak = fmax (faded, (double)p->need_milli);
-      p->kept_milli = fmin (fmax (p->need_peak, (double)p->room_milli * first / 100),
-                            (double)p->room_milli * KEEP_MOST_PERCENT / 100);
-      p->looked_at = now;
+      double decayed
+          = p->demand_peak_milli * exp (-(double)(now - p->updated_at) / PEAK_DECAY);
+      p->demand_peak_milli = fmax (decayed, (double)p->demand_milli);
+      p->kept_free_milli = fmin (
+          fmax (p->demand_peak_milli, (double)p->room_milli * initial_percent / 100),
+          (double)p->room_milli * KEEP_MAX_PERCENT / 100);
+      p->updated_at = now;
     }
 }
 
-/* The kept room is rounded to whole runners: a small fleet keeps none rather than a third
- * of its runners. */
+/* The room kept free is rounded to whole runners: a small fleet keeps none rather than a
+ * third of its runners. */
 bool
-kq_pools_may_last (const KqRunnerState *r)
+kq_pools_may_place_lasting (const KqRunnerState *r)
 {
   const KqPool *p = r->pool;
   return r->n_lasting > 0
-         || (double)(p->open_milli - r->room.cpu_milli)
-                >= p->kept_milli - (double)r->room.cpu_milli / 2;
+         || (double)(p->no_lasting_milli - r->room.cpu_milli)
+                >= p->kept_free_milli - (double)r->room.cpu_milli / 2;
 }
 
 void
-kq_pools_taken (const KqRunnerState *r, int32_t cpu_milli)
+kq_pools_lasting_placed (const KqRunnerState *r, int32_t cpu_milli)
 {
   r->pool->used_milli += cpu_milli;
   if (r->n_lasting == 1)
-    r->pool->open_milli -= r->room.cpu_milli;
+    r->pool->no_lasting_milli -= r->room.cpu_milli;
 }
 
 bool
 kq_pools_half_free (const KqPool *p)
 {
-  return p->used_milli * 100 < p->room_milli * HALF_PERCENT;
+  return p->used_milli * 100 < p->room_milli * HALF_RESERVED_PERCENT;
 }
--- a/src/sched/room_test.c
+++ b/src/sched/room_test.c
@@ -14,10 +14,9 @@
   return s;
 }
 
-/* Callers of short work wait for ever, though it asks for a few percent of the room.
- * Lasting tasks come first and leave on each runner a remainder smaller than themselves;
- * short tasks that are larger than that never fit. Some runners must stay without lasting
- * tasks, and the others be used to the full. */
+/* Lasting tasks come first and leave on each runner a remainder smaller than themselves;
+ * other tasks larger than that would never find room, though they ask for a few percent
+ * of it. Some runners must stay free of lasting tasks, and the others be fully used. */
 static void
 test_large_short_tasks_find_room_beside_lasting (void **state)
 {
@@ -56,10 +55,9 @@
   assert_int_equal (kq_sched_rig_free (r), 0);
 }
 
-/* The users of a lasting task are without it for as long as short jobs come.
- * Its runner is lost while the leader changes; each time room is free a short job that
- * can still end in time takes it. That the task has run is stored with its job's
- * progress, so the new leader must count it as lost. */
+/* A lasting task loses its runner during a change of leader. Short jobs in time take each
+ * room that becomes free, unless the new leader knows that the task has run before, which
+ * is stored with the job's progress. */
 static void
 test_lasting_task_lost_in_a_change_of_leader (void **state)
 {
@@ -86,8 +84,8 @@
   assert_int_equal (kq_sched_rig_free (r), 0);
 }
 
-/* Callers of one job have nothing of it for as long as others fill all runners, though
- * hardly any room is reserved. */
+/* A job without any run must get one, even beside filling tasks of other jobs on all
+ * runners, as hardly any room is reserved. */
 static void
 test_job_without_a_run_gets_one_beside_what_fills (void **state)
 {
--- a/src/sched/sched.h
+++ b/src/sched/sched.h
@@ -1,16 +1,16 @@
 #ifndef KQ_SCHED_SCHED_H
 #define KQ_SCHED_SCHED_H
 
-/* sched: the leader's decisions on jobs of steps: what runs next, where, and what a
- * runner's word means for it.
+/* sched: the leader's scheduling of jobs, which consist of steps, which consist of tasks:
+ * which task runs next, on which runner, and what the runners' reports mean for it.
  *
- * Pure: no socket, no clock, no store. Inputs are calls with the present time, orders
- * leave through a sink. All state can be rebuilt from the store (jobs, cancellations,
- * progress) and from the runners' own lists, so that a new leader takes over after any
- * loss.
+ * It has no sockets, no clock and no store. Inputs are function calls with the present
+ * time; orders are passed to a callback. All state can be rebuilt from the store (jobs,
+ * cancellations, progress) and from the runners' own lists of runs, so that a new leader
+ * can take over after any failure.
  *
- * A task is named "job.occurrence.step.index". A run of a task has a number that rises
- * with each start; runs of a later term are higher than all of an earlier one. */
+ * A task is named "job.occurrence.step.index". Each run of a task has a number that rises
+ * with each start; the numbers of a later term are higher than all of an earlier one. */
 
 #include "base/counter.h"
 #include "port/advice.h"
@@ -21,10 +21,10 @@
 
 typedef struct KqSched KqSched;
 
-/* What a client account is told of a job. */
+/* A job's state as reported to its client account. */
 typedef enum
 {
-  KQ_JOB_WAITING, /* accepted, no task has begun */
+  KQ_JOB_WAITING, /* accepted, no task has started */
   KQ_JOB_RUNNING,
   KQ_JOB_COMPLETED,
   KQ_JOB_FAILED,
@@ -36,17 +36,17 @@
 
 typedef enum
 {
-  KQ_ORDER_TAKE,  /* look after this runner from now on */
-  KQ_ORDER_DROP,  /* and no longer */
-  KQ_ORDER_START, /* begin a run */
+  KQ_ORDER_TAKE,  /* the agent takes over this runner */
+  KQ_ORDER_DROP,  /* the agent gives it up */
+  KQ_ORDER_START, /* start a run */
   KQ_ORDER_STOP,
   KQ_ORDER_PACE,
-  KQ_ORDER_SEEN,   /* ends up to a number are in the store */
+  KQ_ORDER_SEEN,   /* the ends of runs up to a number are stored */
   KQ_ORDER_ADVISE, /* ask the advice service about a step; runner is "" */
-  KQ_ORDER_RENEW   /* the list with that halt has been taken in: grant leases again */
+  KQ_ORDER_RENEW   /* the list with that halt was processed: grant leases again */
 } KqOrderKind;
 
-/* For logs. */
+/* The kind's name, for logs. */
 const char *kq_order_kind_name (KqOrderKind k);
 
 typedef struct
@@ -58,7 +58,7 @@
     struct
     {
       KqStr address;
-      uint64_t taking; /* what the agent tells of the runner carries it */
+      uint64_t taking; /* assignment number, carried by the agent's messages */
     } take;
     struct
     {
@@ -82,8 +82,8 @@
     struct
     {
       uint64_t ends;
-      int64_t born_ms; /* the runner's life in which they were counted */
-      bool watched;    /* serving tasks share the runner: report often */
+      int64_t born_ms; /* start of the runner process that counted them */
+      bool watched;    /* report often, as serving and other tasks share the runner */
     } seen;
     struct
     {
@@ -93,20 +93,20 @@
     } advise;
     struct
     {
-      uint64_t halt; /* as listed */
+      uint64_t halt; /* the halt of the list */
     } renew;
   } u;
 } KqOrder;
 
-/* What an agent was told about a step. */
+/* The advice service's answer on a step. */
 typedef struct
 {
   KqStr step;
   KqAdviceReply reply;
 } KqStepAdvice;
 
-/* How an order to a runner ended, by its agent. Results and lists of one runner arrive in
- * the order in which the agent gave them; `order` counts its results. */
+/* The result of an order to a runner, from its agent. Results and lists of one runner
+ * arrive in the order in which the agent sent them; `order` counts its results. */
 typedef struct
 {
   KqOrderKind kind; /* START, STOP or PACE */
@@ -114,18 +114,17 @@
   uint32_t run;
   KqOrderResult result;
   uint64_t order;
-  uint64_t taking; /* of the order TAKE; `order` counts anew with each */
-  int64_t
-      lease_left_ms; /* as in a list: the answer may come from a new life; -1: unknown */
+  uint64_t taking;       /* of the order TAKE; `order` starts again with each */
+  int64_t lease_left_ms; /* as in a list, as the runner may have restarted; -1: unknown */
 } KqOrderOutcome;
 
 typedef struct
 {
   int64_t born_ms;
-  int64_t lease_left_ms; /* until the lease granted ends, on a sound clock's time */
-  uint64_t order;        /* results given before the question for this list left */
+  int64_t lease_left_ms; /* time left of the granted lease, adjusted for clock error */
+  uint64_t order;        /* results sent before this list was requested */
   uint64_t taking;
-  uint64_t halt; /* not 0: no lease is granted until an order RENEW says so */
+  uint64_t halt; /* not 0: no lease is granted until an order RENEW with this number */
   const KqRunRow *running;
   size_t n_running;
   const KqEndRow *ended;
@@ -135,16 +134,16 @@
 
 typedef struct
 {
-  uint64_t epoch; /* also the fencing token; jobs stored after it can't have run before */
-  uint32_t term;  /* counts leaders from 1 */
-  int64_t lease_ms; /* of runners */
-  int64_t blind_ms; /* an agent that has lost its leader goes on renewing for so long */
-  int64_t maintenance_ms; /* a host stays down for so long */
-  int64_t keep_ms;        /* a finished job's state is told for so long */
+  uint64_t epoch;         /* fencing token; jobs stored after it haven't run before */
+  uint32_t term;          /* number of this leader, from 1 */
+  int64_t lease_ms;       /* length of a runner's lease */
+  int64_t blind_ms;       /* for so long an agent renews leases after losing its leader */
+  int64_t maintenance_ms; /* how long a host is down for maintenance */
+  int64_t keep_ms;        /* for so long a finished job's state is kept */
   KqCounters *counters;
   void (*order) (void *arg, int agent, const KqOrder *o);
-  /* Takes a host down; kq_sched_maintenance_ended tells how it ended. NULL: there is no
-   * control plane, waves wait. */
+  /* Takes a host down; kq_sched_maintenance_ended reports the result. NULL: there is no
+   * control plane, and waves wait. */
   void (*maintenance) (void *arg, KqStr host, int64_t wave);
   void *arg;
 } KqSchedConfig;
@@ -152,100 +151,107 @@
 KqSched *kq_sched_new (const KqSchedConfig *c, KqTime now);
 void kq_sched_free (KqSched *s);
 
-/* A job as stored (kq_spec_pack); known ids are left alone. False: not readable. */
+/* Adds a job in its stored form (kq_spec_pack); one that is known is left alone. False:
+ * it can't be read. */
 bool kq_sched_job (KqSched *s, KqStr stored, uint64_t revision, KqTime now);
 void kq_sched_cancel (KqSched *s, KqStr id, KqTime now);
-/* Progress as stored by an earlier leader. */
+/* Progress in the stored form of an earlier leader. False: it can't be read. */
 bool kq_sched_progress (KqSched *s, KqStr id, KqStr stored, KqTime now);
-/* The runners that earlier leaders used (kq_sched_known_pack). */
+/* The stored list of runners that earlier leaders used (kq_sched_known_pack). False: it
+ * can't be read. */
 bool kq_sched_known (KqSched *s, KqStr stored, KqTime now);
-/* What an earlier leader has learned (kq_sched_learned_pack); before any job. */
+/* The disturbance model of an earlier leader (kq_sched_learned_pack); before any job.
+ * False: it can't be read. */
 bool kq_sched_learned (KqSched *s, KqStr stored);
 void kq_sched_learned_pack (const KqSched *s, KqBuf *out);
-/* Everything stored has been told: decisions may begin. */
+/* Everything stored has been passed in: scheduling may begin. */
 void kq_sched_loaded (KqSched *s, KqTime now);
 
-/* Nobody else can lead until then; KQ_TIME_NEVER at first. Later, another leader may
- * renew leases whose end we have heard of, so none is counted as over. */
+/* No other leader is possible before `until`; KQ_TIME_NEVER at first. After that another
+ * leader may have renewed leases whose end is known here, so none counts as ended. */
 void kq_sched_lead_until (KqSched *s, KqTime until);
 
 void kq_sched_entry (KqSched *s, const KqRunnerEntry *e, KqTime now);
 void kq_sched_entry_gone (KqSched *s, KqStr id, KqTime now);
 
-/* The agents that carry out orders; returns the agent's number. */
+/* An agent, which carries out orders, is up; returns its number. */
 int kq_sched_agent_up (KqSched *s, const KqAgentInfo *info, KqTime now);
-/* The agent of that name that is up; -1: none. */
-/* The part of a processor that its node has, in thousandths. */
+/* The agent's share of its host's processor, in thousandths. */
 int kq_sched_agent_share (const KqSched *s, int agent);
+/* The agent of that name that is up; -1: none. */
 int kq_sched_agent_find (const KqSched *s, KqStr name);
-/* planned: it has stopped as it said before, and isn't missed. */
+/* planned: it has stopped after announcing it, and doesn't count as lost. */
 void kq_sched_agent_down (KqSched *s, int agent, bool planned, KqTime now);
-/* Some agent has gone down unplanned in our time and isn't up again. */
+/* Whether an agent has gone down unplanned under this leader and isn't up again. */
 bool kq_sched_agents_lost (const KqSched *s);
 
-/* What an agent tells of a runner names its taking. Words of an earlier one may arrive
- * late, and count for nothing. */
+/* Messages of an agent on a runner carry the number of the runner's assignment
+ * (`taking`). Those of an earlier assignment may arrive late and are ignored. */
 void kq_sched_list (KqSched *s, int agent, KqStr runner, const KqRunnerList *l,
                     KqTime now);
 void kq_sched_outcome (KqSched *s, int agent, KqStr runner, const KqOrderOutcome *o,
                        KqTime now);
-/* The agent gets no answer; the lease it granted ends in lease_left_ms. */
+/* The agent gets no answer from the runner; the lease that it granted ends in
+ * lease_left_ms. */
 void kq_sched_unreached (KqSched *s, int agent, KqStr runner, uint64_t taking,
                          int64_t lease_left_ms, KqTime now);
 
 /* The answer to an order KQ_ORDER_ADVISE. */
 void kq_sched_advice (KqSched *s, int agent, const KqStepAdvice *a, KqTime now);
 
-/* Another runner answers at its address: that life is over, and all that ran in it. */
+/* Another runner answers at this one's address: its process is gone, and all its runs
+ * with it. */
 void kq_sched_runner_over (KqSched *s, int agent, KqStr runner, uint64_t taking,
                            KqTime now);
 
-/* A wave of maintenance that operators ask for; known ones are left alone. */
+/* A maintenance wave that operators request; one that is known is left alone. */
 void kq_sched_wave (KqSched *s, const KqWaveInfo *info, KqTime now);
 void kq_sched_maintenance_ended (KqSched *s, int64_t wave, KqStr host,
                                  KqMaintenanceResult result, KqTime now);
-/* How far the waves are, for the next leader, and what operators are told of each. True:
- * something has changed since the last _pack; _failed: that one was not stored. */
+/* The progress of the waves, for the next leader, and what operators are told of each.
+ * _pending: something has changed since the last _pack; _failed: that one was not stored.
+ */
 bool kq_sched_waves_pending (const KqSched *s);
 void kq_sched_waves_pack (KqSched *s, KqBuf *out);
 void kq_sched_waves_failed (KqSched *s);
 void kq_sched_waves_each (const KqSched *s,
                           void (*take) (void *arg, int64_t number, bool completed),
                           void *arg);
-/* As packed by an earlier leader; before any wave. */
+/* As packed by an earlier leader; before any wave. False: it can't be read. */
 bool kq_sched_waves_stored (KqSched *s, KqStr stored);
 
-/* Decides; to be called after inputs and when the time that it returned has come. wall_ms
- * is Unix time. */
+/* Makes all decisions that are due; to be called after inputs, and at the time that it
+ * returned. wall_ms is Unix time. */
 KqTime kq_sched_run (KqSched *s, KqTime now, int64_t wall_ms);
 
 KqJobState kq_sched_state (const KqSched *s, KqStr id);
-/* Accepted jobs of the queue of which no task has begun. */
+/* The number of accepted jobs of the queue of which no task has started. */
 int64_t kq_sched_waiting (const KqSched *s, KqStr queue);
-/* One line a fact, for operators. */
+/* Appends lines of text for operators on what the job waits for. */
 void kq_sched_explain (const KqSched *s, KqStr id, KqTime now, KqBuf *out);
 void kq_sched_gauges (KqSched *s);
 
-/* Progress that has to be stored before ends may be forgotten by the runners. */
+/* Progress that must be stored before the runners may forget the ends of runs. */
 typedef struct
 {
   KqStr id;
   KqStr value; /* "" with remove */
-  bool remove; /* the job's time is over: all its keys go */
+  bool remove; /* the job is no longer kept: all its keys are deleted */
 } KqProgress;
 
-/* Up to max rows, one that removes counting for three; 0: nothing to store. The values
- * are valid until _stored. One batch is open at a time. */
+/* Begins a batch of up to `max` rows, of which one with `remove` counts for three;
+ * returns their number, 0 if there is nothing to store. The values are valid until
+ * kq_sched_stored. One batch is open at a time. */
 size_t kq_sched_store_begin (KqSched *s, KqProgress *rows, size_t max, KqTime now);
-/* The batch is in the store (or not: it is given again). */
+/* Ends the batch. whole: it has been stored; if not, its rows are returned again. */
 void kq_sched_stored (KqSched *s, bool whole, KqTime now);
-/* The state in a job's stored progress; KQ_JOB_UNKNOWN: not readable, KQ_JOB_RUNNING: it
- * hasn't ended. */
+/* The state in a job's stored progress; KQ_JOB_UNKNOWN: it can't be read, KQ_JOB_RUNNING:
+ * the job hasn't ended. */
 KqJobState kq_sched_stored_state (KqStr stored);
 /* When the next batch is due; KQ_TIME_NEVER: nothing to store. */
 KqTime kq_sched_store_due (const KqSched *s);
-/* The runners in use, to be stored before a new one gets its first order. False: nothing
- * has changed since. */
+/* The runners in use, which are stored before a new one gets its first order. _pending:
+ * they have changed since the last _stored. */
 bool kq_sched_known_pending (const KqSched *s);
 bool kq_sched_known_pack (KqSched *s, KqBuf *out);
 void kq_sched_known_stored (KqSched *s);
--- a/src/sched/spent_test.c
+++ b/src/sched/spent_test.c
@@ -14,16 +14,17 @@
 #define WIDE 100
 
 static void
-assert_told (KqSchedDesk *d, const char *wanted)
+assert_explained (KqSchedDesk *d, const char *wanted)
 {
-  KqBuf told = { 0 };
-  kq_sched_explain (d->sched, KQ_STR ("aa"), d->now, &told);
-  kq_buf_add (&told, "", 1);
-  assert_non_null (strstr (told.ptr, wanted));
-  kq_buf_free (&told);
+  KqBuf text = { 0 };
+  kq_sched_explain (d->sched, KQ_STR ("aa"), d->now, &text);
+  kq_buf_add (&text, "", 1);
+  assert_non_null (strstr (text.ptr, wanted));
+  kq_buf_free (&text);
 }
 
-/* A job is late, and of its runs' lines all have been left out. */
+/* The totals of a job must show why it is late, even when the log lines of its runs have
+ * been left out. */
 static void
 test_failed_runs_and_waits_are_told (void **state)
 {
@@ -33,18 +34,18 @@
   step.cpu_milli = 4000;
   step.width = 3;
   kq_sched_desk_submit (d, "aa", step, false);
-  kq_sched_desk_run (d, 100 * KQ_MS); /* two have a runner each, one waits */
+  kq_sched_desk_run (d, 100 * KQ_MS); /* two tasks are placed, one waits */
   end.task = kq_str (d->task);
   end.run = d->run;
   kq_sched_desk_carry_out (d);
   kq_sched_desk_run (d, 900 * KQ_MS);
   kq_sched_desk_list (d, d->runner, &end, 1);
   kq_sched_desk_run (d, 50 * KQ_MS);
-  assert_told (d, " failed=1 ");
-  assert_told (d, " runs=3 ");
+  assert_explained (d, " failed=1 ");
+  assert_explained (d, " runs=3 ");
 }
 
-/* The only runner left has a serving task. */
+/* Starts a serving task and removes the other runner. */
 static KqRunRow
 serve (KqSchedDesk *d, char task[96])
 {
@@ -89,16 +90,17 @@
   end.task = rows[1].task;
   end.run = rows[1].run;
   kq_sched_desk_list (d, d->runner, &end, 1);
-  assert_told (d, " slowed_ms=300 ");
+  assert_explained (d, " slowed_ms=300 ");
 }
 
-/* Lines of single tasks crowd out those that lead from a job to its cause. */
+/* Log lines for single tasks would crowd out those that explain why a job is late: the
+ * starts of a step share lines. */
 static void
 test_starts_of_a_step_share_lines (void **state)
 {
   KqSchedDesk *d = *state;
-  FILE *to = tmpfile ();
-  int was = dup (STDERR_FILENO);
+  FILE *log = tmpfile ();
+  int saved_stderr = dup (STDERR_FILENO);
   KqStep step = kq_sched_desk_step ();
   char line[4096];
   int lines = 0;
@@ -106,16 +108,16 @@
   step.width = WIDE;
   step.cpu_milli = 10;
   step.mem_mb = 10;
-  assert_non_null (to);
+  assert_non_null (log);
   kq_log_set_level (KQ_LOG_DEBUG);
-  dup2 (fileno (to), STDERR_FILENO);
+  dup2 (fileno (log), STDERR_FILENO);
   kq_sched_desk_submit (d, "aa", step, false);
   kq_sched_desk_run (d, 50 * KQ_MS);
-  dup2 (was, STDERR_FILENO);
-  close (was);
+  dup2 (saved_stderr, STDERR_FILENO);
+  close (saved_stderr);
   kq_log_set_level (KQ_LOG_ERROR);
-  rewind (to);
-  while (fgets (line, sizeof line, to) != NULL)
+  rewind (log);
+  while (fgets (line, sizeof line, log) != NULL)
     {
       if (strstr (line, "Starting runs. step=aa.0.0 ") == NULL)
         continue;
@@ -123,7 +125,7 @@
       for (const char *at = line; (at = strchr (at, '@')) != NULL; at++)
         runs++;
     }
-  fclose (to);
+  fclose (log);
   assert_int_equal (runs, WIDE);
   assert_in_range (lines, 1, 4);
 }
--- a/src/sched/state.h
+++ b/src/sched/state.h
@@ -1,7 +1,13 @@
 #ifndef KQ_SCHED_STATE_H
 #define KQ_SCHED_STATE_H
 
-/* state: what the scheduler's files share. Nobody else includes this. */
+/* state: the scheduler's data structures and the functions that its files share. Only
+ * files of src/sched include it.
+ *
+ * Kinds of tasks: a serving task has a latency target and reports its tail latency; a
+ * lasting task runs until it is cancelled; a filling task uses only cpu that others leave
+ * unused. The other tasks reserve their cpu and end by themselves. A lasting task whose
+ * run has ended is lost: it waits to run again. */
 
 #include "base/histogram.h"
 #include "base/log.h"
@@ -27,26 +33,26 @@
   KQ_TASK_DONE
 } KqTaskPhase;
 
-/* Tens of thousands of these live at a time: kept small. */
+/* The state of a task. Kept small, as tens of thousands exist at a time. */
 typedef struct
 {
   uint8_t phase; /* KqTaskPhase */
   uint8_t failures;
-  bool has_run;          /* of a lasting step: in this leader's time or before */
-  uint32_t last_run;     /* highest run number given out or seen */
-  uint32_t *failed_runs; /* numbers of the runs that failed: each counts once, and a
-                            new leader hears of them in any order */
+  bool has_run;          /* of a lasting step, also under earlier leaders */
+  uint32_t last_run;     /* highest run number assigned or seen */
+  uint32_t *failed_runs; /* numbers of the failed runs: each counts once, though a new
+                            leader hears of them in any order */
   KqRun *run;            /* while ACTIVE */
-  char *checkpoint;      /* of an earlier run; NULL: none */
-  KqRunnerState *avoid;  /* where it failed or stood still last */
+  char *checkpoint;      /* from an earlier run; NULL: none */
+  KqRunnerState *avoid;  /* where it failed or stalled last; NULL: nowhere */
 } KqTaskState;
 
-/* What the advice service has said of a runner for a step. */
+/* The advice service's answer on a runner for a step. */
 typedef struct
 {
   KqRunnerState *runner;
-  int64_t born_ms; /* the runner's life that it was said for */
-  char *ticket;    /* NULL: the runner may not run the step */
+  int64_t born_ms; /* the runner process it is for */
+  char *ticket;    /* NULL: refused, or no answer yet */
   KqTime valid_until;
 } KqTicket;
 
@@ -54,25 +60,27 @@
 {
   KqTicket *rows;
   int32_t n_rows;
-  int agent;       /* that asks; -1: nobody */
-  KqTime asked_at; /* when the question left */
-  KqTime again_at; /* no question before */
+  int agent;       /* that has an outstanding question; -1: none */
+  KqTime asked_at; /* when the question was sent */
+  KqTime again_at; /* earliest time of the next question */
 } KqTickets;
 
 typedef struct
 {
   int32_t done;
   int32_t active;
-  KqTickets *advice;  /* of an advised step that has been asked about */
-  KqTime lost_at;     /* since when lasting tasks that have run are waiting; 0: none is */
-  KqTime waits_since; /* since when some task could run and doesn't; 0: none */
-  /* The last look at all runners that found none for its tasks; tried_at 0: none did. */
-  KqTime tried_at;
-  uint64_t tried;  /* all changes of runners up to this one have been looked at since */
-  bool tried_lost; /* it was for tasks that their runners have lost */
-  bool open;       /* what it depends on is done */
-  char rack[24];   /* of a one-rack step, once its first task is placed; "" before */
-  KqSwing swing;   /* of a serving step */
+  KqTickets *advice;  /* of an advised step; NULL: never asked */
+  KqTime lost_at;     /* since when lost lasting tasks wait; 0: none */
+  KqTime waits_since; /* since when some task is ready and not started; 0: none is */
+  /* The last search of all runners that found none for a task of the step. 0 in
+   * searched_at: there was none. */
+  KqTime searched_at;
+  uint64_t searched_change; /* the last change of runners (KqSched.changes) that has been
+                               searched */
+  bool searched_lost;       /* it was for lasting tasks that have run before */
+  bool open;                /* the steps it depends on are done */
+  char rack[24]; /* of a one-rack step: chosen with its first task; "": not yet */
+  KqLoadTrend load_trend; /* of a serving step */
   KqTaskState *tasks;
 } KqStepState;
 
@@ -81,7 +89,7 @@
   KqJob *job;
   int32_t number;
   int32_t steps_done;
-  KqTime due_at; /* objectives count from here */
+  KqTime due_at; /* objectives are measured from here */
   int64_t chain_left_ms;
   KqStepState *steps;
   struct KqOccurrence *next;
@@ -90,84 +98,86 @@
 struct KqJob
 {
   KqSpec spec;
-  KqBuf stored;      /* what spec's strings point into */
-  uint64_t revision; /* of its key in the store */
+  KqBuf stored;      /* packed spec, which holds the strings of `spec` */
+  uint64_t revision; /* store revision of its key */
   KqPool *pool;      /* of its service */
   KqTime learned_at;
   KqJobState state;
-  KqJobState shown; /* the last state that is in the store */
+  KqJobState shown; /* the last state that has been stored */
   bool begun;       /* some task has been started */
   bool cancelled;
-  bool dirty; /* progress differs from the store's */
+  bool dirty; /* progress differs from what is stored */
   KqTime accepted_at;
   KqTime ended_at;
   KqSpent spent;
-  int *images; /* of each step: its image's place in the disturbance model; -1: none */
-  int32_t created; /* occurrences made so far */
+  int *images;     /* per step: its image's place in the disturbance model; -1: none */
+  int32_t created; /* number of occurrences created */
   int32_t finished;
   KqOccurrence *occurrences; /* open ones */
-  int runs;                  /* alive on runners */
-  KqRun *run_list;           /* these, the last one first */
-  KqBuf batch;               /* packed progress on its way to the store */
-  KqJob *next;               /* list of jobs that aren't ended */
+  int runs;                  /* number of runs that may exist on runners */
+  KqRun *run_list;           /* those runs, the latest first */
+  KqBuf batch;               /* packed progress that is being stored */
+  KqJob *next;               /* list of open jobs (KqSched.open) */
   KqJob *prev;
 };
 
 typedef enum
 {
-  KQ_RUN_SENDING, /* a start order is out */
-  KQ_RUN_RUNNING, /* the runner has said so */
-  KQ_RUN_STOPPING /* a stop order is out, or due */
+  KQ_RUN_SENDING, /* a start order has been sent */
+  KQ_RUN_RUNNING, /* the runner has confirmed it */
+  KQ_RUN_STOPPING /* a stop order has been sent, or is due */
 } KqRunPhase;
 
-/* What the reports of a serving task have told. */
+/* State from the latency reports of a serving task. */
 typedef struct
 {
   KqTime reported_at; /* 0: never */
-  double slack;       /* target by tail, as reported last */
-  double offset;      /* beyond what its step's load and what fills beside it explain */
-  double shares[KQ_DISTURB_IMAGES]; /* of the runner's cpu, that filling images used */
-  KqTime over_since;                /* tail above the target; 0: isn't */
-  double tail_mean;       /* mean of the logarithm of tail by target; 0: no report */
-  KqTime mean_over_since; /* the same for the mean */
-  uint64_t start_pass;    /* the placing pass that start_headroom was worked out in */
-  double start_headroom;  /* the slack that it can lose to a task that starts now */
-  KqRun *next;            /* serving run on the runner */
+  double slack;       /* target divided by tail, in the last report */
+  double offset; /* slack beyond what its step's load and the filling tasks explain */
+  double shares[KQ_DISTURB_IMAGES_MAX]; /* shares of the runner's cpu used by filling
+                                           images at that report */
+  KqTime over_since;      /* since when its tail is over the target; 0: it isn't */
+  double tail_log_mean;   /* decaying mean of log (tail / target); 0: no report */
+  KqTime mean_over_since; /* the same by tail_log_mean */
+  uint64_t headroom_pass; /* the placing pass for which start_headroom was computed */
+  double start_headroom;  /* slack that a task starting now may take */
+  KqRun *next;            /* in the runner's list of serving runs */
   KqRun *prev;
 } KqServing;
 
 struct KqRun
 {
   KqJob *job;
-  KqOccurrence *occurrence; /* NULL: a run that no task wants any more */
+  KqOccurrence *occurrence; /* NULL: no task needs this run any more */
   int32_t occurrence_number;
   int32_t step;
   int32_t index;
   uint32_t number;
   KqRunPhase phase;
-  bool unsure;        /* an order got no answer: it may still be carried out */
-  bool waiting;       /* an order is at the agent */
-  bool start_out;     /* its start counts in the window */
-  bool resent;        /* its start has left more than once: one may still arrive */
-  bool stopped;       /* its runner has answered a stop, and not listed it since */
-  uint64_t confirmed; /* count of results when the runner last spoke of it; 0: never */
+  bool unsure;    /* an order was not answered: it may still be carried out */
+  bool waiting;   /* the agent has an order that is not answered yet */
+  bool start_out; /* its start order is counted in the window */
+  bool resent;    /* its start order was sent more than once: one may still arrive */
+  bool stopped;   /* its runner has answered a stop order, and not listed the run since */
+  uint64_t confirmed; /* agent's count of results when the runner last reported the run;
+                         0: never */
   KqTime placed_at;
   KqTime running_at;
-  KqTime moved_at; /* last sign of progress */
+  KqTime moved_at; /* last change of progress */
   KqTime retry_at;
-  double share; /* of the runner's cpu that it asks for */
+  double share; /* share of the runner's cpu that it asks for */
   int percent;
   int load;
-  int pace;           /* ordered last */
-  bool pace_unknown;  /* an earlier leader may have slowed it */
-  KqTime slowed_at;   /* since when it is below full speed; 0: it isn't */
+  int pace;           /* last ordered pace, in percent */
+  bool pace_unknown;  /* an earlier leader may have ordered another pace */
+  KqTime slowed_at;   /* since when its pace is below 100; 0: it isn't */
   bool marked;        /* found in the list being read */
-  KqServing *serving; /* of a task with a latency target; NULL: others */
+  KqServing *serving; /* of a task with a latency target; else NULL */
   char *checkpoint;
   KqRunnerState *runner;
-  KqRun *next; /* on the runner */
+  KqRun *next; /* in the runner's list */
   KqRun *prev;
-  KqRun *job_next; /* of the job */
+  KqRun *job_next; /* in the job's list */
   KqRun *job_prev;
 };
 
@@ -175,15 +185,15 @@
 struct KqPool
 {
   char *service;
-  int64_t room_milli; /* cpu of all that can be used */
-  int64_t used_milli; /* reserved of it */
-  int64_t open_milli; /* cpu of those that hold no lasting task */
-  int64_t need_milli; /* cpu of work that lasting tasks leave no room for: tasks that end
-                         by themselves and reserve theirs, filling ones that are on open
-                         runners or wait */
-  double need_peak;   /* the most of it of late */
-  double kept_milli;  /* cpu of the runners that lasting tasks leave alone */
-  KqTime looked_at;
+  int64_t room_milli;       /* cpu of all that may be used, in thousandths */
+  int64_t used_milli;       /* reserved of it */
+  int64_t no_lasting_milli; /* cpu of those that hold no lasting task */
+  int64_t demand_milli; /* cpu that tasks other than lasting ones need: running ones that
+                           reserve cpu, filling ones on runners without lasting tasks, and
+                           waiting ones */
+  double demand_peak_milli; /* its decaying maximum */
+  double kept_free_milli;   /* cpu of the runners that are kept free of lasting tasks */
+  KqTime updated_at;
 };
 
 struct KqRunnerState
@@ -195,85 +205,86 @@
   char *domain;
   char *rack;
   char *kind;
-  char *host;   /* the target host it lives on; "" when not told */
-  bool leaving; /* its host is about to go down for maintenance */
+  char *host;   /* its target host; "": not known */
+  bool leaving; /* its host will be taken down for maintenance soon */
   KqRoom room;
-  KqRoom used;     /* reserved, by all runs that may be there */
-  int64_t filling; /* cpu that filling runs could use */
+  KqRoom used;     /* reserved by all runs that may exist there */
+  int64_t filling; /* cpu that its filling runs ask for */
   int64_t born_ms;
-  bool in_store;     /* has an entry now */
-  bool known_stored; /* stands in the stored list of runners */
-  bool known_sent;   /* and the list that is on its way to the store */
+  bool in_store;     /* it has an entry in the store now */
+  bool known_stored; /* it is in the stored list of runners in use */
+  bool known_sent;   /* it is in that list as it is being stored */
   bool earlier;      /* an earlier leader may have started runs there */
   bool taken_down;   /* its host has been taken down for maintenance */
-  bool over;         /* so it has, and it answers nobody: nothing runs there any more */
+  bool over;         /* taken down and unreachable: no run is left there */
   bool draining;
-  KqTime drain_ends; /* it stays at least until then */
-  bool listed;       /* has listed its runs to us in this life */
-  bool silent;       /* the agent gets no answer */
-  bool foreign;      /* lists a run of a job that nobody knows: its size is unknown */
-  KqTime lease_ends; /* latest time at which something may still run there */
-  const char *lease_from; /* what that follows from, for logs */
-  bool passed_over;       /* a word of an earlier agent, and logged */
+  KqTime drain_ends; /* it doesn't leave before */
+  bool listed;       /* it has listed its runs to this leader since it last started */
+  bool silent;       /* its agent gets no answer from it */
+  bool foreign;      /* it lists a run of an unknown job, whose size is unknown */
+  KqTime lease_ends; /* latest time at which a run may still exist there */
+  const char *lease_from; /* where that time comes from, for logs */
+  bool passed_over;       /* a message of an earlier assignment was ignored and logged */
   KqTime heard_at;
   int agent;       /* -1: none */
-  uint64_t taking; /* the agent's, as ordered last */
+  uint64_t taking; /* number of its assignment to the agent (order TAKE) */
   uint64_t ends_seen;
   uint64_t ends_batch;
   uint64_t ends_stored;
-  bool watched; /* the agent has been told to report often */
-  /* What it has been like. */
-  double fails; /* decaying counts of failed and of done tasks */
+  bool watched; /* its agent has been told to report often */
+  /* Health. */
+  double fails; /* decaying counts of failed tasks; `dones`: of done ones */
   double dones;
   KqTime score_at;
-  double slowness; /* actual by estimated length of tasks; 1: as the others */
+  double slowness; /* actual divided by estimated run time of tasks; 1: like the others */
   KqTime suspect_until;
   int suspect_times;
   int n_runs;
   int n_serving;
-  int64_t serving;                          /* cpu reserved by serving tasks, of used */
-  int n_lasting;                            /* lasting tasks with room of their own */
-  int64_t lasting;                          /* cpu that they reserve, of used */
-  int serving_images[KQ_DISTURB_IMAGES];    /* tasks by image */
-  double filling_shares[KQ_DISTURB_IMAGES]; /* of the cpu, wanted by image */
-  uint32_t filling_images;                  /* a bit for each of which there are any */
-  KqRun *serving_runs;                      /* of tasks with a latency target */
-  uint64_t closed_pass; /* the placing pass that `closed` was worked out in */
-  bool closed;          /* a serving task is over its target for long */
-  KqTime paced_at;      /* last look at its serving tasks' tails */
+  int64_t serving; /* cpu that serving tasks reserve, as a part of `used` */
+  int n_lasting;   /* lasting tasks that aren't filling */
+  int64_t lasting; /* cpu that they reserve, as a part of `used` */
+  int serving_images[KQ_DISTURB_IMAGES_MAX];    /* serving tasks per image */
+  double filling_shares[KQ_DISTURB_IMAGES_MAX]; /* share of the cpu that each filling
+                                                   image asks for */
+  uint32_t filling_images;                      /* a bit for each image that has any */
+  KqRun *serving_runs;                          /* runs of tasks with a latency target */
+  uint64_t closed_pass;   /* the placing pass for which the next field was computed */
+  bool closed_to_filling; /* a serving task is over its target for too long */
+  KqTime paced_at;        /* when paces were last set by reports */
   KqRun *runs;
-  uint64_t number;  /* of its creation */
-  uint64_t changed; /* number of the last change that may have made room there */
-  KqRunnerState *changed_before; /* in the list of s->changed_last */
+  uint64_t number;  /* rises in order of creation */
+  uint64_t changed; /* KqSched.changes at its last change that may have made room */
+  KqRunnerState *changed_before; /* list of KqSched.changed_last */
   KqRunnerState *changed_after;
 };
 
-/* How far a host of a wave is, in this order. */
+/* Progress of a host of a maintenance wave, in this order. */
 typedef enum
 {
   KQ_HOST_WAITING,
-  KQ_HOST_EMPTYING, /* takes nothing new, its tasks move */
-  KQ_HOST_ASKED,    /* the call is out, or had no answer: it may be down */
-  KQ_HOST_DOWN,     /* its maintenance has begun */
-  KQ_HOST_BACK      /* a new runner is there, or the host has gone for good */
+  KQ_HOST_EMPTYING, /* takes no new tasks, its tasks are moved */
+  KQ_HOST_ASKED,    /* the call was sent, and may have been carried out */
+  KQ_HOST_DOWN,     /* it is down for maintenance */
+  KQ_HOST_BACK      /* it has a new runner, or is gone for good */
 } KqHostPhase;
 
 typedef struct
 {
   char *host;
   KqHostPhase phase;
-  KqTime since;    /* of the phase */
-  KqTime again_at; /* no earlier attempt */
+  KqTime since;    /* start of the phase */
+  KqTime again_at; /* earliest time of the next attempt */
   char *old_runner;
 } KqWaveHost;
 
 typedef struct
 {
   int64_t number;
-  bool asked; /* the operators' request has been seen, not just our own record */
+  bool asked; /* the operators' request has been read, not only the stored progress */
   int32_t cap;
   KqTime ends_at;
-  int64_t ends_wall_ms; /* Unix time of the same; 0: not known */
+  int64_t ends_wall_ms; /* the same as Unix time; 0: not known */
   int64_t duration_ms;
   bool completed;
   KqWaveHost *hosts;
@@ -288,25 +299,25 @@
   GPtrArray *runner_list;
   GPtrArray *pools; /* KqPool */
   KqAgents agents;
-  uint64_t takings; /* given out */
+  uint64_t takings; /* number of assignments of runners to agents so far */
   uint64_t runners_made;
-  KqJob *open; /* jobs that aren't ended, and ended ones with runs alive */
+  KqJob *open; /* jobs that have not ended, and ended ones that still have runs */
   bool loaded;
-  bool settled; /* no run of an earlier leader can be unknown to us */
-  bool work;    /* something changed that a placing pass could use */
-  bool passing; /* a placing pass is under way: what is kept for one may be used */
+  bool settled; /* all runs of earlier leaders are known */
+  bool work;    /* something has changed that calls for a placing pass */
+  bool in_pass; /* a placing pass is under way; values cached for one pass may be used */
   uint64_t passes;
-  uint64_t changes;            /* of runners, so far */
-  KqRunnerState *changed_last; /* all runners, by their last change */
-  guint look_from;             /* the next look at runners begins there */
+  uint64_t changes;            /* count of changes of runners */
+  KqRunnerState *changed_last; /* all runners, the last changed first */
+  guint scan_from;             /* index of the runner at which the next search begins */
   bool known_dirty;
-  bool assign_soon; /* an agent may have a hand free for a runner that has none */
+  bool assign_soon; /* an agent may be able to take a runner that has none */
   int64_t wall_minus_now_ms;
   KqTime started_at;
-  KqTime lead_until; /* nobody else can lead until then */
-  bool held_back;    /* a job waits for the lead to be certain again */
-  KqTime work_at;    /* a placing pass is due then also without news; 0: no */
-  KqTime look_at;    /* next look at progress, leases, pace */
+  KqTime lead_until; /* no other leader before this time */
+  bool held_back;    /* a job waits until no other leader is possible again */
+  KqTime work_at;    /* the next placing pass is due then at the latest; 0: none is due */
+  KqTime look_at;    /* next check of progress, leases and paces */
   KqTime store_due;
   KqTime stored_at;
   bool batch_open;
@@ -314,10 +325,10 @@
   double slowness_mean;
   KqDisturb *disturb;
   KqWindow window;
-  KqTime window_told_at; /* last line on its being closed */
-  GPtrArray *waves;      /* KqWave */
-  bool waves_dirty;      /* differ from the store's */
-  GPtrArray *batch;      /* KqJob */
+  KqTime window_logged_at; /* last log line on a closed window */
+  GPtrArray *waves;        /* KqWave */
+  bool waves_dirty;        /* differ from what is stored */
+  GPtrArray *batch;        /* KqJob */
   /* Counters. */
   uint64_t *starts;
   uint64_t *looks;
@@ -357,109 +368,119 @@
                         KqTime now);
 void kq_book_task_failed (KqSched *s, KqOccurrence *o, int32_t step, int32_t index,
                           uint32_t run, KqRunnerState *where, KqTime now);
-/* A task of a lasting step runs for the first time: stored, as a later leader must know
- * which waiting tasks have been lost. */
+/* A task of a lasting step runs for the first time. Stored, since a later leader must
+ * know which waiting tasks have lost their runner. */
 void kq_book_task_runs (KqSched *s, KqJob *j, KqTaskState *t, KqTime now);
-/* Whether a lasting task that has run is waiting. */
+/* Whether a lasting task that has run before is waiting. */
 bool kq_book_lost_waits (const KqStepState *st, const KqStep *p);
 void kq_book_end_job (KqSched *s, KqJob *j, KqJobState state, KqTime now);
 void kq_book_due (KqSched *s, KqJob *j, KqTime now);
 void kq_book_job_free (KqJob *j);
-/* Out of the list of jobs to look at. */
+/* Takes the job out of the list of open jobs. */
 void kq_book_unlink (KqSched *s, KqJob *j);
 void kq_book_forget (KqSched *s, KqJob *j);
 
 /* runs.c */
 KqRun *kq_run_new (KqSched *s, KqJob *j, KqOccurrence *o, int32_t step, int32_t index,
                    KqRunnerState *r, uint32_t number, KqTime now);
-/* The run is over at the runner, however: its room is free, its task waits again if it
- * was the task's run. */
+/* The run has ended or was never begun: its room is free, and its task waits again if it
+ * was the task's current run. */
 void kq_run_over (KqSched *s, KqRun *run, KqTime now);
 void kq_run_send_start (KqSched *s, KqRun *run, KqTime now);
-/* No answer will come to what has been ordered: it may be carried out or not. */
+/* The last order won't be answered: it may or may not be carried out. */
 void kq_run_unanswered (KqSched *s, KqRun *run);
-/* The start has an answer, or won't have one. */
+/* The start order has been answered, or won't be. */
 void kq_run_start_gone (KqSched *s, KqRun *run);
 void kq_run_stop (KqSched *s, KqRun *run, const char *why, KqTime now);
 void kq_run_send_stop (KqSched *s, KqRun *run, KqTime now);
 void kq_run_pace (KqSched *s, KqRun *run, int percent, KqTime now);
 void kq_run_set_checkpoint (KqRun *run, KqStr checkpoint);
 const KqStep *kq_run_step (const KqRun *run);
-bool kq_run_serves (const KqRun *run); /* has a latency target */
-int kq_run_image (const KqRun *run);   /* place in the disturbance model; -1: none */
+bool kq_run_serves (const KqRun *run); /* not filling, has a latency target */
+/* Its image's place in the disturbance model; -1: none. */
+int kq_run_image (const KqRun *run);
 void kq_run_cancel_all (KqSched *s, KqJob *j, KqTime now);
 
 /* runners.c */
-/* Something may have made room there for a task that found none: a step that waits looks
- * at it again. What changes with time alone is found by looking at all now and then. */
+/* Notes a change that may have made room on the runner: waiting steps that found none
+ * search it again. What changes with time alone is found by occasional searches of all
+ * runners. */
 void kq_runners_changed (KqSched *s, KqRunnerState *r);
 KqRunnerState *kq_runners_find (const KqSched *s, KqStr id);
 bool kq_runners_may_run (const KqRunnerState *r);
-/* Its host has been taken down, and no run of this life can go on. */
+/* The runner's host has been taken down, and no run of its present process can go on. */
 void kq_runners_taken_down (KqSched *s, KqStr id, KqTime now);
-/* Something may run there until then, which follows from `from`. */
+/* A run may exist there until `ends`; `from` says where that time comes from, for logs,
+ * and must stay valid. */
 void kq_runners_extend (KqRunnerState *r, KqTime ends, const char *from);
-/* Whether the word is of the present taking of the runner by its agent. The first word of
- * an earlier one is logged: it may arrive late, and counts for nothing. */
+/* Whether a message on the runner belongs to its present assignment to the agent. The
+ * first one of an earlier assignment is logged; they may arrive late, and are ignored. */
 bool kq_runners_heard_of_by (const KqSched *s, KqRunnerState *r, int agent,
                              uint64_t taking, const char *what);
-/* The runner is alive, in a new life, by a list with that count of results. */
+/* The runner has restarted, according to a list that its agent sent after `order`
+ * results. */
 void kq_runners_reborn (KqSched *s, KqRunnerState *r, uint64_t order, KqTime now);
-/* Tells its agent which ends are stored, and whether it is watched. */
+/* Tells the runner's agent which ends are stored, and whether to report often. */
 void kq_runners_acknowledge (const KqSched *s, const KqRunnerState *r);
 void kq_runners_look (KqSched *s, KqTime now);
 void kq_runners_assign (KqSched *s, KqTime now);
 void kq_runners_settle (KqSched *s, KqTime now);
-/* suspects.c: a task has ended there. */
+/* suspects.c: records that a task has ended there. */
 void kq_runners_score (KqRunnerState *r, bool done, KqTime now);
 
 void kq_runners_free (KqRunnerState *r);
 
 /* place.c */
-/* What the score of a runner loses, in parts of its whole cpu, for a task that failed
- * there: almost anywhere else is better. Days with faults earned 0.004 less without. */
+/* What a runner's score loses, in units of its whole cpu, for a task that failed there:
+ * almost any other runner is better. */
 #define KQ_PLACE_AVOID 2.0
-/* Whether a task of the step, lost by its runner or not, may go to the runner now,
- * tickets apart. */
+/* Whether a task of the step may go to the runner now, apart from tickets. `lost`: a
+ * lasting task that has run before. */
 bool kq_place_may_take (const KqSched *s, KqRunnerState *r, const KqOccurrence *o,
                         int32_t step, bool lost, KqTime now);
-/* Whether the job stands still, and has for long, though there is plenty of room. */
-bool kq_place_idles (const KqOccurrence *o, int32_t step, KqTime now);
-/* The higher, the better for a task of the step that has failed nowhere. */
+/* Whether the job is starved: none of its tasks has run for long, though about half of
+ * the service's cpu is not reserved. `now` is the present time. */
+bool kq_place_starved (const KqOccurrence *o, int32_t step, KqTime now);
+/* The score of the runner for a task of the step that has failed nowhere; higher is
+ * better. */
 double kq_place_score (const KqSched *s, const KqRunnerState *r, const KqOccurrence *o,
                        int32_t step);
-/* Up to max runners for a task of the step, the best first, tickets apart. */
+/* Fills `out` with up to `max` runners that may take a task of the step, apart from
+ * tickets, the best first; returns how many. */
 int32_t kq_place_candidates (KqSched *s, const KqOccurrence *o, int32_t step, KqTime now,
                              KqRunnerState **out, int32_t max);
 
 /* pools.c */
 GPtrArray *kq_pools_new (void);
-/* The pool of a service, made if need be. Valid as long as the scheduler. */
+/* The pool of a service, created if there is none. Owned by the scheduler. */
 KqPool *kq_pools_need (KqSched *s, KqStr service);
-/* Looks over the runners of all services, before a placing pass. */
-void kq_pools_look (KqSched *s);
-/* Tasks of a step wait for their turn: so many, of that cpu. */
-void kq_pools_waiting (KqPool *pool, const KqStep *p, int32_t n);
-/* Notes the peak, after all that waits has been told. */
-void kq_pools_looked (KqSched *s, KqTime now);
-/* Whether a lasting task may take the runner from the short ones. */
-bool kq_pools_may_last (const KqRunnerState *r);
+/* Starts a placing pass: sums up the runners of all services. */
+void kq_pools_begin_pass (KqSched *s);
+/* Counts n waiting tasks of the step into the demand. */
+void kq_pools_add_waiting (KqPool *pool, const KqStep *p, int32_t n);
+/* Updates the peak of the demand and what is kept free, after kq_pools_add_waiting for
+ * all waiting tasks. */
+void kq_pools_update_kept_free (KqSched *s, KqTime now);
+/* Whether a lasting task may be placed on the runner, by what is kept free. */
+bool kq_pools_may_place_lasting (const KqRunnerState *r);
 /* Whether no more than about half of the service's cpu is reserved. */
 bool kq_pools_half_free (const KqPool *p);
-/* A lasting task of that cpu has been placed there. */
-void kq_pools_taken (const KqRunnerState *r, int32_t cpu_milli);
+/* A lasting task with that cpu has been placed on the runner. */
+void kq_pools_lasting_placed (const KqRunnerState *r, int32_t cpu_milli);
 
-/* tickets.c: permits for steps of advised queues. */
-/* The ticket for the step at the runner now; NULL: none. */
+/* tickets.c: tickets of the advice service for steps of advised queues. */
+/* The ticket for the step on the runner that is valid now; NULL: none. Owned by the step.
+ */
 const char *kq_tickets_find (const KqOccurrence *o, int32_t step, const KqRunnerState *r,
                              KqTime now);
-/* A task of the step found no runner with a ticket: asks for more, unless an answer is
- * outstanding. */
-void kq_tickets_want (KqSched *s, KqOccurrence *o, int32_t step, KqTime now);
-/* The runner has refused the ticket. */
+/* Asks for tickets for the step, as a task found no runner with one. Does nothing while
+ * an answer is outstanding. */
+void kq_tickets_request (KqSched *s, KqOccurrence *o, int32_t step, KqTime now);
+/* The runner has refused the ticket: it is dropped. */
 void kq_tickets_refused (KqOccurrence *o, int32_t step, const KqRunnerState *r);
-/* The runner is forgotten, or the agent is gone. */
+/* The runner is removed: its rows are dropped. */
 void kq_tickets_forget_runner (KqStepState *st, const KqRunnerState *r);
+/* The agent is gone: its questions won't be answered. */
 void kq_tickets_agent_down (KqSched *s, int agent);
 void kq_tickets_free (KqTickets *a);
 
@@ -467,17 +488,17 @@
 GPtrArray *kq_maintenance_new_waves (void);
 void kq_maintenance_look (KqSched *s, KqTime now);
 
-/* Whether any runner could hold a task of the step if it were empty. */
-bool kq_place_ever (const KqSched *s, const KqSpec *spec, int32_t step);
+/* place.c: whether any runner could hold a task of the step if it were empty. */
+bool kq_place_any_fits (const KqSched *s, const KqSpec *spec, int32_t step);
 
 /* placing.c */
 typedef struct
 {
   KqRunnerState *runner;
   double score;
-} KqSpot;
+} KqPlacingCandidate;
 
-/* The tasks of a step on their way to runners. */
+/* The search for runners for the waiting tasks of one step. */
 typedef struct
 {
   KqSched *sched;
@@ -485,19 +506,19 @@
   int32_t step;
   KqTime now;
   bool built;
-  bool lost;       /* the spots are those for tasks that their runners have lost */
-  bool rack_known; /* and those of the rack that a first task has chosen */
-  GArray *heap;    /* KqSpot */
-  bool all;        /* all runners are looked at, as far as need be */
-  guint not_seen;  /* of them */
-  bool taken;
-  KqSpot last; /* taken by the last task, and out of the heap */
+  bool lost;          /* for lost lasting tasks, which have run before */
+  bool rack_known;    /* only for the rack of the first task */
+  GArray *heap;       /* KqPlacingCandidate */
+  bool full_search;   /* the search is over all runners, not just changed ones */
+  guint n_unsearched; /* runners that aren't searched yet */
+  bool has_last;
+  KqPlacingCandidate last; /* the previous task's runner, which isn't in the heap */
 } KqPlacing;
 
 void kq_placing_begin (KqPlacing *p, KqSched *s, KqOccurrence *o, int32_t step,
                        KqTime now);
-/* The best runner for a task of the step now; NULL: none. The task has to go there before
- * the next one is asked for. */
+/* The best runner for the task with that index now; NULL: none. The task must be placed
+ * there before the next call. */
 KqRunnerState *kq_placing_next (KqPlacing *p, int32_t index);
 void kq_placing_end (KqPlacing *p);
 
@@ -507,11 +528,12 @@
 /* watch.c */
 void kq_watch_progress (KqSched *s, KqTime now);
 /* pace.c */
-/* After a list of its runs: learns from its reports (harm.h) and sets the paces there. */
+/* Call after each list of its runs: learns from the reports (harm.h) and sets the paces
+ * there. */
 void kq_pace_runner (KqSched *s, KqRunnerState *r, KqTime now);
-/* No serving task is left there: all that fills works at full speed. */
+/* No serving task is left there: sets all filling tasks to full speed. */
 void kq_pace_release (KqSched *s, const KqRunnerState *r, KqTime now);
-/* Sets the paces there, by what is known. */
+/* Sets the paces of the filling tasks there by what is known. */
 void kq_pace_set (KqSched *s, KqRunnerState *r, KqTime now);
 
 /* progress.c */
--- a/src/sched/suspects.c
+++ b/src/sched/suspects.c
@@ -1,28 +1,30 @@
-/* suspects: runners on which tasks fail.
+/* suspects: takes runners on which tasks keep failing out of use for a while.
  *
- * Load pattern: a sick host fails all that it is given within moments, is empty again,
- * and is given more: it draws the work of a whole fleet. */
+ * A faulty host fails all its tasks within moments, has room again, and would be given
+ * more: it would draw the work of a whole fleet. */
 
 #include "sched/state.h"
 
 #include <math.h>
 
-/* Counts of done and failed tasks halve in so long: a runner that was sick a moment ago
- * and has been mended is used again within seconds. */
+/* Half-life of the counts of done and failed tasks: a runner that has been repaired is
+ * used again within seconds. */
 #define SCORE_HALF_LIFE (3.0 * KQ_SEC)
-/* So many failures, most of what ended there, make a runner suspect. */
+/* A runner is suspect with at least this count of failures, if they are at least this
+ * share of its ended tasks. */
 #define SUSPECT_FAILS 1.6
 #define SUSPECT_SHARE 0.5
-/* First time out of use; doubled each time it comes back sick, up to the bound. */
-#define SUSPECT_FIRST (2 * KQ_SEC)
-#define SUSPECT_LONGEST (8 * KQ_SEC)
+/* Time for which a suspect runner isn't used; doubled each time it becomes suspect again,
+ * up to the maximum. */
+#define SUSPECT_PAUSE_INITIAL (2 * KQ_SEC)
+#define SUSPECT_PAUSE_MAX (8 * KQ_SEC)
 
 static void
 decay (KqRunnerState *r, KqTime now)
 {
-  double f = exp2 (-(double)(now - r->score_at) / SCORE_HALF_LIFE);
-  r->fails *= f;
-  r->dones *= f;
+  double factor = exp2 (-(double)(now - r->score_at) / SCORE_HALF_LIFE);
+  r->fails *= factor;
+  r->dones *= factor;
   r->score_at = now;
 }
 
@@ -40,8 +42,8 @@
   r->fails += 1;
   if (r->fails < SUSPECT_FAILS || r->fails < SUSPECT_SHARE * (r->fails + r->dones))
     return;
-  pause = SUSPECT_FIRST << (r->suspect_times < 4 ? r->suspect_times : 4);
-  r->suspect_until = now + (pause < SUSPECT_LONGEST ? pause : SUSPECT_LONGEST);
+  pause = SUSPECT_PAUSE_INITIAL << (r->suspect_times < 4 ? r->suspect_times : 4);
+  r->suspect_until = now + (pause < SUSPECT_PAUSE_MAX ? pause : SUSPECT_PAUSE_MAX);
   r->suspect_times++;
   r->fails = SUSPECT_FAILS / 2;
   kq_log (KQ_LOG_WARN, PART, "Runner is suspect. runner=%s dones=%.1f for_ms=%lld", r->id,
--- a/src/sched/swing.c
+++ b/src/sched/swing.c
@@ -2,21 +2,23 @@
 
 #include <math.h>
 
-/* What is believed before any report: a tail at half of the target, quite possibly at a
- * third or at all of it. */
-#define FIRST_SLACK 2.0
-#define FIRST_VARIANCE 0.7
-#define FIRST_SLOPE_VARIANCE 0.2
-/* How much the slope wanders, in variance a second: the load swings by half of its mean
- * with a period of some 14 s, so that its slope changes by 0.2 a second. */
-#define WANDER 0.05
-/* A report further off than so many standard deviations is taken for so far off: a task
- * that has just begun to fill shows in the tail before it shows in the cpu in use. */
-#define SURPRISE_MAX 2.5
-/* Without news a slope is followed for this long, then the level is kept. */
-#define FOLLOW_S 1.5
-/* A low is remembered for about so long, for the load comes back to it. */
-#define LOW_FADES_S 12.0
+/* The state before any report: a tail at half of its target, quite possibly at a third or
+ * at all of it. */
+#define INITIAL_SLACK 2.0
+#define INITIAL_VARIANCE 0.7
+#define INITIAL_SLOPE_VARIANCE 0.2
+/* Variance that the slope gains per second: the load varies by half of its mean with a
+ * period of about 14 s, so that its slope changes by 0.2 a second. */
+#define SLOPE_NOISE 0.05
+/* Larger differences between report and estimate are cut to this many standard
+ * deviations: a filling task that has just started shows in the tail before it shows in
+ * the cpu in use. */
+#define ERROR_MAX_DEVIATIONS 2.5
+/* Without reports the slope is extrapolated for this long; after that the level is
+ * constant. */
+#define EXTRAPOLATE_MAX_S 1.5
+/* Time constant with which the recorded low decays; the load returns to its peak. */
+#define LOW_DECAY_S 12.0
 
 static double
 seconds (KqTime span)
@@ -25,75 +27,76 @@
 }
 
 static double
-since (const KqSwing *s, KqTime at)
+seconds_since_update (const KqLoadTrend *s, KqTime at)
 {
   double dt = seconds (at - s->at);
   return dt > 0 ? dt : 0;
 }
 
 static void
-move_on (KqSwing *s, KqTime at)
+predict (KqLoadTrend *s, KqTime at)
 {
-  double dt = since (s, at);
-  s->level = kq_swing_at (s, at);
-  s->var_level += dt * (2 * s->covar + dt * s->var_slope) + WANDER * dt * dt * dt / 3;
-  s->covar += dt * s->var_slope + WANDER * dt * dt / 2;
-  s->var_slope += WANDER * dt;
+  double dt = seconds_since_update (s, at);
+  s->level = kq_load_trend_at (s, at);
+  s->var_level
+      += dt * (2 * s->covar + dt * s->var_slope) + SLOPE_NOISE * dt * dt * dt / 3;
+  s->covar += dt * s->var_slope + SLOPE_NOISE * dt * dt / 2;
+  s->var_slope += SLOPE_NOISE * dt;
   if (at > s->at)
     s->at = at;
 }
 
 static void
-begin (KqSwing *s, KqTime at)
+initialize (KqLoadTrend *s, KqTime at)
 {
-  *s = (KqSwing){ .known = true,
-                  .level = FIRST_SLACK,
-                  .var_level = FIRST_VARIANCE,
-                  .var_slope = FIRST_SLOPE_VARIANCE,
-                  .at = at,
-                  .low = FIRST_SLACK,
-                  .low_at = at };
+  *s = (KqLoadTrend){ .known = true,
+                      .level = INITIAL_SLACK,
+                      .var_level = INITIAL_VARIANCE,
+                      .var_slope = INITIAL_SLOPE_VARIANCE,
+                      .at = at,
+                      .low = INITIAL_SLACK,
+                      .low_at = at };
 }
 
 void
-kq_swing_learn (KqSwing *s, double slack, double variance, KqTime at)
+kq_load_trend_learn (KqLoadTrend *s, double slack, double variance, KqTime at)
 {
   double sum;
   double gain_level;
   double gain_slope;
-  double surprise;
+  double error;
   if (!s->known)
-    begin (s, at);
-  move_on (s, at);
+    initialize (s, at);
+  predict (s, at);
   sum = s->var_level + variance;
   gain_level = s->var_level / sum;
   gain_slope = s->covar / sum;
-  surprise = slack - s->level;
-  surprise
-      = fmax (-SURPRISE_MAX * sqrt (sum), fmin (SURPRISE_MAX * sqrt (sum), surprise));
-  s->level += gain_level * surprise;
-  s->slope += gain_slope * surprise;
+  error = slack - s->level;
+  error = fmax (-ERROR_MAX_DEVIATIONS * sqrt (sum),
+                fmin (ERROR_MAX_DEVIATIONS * sqrt (sum), error));
+  s->level += gain_level * error;
+  s->slope += gain_slope * error;
   s->var_slope -= gain_slope * s->covar;
   s->covar -= gain_level * s->covar;
   s->var_level -= gain_level * s->var_level;
-  s->low = fmin (kq_swing_low (s, at), s->level);
+  s->low = fmin (kq_load_trend_low (s, at), s->level);
   s->low_at = at;
 }
 
 double
-kq_swing_at (const KqSwing *s, KqTime at)
+kq_load_trend_at (const KqLoadTrend *s, KqTime at)
 {
-  double dt = since (s, at);
+  double dt = seconds_since_update (s, at);
   if (!s->known)
-    return FIRST_SLACK;
-  return s->level + s->slope * fmin (dt, FOLLOW_S);
+    return INITIAL_SLACK;
+  return s->level + s->slope * fmin (dt, EXTRAPOLATE_MAX_S);
 }
 
 double
-kq_swing_low (const KqSwing *s, KqTime at)
+kq_load_trend_low (const KqLoadTrend *s, KqTime at)
 {
   double age = seconds (at - s->low_at);
   if (!s->known)
-    return FIRST_SLACK;
-  return s->level + (s->low - s->level) * exp (-age / LOW_FADES_S);
+    return INITIAL_SLACK;
+  return s->level + (s->low - s->level) * exp (-age / LOW_DECAY_S);
 }
--- a/src/sched/swing.h
+++ b/src/sched/swing.h
@@ -1,14 +1,14 @@
 #ifndef KQ_SCHED_SWING_H
 #define KQ_SCHED_SWING_H
 
-/* swing: the own load of the tasks of a serving step over time, as the slack that it
- * leaves them.
+/* swing: tracks the load of a serving step over time, as the slack that it leaves to the
+ * step's tasks without any filling task.
  *
- * Slack is the latency target divided by the tail: 1 is just at the target, and load
- * takes away from it in proportion. Fitted to 52,000 reports of two fleets: all tasks of
- * a step share one load, which swings within seconds; reports of tasks with nothing that
- * fills beside them lie within 0.2 of the step's common value, those of equal images in
- * other steps within 0.9. So the load is followed by step, with level and slope. */
+ * Slack is the latency target divided by the tail latency: at 1 the tail is at its
+ * target, and more load leaves proportionally less. By 52,000 reports of two fleets, all
+ * tasks of a step share one load, which changes within seconds: reports without filling
+ * tasks lie within 0.2 of the step's common value, those of equal images in other steps
+ * within 0.9. So there is one Kalman filter per step, with level and slope. */
 
 #include "base/time.h"
 
@@ -18,20 +18,21 @@
 {
   bool known;
   double level;
-  double slope; /* a second */
+  double slope; /* per second */
   double var_level;
   double var_slope;
   double covar;
   KqTime at;
-  double low; /* the lowest level of late: at the peak of the load */
+  double low; /* lowest recent level, at the peak of the load */
   KqTime low_at;
-} KqSwing;
+} KqLoadTrend;
 
-/* Takes in what a report, less what fills beside the task, says of the slack at `at`. */
-void kq_swing_learn (KqSwing *s, double slack, double variance, KqTime at);
-/* The slack expected at `at`. */
-double kq_swing_at (const KqSwing *s, KqTime at);
-/* The slack at the peak of the load. */
-double kq_swing_low (const KqSwing *s, KqTime at);
+/* Learns the slack at time `at`, from a report with the loss to filling tasks added back.
+ */
+void kq_load_trend_learn (KqLoadTrend *s, double slack, double variance, KqTime at);
+/* The slack expected at time `at`. */
+double kq_load_trend_at (const KqLoadTrend *s, KqTime at);
+/* The slack expected at the peak of the load; `at` is the present time. */
+double kq_load_trend_low (const KqLoadTrend *s, KqTime at);
 
 #endif
--- a/src/sched/swing_test.c
+++ b/src/sched/swing_test.c
@@ -11,7 +11,7 @@
 
 #define PERIOD_S 14.0
 
-/* The slack that a load of 45% of the target leaves, swinging by half of itself. */
+/* The slack at a load of 45% of the target that varies by half of itself. */
 static double
 true_slack (KqTime at)
 {
@@ -20,19 +20,19 @@
 }
 
 static double
-rough (KqRand *r)
+noise (KqRand *r)
 {
   return (kq_rand_unit (r) - 0.5) * 0.7;
 }
 
-/* Load: all tasks of a step swing together; six of them report each half second, roughly.
- * What will be there when an order takes effect, 0.4 s ahead, must be foretold better
- * than the last report tells it, by a fifth, and better than by a level without a slope.
- */
+/* All tasks of a step report a common periodic load: six of them each half second, with
+ * noise. The prediction for 0.4 s ahead, when an order takes effect, must have an error
+ * smaller by a fifth than that of the last report, and smaller than that of the level
+ * without a slope. */
 static void
 test_swing_is_foretold (void **state)
 {
-  KqSwing s = { 0 };
+  KqLoadTrend s = { 0 };
   KqRand r = kq_rand (11);
   double by_model = 0;
   double by_last = 0;
@@ -42,46 +42,47 @@
     {
       KqTime at = now - 250 * KQ_MS;
       KqTime ahead = now + 400 * KQ_MS;
-      double report = true_slack (at) + rough (&r);
-      kq_swing_learn (&s, report, 0.04, at);
+      double report = true_slack (at) + noise (&r);
+      kq_load_trend_learn (&s, report, 0.04, at);
       if (now < 5 * KQ_SEC)
         continue;
-      by_model += fabs (kq_swing_at (&s, ahead) - true_slack (ahead));
+      by_model += fabs (kq_load_trend_at (&s, ahead) - true_slack (ahead));
       by_last += fabs (report - true_slack (ahead));
-      by_level += fabs (kq_swing_at (&s, at) - true_slack (ahead));
+      by_level += fabs (kq_load_trend_at (&s, at) - true_slack (ahead));
     }
   assert_true (by_model < 0.8 * by_last);
   assert_true (by_model < by_level);
 }
 
-/* A queue that explodes for one report must not be taken for the load of the whole step:
- * everything that fills beside its tasks would stand still for seconds. */
+/* One report of a queue that has grown without bound must not be taken for the load of
+ * the whole step: all filling tasks beside the step's tasks would be stopped for seconds.
+ */
 static void
 test_one_wild_report_is_held_down (void **state)
 {
-  KqSwing s = { 0 };
+  KqLoadTrend s = { 0 };
   KqTime now = KQ_SEC;
   (void)state;
   for (; now < 10 * KQ_SEC; now += 125 * KQ_MS)
-    kq_swing_learn (&s, 2.0, 0.04, now);
-  kq_swing_learn (&s, -20, 0.04, now);
-  assert_true (kq_swing_at (&s, now) > 1.4);
+    kq_load_trend_learn (&s, 2.0, 0.04, now);
+  kq_load_trend_learn (&s, -20, 0.04, now);
+  assert_true (kq_load_trend_at (&s, now) > 1.4);
 }
 
 static void
 test_low_is_remembered_and_fades (void **state)
 {
-  KqSwing s = { 0 };
+  KqLoadTrend s = { 0 };
   KqTime now = KQ_SEC;
   double low;
   (void)state;
   for (; now < 4 * KQ_SEC; now += 125 * KQ_MS)
-    kq_swing_learn (&s, 1.2, 0.04, now);
+    kq_load_trend_learn (&s, 1.2, 0.04, now);
   for (; now < 8 * KQ_SEC; now += 125 * KQ_MS)
-    kq_swing_learn (&s, 2.4, 0.04, now);
-  low = kq_swing_low (&s, now);
+    kq_load_trend_learn (&s, 2.4, 0.04, now);
+  low = kq_load_trend_low (&s, now);
   assert_true (low < 1.9);
-  assert_true (kq_swing_low (&s, now + 60 * KQ_SEC) > 2.2);
+  assert_true (kq_load_trend_low (&s, now + 60 * KQ_SEC) > 2.2);
 }
 
 int
--- a/src/sched/tickets.c
+++ b/src/sched/tickets.c
@@ -1,10 +1,11 @@
-/* tickets: permits for steps of queues whose policy allows only some runners.
+/* tickets: tickets of the advice service, which permit a runner to run a step of an
+ * advised queue.
  *
- * Load pattern: the service answers one question of a host at a time, so under load the
- * questions are what a start waits for. One question names as many runners as a step is
- * likely to need, the best first; questions are spread over all hosts, and few wait at
- * each, so that those for urgent steps don't stand behind others at the service. What it
- * said of a runner is kept for the step: "no" for good, "yes" as long as its ticket. */
+ * The service answers one question of a host at a time, so under load starts wait for its
+ * answers. One question names as many runners as the step is likely to need, the best
+ * first. Questions are spread over all hosts, and few are outstanding at each, so that
+ * those for urgent steps don't queue behind others at the service. The answers are kept
+ * per step: a refusal of a runner for good, a ticket while it is valid. */
 
 #include "sched/state.h"
 
@@ -13,16 +14,17 @@
 #include <string.h>
 
 /* Runners named in one question: a third of a small fleet. With fewer a wide step needs
- * several questions, with more each takes longer. */
-#define RUNNERS_ASKED 30
-/* Questions of one host that may be outstanding: one that is being answered and the next.
- */
-#define QUESTIONS_EACH 2
-/* A question without an answer for so long is asked again, elsewhere. */
+ * several questions; with more each answer takes longer. */
+#define RUNNERS_PER_QUESTION 30
+/* Outstanding questions per host: one that is being answered and the next. */
+#define QUESTIONS_PER_HOST_MAX 2
+/* A question without an answer after this time is asked again, by another host if
+ * possible. */
 #define ANSWER_TIMEOUT (2500 * KQ_MS)
-/* After a refusal, or an answer that allowed no runner. */
-#define AGAIN (100 * KQ_MS)
-/* A ticket isn't used in the last part of its time: the start has yet to arrive. */
+/* Time to the next question after a failed one. */
+#define RETRY_DELAY (100 * KQ_MS)
+/* A ticket isn't used in this last part of its validity, as the start order has yet to
+ * arrive. */
 #define VALID_MARGIN (150 * KQ_MS)
 
 void
@@ -65,9 +67,9 @@
     }
 }
 
-/* Nothing is known of the runners in a question without a good answer. */
+/* Drops the rows of a question that failed: nothing is known of their runners. */
 static void
-forget_question (KqTickets *a)
+drop_question (KqTickets *a)
 {
   a->agent = -1;
   for (int32_t i = 0; i < a->n_rows; i++)
@@ -100,15 +102,16 @@
     for (KqOccurrence *o = j->occurrences; j->spec.advised && o != NULL; o = o->next)
       for (int32_t i = 0; i < j->spec.n_steps; i++)
         if (o->steps[i].advice != NULL && o->steps[i].advice->agent == agent)
-          forget_question (o->steps[i].advice);
+          drop_question (o->steps[i].advice);
 }
 
-/* The agent with the fewest questions outstanding; -1: all have enough. */
+/* The agent with the fewest outstanding questions; -1: all have QUESTIONS_PER_HOST_MAX.
+ */
 static int
 pick_agent (const KqSched *s)
 {
   int best = -1;
-  int least = QUESTIONS_EACH;
+  int least = QUESTIONS_PER_HOST_MAX;
   for (int i = 0; i < s->agents.n; i++)
     {
       const KqAgentState *a = &s->agents.list[i];
@@ -126,12 +129,13 @@
   snprintf (out, 96, "%.*s.%d.%d", KQ_STR_ARG (o->job->spec.id), o->number, step);
 }
 
-/* Runners of which nothing is known, or whose ticket has run out. */
+/* Collects the ids of runners without an answer, or whose ticket has expired. */
 static int32_t
-worth_asking (const KqTickets *a, KqRunnerState **list, int32_t n, KqStr *ids, KqTime now)
+pick_runners_to_ask (const KqTickets *a, KqRunnerState **list, int32_t n, KqStr *ids,
+                     KqTime now)
 {
   int32_t asked = 0;
-  for (int32_t i = 0; i < n && asked < RUNNERS_ASKED; i++)
+  for (int32_t i = 0; i < n && asked < RUNNERS_PER_QUESTION; i++)
     {
       const KqTicket *row = find_row (a, list[i]);
       if (row == NULL || (row->ticket != NULL && now >= row->valid_until))
@@ -141,12 +145,12 @@
 }
 
 void
-kq_tickets_want (KqSched *s, KqOccurrence *o, int32_t step, KqTime now)
+kq_tickets_request (KqSched *s, KqOccurrence *o, int32_t step, KqTime now)
 {
   KqStepState *st = &o->steps[step];
   int32_t max = (int32_t)s->runner_list->len;
   KqRunnerState **list;
-  KqStr ids[RUNNERS_ASKED];
+  KqStr ids[RUNNERS_PER_QUESTION];
   KqOrder order = { .kind = KQ_ORDER_ADVISE, .runner = KQ_STR ("") };
   char name[96];
   int32_t n;
@@ -157,9 +161,9 @@
       st->advice->agent = -1;
     }
   if (st->advice->agent >= 0 && now - st->advice->asked_at >= ANSWER_TIMEOUT)
-    forget_question (st->advice);
+    drop_question (st->advice);
   if (s->work_at == 0)
-    s->work_at = now + AGAIN;
+    s->work_at = now + RETRY_DELAY;
   if (st->advice->agent >= 0 || now < st->advice->again_at)
     return;
   agent = pick_agent (s);
@@ -167,7 +171,7 @@
     return;
   list = kq_alloc (((size_t)max + 1) * sizeof (KqRunnerState *));
   n = kq_place_candidates (s, o, step, now, list, max);
-  n = worth_asking (st->advice, list, n, ids, now);
+  n = pick_runners_to_ask (st->advice, list, n, ids, now);
   free (list);
   if (n == 0)
     return;
@@ -180,7 +184,8 @@
   order.u.advise.step = kq_str (name);
   order.u.advise.runners = ids;
   order.u.advise.n_runners = (size_t)n;
-  /* Kept as "no" until the answer: what it doesn't name stays so. */
+  /* The rows count as refused until the answer; those that it doesn't name stay refused.
+   */
   for (int32_t i = 0; i < n; i++)
     {
       KqRunnerState *r = kq_runners_find (s, ids[i]);
@@ -198,7 +203,7 @@
   s->config.order (s->config.arg, agent, &order);
 }
 
-/* The step that the name names, if it is still open. */
+/* The step of that name (job.occurrence.step); NULL if it is over. */
 static KqStepState *
 find_step (const KqSched *s, KqStr name)
 {
@@ -212,9 +217,9 @@
   return found ? &t.occurrence->steps[t.step] : NULL;
 }
 
-/* After this a "no" isn't taken for an open question any more. */
+/* Marks the rows that are still without a ticket as refused, not as being asked about. */
 static void
-settle_question (KqTickets *a)
+mark_refused (KqTickets *a)
 {
   for (int32_t i = 0; i < a->n_rows; i++)
     if (a->rows[i].ticket == NULL && a->rows[i].valid_until == 0)
@@ -236,22 +241,22 @@
   s->work = true;
   if (a->reply.result != KQ_ADVICE_OK)
     {
-      st->advice->again_at = now + AGAIN;
-      forget_question (st->advice);
+      st->advice->again_at = now + RETRY_DELAY;
+      drop_question (st->advice);
       return;
     }
   st->advice->agent = -1;
-  /* Counted from the question: the ticket can't be older than that. */
+  /* Validity counts from the question, as the ticket can't be older. */
   for (size_t i = 0; i < a->reply.n_rows; i++)
     {
-      const KqAdviceRow *good = &a->reply.rows[i];
-      KqRunnerState *r = kq_runners_find (s, good->runner);
+      const KqAdviceRow *allowed = &a->reply.rows[i];
+      KqRunnerState *r = kq_runners_find (s, allowed->runner);
       KqTicket *row = r != NULL ? find_row (st->advice, r) : NULL;
       if (row == NULL)
         continue;
       free (row->ticket);
-      row->ticket = kq_str_dup (good->ticket);
+      row->ticket = kq_str_dup (allowed->ticket);
       row->valid_until = st->advice->asked_at + a->reply.valid_ms * KQ_MS - VALID_MARGIN;
     }
-  settle_question (st->advice);
+  mark_refused (st->advice);
 }
--- a/src/sched/tickets_test.c
+++ b/src/sched/tickets_test.c
@@ -8,15 +8,15 @@
 
 #include <cmocka.h>
 
-#define SETTLE (50 * KQ_MS)
+#define PASS_TIME (50 * KQ_MS)
 
-/* A job of an advised queue has been asked about. */
+/* Submits a job of an advised queue, which leads to a question. */
 static KqSchedDesk *
 asked (void **state)
 {
   KqSchedDesk *d = *state;
   kq_sched_desk_submit (d, "aa", kq_sched_desk_step (), true);
-  kq_sched_desk_run (d, SETTLE);
+  kq_sched_desk_run (d, PASS_TIME);
   assert_int_equal (d->starts, 0);
   assert_int_equal (d->questions, 1);
   assert_int_equal (d->questions_about, 2);
@@ -24,22 +24,22 @@
   return d;
 }
 
-/* A start without a ticket would be refused by every runner: the step waits for the
- * answer, and starts where it says, with the ticket. */
+/* Every runner would refuse a start without a ticket: the step waits for the answer, and
+ * starts on the runner that it names, with the ticket. */
 static void
 test_start_goes_where_the_ticket_is (void **state)
 {
   KqSchedDesk *d = asked (state);
   kq_sched_desk_advise (d, "aa.0.0", KQ_ADVICE_OK, "r1", "t-1", 3000);
-  kq_sched_desk_run (d, SETTLE);
+  kq_sched_desk_run (d, PASS_TIME);
   assert_int_equal (d->starts, 1);
   assert_string_equal (d->runner, "r1");
   assert_string_equal (d->ticket, "t-1");
   assert_int_equal (d->questions, 1);
 }
 
-/* No allowed runner exists: the step waits, and nobody is asked for ever about what stays
- * as it is. Other jobs go on. */
+/* If no runner is allowed, the step waits, and refused runners aren't asked about again.
+ * Other jobs go on. */
 static void
 test_no_runner_is_allowed (void **state)
 {
@@ -49,18 +49,17 @@
   assert_int_equal (d->starts, 0);
   assert_int_equal (d->questions, 1);
   kq_sched_desk_submit (d, "bb", kq_sched_desk_step (), false);
-  kq_sched_desk_run (d, SETTLE);
+  kq_sched_desk_run (d, PASS_TIME);
   assert_int_equal (d->starts, 1);
 }
 
-/* The service turns the question away, or doesn't answer: it is asked again, after a
- * pause. */
+/* The service is busy, or doesn't answer: the question is repeated after a delay. */
 static void
 test_busy_service_is_asked_again (void **state)
 {
   KqSchedDesk *d = asked (state);
   kq_sched_desk_advise (d, "aa.0.0", KQ_ADVICE_BUSY, "", NULL, 0);
-  kq_sched_desk_run (d, SETTLE);
+  kq_sched_desk_run (d, PASS_TIME);
   assert_int_equal (d->questions, 1);
   kq_sched_desk_run (d, 300 * KQ_MS);
   assert_int_equal (d->questions, 2);
@@ -68,42 +67,43 @@
   assert_int_equal (d->questions, 3);
 }
 
-/* The client's job would wait for ever: the runner refuses the ticket (it has lapsed on
- * the way, or the runner has started anew). A new one is asked for. */
+/* A runner refuses a ticket that has expired on the way, or that was for its process
+ * before a restart. A new one must be requested, or the job would wait for ever. */
 static void
 test_refused_ticket_is_replaced (void **state)
 {
   KqSchedDesk *d = asked (state);
   kq_sched_desk_advise (d, "aa.0.0", KQ_ADVICE_OK, "r1", "t-1", 3000);
-  kq_sched_desk_run (d, SETTLE);
+  kq_sched_desk_run (d, PASS_TIME);
   kq_sched_desk_outcome (d, KQ_ORDER_START, "r1", d->task, d->run, KQ_ORDER_NO_TICKET);
-  kq_sched_desk_run (d, SETTLE);
+  kq_sched_desk_run (d, PASS_TIME);
   assert_int_equal (d->questions, 2);
-  assert_int_equal (d->questions_about, 1); /* what is known of the other stays */
+  assert_int_equal (d->questions_about, 1); /* the other runner's refusal stays known */
   kq_sched_desk_advise (d, "aa.0.0", KQ_ADVICE_OK, "r1", "t-2", 3000);
-  kq_sched_desk_run (d, SETTLE);
+  kq_sched_desk_run (d, PASS_TIME);
   assert_int_equal (d->starts, 2);
   assert_string_equal (d->ticket, "t-2");
 }
 
-/* A queue that has become advised after the job was accepted: the first start is refused
- * for want of a ticket, and one is asked for. */
+/* A queue becomes advised after the job was accepted: the first start is refused for lack
+ * of a ticket, and one must be requested. */
 static void
 test_queue_that_becomes_advised (void **state)
 {
   KqSchedDesk *d = *state;
   kq_sched_desk_submit (d, "aa", kq_sched_desk_step (), false);
-  kq_sched_desk_run (d, SETTLE);
+  kq_sched_desk_run (d, PASS_TIME);
   assert_int_equal (d->starts, 1);
   kq_sched_desk_outcome (d, KQ_ORDER_START, d->runner, d->task, d->run,
                          KQ_ORDER_NO_TICKET);
-  kq_sched_desk_run (d, SETTLE);
+  kq_sched_desk_run (d, PASS_TIME);
   assert_int_equal (d->starts, 1);
   assert_int_equal (d->questions, 1);
 }
 
-/* Ten steps wait at once and one host can ask: two questions are out, the service's
- * answers bring on the others. More would stand in its line, which is served in turn. */
+/* Ten steps wait and one host can ask: only two questions are outstanding, and each
+ * answer lets the next one be sent. More would wait in the service's queue, ahead of
+ * urgent ones. */
 static void
 test_few_questions_are_out_at_a_time (void **state)
 {
@@ -113,16 +113,17 @@
       char id[2] = { (char)('a' + i), 0 };
       kq_sched_desk_submit (d, id, kq_sched_desk_step (), true);
     }
-  kq_sched_desk_run (d, SETTLE);
+  kq_sched_desk_run (d, PASS_TIME);
   assert_int_equal (d->questions, 2);
   kq_sched_desk_advise (d, d->question, KQ_ADVICE_OK, "r0", "t", 3000);
-  kq_sched_desk_run (d, SETTLE);
+  kq_sched_desk_run (d, PASS_TIME);
   assert_int_equal (d->questions, 3);
   assert_int_equal (d->starts, 1);
 }
 
-/* A filling step is asked about by a headroom that was kept for an earlier pass: where a
- * task is over its target now, nobody need be asked about its runner. */
+/* The cached headroom must be computed anew in each pass: with that of an earlier pass
+ * the service would be asked about a runner on which a serving task is over its target
+ * now. */
 static void
 test_headroom_is_of_this_pass (void **state)
 {
@@ -137,16 +138,16 @@
   filling.filling = true;
   filling.image = KQ_STR ("fills");
   kq_sched_desk_submit (d, "aa", serving, false);
-  kq_sched_desk_run (d, SETTLE);
+  kq_sched_desk_run (d, PASS_TIME);
   memcpy (runner, d->runner, sizeof runner);
   memcpy (task, d->task, sizeof task);
   kq_sched_desk_outcome (d, KQ_ORDER_START, runner, task, d->run, KQ_ORDER_OK);
   kq_sched_desk_list_serving (d, runner, task, d->run, 5);
   kq_sched_desk_submit (d, "bb", filling, true);
-  kq_sched_desk_run (d, SETTLE);
+  kq_sched_desk_run (d, PASS_TIME);
   assert_int_equal (d->questions_about, 2);
   kq_sched_desk_advise (d, "bb.0.0", KQ_ADVICE_OK, runner, "t-1", 3000);
-  kq_sched_desk_run (d, SETTLE);
+  kq_sched_desk_run (d, PASS_TIME);
   assert_int_equal (d->starts, 2);
   for (int i = 0; i < 5; i++)
     {
@@ -154,7 +155,7 @@
       kq_sched_desk_run (d, 500 * KQ_MS);
     }
   kq_sched_desk_submit (d, "cc", filling, true);
-  kq_sched_desk_run (d, SETTLE);
+  kq_sched_desk_run (d, PASS_TIME);
   assert_string_equal (d->question, "cc.0.0");
   assert_int_equal (d->questions_about, 1);
 }
--- a/src/sched/watch.c
+++ b/src/sched/watch.c
@@ -1,40 +1,41 @@
-/* watch: looks over all runs now and then: orders without an answer, tasks that stand
- * still, tasks on runners that leave. */
+/* watch: periodic checks of all runs: orders without an answer, stalled tasks, tasks on
+ * runners that are about to leave. */
 
 #include "sched/state.h"
 
-/* A stop whose end isn't listed is repeated after so long. */
-#define STOP_AGAIN (800 * KQ_MS)
-/* A task stands still when its percent hasn't moved for this part of its estimate, and
- * for the floor at least: reports come up to two seconds apart and percents are whole. */
-#define STILL_PERCENT 60
-#define STILL_FLOOR (3 * KQ_SEC)
-/* A lasting task serves after a short start; past this it is taken for stuck. */
-#define LASTING_START (4 * KQ_SEC)
-/* A task that ends within its runner's stay, by its percent, is left to end. */
+/* A stop order is repeated after this time if the run's end hasn't been listed. */
+#define STOP_REPEAT_DELAY (800 * KQ_MS)
+/* A task counts as stalled when its progress hasn't changed for this share of its
+ * estimated length, and for at least the minimum: reports come up to two seconds apart,
+ * and progress is in whole percents. */
+#define STALL_PERCENT 60
+#define STALL_MIN (3 * KQ_SEC)
+/* A lasting task that isn't ready after this time counts as stalled. */
+#define LASTING_START_MAX (4 * KQ_SEC)
+/* A task that ends this long before its runner leaves, by its progress, isn't moved. */
 #define LEAVE_MARGIN_MS 400
-/* A filling task that is held back for so long goes on elsewhere. */
-#define CROWDED_OUT (3 * KQ_SEC)
-#define CROWDED_PACE 10
+/* A filling task at this pace or below for so long is moved to another runner. */
+#define THROTTLED_MAX (3 * KQ_SEC)
+#define THROTTLED_PACE_PERCENT 10
 
 static bool
-stands_still (const KqRun *run, KqTime now)
+is_stalled (const KqRun *run, KqTime now)
 {
   const KqStep *p = kq_run_step (run);
-  KqTime bound = (KqTime)p->estimate_ms * KQ_MS * STILL_PERCENT / 100;
+  KqTime bound = (KqTime)p->estimate_ms * KQ_MS * STALL_PERCENT / 100;
   if (run->phase != KQ_RUN_RUNNING || run->runner->silent || p->gang)
     return false;
   if (p->lasting)
-    return run->percent < 100 && now - run->running_at > LASTING_START
-           && now - run->moved_at > LASTING_START;
+    return run->percent < 100 && now - run->running_at > LASTING_START_MAX
+           && now - run->moved_at > LASTING_START_MAX;
   if (run->pace < 100 || p->filling)
     bound *= 3;
-  /* By the last report, not by the clock: a late report says nothing of the task. */
-  return run->runner->heard_at - run->moved_at
-         > (bound > STILL_FLOOR ? bound : STILL_FLOOR);
+  /* Measured to the last report rather than to now: a late report says nothing of the
+   * task. */
+  return run->runner->heard_at - run->moved_at > (bound > STALL_MIN ? bound : STALL_MIN);
 }
 
-/* Whether the run should leave its runner, which is about to go. */
+/* Whether the run must be stopped because its runner leaves. */
 static bool
 must_move (const KqRun *run, KqTime now)
 {
@@ -47,13 +48,14 @@
   if (p->lasting)
     return true;
   if (!p->checkpoints)
-    return false; /* it loses as much by a stop as by the end of its runner */
+    return false; /* a stop would lose as much progress as the end of its runner */
   needs = (int64_t)p->estimate_ms * (100 - run->percent) / 100;
   return needs + LEAVE_MARGIN_MS > left;
 }
 
-/* A second run is allowed and the first one's runner is silent: rather than wait for the
- * end of its lease the task starts elsewhere, and whichever ends first counts. */
+/* Starts a second run of a task if its step permits copies and the first one's runner is
+ * silent, rather than wait for the end of that runner's lease. Whichever run ends first
+ * counts. */
 static bool
 start_copy (KqSched *s, KqRun *run)
 {
@@ -69,11 +71,11 @@
   return true;
 }
 
-/* A start without an answer. Where the runner has said meanwhile that it leaves, a repeat
- * would begin the task there seconds later, to die with the runner (a start 3 s after the
- * runner's word: 1 of 172 days of mixed faults). */
+/* Repeats a start order without an answer; or stops the run if its runner has announced
+ * meanwhile that it leaves. A repeat would begin the task seconds later, only for it to
+ * end with the runner, as seen with a start 3 s after the announcement. */
 static void
-send_again (KqSched *s, KqRun *run, KqTime now)
+repeat_start (KqSched *s, KqRun *run, KqTime now)
 {
   if (run->runner->draining || run->runner->leaving)
     kq_run_stop (s, run, "its runner leaves", now);
@@ -85,22 +87,22 @@
 }
 
 static void
-look_at_run (KqSched *s, KqRun *run, KqTime now)
+check_run (KqSched *s, KqRun *run, KqTime now)
 {
   KqRunnerState *r = run->runner;
   if (r->agent < 0 || start_copy (s, run))
     return;
   if (run->occurrence == NULL && !r->silent && r->listed)
-    kq_run_stop (s, run, "no longer wanted", now); /* nothing if it is stopping already */
+    kq_run_stop (s, run, "no longer wanted", now); /* unless it is stopping already */
   if (run->phase == KQ_RUN_SENDING && !run->waiting && now >= run->retry_at
       && run->confirmed == 0 && !r->silent && r->listed)
-    send_again (s, run, now);
-  /* The answer to a repeat would count as newer than each list on its way, and no list
-   * could end the run. */
+    repeat_start (s, run, now);
+  /* Not if the runner has answered a stop: the answer to a repeat would count as newer
+   * than each list on its way, and no list could end the run. */
   else if (run->phase == KQ_RUN_STOPPING && !run->waiting && !run->stopped && !r->silent
-           && r->listed && now >= run->retry_at + (run->unsure ? 0 : STOP_AGAIN))
+           && r->listed && now >= run->retry_at + (run->unsure ? 0 : STOP_REPEAT_DELAY))
     kq_run_send_stop (s, run, now);
-  else if (stands_still (run, now))
+  else if (is_stalled (run, now))
     {
       KqTaskState *t = kq_book_state (run);
       if (t != NULL)
@@ -114,8 +116,8 @@
       ++*s->stops_drain;
       kq_run_stop (s, run, "runner leaves", now);
     }
-  else if (kq_run_step (run)->filling && run->pace <= CROWDED_PACE
-           && now - run->moved_at > CROWDED_OUT && kq_run_step (run)->checkpoints)
+  else if (kq_run_step (run)->filling && run->pace <= THROTTLED_PACE_PERCENT
+           && now - run->moved_at > THROTTLED_MAX && kq_run_step (run)->checkpoints)
     {
       KqTaskState *t = kq_book_state (run);
       if (t != NULL)
@@ -125,7 +127,7 @@
 }
 
 static void
-tell_watched (KqSched *s, KqRunnerState *r)
+update_report_rate (KqSched *s, KqRunnerState *r)
 {
   bool watched = r->n_serving > 0 && r->n_runs > r->n_serving;
   if (watched == r->watched || r->agent < 0)
@@ -141,7 +143,7 @@
     {
       KqRunnerState *r = g_ptr_array_index (s->runner_list, i);
       for (KqRun *run = r->runs; run != NULL; run = run->next)
-        look_at_run (s, run, now);
-      tell_watched (s, r);
+        check_run (s, run, now);
+      update_report_rate (s, r);
     }
 }
--- a/src/sched/window.c
+++ b/src/sched/window.c
@@ -2,18 +2,18 @@
 
 #include <assert.h>
 
-/* An answer that comes sooner than this makes the window larger, one that comes later
- * than LATE smaller. A lead without a renewal lasts three times as long as LATE. */
-#define SOON (250 * KQ_MS)
-#define LATE (500 * KQ_MS)
-#define FIRST 128
-#define LEAST 64
-#define MOST 8192
+/* An answer sooner than ANSWER_SOON makes the window larger, one later than ANSWER_LATE
+ * smaller. A leader's lease lasts three times ANSWER_LATE without a renewal. */
+#define ANSWER_SOON (250 * KQ_MS)
+#define ANSWER_LATE (500 * KQ_MS)
+#define WINDOW_INITIAL 128
+#define WINDOW_MIN 64
+#define WINDOW_MAX 8192
 
 void
 kq_window_init (KqWindow *w)
 {
-  *w = (KqWindow){ .size = FIRST };
+  *w = (KqWindow){ .size = WINDOW_INITIAL };
 }
 
 bool
@@ -38,8 +38,8 @@
 void
 kq_window_answered (KqWindow *w, KqTime took)
 {
-  if (took < SOON && w->size < MOST)
+  if (took < ANSWER_SOON && w->size < WINDOW_MAX)
     w->size++;
-  else if (took > LATE && w->size > LEAST)
+  else if (took > ANSWER_LATE && w->size > WINDOW_MIN)
     w->size--;
 }
--- a/src/sched/window.h
+++ b/src/sched/window.h
@@ -1,14 +1,14 @@
 #ifndef KQ_SCHED_WINDOW_H
 #define KQ_SCHED_WINDOW_H
 
-/* window: how many starts may be under way at once.
+/* window: limits how many start orders may be unanswered at once.
  *
- * Load pattern: after a change of leader, or when a burst of work finds much room, tasks
- * by the thousand can start in one pass. Each start carries its job's text; on a thin
- * link the orders of one pass take seconds, and behind them wait the renewals of the
- * lead. The lead is lost, and the next leader has more to start. So starts leave as fast
- * as they are answered in time, and the rest waits here, where it can still be put into
- * another order. */
+ * After a change of leader, or when a burst of work finds much room, thousands of tasks
+ * can start in one placing pass. Each start order carries its job's text; on a slow link
+ * the orders of one pass would take seconds, and the renewals of the leader's lease would
+ * queue behind them. The lease would be lost, and the next leader would have even more to
+ * start. So orders are sent at the rate at which they are answered in time, and the other
+ * tasks wait in the scheduler, where their order can still change. */
 
 #include "base/time.h"
 
@@ -18,15 +18,15 @@
 typedef struct
 {
   int32_t size;
-  int32_t under_way; /* starts that may have an answer yet */
+  int32_t under_way; /* start orders that may still be answered */
 } KqWindow;
 
 void kq_window_init (KqWindow *w);
 bool kq_window_open (const KqWindow *w);
 void kq_window_sent (KqWindow *w);
-/* The order has its answer, or won't have one. */
+/* The order has been answered, or won't be. */
 void kq_window_gone (KqWindow *w);
-/* A start was carried out, and its answer took so long. */
+/* A start was carried out, answered after `took`. */
 void kq_window_answered (KqWindow *w, KqTime took);
 
 #endif
--- a/src/sched/window_test.c
+++ b/src/sched/window_test.c
@@ -65,7 +65,7 @@
   assert_int_equal (size (w), least);
 }
 
-/* One runner in seven is slow to answer: the others aren't held up for it. */
+/* One slow runner in seven must not hold up starts on the others. */
 static void
 test_few_late_answers_do_not_close_it (void **state)
 {
@@ -94,8 +94,9 @@
   kq_sched_desk_run (d, 10 * KQ_MS);
 }
 
-/* The lead is lost again and again: each leader fills its link with all starts that have
- * room, and its renewals wait behind them. */
+/* A leader that sends all starts at once loses its lease again and again, as renewals
+ * queue behind them on its link. Starts must be sent only as fast as they are answered.
+ */
 static void
 test_starts_leave_as_fast_as_they_are_answered (void **state)
 {
@@ -114,7 +115,8 @@
   assert_true (d->starts >= TASKS);
 }
 
-/* A node that is lost with starts under way holds those of the others up for good. */
+/* Starts under way at a node that is lost are never answered, and must not count in the
+ * window for good. */
 static void
 test_starts_of_a_lost_node_are_not_waited_for (void **state)
 {
@@ -132,7 +134,7 @@
       kq_sched_desk_list (d, "r1", NULL, 0);
       kq_sched_desk_run (d, 100 * KQ_MS);
     }
-  assert_true (d->starts > 2 * before); /* these again, and others */
+  assert_true (d->starts > 2 * before); /* the lost ones again, and others */
 }
 
 int
