--- a/src/sched/tickets.c
+++ b/src/sched/tickets.c
@@ -234,8 +234,9 @@
   if (s->agents.list[agent].questions > 0)
     s->agents.list[agent].questions--;
   kq_log (a->reply.result == KQ_ADVICE_OK ? KQ_LOG_DEBUG : KQ_LOG_WARN, PART,
-          "Advice. step=%.*s result=%d good=%zu valid_ms=%lld", KQ_STR_ARG (a->step),
-          a->reply.result, a->reply.n_rows, (long long)a->reply.valid_ms);
+          "Answer of the advice service. step=%.*s result=%d good=%zu valid_ms=%lld",
+          KQ_STR_ARG (a->step), a->reply.result, a->reply.n_rows,
+          (long long)a->reply.valid_ms);
   if (st == NULL || st->advice == NULL || st->advice->agent != agent)
     return;
   s->work = true;
