--- a/src/sched/harm_test.c
+++ b/src/sched/harm_test.c
@@ -52,8 +52,8 @@
   serves.target_ms = TARGET_MS;
   serves.image = KQ_STR ("serves");
   kq_sched_desk_submit (d, "aa", serves, false);
-  kq_sched_desk_run (
-      d, 5 * KQ_SEC); /* one of the two runners is kept free of lasting tasks at first */
+  /* One of the two runners is kept free of lasting tasks at first. */
+  kq_sched_desk_run (d, 5 * KQ_SEC);
   assert_int_equal (d->starts, 2);
   take_last_start (d, &last);
   /* Both tasks of the step started as run 1; the last start was that of its second task.
