--- a/src/sched/agents.c
+++ b/src/sched/agents.c
@@ -2,20 +2,22 @@
 
 #include <string.h>
 
-/* A runner of another failure domain counts so much more, in thousandths: a call crosses
- * domains either way, from the leader or from the agent, so nearness saves little. */
-#define FAR_MILLI 1150
-/* A host is relieved when it carries this much over its part, in percent; less would move
- * runners back and forth when hosts come and go. */
-#define OVERFULL_PERCENT 150
-/* So many runners of which nothing has been told are given out at a time: to all hosts,
- * and to one, which gets more the more processor it has. */
-#define UNHEARD_MAX 128
-#define UNHEARD_OF_ONE 8
-#define UNHEARD_MILLI 10
+/* Load of an agent in another failure domain than the runner, in thousandths of its load.
+ * The preference is small because a call crosses domains either way, on the link from the
+ * leader to the agent or on the one from the agent to the runner. */
+#define REMOTE_LOAD_MILLI 1150
+/* An agent is overloaded above this percentage of its proportional number of runners. A
+ * lower limit would move runners back and forth when hosts come and go. */
+#define OVERLOAD_PERCENT 150
+/* Bounds on assigned runners whose first list hasn't arrived: for all agents together,
+ * and for one agent, with one more for each UNLISTED_SHARE_MILLI of its processor share.
+ */
+#define UNLISTED_MAX 128
+#define UNLISTED_PER_AGENT 8
+#define UNLISTED_SHARE_MILLI 10
 
 static void
-forget_loss (KqAgents *a, const KqName *name)
+remove_lost (KqAgents *a, const KqName *name)
 {
   for (int i = 0; i < a->n_lost; i++)
     if (kq_str_eq (kq_name_str (&a->lost[i]), kq_name_str (name)))
@@ -29,7 +31,7 @@
 kq_agents_up (KqAgents *a, const KqAgentInfo *info)
 {
   int at = -1;
-  forget_loss (a, &info->name);
+  remove_lost (a, &info->name);
   for (int i = 0; i < a->n; i++)
     if (!a->list[i].up && a->list[i].runners == 0)
       at = i;
@@ -52,47 +54,47 @@
 }
 
 static int
-usable (const KqAgents *a, bool leader_too)
+count_usable (const KqAgents *a, bool include_leader)
 {
   int n = 0;
   for (int i = 0; i < a->n; i++)
-    n += a->list[i].up && (leader_too || !a->list[i].info.leader);
+    n += a->list[i].up && (include_leader || !a->list[i].info.leader);
   return n;
 }
 
 static bool
-hands_full (const KqAgentState *g)
+at_unlisted_limit (const KqAgentState *g)
 {
-  return g->unheard >= UNHEARD_OF_ONE + g->info.share_milli / UNHEARD_MILLI;
+  return g->unlisted >= UNLISTED_PER_AGENT + g->info.share_milli / UNLISTED_SHARE_MILLI;
 }
 
 static int
-unheard (const KqAgents *a)
+count_unlisted (const KqAgents *a)
 {
   int n = 0;
   for (int i = 0; i < a->n; i++)
-    n += a->list[i].unheard;
+    n += a->list[i].unlisted;
   return n;
 }
 
 int
 kq_agents_pick (const KqAgents *a, KqStr failure_domain)
 {
-  bool leader_too = usable (a, false) == 0;
+  bool include_leader = count_usable (a, false) == 0;
   int best = -1;
   int64_t best_load = 0;
-  if (unheard (a) >= UNHEARD_MAX)
+  if (count_unlisted (a) >= UNLISTED_MAX)
     return -1;
   for (int i = 0; i < a->n; i++)
     {
       const KqAgentState *g = &a->list[i];
       int64_t share = g->info.share_milli > 0 ? g->info.share_milli : 1;
       int64_t load;
-      if (!g->up || (g->info.leader && !leader_too) || hands_full (g))
+      if (!g->up || (g->info.leader && !include_leader) || at_unlisted_limit (g))
         continue;
       load = (int64_t)(g->runners + 1) * 1000 * 1000 / share;
       if (!kq_str_eq (kq_name_str (&g->info.failure_domain), failure_domain))
-        load = load * FAR_MILLI / 1000;
+        load = load * REMOTE_LOAD_MILLI / 1000;
       if (best < 0 || load < best_load)
         {
           best = i;
@@ -106,15 +108,15 @@
 kq_agents_overfull (const KqAgents *a, int agent, int total)
 {
   const KqAgentState *g = &a->list[agent];
-  bool leader_too = usable (a, false) == 0;
+  bool include_leader = count_usable (a, false) == 0;
   int64_t shares = 0;
-  if (g->info.leader && !leader_too)
+  if (g->info.leader && !include_leader)
     return g->runners > 0;
   for (int i = 0; i < a->n; i++)
-    if (a->list[i].up && (leader_too || !a->list[i].info.leader))
+    if (a->list[i].up && (include_leader || !a->list[i].info.leader))
       shares += a->list[i].info.share_milli;
   if (shares == 0)
     return false;
   return (int64_t)g->runners * shares * 100
-         > ((int64_t)total * g->info.share_milli + shares) * OVERFULL_PERCENT;
+         > ((int64_t)total * g->info.share_milli + shares) * OVERLOAD_PERCENT;
 }
--- a/src/sched/agents.h
+++ b/src/sched/agents.h
@@ -1,12 +1,13 @@
 #ifndef KQ_SCHED_AGENTS_H
 #define KQ_SCHED_AGENTS_H
 
-/* agents: which entry host talks to which runner.
+/* agents: assigns runners to agents. An agent is the part of an entry host that sends the
+ * leader's orders to runners, reads their lists and renews their leases.
  *
- * Calls to runners cost an entry host more than decisions do, so they are spread over all
- * hosts by the share of a processor that each has. The leader's own host takes runners
- * only when there is no other: its processor is needed for decisions, and its death then
- * doesn't also take the hands away. */
+ * Calls to runners cost an entry host more processor time than scheduling decisions, so
+ * runners are spread over the entry hosts in proportion to their processor shares. The
+ * leader's own host gets runners only when no other agent is up: it needs its processor
+ * for decisions, and its loss then doesn't cut off runners as well. */
 
 #include "base/str.h"
 #include "base/time.h"
@@ -24,8 +25,8 @@
   KqAgentInfo info;
   bool up;
   int runners;
-  int unheard;   /* of them, that it hasn't told of yet */
-  int questions; /* to the advice service, without an answer yet */
+  int unlisted;  /* of them, whose first list hasn't arrived */
+  int questions; /* unanswered requests to the advice service */
 } KqAgentState;
 
 #define KQ_AGENTS_MAX 512
@@ -34,21 +35,24 @@
 {
   KqAgentState list[KQ_AGENTS_MAX];
   int n;
-  KqName lost[KQ_AGENTS_MAX]; /* down and not up again since */
+  KqName lost[KQ_AGENTS_MAX]; /* went down unplanned and haven't come back */
   int n_lost;
 } KqAgents;
 
+/* Adds an agent that has connected; returns its number, -1: the table is full. */
 int kq_agents_up (KqAgents *a, const KqAgentInfo *info);
-/* planned: it isn't missed. */
+/* planned: it was shut down on purpose, and isn't counted as lost. */
 void kq_agents_down (KqAgents *a, int agent, bool planned);
-/* The best agent for one more runner in a failure domain; -1: none is up, or those that
- * are have their hands full with runners that they haven't told of yet.
+/* The best agent for one more runner in a failure domain; -1: none is up, or all are at
+ * the bound on runners whose first list hasn't arrived.
  *
- * Load pattern: after the loss of all hosts they come back one by one. The first one back
- * would take the whole fleet, and on a slow link the lists of hundreds of runners at a
- * time keep the leader from renewing its own lease. */
+ * The bound is for the recovery after all hosts were lost, when they come back one by
+ * one. Without it the first agent would be assigned the whole fleet, and the lists of
+ * hundreds of runners at once would fill a slow link and delay the renewal of the
+ * leader's own lease. */
 int kq_agents_pick (const KqAgents *a, KqStr failure_domain);
-/* Whether the agent carries so much more than its part that a runner should move. */
+/* Whether the agent has so much more than its proportional number of the total runners
+ * that a runner should move to another one. */
 bool kq_agents_overfull (const KqAgents *a, int agent, int total);
 
 #endif
--- a/src/sched/book.c
+++ b/src/sched/book.c
@@ -1,4 +1,6 @@
-/* book: jobs, their occurrences, steps and tasks, and what ends and failures change. */
+/* book: the records of jobs with their occurrences, steps and tasks, and their changes
+ * when runs end or fail. An occurrence is one execution of all steps of a job; a timed
+ * job has several. */
 
 #include "sched/state.h"
 
@@ -51,9 +53,9 @@
   return r->occurrence == NULL ? NULL : &r->occurrence->steps[r->step].tasks[r->index];
 }
 
-/* The longest chain of what isn't done yet. */
+/* The estimated time of the longest chain of dependent steps that aren't done. */
 static int64_t
-chain_left (const KqOccurrence *o)
+critical_path_ms (const KqOccurrence *o)
 {
   const KqSpec *spec = &o->job->spec;
   int64_t ends[KQ_SPEC_STEPS_MAX];
@@ -84,7 +86,7 @@
         open = open && o->steps[p->after[k]].done == spec->steps[p->after[k]].width;
       o->steps[i].open = open;
     }
-  o->chain_left_ms = chain_left (o);
+  o->chain_left_ms = critical_path_ms (o);
 }
 
 KqOccurrence *
@@ -121,7 +123,7 @@
   free (o);
 }
 
-/* Runs still alive at runners outlive the tasks they were started for. */
+/* Runs can outlive the occurrence: they stay until their runner reports their end. */
 static void
 detach_runs (const KqOccurrence *o)
 {
@@ -130,7 +132,7 @@
       run->occurrence = NULL;
 }
 
-/* The occurrence is out of its job's list already. */
+/* The occurrence must have been removed from its job's list. */
 static void
 end_occurrence (KqOccurrence *o)
 {
@@ -154,16 +156,16 @@
   free (j);
 }
 
-/* Progress waits a little to be stored with that of others, but not long: runners repeat
- * their ends until then. The end of a job hardly waits, as its client account is told
- * only when it is stored. */
-#define STORE_GAP (70 * KQ_MS)
-#define STORE_GAP_URGENT (15 * KQ_MS)
+/* Time between batches of progress. Batching saves writes, but runners repeat their ends
+ * until these are stored. The end of a job is stored sooner, because its client account
+ * sees it only then. */
+#define STORE_INTERVAL (70 * KQ_MS)
+#define STORE_INTERVAL_URGENT (15 * KQ_MS)
 
 static void
-note_dirty (KqSched *s, KqJob *j, KqTime now, bool urgent)
+mark_dirty (KqSched *s, KqJob *j, KqTime now, bool urgent)
 {
-  KqTime due = s->stored_at + (urgent ? STORE_GAP_URGENT : STORE_GAP);
+  KqTime due = s->stored_at + (urgent ? STORE_INTERVAL_URGENT : STORE_INTERVAL);
   j->dirty = true;
   if (due < now)
     due = now;
@@ -175,7 +177,7 @@
 kq_book_task_runs (KqSched *s, KqJob *j, KqTaskState *t, KqTime now)
 {
   t->has_run = true;
-  note_dirty (s, j, now, false);
+  mark_dirty (s, j, now, false);
 }
 
 bool
@@ -220,11 +222,11 @@
       j->occurrences = o->next;
       end_occurrence (o);
     }
-  note_dirty (s, j, now, true);
+  mark_dirty (s, j, now, true);
 }
 
 static void
-occurrence_over (KqSched *s, KqOccurrence *o, KqTime now)
+finish_occurrence (KqSched *s, KqOccurrence *o, KqTime now)
 {
   KqJob *j = o->job;
   KqOccurrence **at = &j->occurrences;
@@ -233,7 +235,7 @@
   *at = o->next;
   end_occurrence (o);
   j->finished++;
-  note_dirty (s, j, now, false);
+  mark_dirty (s, j, now, false);
   if (j->finished == kq_spec_occurrences (&j->spec))
     kq_book_end_job (s, j, KQ_JOB_COMPLETED, now);
 }
@@ -252,13 +254,13 @@
   free (t->checkpoint);
   t->checkpoint = NULL;
   p->done++;
-  note_dirty (s, o->job, now, false);
+  mark_dirty (s, o->job, now, false);
   if (p->done < o->job->spec.steps[step].width)
     return;
   o->steps_done++;
   s->work = true;
   if (o->steps_done == o->job->spec.n_steps)
-    occurrence_over (s, o, now);
+    finish_occurrence (s, o, now);
   else
     kq_book_open_steps (o);
 }
@@ -297,7 +299,7 @@
     return;
   kq_book_add_failure (t, run);
   o->job->spent.failed++;
-  note_dirty (s, o->job, now, false);
+  mark_dirty (s, o->job, now, false);
   kq_log (KQ_LOG_INFO, PART,
           "Task failed. task=%.*s.%d.%d.%d run=%u runner=%s failures=%d attempts=%d",
           KQ_STR_ARG (spec->id), o->number, step, index, run,
@@ -306,8 +308,8 @@
     kq_book_end_job (s, o->job, KQ_JOB_FAILED, now);
 }
 
-/* A host's clock may be ahead of the others'; a task that begins before its time is a
- * fault, one that begins a tenth of a second after it isn't noticed. */
+/* Delay of an occurrence behind its due time. The leader's clock may be ahead of the
+ * other hosts', and a task must not begin before its time; 0.1 s late is harmless. */
 #define OCCURRENCE_DELAY_MS 100
 
 void
@@ -349,7 +351,7 @@
 {
   char id[KQ_SPEC_ID_MAX + 1];
   bool fits = kq_str_copy (j->spec.id, id, sizeof id);
-  assert (fits); /* or it had not been accepted */
+  assert (fits); /* longer ids aren't accepted */
   (void)fits;
   kq_book_unlink (s, j);
   g_hash_table_remove (s->jobs, id);
--- a/src/sched/lists.c
+++ b/src/sched/lists.c
@@ -1,4 +1,5 @@
-/* lists: what a runner says about its runs and their ends, and how orders to it ended. */
+/* lists: applies the lists that runners report of their running and ended runs, and the
+ * results of orders to them. */
 
 #include "sched/state.h"
 
@@ -14,8 +15,9 @@
   return NULL;
 }
 
-/* A run that we didn't know: of an earlier leader, or of a late order. The task takes it
- * as its own if it has none; otherwise it is stopped. */
+/* Adds a listed run that this leader has no record of: an earlier leader started it, or
+ * its start order was delivered late. It becomes the task's run if the task is waiting
+ * and may still run; otherwise it is stopped. */
 static KqRun *
 adopt (KqSched *s, KqRunnerState *r, const KqTaskRef *t, uint32_t number, KqTime now)
 {
@@ -39,14 +41,16 @@
     {
       char name[96];
       kq_book_task_name (run, name);
-      kq_log (KQ_LOG_DEBUG, PART, "Run is taken over. task=%s run=%u runner=%s", name,
+      kq_log (KQ_LOG_DEBUG, PART,
+              "Adopting a run listed by its runner. task=%s run=%u runner=%s", name,
               number, r->id);
     }
   return run;
 }
 
 static void
-take_row (KqSched *s, KqRunnerState *r, const KqRunRow *row, uint64_t order, KqTime now)
+apply_run_row (KqSched *s, KqRunnerState *r, const KqRunRow *row, uint64_t order,
+               KqTime now)
 {
   KqTaskRef t;
   KqRun *run;
@@ -81,7 +85,7 @@
 }
 
 static void
-learn_speed (KqSched *s, KqRunnerState *r, const KqRun *run, KqTime now)
+update_slowness (KqSched *s, KqRunnerState *r, const KqRun *run, KqTime now)
 {
   const KqStep *p = kq_run_step (run);
   double took = (double)(now - run->running_at) / KQ_MS;
@@ -93,9 +97,9 @@
   s->slowness_mean += 0.01 * (ratio - s->slowness_mean);
 }
 
-/* A gang ends as one. */
+/* All tasks of a gang are done as soon as one of them is. */
 static void
-gang_done (KqSched *s, KqOccurrence *o, int32_t step, KqTime now)
+complete_gang (KqSched *s, KqOccurrence *o, int32_t step, KqTime now)
 {
   int32_t width = o->job->spec.steps[step].width;
   KqJob *j = o->job;
@@ -108,18 +112,18 @@
       if (t->phase != KQ_TASK_DONE)
         kq_book_task_done (s, o, step, i, now);
       if (last)
-        return; /* the occurrence may be gone */
+        return; /* the occurrence may have been freed */
     }
 }
 
 static void
-end_done (KqSched *s, KqRunnerState *r, const KqTaskRef *t, KqRun *run, KqTime now)
+apply_done_end (KqSched *s, KqRunnerState *r, const KqTaskRef *t, KqRun *run, KqTime now)
 {
   KqOccurrence *o = t->occurrence;
   KqTaskState *state;
   kq_runners_score (r, true, now);
   if (run != NULL)
-    learn_speed (s, r, run, now);
+    update_slowness (s, r, run, now);
   if (o == NULL)
     return;
   if (t->job->spec.steps[t->step].lasting)
@@ -134,13 +138,13 @@
   else if (run != NULL)
     run->occurrence = NULL;
   if (t->job->spec.steps[t->step].gang)
-    gang_done (s, o, t->step, now);
+    complete_gang (s, o, t->step, now);
   else
     kq_book_task_done (s, o, t->step, t->index, now);
 }
 
-/* Whether a start of the run may still reach its runner: its answer is outstanding or
- * never came. */
+/* Whether a start order of the run may still reach its runner: it is unanswered, or no
+ * answer will come. */
 static bool
 start_may_arrive (const KqRun *run)
 {
@@ -148,7 +152,7 @@
 }
 
 static void
-take_end (KqSched *s, KqRunnerState *r, const KqEndRow *e, KqTime now)
+apply_end_row (KqSched *s, KqRunnerState *r, const KqEndRow *e, KqTime now)
 {
   KqTaskRef t;
   KqRun *run;
@@ -164,14 +168,16 @@
   if (run != NULL)
     kq_run_set_checkpoint (run, e->checkpoint);
   if (e->how == KQ_END_DONE)
-    end_done (s, r, &t, run, now);
-  /* A runner that has started anew since would begin the run again by a start that is
-   * still under way, beside the next run: one task twice (random test, 2 in 10,000
-   * seeds). Once a stop of the run has been answered, every life refuses it. Otherwise
-   * the run goes first, so that a failure that ends the job doesn't stop it. */
+    apply_done_end (s, r, &t, run, now);
+  /* A start that is still in flight may reach the runner after a restart and begin the
+   * run again beside the task's next run, so that the task runs twice (2 in 10,000 seeds
+   * of the random test). The run is stopped instead: once the runner has answered a stop
+   * it refuses that start, also after a restart. Without a start in flight the run is
+   * removed before a failure is counted, so that a job that ends by it doesn't send a
+   * stop for this run. */
   if (run != NULL && start_may_arrive (run))
     {
-      run->confirmed = 0; /* or the list that brings the end would drop it at once */
+      run->confirmed = 0; /* else drop_unlisted removes it with this same list */
       kq_run_stop (s, run, "ended while a start is under way", now);
     }
   else if (run != NULL)
@@ -184,8 +190,8 @@
     kq_book_task_failed (s, t.occurrence, t.step, t.index, e->run, r, now);
 }
 
-/* What the runner has confirmed before, and now neither lists as running nor as ended, is
- * over; so is a run whose stop it has answered and that it doesn't list. */
+/* Ends the runs that the runner has confirmed (by a list, or by its answer to a start or
+ * stop) before it was asked for this list, and that the list doesn't hold as running. */
 static void
 drop_unlisted (KqSched *s, KqRunnerState *r, uint64_t order, KqTime now)
 {
@@ -200,18 +206,19 @@
           char name[96];
           kq_book_task_name (run, name);
           kq_log (KQ_LOG_WARN, PART,
-                  "Run has vanished from its runner's list. task=%s run=%u runner=%s",
-                  name, run->number, r->id);
+                  "Run is missing from its runner's list. task=%s run=%u runner=%s", name,
+                  run->number, r->id);
           ++*s->runs_lost;
         }
       kq_run_over (s, run, now);
     }
 }
 
-/* The agent has waited for this: a lease that is extended before the leader has heard
- * from the runner again would outlive the end that the leader was told. */
+/* Lets the agent renew the runner's lease again. An agent that has just been assigned the
+ * runner, or has failed to reach it, doesn't renew until the leader has processed a list:
+ * a lease renewed earlier would outlast the end that the leader was told. */
 static void
-allow_renewals (KqSched *s, const KqRunnerState *r, uint64_t halt)
+send_renew_order (KqSched *s, const KqRunnerState *r, uint64_t halt)
 {
   KqOrder o = { .kind = KQ_ORDER_RENEW, .runner = kq_str (r->id) };
   o.u.renew.halt = halt;
@@ -241,7 +248,8 @@
             r->id, r->n_runs, l->n_running, l->n_ended,
             (long long)((now - r->heard_at) / KQ_MS),
             (long long)((r->lease_ends - now) / KQ_MS));
-  /* The acknowledgement went to an earlier agent, and may not have left it. */
+  /* These ends were acknowledged through an earlier agent, which may not have passed the
+   * acknowledgement on. */
   if (!r->listed && l->n_ended > 0 && l->ended[0].number <= r->ends_stored)
     kq_runners_acknowledge (s, r);
   s->assign_soon = s->assign_soon || !r->listed;
@@ -255,13 +263,13 @@
       {
         r->ends_seen = l->ended[i].number;
         s->ends_dirty = true;
-        take_end (s, r, &l->ended[i], now);
+        apply_end_row (s, r, &l->ended[i], now);
       }
   r->foreign = false;
   for (KqRun *run = r->runs; run != NULL; run = run->next)
     run->marked = false;
   for (size_t i = 0; i < l->n_running; i++)
-    take_row (s, r, &l->running[i], l->order, now);
+    apply_run_row (s, r, &l->running[i], l->order, now);
   if (!l->ended_cut)
     drop_unlisted (s, r, l->order, now);
   if (r->n_serving > 0)
@@ -269,12 +277,12 @@
   else if (r->filling > 0)
     kq_pace_release (s, r, now);
   if (l->halt != 0)
-    allow_renewals (s, r, l->halt);
+    send_renew_order (s, r, l->halt);
   kq_runners_changed (s, r);
 }
 
 static void
-start_refused (KqSched *s, KqRun *run, KqOrderResult result, KqTime now)
+apply_start_refusal (KqSched *s, KqRun *run, KqOrderResult result, KqTime now)
 {
   KqRunnerState *r = run->runner;
   KqTaskState *t = kq_book_state (run);
@@ -282,19 +290,20 @@
     kq_runners_score (r, false, now);
   if (result == KQ_ORDER_NO_ROOM)
     ++*s->no_room;
-  /* Only this sending has been refused: an earlier one was taken, the run is listed or
-   * its stop is under way. */
+  /* Only this repeat of the start was refused: the runner accepted an earlier one and
+   * lists the run, or a stop has been sent. */
   if (run->phase != KQ_RUN_SENDING)
     return;
   if (t != NULL)
     t->avoid = r;
   if (result == KQ_ORDER_NO_TICKET)
     {
-      run->job->spec.advised = true; /* the queue has become so since */
+      run->job->spec.advised
+          = true; /* its queue became advised after the job's acceptance */
       if (run->occurrence != NULL)
         kq_tickets_refused (run->occurrence, run->step, r);
     }
-  /* An earlier sending of it may still be under way: only a stop rules that out. */
+  /* An earlier copy of this start may still be in flight; only a stop rules that out. */
   if (run->unsure)
     kq_run_stop (s, run, "refused", now);
   else
@@ -302,7 +311,7 @@
 }
 
 static void
-start_ended (KqSched *s, KqRun *run, const KqOrderOutcome *o, KqTime now)
+apply_start_result (KqSched *s, KqRun *run, const KqOrderOutcome *o, KqTime now)
 {
   switch (o->result)
     {
@@ -324,9 +333,9 @@
     case KQ_ORDER_LATE:
       run->unsure = true;
       run->stopped = false;
-      break; /* sent again by kq_watch_progress */
+      break; /* kq_watch_progress sends it again */
     case KQ_ORDER_OLD_RUN:
-      /* It has been there and has ended: the end is listed, or the run was stopped. */
+      /* The run has already ended at the runner: its end is listed, or it was stopped. */
       run->unsure = false;
       run->confirmed = o->order + 1;
       break;
@@ -336,13 +345,13 @@
     case KQ_ORDER_UNHEALTHY:
     case KQ_ORDER_OTHER_LIFE:
     case KQ_ORDER_BAD:
-      start_refused (s, run, o->result, now);
+      apply_start_refusal (s, run, o->result, now);
       break;
     }
 }
 
 static void
-stop_ended (KqRun *run, const KqOrderOutcome *o)
+apply_stop_result (KqRun *run, const KqOrderOutcome *o)
 {
   if (o->result == KQ_ORDER_OK || o->result == KQ_ORDER_OLD_RUN)
     {
@@ -361,7 +370,7 @@
 }
 
 static const char *
-believed (const KqRun *run)
+run_phase_name (const KqRun *run)
 {
   static const char *const names[] = { "sending", "running", "stopping" };
   return run != NULL ? names[run->phase] : "over";
@@ -386,16 +395,17 @@
             "Order not carried out. task=%.*s run=%u runner=%s order=%s result=%s "
             "believed=%s unsure=%d",
             KQ_STR_ARG (o->task), o->run, r->id, kq_order_kind_name (o->kind),
-            kq_order_result_name (o->result), believed (run), run != NULL && run->unsure);
+            kq_order_result_name (o->result), run_phase_name (run),
+            run != NULL && run->unsure);
   if (run == NULL || o->kind == KQ_ORDER_PACE)
     return;
   run->waiting = false;
   if (o->kind == KQ_ORDER_START)
     {
       kq_run_start_gone (s, run);
-      start_ended (s, run, o, now);
+      apply_start_result (s, run, o, now);
     }
   else
-    stop_ended (run, o);
+    apply_stop_result (run, o);
   s->work = true;
 }
--- a/src/sched/maintenance.c
+++ b/src/sched/maintenance.c
@@ -1,10 +1,11 @@
-/* maintenance: takes the target hosts of a wave down, one maintenance each, in time.
+/* maintenance: takes the target hosts of a wave down, each once, before the wave's time
+ * is over.
  *
- * Load pattern: most of the room is reserved by tasks that last, so each host that goes
- * down takes away what its tasks would move to. So no more hosts go down at once than the
- * wave's time asks for, the emptiest first; a host takes nothing new, its tasks move or
- * save their progress, and only then it goes down. 20 of 48 hosts in 20 s: 7 at a time
- * where 12 were allowed, all in time. */
+ * A host is drained first: it gets no new tasks, its tasks are moved or save their
+ * progress, and only then it goes down. Lasting tasks reserve most of the capacity, and
+ * each host that is down reduces what they can move to. So only as many hosts are down at
+ * once as are needed to finish in time, those with the fewest runs first. For 20 of 48
+ * hosts in 20 s these are 7 at a time, where 12 were allowed. */
 
 #include "sched/state.h"
 
@@ -13,33 +14,34 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What a host takes from the first stop to its new runner: tasks that end, the
- * maintenance of 2 s, the new runner's entry; 4.1 s measured on 48 hosts. */
-#define HOST_TAKES (5 * KQ_SEC)
-/* The wave should be through so long before its time is over. */
-#define SPARE_TIME (2 * KQ_SEC)
-/* Tasks that can't save their progress may run on for so long. */
-#define EMPTY_LONGEST (2 * KQ_SEC)
-/* A task that ends by itself so soon isn't stopped. */
+/* Time for one host, from the first stop to the new runner's entry. It takes 4.1 s with
+ * 48 hosts, 2 s of which are the maintenance itself. */
+#define HOST_DURATION (5 * KQ_SEC)
+/* The wave should be completed this long before its time is over. */
+#define WAVE_RESERVE (2 * KQ_SEC)
+/* Tasks that can't save their progress may go on for this time while a host is drained.
+ */
+#define DRAIN_MAX (2 * KQ_SEC)
+/* A task that is expected to end within this time isn't stopped. */
 #define ENDS_SOON_MS 500
-/* After this a host counts as back, whether a new runner has come or not. */
-#define DOWN_LONGEST (10 * KQ_SEC)
-/* A list that comes so long after the order was carried out isn't of the runner that the
- * order ended. */
-#define HEARD_AFTER KQ_SEC
-/* An order of an earlier leader for the same host may be this young; two leaders must not
- * order in turns. */
-#define FIRST_ORDER_AFTER (3200 * KQ_MS)
-/* Repeats: of a call without an answer, of one that was turned away, and of one for a
- * host that wasn't up. */
-#define AGAIN_UNKNOWN (600 * KQ_MS)
-#define AGAIN_LIMITED (300 * KQ_MS)
-#define AGAIN_BUSY KQ_SEC
-/* Hosts' clocks may differ by so much. */
-#define BORN_MARGIN_MS 5000
+/* After this time a host counts as back, also without a new runner. */
+#define DOWN_MAX (10 * KQ_SEC)
+/* A runner that still lists its runs this long after the maintenance began wasn't ended
+ * by it. */
+#define STILL_ALIVE_AFTER KQ_SEC
+/* A new leader waits this long before its first maintenance call, so that it doesn't
+ * interleave with calls of the earlier leader for the same host. */
+#define FIRST_CALL_DELAY (3200 * KQ_MS)
+/* Delay before a maintenance call is repeated: after a call without an answer, after one
+ * that was refused by the rate limit, and after one for a host that wasn't up. */
+#define RETRY_UNANSWERED (600 * KQ_MS)
+#define RETRY_LIMITED (300 * KQ_MS)
+#define RETRY_BUSY KQ_SEC
+/* How much the clocks of hosts may differ. */
+#define CLOCK_SKEW_MS 5000
 
 static bool
-is_begun (const KqWaveHost *h)
+has_begun (const KqWaveHost *h)
 {
   return h->phase >= KQ_HOST_DOWN;
 }
@@ -97,7 +99,7 @@
 }
 
 static KqWave *
-need_wave (KqSched *s, int64_t number)
+get_or_add_wave (KqSched *s, int64_t number)
 {
   KqWave *w = find_wave (s, number);
   if (w != NULL)
@@ -111,7 +113,7 @@
 void
 kq_sched_wave (KqSched *s, const KqWaveInfo *info, KqTime now)
 {
-  KqWave *w = need_wave (s, info->number);
+  KqWave *w = get_or_add_wave (s, info->number);
   if (w->asked)
     return;
   w->asked = true;
@@ -124,7 +126,7 @@
     add_host (w, info->hosts[i]);
   s->waves_dirty = s->waves_dirty || !w->completed;
   kq_log (KQ_LOG_INFO, PART,
-          "Wave of maintenance. wave=%lld hosts=%zu cap=%d duration_ms=%lld",
+          "Maintenance wave requested. wave=%lld hosts=%zu cap=%d duration_ms=%lld",
           (long long)w->number, w->n_hosts, w->cap, (long long)info->duration_ms);
 }
 
@@ -140,9 +142,10 @@
   return NULL;
 }
 
-/* Whether one more task of the step may be away by our doing. */
+/* Whether the run may be stopped without exceeding the number of tasks of its step that
+ * may be away at once because of the scheduler. */
 static bool
-may_be_away (const KqRun *run)
+may_interrupt (const KqRun *run)
 {
   const KqStep *p = kq_run_step (run);
   const KqStepState *st;
@@ -153,16 +156,16 @@
   for (int32_t i = 0; i < p->width; i++)
     {
       const KqRun *other = st->tasks[i].run;
-      bool at_work
+      bool serving
           = other != NULL && other->phase == KQ_RUN_RUNNING && other->percent >= 100;
-      away += i != run->index && !at_work;
+      away += i != run->index && !serving;
     }
   return away < p->away_most;
 }
 
-/* Moves on what can be moved. Whether the host may go down now. */
+/* Stops the runs that can go on elsewhere. Returns whether the host may go down now. */
 static bool
-empty_host (KqSched *s, KqRunnerState *r, KqTime since, KqTime now)
+drain_host (KqSched *s, KqRunnerState *r, KqTime since, KqTime now)
 {
   bool protected_left = false;
   for (KqRun *run = r->runs; run != NULL; run = run->next)
@@ -171,30 +174,30 @@
       int64_t left_ms = (int64_t)p->estimate_ms * (100 - run->percent) / 100;
       if (run->phase != KQ_RUN_RUNNING)
         continue;
-      if (!may_be_away (run))
+      if (!may_interrupt (run))
         protected_left = true;
       else if (p->lasting || (p->checkpoints && left_ms > ENDS_SOON_MS))
         kq_run_stop (s, run, "its host goes down for maintenance", now);
     }
-  return r->n_runs == 0 || (!protected_left && now - since >= EMPTY_LONGEST);
+  return r->n_runs == 0 || (!protected_left && now - since >= DRAIN_MAX);
 }
 
-/* How many hosts of the wave should be on their way down, so that it ends in time. */
+/* How many hosts of the wave must be drained or down at once for it to end in time. */
 static int32_t
-wanted_at_once (const KqWave *w, KqTime now)
+needed_at_once (const KqWave *w, KqTime now)
 {
   int64_t left = 0;
-  KqTime time = w->ends_at - SPARE_TIME - now;
+  KqTime time = w->ends_at - WAVE_RESERVE - now;
   int64_t wanted;
   for (size_t i = 0; i < w->n_hosts; i++)
-    left += !is_begun (&w->hosts[i]);
-  if (time < HOST_TAKES)
+    left += !has_begun (&w->hosts[i]);
+  if (time < HOST_DURATION)
     return w->cap;
-  wanted = (left * HOST_TAKES + time - 1) / time;
+  wanted = (left * HOST_DURATION + time - 1) / time;
   return wanted < w->cap ? (int32_t)wanted : w->cap;
 }
 
-/* Whether another wave has the host in hand. */
+/* Whether another wave is draining the host or has taken it down. */
 static bool
 in_other_wave (const KqSched *s, const KqWave *w, const char *host)
 {
@@ -208,9 +211,9 @@
   return false;
 }
 
-/* Hosts of the wave on their way down or down, by this wave or another one. */
+/* Hosts of the wave that are being drained or are down, by this wave or another one. */
 static int32_t
-count_away (const KqSched *s, const KqWave *w)
+count_unavailable (const KqSched *s, const KqWave *w)
 {
   int32_t n = 0;
   for (size_t i = 0; i < w->n_hosts; i++)
@@ -222,7 +225,7 @@
   return n;
 }
 
-/* The waiting host with the least on it. */
+/* The waiting host with the fewest runs; NULL: none. */
 static KqWaveHost *
 next_host (const KqSched *s, const KqWave *w, KqTime now)
 {
@@ -243,20 +246,21 @@
 }
 
 static void
-begin_emptying (KqSched *s, const KqWave *w, KqWaveHost *h, KqTime now)
+begin_drain (KqSched *s, const KqWave *w, KqWaveHost *h, KqTime now)
 {
   KqRunnerState *r = runner_on (s, h->host);
   h->phase = KQ_HOST_EMPTYING;
   h->since = now;
   if (r != NULL)
     r->leaving = true;
-  kq_log (KQ_LOG_INFO, PART, "Emptying a host. wave=%lld host=%s runner=%s runs=%d",
+  kq_log (KQ_LOG_INFO, PART,
+          "Draining a host for maintenance. wave=%lld host=%s runner=%s runs=%d",
           (long long)w->number, h->host, r != NULL ? r->id : "-",
           r != NULL ? r->n_runs : 0);
 }
 
 static void
-order_maintenance (KqSched *s, const KqWave *w, KqWaveHost *h, KqTime now)
+call_maintenance (KqSched *s, const KqWave *w, KqWaveHost *h, KqTime now)
 {
   const KqRunnerState *r = runner_on (s, h->host);
   free (h->old_runner);
@@ -267,6 +271,7 @@
   s->config.maintenance (s->config.arg, kq_str (h->host), w->number);
 }
 
+/* Whether the runner isn't the one that was on the host when it was taken down. */
 static bool
 is_new (const KqRunnerState *r, const KqWaveHost *h)
 {
@@ -274,7 +279,7 @@
 }
 
 static void
-use_again (KqSched *s, const KqWaveHost *h)
+return_to_service (KqSched *s, const KqWaveHost *h)
 {
   KqRunnerState *r = runner_on (s, h->host);
   if (r != NULL)
@@ -285,21 +290,22 @@
   s->work = true;
 }
 
-/* An earlier maintenance's new runner may have come up just before this one began. And
- * the order may be told as done because an earlier leader's was: then the runner that was
- * emptied runs on, and is needed again (5 runners of 66 stayed empty for the rest of the
- * day, while lasting tasks waited for room). */
+/* Whether the host can be used again. A new runner doesn't prove it before the duration
+ * of a maintenance has passed: it may come from an earlier maintenance and have
+ * registered just before this one began. A runner that still answers does: the call also
+ * succeeds if an earlier leader had the maintenance done already, and then the drained
+ * runner goes on (5 of 66 runners stayed unused, while lasting tasks waited for room). */
 static bool
 is_back (const KqSched *s, const KqWaveHost *h, const KqRunnerState *r, KqTime now)
 {
   if (now - h->since < s->config.maintenance_ms * KQ_MS)
     return false;
-  return now - h->since >= DOWN_LONGEST || is_new (r, h)
-         || (r != NULL && !r->silent && r->heard_at >= h->since + HEARD_AFTER);
+  return now - h->since >= DOWN_MAX || is_new (r, h)
+         || (r != NULL && !r->silent && r->heard_at >= h->since + STILL_ALIVE_AFTER);
 }
 
 static void
-look_at_host (KqSched *s, const KqWave *w, KqWaveHost *h, KqTime now)
+update_host (KqSched *s, const KqWave *w, KqWaveHost *h, KqTime now)
 {
   KqRunnerState *r = runner_on (s, h->host);
   switch (h->phase)
@@ -308,70 +314,70 @@
     case KQ_HOST_BACK:
       break;
     case KQ_HOST_EMPTYING:
-      if (r == NULL || empty_host (s, r, h->since, now))
-        order_maintenance (s, w, h, now);
+      if (r == NULL || drain_host (s, r, h->since, now))
+        call_maintenance (s, w, h, now);
       break;
     case KQ_HOST_ASKED:
       if (now >= h->again_at)
-        order_maintenance (s, w, h, now);
+        call_maintenance (s, w, h, now);
       break;
     case KQ_HOST_DOWN:
       if (is_back (s, h, r, now))
         {
           h->phase = KQ_HOST_BACK;
-          use_again (s, h);
+          return_to_service (s, h);
         }
       break;
     }
 }
 
 static void
-look_at_wave (KqSched *s, KqWave *w, KqTime now)
+update_wave (KqSched *s, KqWave *w, KqTime now)
 {
-  int32_t wanted = wanted_at_once (w, now);
+  int32_t wanted = needed_at_once (w, now);
   for (size_t i = 0; i < w->n_hosts; i++)
-    look_at_host (s, w, &w->hosts[i], now);
+    update_host (s, w, &w->hosts[i], now);
   if (w->completed)
-    return; /* its last hosts have yet to come back */
-  for (int32_t n = count_away (s, w); n < wanted; n++)
+    return; /* only waiting for its last hosts to come back */
+  for (int32_t n = count_unavailable (s, w); n < wanted; n++)
     {
       KqWaveHost *h = next_host (s, w, now);
       if (h == NULL)
         break;
-      begin_emptying (s, w, h, now);
+      begin_drain (s, w, h, now);
     }
   for (size_t i = 0; i < w->n_hosts; i++)
-    if (!is_begun (&w->hosts[i]))
+    if (!has_begun (&w->hosts[i]))
       return;
   w->completed = true;
   s->waves_dirty = true;
-  kq_log (KQ_LOG_INFO, PART, "Wave is through. wave=%lld left_ms=%lld",
+  kq_log (KQ_LOG_INFO, PART, "Maintenance wave completed. wave=%lld left_ms=%lld",
           (long long)w->number, (long long)((w->ends_at - now) / KQ_MS));
 }
 
 void
 kq_maintenance_look (KqSched *s, KqTime now)
 {
-  if (s->config.maintenance == NULL || now - s->started_at < FIRST_ORDER_AFTER)
+  if (s->config.maintenance == NULL || now - s->started_at < FIRST_CALL_DELAY)
     return;
   for (guint i = 0; i < s->waves->len; i++)
     {
       KqWave *w = g_ptr_array_index (s->waves, i);
       if (w->asked)
-        look_at_wave (s, w, now);
+        update_wave (s, w, now);
     }
 }
 
-/* Whether the runner that the order was for began its life before the wave: then the
- * answer is about that life. A later one may be what an earlier order, whose answer was
- * lost, has brought up, and goes on. */
+/* Whether the runner that the call was for started before the wave, so that the
+ * maintenance has ended it. One that started later may have come up after an earlier call
+ * whose answer was lost, and then it goes on. */
 static bool
-is_of_before (const KqSched *s, const KqWave *w, const KqWaveHost *h)
+started_before_wave (const KqSched *s, const KqWave *w, const KqWaveHost *h)
 {
   const KqRunnerState *r
       = h->old_runner != NULL ? kq_runners_find (s, kq_str (h->old_runner)) : NULL;
   int64_t begun_ms = w->ends_wall_ms - w->duration_ms;
-  return r != NULL && r->born_ms != 0 && r->born_ms < begun_ms - BORN_MARGIN_MS;
+  return r != NULL && r->born_ms != 0 && r->born_ms < begun_ms - CLOCK_SKEW_MS;
 }
 
 void
@@ -380,7 +386,7 @@
 {
   KqWave *w = find_wave (s, wave);
   KqWaveHost *h = w != NULL ? find_host (w, host) : NULL;
-  kq_log (KQ_LOG_INFO, PART, "Maintenance ordered. wave=%lld host=%.*s result=%s",
+  kq_log (KQ_LOG_INFO, PART, "Maintenance call answered. wave=%lld host=%.*s result=%s",
           (long long)wave, KQ_STR_ARG (host), kq_maintenance_result_name (result));
   if (h == NULL || h->phase != KQ_HOST_ASKED)
     return;
@@ -390,31 +396,31 @@
       h->phase = KQ_HOST_DOWN;
       h->since = now;
       s->waves_dirty = true;
-      if (is_of_before (s, w, h))
+      if (started_before_wave (s, w, h))
         kq_runners_taken_down (s, kq_str (h->old_runner), now);
       break;
     case KQ_MAINTENANCE_FOREIGN:
       h->phase = KQ_HOST_BACK; /* it has gone for good: nothing to wait for */
       s->waves_dirty = true;
-      use_again (s, h);
+      return_to_service (s, h);
       break;
     case KQ_MAINTENANCE_BUSY:
       h->phase = KQ_HOST_WAITING;
-      h->again_at = now + AGAIN_BUSY;
-      use_again (s, h);
+      h->again_at = now + RETRY_BUSY;
+      return_to_service (s, h);
       break;
     case KQ_MAINTENANCE_LIMITED:
-      h->again_at = now + AGAIN_LIMITED;
+      h->again_at = now + RETRY_LIMITED;
       break;
     case KQ_MAINTENANCE_FENCED:
     case KQ_MAINTENANCE_UNKNOWN:
-      h->again_at = now + AGAIN_UNKNOWN;
+      h->again_at = now + RETRY_UNANSWERED;
       break;
     }
 }
 
-/* First field of the stored form. */
-#define FORM 1
+/* Version of the stored format, its first field. */
+#define FORMAT_VERSION 1
 
 bool
 kq_sched_waves_pending (const KqSched *s)
@@ -428,19 +434,19 @@
   KqPacker p;
   kq_packer_init (&p, out);
   kq_pack_array (&p, 1 + (size_t)s->waves->len);
-  kq_pack_i64 (&p, FORM);
+  kq_pack_i64 (&p, FORMAT_VERSION);
   for (guint i = 0; i < s->waves->len; i++)
     {
       const KqWave *w = g_ptr_array_index (s->waves, i);
       size_t begun = 0;
       for (size_t k = 0; k < w->n_hosts; k++)
-        begun += is_begun (&w->hosts[k]);
+        begun += has_begun (&w->hosts[k]);
       kq_pack_array (&p, 3 + begun);
       kq_pack_i64 (&p, w->number);
       kq_pack_i64 (&p, w->ends_wall_ms);
       kq_pack_bool (&p, w->completed);
       for (size_t k = 0; k < w->n_hosts; k++)
-        if (is_begun (&w->hosts[k]))
+        if (has_begun (&w->hosts[k]))
           kq_pack_str (&p, kq_str (w->hosts[k].host));
     }
   s->waves_dirty = false;
@@ -472,13 +478,13 @@
   bool good;
   if (!kq_unpacked_open (&u, stored, &r))
     return false;
-  good = kq_read_i64 (&r) == FORM;
+  good = kq_read_i64 (&r) == FORMAT_VERSION;
   while (good && !r.bad && r.left > 0)
     {
       KqReader one;
       KqWave *w;
       kq_read_array (&r, &one);
-      w = need_wave (s, kq_read_i64 (&one));
+      w = get_or_add_wave (s, kq_read_i64 (&one));
       w->ends_wall_ms = kq_read_i64 (&one);
       w->completed = kq_read_bool (&one);
       while (!one.bad && one.left > 0)
--- a/src/sched/progress.c
+++ b/src/sched/progress.c
@@ -1,7 +1,7 @@
-/* progress: the stored form of how far a job is. It holds what no runner can tell any
- * more once its ends have been acknowledged: tasks done, failures counted, checkpoints of
- * tasks that wait, which lasting tasks have run. Where tasks run is not in it; the
- * runners know. */
+/* progress: the stored format of a job's progress. It holds what runners no longer list
+ * after their ends have been acknowledged: tasks that are done, failures, checkpoints of
+ * waiting tasks, and which lasting tasks have run. It doesn't hold where tasks run: a new
+ * leader learns that from the runners' lists. */
 
 #include "sched/state.h"
 
@@ -10,10 +10,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FORM 1
+/* Version of the stored format, its first field. */
+#define FORMAT_VERSION 1
 
 static bool
-worth_a_row (const KqTaskState *t)
+needs_row (const KqTaskState *t)
 {
   return t->phase != KQ_TASK_DONE && (t->failures > 0 || t->checkpoint != NULL);
 }
@@ -30,7 +31,7 @@
   return t->has_run;
 }
 
-/* A bit for each task; nothing if none is set. */
+/* A bit for each task; an empty string if none is set. */
 static void
 pack_bits (KqPacker *p, const KqStepState *st, int32_t width,
            bool (*holds) (const KqTaskState *t))
@@ -59,12 +60,12 @@
 {
   size_t rows = 0;
   for (int32_t i = 0; i < width; i++)
-    rows += worth_a_row (&st->tasks[i]);
+    rows += needs_row (&st->tasks[i]);
   kq_pack_array (p, 3);
   pack_bits (p, st, width, is_done);
   kq_pack_array (p, rows);
   for (int32_t i = 0; i < width; i++)
-    if (worth_a_row (&st->tasks[i]))
+    if (needs_row (&st->tasks[i]))
       {
         const KqTaskState *t = &st->tasks[i];
         kq_pack_array (p, 3);
@@ -86,7 +87,7 @@
     n++;
   kq_packer_init (&p, out);
   kq_pack_array (&p, 5);
-  kq_pack_i64 (&p, FORM);
+  kq_pack_i64 (&p, FORMAT_VERSION);
   kq_pack_i64 (&p, j->state >= KQ_JOB_COMPLETED ? (int64_t)j->state : KQ_JOB_RUNNING);
   kq_pack_i64 (&p, j->created);
   kq_pack_i64 (&p, j->finished);
@@ -139,7 +140,7 @@
     }
   kq_read_join (r, &rows);
   if (r->left == 0)
-    return; /* an older version didn't store the rest */
+    return; /* written by an older version, without the has_run bits */
   bits = kq_read_str (r);
   for (int32_t i = 0; i < width; i++)
     st->tasks[i].has_run = read_bit (bits, i);
@@ -175,7 +176,7 @@
 }
 
 static bool
-started_any (const KqJob *j)
+has_started (const KqJob *j)
 {
   for (KqOccurrence *o = j->occurrences; o != NULL; o = o->next)
     for (int32_t i = 0; i < j->spec.n_steps; i++)
@@ -183,7 +184,7 @@
         if (o->steps[i].done > 0)
           return true;
         for (int32_t k = 0; k < j->spec.steps[i].width; k++)
-          if (worth_a_row (&o->steps[i].tasks[k]))
+          if (needs_row (&o->steps[i].tasks[k]))
             return true;
       }
   return j->finished > 0;
@@ -198,7 +199,7 @@
   int64_t state;
   if (!kq_unpacked_open (&u, stored, &r))
     return false;
-  r.bad = kq_read_i64 (&r) != FORM || r.bad;
+  r.bad = kq_read_i64 (&r) != FORMAT_VERSION || r.bad;
   state = kq_read_i64 (&r);
   if (!r.bad && state >= KQ_JOB_COMPLETED && state <= KQ_JOB_CANCELLED)
     {
@@ -217,7 +218,7 @@
       kq_read_join (&list, &one);
     }
   kq_read_join (&r, &list);
-  j->begun = j->begun || started_any (j);
+  j->begun = j->begun || has_started (j);
   kq_unpacked_close (&u);
   return !r.bad;
 }
@@ -231,7 +232,7 @@
   bool good;
   if (!kq_unpacked_open (&u, stored, &r))
     return KQ_JOB_UNKNOWN;
-  good = kq_read_i64 (&r) == FORM;
+  good = kq_read_i64 (&r) == FORMAT_VERSION;
   state = kq_read_i64 (&r);
   good = good && !r.bad && state >= KQ_JOB_WAITING && state < KQ_JOB_UNKNOWN;
   kq_unpacked_close (&u);
--- a/src/sched/runners.c
+++ b/src/sched/runners.c
@@ -1,17 +1,17 @@
-/* runners: what is known of each runner, which agent talks to it, and when the silence of
- * one proves that nothing runs there any more. */
+/* runners: the state of each runner, its assignment to an agent, and the expiry of its
+ * lease, after which nothing can run there any more. */
 
 #include "sched/state.h"
 
 #include <stdlib.h>
 
-/* Beyond the computed end of a lease: timers fire late and answers travel. */
+/* Added to the computed end of a lease, for late timers and answers in flight. */
 #define LEASE_MARGIN (300 * KQ_MS)
-/* Runners' clocks may be this much slow, in percent. */
-#define CLOCK_SLOW_PERCENT 2
-/* From the moment for its repeat on, a start without an answer may still arrive for so
- * long: its call has ended, and its connection is closed. */
-#define START_LATE (850 * KQ_MS)
+/* How much a runner's clock may run slow. */
+#define CLOCK_DRIFT_PERCENT 2
+/* How long an unanswered start may still reach its runner, counted from the moment at
+ * which its repeat is due. Afterwards its call has ended and its connection is closed. */
+#define START_IN_FLIGHT_MAX (850 * KQ_MS)
 
 KqRunnerState *
 kq_runners_find (const KqSched *s, KqStr id)
@@ -23,7 +23,7 @@
 }
 
 static void
-set_text (char **at, KqStr value)
+set_string (char **at, KqStr value)
 {
   if (*at != NULL && kq_str_eq (kq_str (*at), value))
     return;
@@ -78,22 +78,23 @@
   s->changed_last = r;
 }
 
-/* On a slow clock. */
+/* The length of a lease by the slowest clock that is allowed for. */
 static KqTime
-full_lease (const KqSched *s)
+longest_lease (const KqSched *s)
 {
-  return s->config.lease_ms * KQ_MS * (100 + CLOCK_SLOW_PERCENT) / 100;
+  return s->config.lease_ms * KQ_MS * (100 + CLOCK_DRIFT_PERCENT) / 100;
 }
 
-/* Latest end of a lease that an agent of an earlier leader, or one that we have lost, may
- * still grant. */
+/* Latest end of a lease that may still be granted by an agent that this leader gets no
+ * reports from: one of an earlier leader, or one that was lost or replaced now. Such an
+ * agent goes on renewing for blind_ms. */
 static KqTime
-blind_lease_end (const KqSched *s, KqTime now)
+latest_unseen_lease_end (const KqSched *s, KqTime now)
 {
-  return now + s->config.blind_ms * KQ_MS + full_lease (s);
+  return now + s->config.blind_ms * KQ_MS + longest_lease (s);
 }
 
-/* The agent's node. */
+/* The name of the agent's node; "" for -1. */
 static KqStr
 agent_node (const KqSched *s, int agent)
 {
@@ -120,7 +121,7 @@
       KqStr from = agent_node (s, agent);
       KqStr now_of = agent_node (s, r->agent);
       kq_log (KQ_LOG_INFO, PART,
-              "A word of an earlier agent is passed over. runner=%s what=%s from=%.*s "
+              "Ignoring a message of an earlier agent. runner=%s what=%s from=%.*s "
               "agent=%.*s",
               r->id, what, KQ_STR_ARG (from), KQ_STR_ARG (now_of));
     }
@@ -128,13 +129,13 @@
   return false;
 }
 
-/* The agent grants on until it hears of this or counts us as lost, and its last lists may
- * be under way. */
+/* Takes the runner from its agent. The agent goes on renewing the lease until the order
+ * arrives or it counts the leader as lost, and its last lists may be in flight. */
 static void
 drop_agent (KqSched *s, KqRunnerState *r, KqTime now)
 {
   KqOrder drop = { .kind = KQ_ORDER_DROP, .runner = kq_str (r->id) };
-  KqTime ends = blind_lease_end (s, now);
+  KqTime ends = latest_unseen_lease_end (s, now);
   s->agents.list[r->agent].runners--;
   if (s->agents.list[r->agent].up)
     s->config.order (s->config.arg, r->agent, &drop);
@@ -154,32 +155,33 @@
   s->config.order (s->config.arg, r->agent, &o);
 }
 
-/* A start under way may begin in the runner's next life, whose young clock lets it have a
- * whole lease, whatever was granted. */
+/* Extends the lease for starts in flight: one may arrive after a restart of the runner,
+ * whose new clock then allows its run a whole lease, whatever was granted before. */
 static void
-allow_for_starts (const KqSched *s, KqRunnerState *r)
+extend_for_starts (const KqSched *s, KqRunnerState *r)
 {
   for (const KqRun *run = r->runs; run != NULL; run = run->next)
     if (run->unsure || (run->waiting && run->phase == KQ_RUN_SENDING))
-      kq_runners_extend (r, run->retry_at + START_LATE + full_lease (s), "start");
+      kq_runners_extend (r, run->retry_at + START_IN_FLIGHT_MAX + longest_lease (s),
+                         "start");
 }
 
 static KqRunnerState *
-add (KqSched *s, KqStr id, KqTime now)
+add_runner (KqSched *s, KqStr id, KqTime now)
 {
   KqRunnerState *r = kq_alloc (sizeof *r);
   r->id = kq_str_dup (id);
-  set_text (&r->service, KQ_STR (""));
+  set_string (&r->service, KQ_STR (""));
   r->pool = kq_pools_need (s, KQ_STR (""));
-  set_text (&r->address, KQ_STR (""));
-  set_text (&r->domain, KQ_STR (""));
-  set_text (&r->rack, KQ_STR (""));
-  set_text (&r->kind, KQ_STR (""));
-  set_text (&r->host, KQ_STR (""));
+  set_string (&r->address, KQ_STR (""));
+  set_string (&r->domain, KQ_STR (""));
+  set_string (&r->rack, KQ_STR (""));
+  set_string (&r->kind, KQ_STR (""));
+  set_string (&r->host, KQ_STR (""));
   r->agent = -1;
   r->slowness = 1;
   r->score_at = r->heard_at = now;
-  r->lease_ends = s->loaded ? now : blind_lease_end (s, now);
+  r->lease_ends = s->loaded ? now : latest_unseen_lease_end (s, now);
   r->lease_from = s->loaded ? "entry" : "earlier leader";
   g_hash_table_insert (s->runners, r->id, r);
   g_ptr_array_add (s->runner_list, r);
@@ -195,21 +197,21 @@
   if (e->id.len == 0 || e->id.len > KQ_NAME_MAX)
     return;
   if (r == NULL)
-    r = add (s, e->id, now);
+    r = add_runner (s, e->id, now);
   moved = !kq_str_eq (kq_str (r->address), e->address);
   if (s->loaded && (!r->in_store || r->draining != e->draining || moved))
-    kq_log (
-        KQ_LOG_INFO, PART,
-        "Runner's entry. runner=%s address=%.*s draining=%d born_ms=%lld left_ms=%lld",
-        r->id, KQ_STR_ARG (e->address), e->draining, (long long)e->born_ms,
-        (long long)e->left_ms);
-  set_text (&r->service, e->service);
+    kq_log (KQ_LOG_INFO, PART,
+            "Runner entry changed. runner=%s address=%.*s draining=%d "
+            "born_ms=%lld left_ms=%lld",
+            r->id, KQ_STR_ARG (e->address), e->draining, (long long)e->born_ms,
+            (long long)e->left_ms);
+  set_string (&r->service, e->service);
   r->pool = kq_pools_need (s, e->service);
-  set_text (&r->address, e->address);
-  set_text (&r->domain, e->failure_domain);
-  set_text (&r->rack, e->rack);
-  set_text (&r->kind, e->kind);
-  set_text (&r->host, e->host);
+  set_string (&r->address, e->address);
+  set_string (&r->domain, e->failure_domain);
+  set_string (&r->rack, e->rack);
+  set_string (&r->kind, e->kind);
+  set_string (&r->host, e->host);
   r->room = e->room;
   r->in_store = true;
   if (r->over && e->born_ms != r->born_ms)
@@ -218,7 +220,7 @@
       r->known_stored = r->known_sent;
     }
   if (r->draining && !e->draining && !r->known_sent)
-    r->known_stored = false; /* no start before the store knows it again */
+    r->known_stored = false; /* no start before it is in the stored list again */
   if (e->draining && !r->draining)
     r->drain_ends = now + e->left_ms * KQ_MS;
   r->draining = e->draining;
@@ -236,19 +238,19 @@
   (void)now;
   if (r == NULL || !r->in_store)
     return;
-  kq_log (KQ_LOG_INFO, PART, "Runner's entry is gone. runner=%s runs=%d silent=%d", r->id,
+  kq_log (KQ_LOG_INFO, PART, "Runner entry removed. runner=%s runs=%d silent=%d", r->id,
           r->n_runs, r->silent);
   r->in_store = false;
 }
 
-/* All that ran there is over without a word. */
+/* Ends all runs there as lost; the runner hasn't reported their ends. */
 static void
-lose (KqSched *s, KqRunnerState *r, const char *why, KqTime now)
+end_lost_runs (KqSched *s, KqRunnerState *r, const char *why, KqTime now)
 {
   KqStr node = agent_node (s, r->agent);
   if (r->n_runs > 0)
     kq_log (KQ_LOG_WARN, PART,
-            "Runs are over without a word. runner=%s runs=%d why=%s agent=%.*s "
+            "Runs lost without a report. runner=%s runs=%d why=%s agent=%.*s "
             "heard_ms_ago=%lld lease_over_ms=%lld lease_from=%s",
             r->id, r->n_runs, why, KQ_STR_ARG (node),
             (long long)((now - r->heard_at) / KQ_MS),
@@ -265,17 +267,16 @@
   r->foreign = false;
 }
 
-/* All that ran in the earlier life is over. But a start that nobody has answered may
- * still reach the new life, which knows nothing of run numbers or fencing tokens: it is
- * stopped there first, which makes the runner refuse it, and only then started elsewhere.
- * And one that was answered after the question for this list left may run in the new
- * life: the next list tells. */
+/* All runs from before the restart are over, with two exceptions. An unanswered start may
+ * still reach the restarted runner, which has lost its run numbers and fencing tokens:
+ * the run is stopped there first, so that the runner refuses the start, and only then
+ * started elsewhere. And a start that was answered after the request for this list was
+ * sent may run after the restart: the next list shows whether it does. */
 void
 kq_runners_reborn (KqSched *s, KqRunnerState *r, uint64_t order, KqTime now)
 {
   KqRun *next;
-  kq_log (KQ_LOG_WARN, PART, "Runner has started anew. runner=%s runs=%d", r->id,
-          r->n_runs);
+  kq_log (KQ_LOG_WARN, PART, "Runner has restarted. runner=%s runs=%d", r->id, r->n_runs);
   for (KqRun *run = r->runs; run != NULL; run = next)
     {
       bool under_way = run->unsure || run->waiting || run->resent;
@@ -294,7 +295,7 @@
 }
 
 static void
-give_agent (KqSched *s, KqRunnerState *r, int agent, KqTime now)
+assign_agent (KqSched *s, KqRunnerState *r, int agent, KqTime now)
 {
   KqOrder o = { .kind = KQ_ORDER_TAKE, .runner = kq_str (r->id) };
   if (r->agent >= 0 || r->listed || r->silent)
@@ -302,7 +303,7 @@
       KqStr node = agent_node (s, agent);
       KqStr was = agent_node (s, r->agent);
       kq_log (KQ_LOG_INFO, PART,
-              "Runner has another agent. runner=%s agent=%.*s was=%.*s runs=%d silent=%d "
+              "Runner has a new agent. runner=%s agent=%.*s was=%.*s runs=%d silent=%d "
               "lease_left_ms=%lld",
               r->id, KQ_STR_ARG (node), KQ_STR_ARG (was), r->n_runs, r->silent,
               (long long)((r->lease_ends - now) / KQ_MS));
@@ -311,14 +312,14 @@
     drop_agent (s, r, now);
   r->agent = agent;
   r->watched = r->passed_over = false;
-  r->listed = false; /* to this agent: it knows neither the runner's clock nor its runs */
+  r->listed = false; /* the new agent knows neither the runner's clock nor its runs */
   s->agents.list[agent].runners++;
-  s->agents.list[agent].unheard++;
+  s->agents.list[agent].unlisted++;
   r->taking = ++s->takings;
   o.u.take.address = kq_str (r->address);
   o.u.take.taking = r->taking;
   s->config.order (s->config.arg, agent, &o);
-  /* What the earlier agent was asked is not known to the new one. */
+  /* The new agent doesn't know the orders that the earlier one was given. */
   for (KqRun *run = r->runs; run != NULL; run = run->next)
     {
       kq_run_unanswered (s, run);
@@ -329,19 +330,20 @@
     }
 }
 
-/* Counts what each agent has yet to tell of; the number of runners that need one. */
+/* Counts each agent's runners whose first list hasn't arrived. Returns the number of
+ * runners that need an agent. */
 static int
-count_unheard (KqSched *s)
+count_unlisted (KqSched *s)
 {
   int total = 0;
   for (int i = 0; i < s->agents.n; i++)
-    s->agents.list[i].unheard = 0;
+    s->agents.list[i].unlisted = 0;
   for (guint i = 0; i < s->runner_list->len; i++)
     {
       const KqRunnerState *r = g_ptr_array_index (s->runner_list, i);
       total += r->address[0] != '\0';
       if (r->agent >= 0 && !r->listed && !r->silent)
-        s->agents.list[r->agent].unheard++;
+        s->agents.list[r->agent].unlisted++;
     }
   return total;
 }
@@ -353,7 +355,7 @@
   s->assign_soon = false;
   if (!s->loaded)
     return;
-  total = count_unheard (s);
+  total = count_unlisted (s);
   for (guint i = 0; i < s->runner_list->len; i++)
     {
       KqRunnerState *r = g_ptr_array_index (s->runner_list, i);
@@ -364,7 +366,7 @@
         continue;
       agent = kq_agents_pick (&s->agents, kq_str (r->domain));
       if (agent >= 0 && agent != r->agent)
-        give_agent (s, r, agent, now);
+        assign_agent (s, r, agent, now);
     }
 }
 
@@ -398,7 +400,7 @@
 void
 kq_sched_agent_down (KqSched *s, int agent, bool planned, KqTime now)
 {
-  KqTime ends = blind_lease_end (s, now);
+  KqTime ends = latest_unseen_lease_end (s, now);
   kq_agents_down (&s->agents, agent, planned);
   for (guint i = 0; i < s->runner_list->len; i++)
     {
@@ -421,12 +423,13 @@
   return s->agents.n_lost > 0;
 }
 
-/* The leases that its runs had needn't be waited for, by this leader or a later one: with
- * 18 hosts down and a change of leader nothing of earlier jobs started for 9 s. */
+/* Ends all runs of a runner whose host is down for maintenance. Neither this leader nor a
+ * later one has to wait for its lease: waiting delayed all earlier jobs for 9 s after a
+ * change of leader with 18 hosts down. */
 static void
-end_life (KqSched *s, KqRunnerState *r, KqTime now)
+end_taken_down (KqSched *s, KqRunnerState *r, KqTime now)
 {
-  lose (s, r, "its host was taken down", now);
+  end_lost_runs (s, r, "its host was taken down", now);
   r->over = true;
   r->lease_ends = now;
   r->lease_from = "host taken down";
@@ -441,7 +444,7 @@
     return;
   r->taken_down = true;
   if (r->silent)
-    end_life (s, r, now);
+    end_taken_down (s, r, now);
 }
 
 void
@@ -454,14 +457,15 @@
     return;
   s->assign_soon = s->assign_soon || !r->listed;
   if (!r->silent)
-    kq_log (KQ_LOG_WARN, PART, "Runner is silent. runner=%s runs=%d lease_left_ms=%lld",
-            r->id, r->n_runs, (long long)lease_left_ms);
+    kq_log (KQ_LOG_WARN, PART,
+            "Runner doesn't answer. runner=%s runs=%d lease_left_ms=%lld", r->id,
+            r->n_runs, (long long)lease_left_ms);
   r->silent = true;
   if (lease_left_ms >= 0)
     kq_runners_extend (r, ends, "silence");
-  allow_for_starts (s, r);
+  extend_for_starts (s, r);
   if (r->taken_down)
-    end_life (s, r, now);
+    end_taken_down (s, r, now);
 }
 
 void
@@ -470,7 +474,7 @@
   KqRunnerState *r = kq_runners_find (s, runner);
   if (r == NULL || !kq_runners_heard_of_by (s, r, agent, taking, "other runner"))
     return;
-  lose (s, r, "another runner at its address", now);
+  end_lost_runs (s, r, "another runner at its address", now);
   r->listed = false;
   r->silent = true;
   r->lease_ends = now;
@@ -486,17 +490,17 @@
       s->agents.list[r->agent].runners--;
       s->config.order (s->config.arg, r->agent, &drop);
     }
-  kq_log (KQ_LOG_INFO, PART, "Runner is forgotten. runner=%s", r->id);
+  kq_log (KQ_LOG_INFO, PART, "Runner removed. runner=%s", r->id);
   unlink_changed (s, r);
   g_ptr_array_remove (s->runner_list, r);
   g_hash_table_remove (s->runners, r->id);
   s->known_dirty = true;
 }
 
-/* Tasks remember where they failed, steps which runners were allowed; a runner that is
- * forgotten must not be looked up. */
+/* Clears the pointers to a runner that is about to be freed: where tasks failed last, and
+ * the tickets of steps. */
 static void
-forget_mentions (KqSched *s, const KqRunnerState *r)
+clear_references (KqSched *s, const KqRunnerState *r)
 {
   for (KqJob *j = s->open; j != NULL; j = j->next)
     for (KqOccurrence *o = j->occurrences; o != NULL; o = o->next)
@@ -509,16 +513,16 @@
         }
 }
 
-/* Whether something of ours may run there, or be started. A runner that drains and is
- * empty needn't stand in the stored list: a later leader would wait for its lease. But it
- * must wait for one that holds ends which aren't stored, or it would start those tasks
- * again. */
+/* Whether runs of this leader may be there or may be started there. If not, the runner is
+ * left out of the stored list, so that a later leader doesn't wait for its lease. That
+ * holds for a draining runner without runs, but not while its ends aren't all stored: a
+ * later leader must hear of them, or it would start those tasks again. */
 bool
 kq_runners_may_run (const KqRunnerState *r)
 {
-  bool emptied = r->draining && r->n_runs == 0 && r->listed && !r->foreign
+  bool drained = r->draining && r->n_runs == 0 && r->listed && !r->foreign
                  && r->ends_seen == r->ends_stored;
-  return !r->over && !emptied;
+  return !r->over && !drained;
 }
 
 void
@@ -527,31 +531,32 @@
   for (guint i = 0; i < s->runner_list->len; i++)
     {
       KqRunnerState *r = g_ptr_array_index (s->runner_list, i);
-      /* An agent that hasn't spoken yet may be renewing the lease. */
-      bool unheard = r->agent < 0 || r->silent;
+      /* An agent that hasn't reported yet may be renewing the lease. */
+      bool unreachable = r->agent < 0 || r->silent;
       if (r->known_sent != kq_runners_may_run (r))
         s->known_dirty = true;
-      if (!unheard || now < r->lease_ends + LEASE_MARGIN || now >= s->lead_until)
+      if (!unreachable || now < r->lease_ends + LEASE_MARGIN || now >= s->lead_until)
         continue;
       if (r->n_runs > 0)
         {
           ++*s->lapses;
-          lose (s, r, "lease over", now);
+          end_lost_runs (s, r, "lease over", now);
         }
       if (!r->in_store && r->n_runs == 0)
         {
-          forget_mentions (s, r);
+          clear_references (s, r);
           remove_runner (s, r);
           i--;
         }
     }
 }
 
-/* Lasting tasks that ran under an earlier leader and run nowhere now are lost: their
- * users were without them for 22 s after a change of leader, as short jobs in time took
- * each free room. */
+/* Marks the steps whose lasting tasks ran under an earlier leader and run nowhere now, so
+ * that these tasks get the priority of lost tasks. Without the mark short jobs that could
+ * still meet their objective took all free room, and a lasting task was away for 22 s
+ * after a change of leader. */
 static void
-note_lost_before (KqSched *s, KqTime now)
+mark_lost_lasting (KqSched *s, KqTime now)
 {
   for (KqJob *j = s->open; j != NULL; j = j->next)
     {
@@ -565,9 +570,10 @@
     }
 }
 
-/* Until every runner that an earlier leader used has listed its runs, or has been silent
- * beyond its lease, a task of an earlier job may be running unseen: starting it again
- * would run it twice. Jobs stored after we became leader can't be anywhere. */
+/* Notes when all runs of earlier leaders are accounted for: every runner that an earlier
+ * leader used has listed its runs, or has been unreachable beyond the end of its lease.
+ * Until then a task of an earlier job may be running unknown to this leader, and starting
+ * it could run it twice. Jobs stored in this leader's term can't have runs yet. */
 void
 kq_runners_settle (KqSched *s, KqTime now)
 {
@@ -576,15 +582,16 @@
   for (guint i = 0; i < s->runner_list->len; i++)
     {
       const KqRunnerState *r = g_ptr_array_index (s->runner_list, i);
-      bool unheard = r->agent < 0 || r->silent;
+      bool unreachable = r->agent < 0 || r->silent;
       if (r->listed || !r->earlier || r->over)
         continue;
-      if (!unheard || now < r->lease_ends + LEASE_MARGIN)
+      if (!unreachable || now < r->lease_ends + LEASE_MARGIN)
         return;
     }
   s->settled = true;
   s->work = true;
-  note_lost_before (s, now);
-  kq_log (KQ_LOG_INFO, PART, "All earlier runs are known. after_ms=%lld",
+  mark_lost_lasting (s, now);
+  kq_log (KQ_LOG_INFO, PART,
+          "All runs of earlier leaders are accounted for. after_ms=%lld",
           (long long)((now - s->started_at) / KQ_MS));
 }
--- a/src/sched/runs.c
+++ b/src/sched/runs.c
@@ -1,15 +1,15 @@
-/* runs: one run of a task on a runner, from its start order until the runner's word, or
- * the end of its lease, says that it is over. Its room is reserved all that time. */
+/* runs: one run of a task on a runner, from its start order until the runner reports its
+ * end or the runner's lease has expired. Its resources stay reserved all that time. */
 
 #include "sched/state.h"
 
 #include <stdlib.h>
 
-/* An order without an answer is repeated after so long; the runner takes repeats of a
- * start for one. */
-#define RETRY_GAP (150 * KQ_MS)
-/* What sums of shares may be off by. */
-#define SHARE_LEAST 0.001
+/* An unanswered order is sent again after this time. A runner treats repeats of a start
+ * as one start. */
+#define ORDER_RETRY_INTERVAL (150 * KQ_MS)
+/* Rounding error allowed in sums of shares. */
+#define SHARE_EPSILON 0.001
 
 const KqStep *
 kq_run_step (const KqRun *run)
@@ -30,8 +30,9 @@
   return run->job->images[run->step];
 }
 
+/* Adds the run to its runner's reservations (sign 1), or removes it (sign -1). */
 static void
-reserve (const KqRun *run, int sign)
+update_reservations (const KqRun *run, int sign)
 {
   KqRunnerState *r = run->runner;
   const KqStep *p = kq_run_step (run);
@@ -51,7 +52,7 @@
   if (image >= 0 && p->filling)
     {
       r->filling_shares[image] += sign * run->share;
-      if (r->filling_shares[image] > SHARE_LEAST)
+      if (r->filling_shares[image] > SHARE_EPSILON)
         r->filling_images |= (uint32_t)1 << image;
       else
         r->filling_images &= ~((uint32_t)1 << image);
@@ -93,7 +94,7 @@
   if (r->runs != NULL)
     r->runs->prev = run;
   r->runs = run;
-  reserve (run, 1);
+  update_reservations (run, 1);
   j->runs++;
   j->spent.runs++;
   run->job_next = j->run_list;
@@ -126,8 +127,9 @@
     v->next->serving->prev = v->prev;
 }
 
+/* Adds the time that the run was slowed to its job's accounts when its pace changes. */
 static void
-note_speed (KqRun *run, int percent, KqTime now)
+account_slowed_time (KqRun *run, int percent, KqTime now)
 {
   if (run->slowed_at != 0)
     run->job->spent.slowed += now - run->slowed_at;
@@ -173,8 +175,8 @@
           run->checkpoint = NULL;
         }
     }
-  reserve (run, -1);
-  note_speed (run, 100, now);
+  update_reservations (run, -1);
+  account_slowed_time (run, 100, now);
   if (run->prev != NULL)
     run->prev->next = run->next;
   else
@@ -197,16 +199,16 @@
 }
 
 static void
-emit (KqSched *s, KqRun *run, KqOrder *o, KqTime now)
+send_order (KqSched *s, KqRun *run, KqOrder *o, KqTime now)
 {
   o->runner = kq_str (run->runner->id);
   run->waiting = true;
-  run->retry_at = now + RETRY_GAP;
+  run->retry_at = now + ORDER_RETRY_INTERVAL;
   s->config.order (s->config.arg, run->runner->agent, o);
 }
 
-/* Sends the start again as long as nobody knows what became of it: leaving it alone would
- * keep its room and its task for the length of a lease. */
+/* Also used to repeat a start whose outcome is unknown: without repeats the task and its
+ * reservation would be held until the runner's lease expires. */
 void
 kq_run_send_start (KqSched *s, KqRun *run, KqTime now)
 {
@@ -228,7 +230,7 @@
   if (!run->start_out)
     kq_window_sent (&s->window);
   run->start_out = true;
-  emit (s, run, &o, now);
+  send_order (s, run, &o, now);
 }
 
 void
@@ -241,7 +243,7 @@
   kq_book_task_name (run, name);
   o.u.stop.task = kq_str (name);
   o.u.stop.run = run->number;
-  emit (s, run, &o, now);
+  send_order (s, run, &o, now);
 }
 
 void
@@ -273,10 +275,11 @@
     return;
   kq_book_task_name (run, name);
   kq_log (KQ_LOG_DEBUG, PART,
-          "Pacing a run. task=%s run=%u runner=%s percent=%d was=%d heard_ms_ago=%lld",
+          "Setting the pace of a run. task=%s run=%u runner=%s percent=%d was=%d "
+          "heard_ms_ago=%lld",
           name, run->number, run->runner->id, percent, run->pace,
           (long long)((now - run->runner->heard_at) / KQ_MS));
-  note_speed (run, percent, now);
+  account_slowed_time (run, percent, now);
   run->pace = percent;
   run->pace_unknown = false;
   run->moved_at = now;
--- a/src/sched/sched.c
+++ b/src/sched/sched.c
@@ -6,8 +6,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* How often runs, leases and agents are looked over. */
-#define LOOK_GAP (250 * KQ_MS)
+/* Time between checks of runs, leases, agents and waves. */
+#define CHECK_INTERVAL (250 * KQ_MS)
 
 const char *
 kq_job_state_name (KqJobState s)
@@ -129,8 +129,9 @@
   s->held_back = false;
 }
 
+/* Looks up the place of each step's image in the disturbance model. */
 static void
-place_images (KqSched *s, KqJob *j)
+find_images (KqSched *s, KqJob *j)
 {
   j->images = kq_alloc ((size_t)j->spec.n_steps * sizeof *j->images);
   for (int32_t i = 0; i < j->spec.n_steps; i++)
@@ -142,7 +143,7 @@
     }
 }
 
-/* What sort of work the job's first step is, for logs. */
+/* The kind of the job by its first step, for logs. */
 static const char *
 job_kind (const KqSpec *p)
 {
@@ -154,7 +155,7 @@
 }
 
 static int32_t
-tasks_of (const KqSpec *p)
+count_tasks (const KqSpec *p)
 {
   int32_t n = 0;
   for (int32_t i = 0; i < p->n_steps; i++)
@@ -163,7 +164,7 @@
 }
 
 static int32_t
-largest_of (const KqSpec *p)
+largest_task_milli (const KqSpec *p)
 {
   int32_t most = 0;
   for (int32_t i = 0; i < p->n_steps; i++)
@@ -194,7 +195,7 @@
   j->revision = revision;
   j->learned_at = now;
   j->pool = kq_pools_need (s, j->spec.service);
-  place_images (s, j);
+  find_images (s, j);
   age = wall - j->spec.accepted_ms;
   j->accepted_at = now - (age > 0 && s->wall_minus_now_ms != 0 ? age : 0) * KQ_MS;
   j->next = s->open;
@@ -205,10 +206,10 @@
   if (s->loaded)
     {
       kq_log (KQ_LOG_INFO, PART,
-              "Job taken in. job=%.*s queue=%.*s kind=%s steps=%d tasks=%d "
+              "Job added. job=%.*s queue=%.*s kind=%s steps=%d tasks=%d "
               "largest_milli=%d objective_ms=%lld revision=%llu",
               KQ_STR_ARG (j->spec.id), KQ_STR_ARG (j->spec.queue), job_kind (&j->spec),
-              j->spec.n_steps, tasks_of (&j->spec), largest_of (&j->spec),
+              j->spec.n_steps, count_tasks (&j->spec), largest_task_milli (&j->spec),
               (long long)kq_spec_objective_ms (&j->spec), (unsigned long long)revision);
       kq_book_due (s, j, now);
     }
@@ -296,13 +297,13 @@
   for (KqJob *j = s->open; j != NULL; j = j->next)
     if (j->state < KQ_JOB_COMPLETED && j->finished == kq_spec_occurrences (&j->spec))
       kq_book_end_job (s, j, KQ_JOB_COMPLETED, now);
-  kq_log (KQ_LOG_INFO, PART, "Loaded. jobs=%u runners=%u after_ms=%lld",
+  kq_log (KQ_LOG_INFO, PART, "Loaded the stored state. jobs=%u runners=%u after_ms=%lld",
           g_hash_table_size (s->jobs), s->runner_list->len,
           (long long)((now - s->started_at) / KQ_MS));
 }
 
 static void
-look_at_jobs (KqSched *s, KqTime now)
+update_jobs (KqSched *s, KqTime now)
 {
   KqJob *next;
   for (KqJob *j = s->open; j != NULL; j = next)
@@ -321,15 +322,15 @@
 {
   s->wall_minus_now_ms = wall_ms - now / KQ_MS;
   if (!s->loaded)
-    return now + LOOK_GAP;
+    return now + CHECK_INTERVAL;
   if (s->assign_soon || now >= s->look_at)
     kq_runners_assign (s, now);
   if (now >= s->look_at)
     {
-      s->look_at = now + LOOK_GAP;
+      s->look_at = now + CHECK_INTERVAL;
       kq_runners_look (s, now);
       kq_watch_progress (s, now);
-      look_at_jobs (s, now);
+      update_jobs (s, now);
       kq_maintenance_look (s, now);
     }
   kq_runners_settle (s, now);
@@ -349,7 +350,8 @@
   const KqJob *j = kq_book_find (s, id);
   if (j == NULL)
     return KQ_JOB_UNKNOWN;
-  /* An end is told once it is in the store: a new leader would take it back. */
+  /* An end is reported only once it is stored: a new leader wouldn't know of it before.
+   */
   if (j->shown >= KQ_JOB_COMPLETED)
     return j->shown;
   return j->begun ? KQ_JOB_RUNNING : KQ_JOB_WAITING;
--- a/src/sched/store.c
+++ b/src/sched/store.c
@@ -1,8 +1,8 @@
-/* store: batches of progress for the store, and what may be acknowledged after one.
+/* store: batches of progress for the store, and the acknowledgement of ends after each.
  *
- * A runner forgets its ends once they are acknowledged, so they are acknowledged only
- * when the progress that they made is in the store: whoever leads next would otherwise
- * start a done task again. */
+ * A runner forgets its ends once they are acknowledged. They are acknowledged only when
+ * the progress that follows from them is stored; otherwise the next leader would start a
+ * done task again. */
 
 #include "sched/state.h"
 
@@ -10,10 +10,10 @@
 
 #include <stdlib.h>
 
-/* Ends are acknowledged at least so often, also when they changed no progress. */
-#define ENDS_GAP (70 * KQ_MS)
-/* A job that is removed has three keys: itself, its cancellation, its progress. */
-#define REMOVE_UNITS 3
+/* Time between acknowledgements of ends, including ends that changed no progress. */
+#define ACKNOWLEDGE_INTERVAL (70 * KQ_MS)
+/* Keys of a job in the store, all removed with it: job, cancellation, progress. */
+#define KEYS_PER_JOB 3
 
 size_t
 kq_sched_store_begin (KqSched *s, KqProgress *rows, size_t max, KqTime now)
@@ -27,28 +27,28 @@
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       KqJob *j = value;
-      bool over = j->shown >= KQ_JOB_COMPLETED && !j->dirty && j->runs == 0
-                  && now - j->ended_at > s->config.keep_ms * KQ_MS;
-      if (!j->dirty && !over)
+      bool expired = j->shown >= KQ_JOB_COMPLETED && !j->dirty && j->runs == 0
+                     && now - j->ended_at > s->config.keep_ms * KQ_MS;
+      if (!j->dirty && !expired)
         continue;
-      units += over ? REMOVE_UNITS : 1;
+      units += expired ? KEYS_PER_JOB : 1;
       if (units > max)
         {
           more = true;
           break;
         }
       kq_buf_clear (&j->batch);
-      if (!over)
+      if (!expired)
         kq_progress_pack (j, &j->batch);
       rows[n].id = j->spec.id;
       rows[n].value = kq_buf_str (&j->batch);
-      rows[n++].remove = over;
+      rows[n++].remove = expired;
       j->dirty = false;
       g_ptr_array_add (s->batch, j);
     }
   if (!more)
     {
-      /* All that the ends so far have changed is in this batch or stored already. */
+      /* All changes by the ends received so far are in this batch or already stored. */
       for (guint i = 0; i < s->runner_list->len; i++)
         {
           KqRunnerState *r = g_ptr_array_index (s->runner_list, i);
@@ -108,8 +108,8 @@
         r->ends_batch = r->ends_stored;
         s->ends_dirty = true;
       }
-  if (again && s->store_due > now + ENDS_GAP)
-    s->store_due = now + ENDS_GAP;
+  if (again && s->store_due > now + ACKNOWLEDGE_INTERVAL)
+    s->store_due = now + ACKNOWLEDGE_INTERVAL;
 }
 
 KqTime
@@ -118,8 +118,8 @@
   KqTime due = s->store_due;
   if (s->batch_open || !s->loaded)
     return KQ_TIME_NEVER;
-  if (s->ends_dirty && s->stored_at + ENDS_GAP < due)
-    due = s->stored_at + ENDS_GAP;
+  if (s->ends_dirty && s->stored_at + ACKNOWLEDGE_INTERVAL < due)
+    due = s->stored_at + ACKNOWLEDGE_INTERVAL;
   return due;
 }
 
