--- a/src/sched/acknowledge_test.c
+++ b/src/sched/acknowledge_test.c
@@ -9,14 +9,16 @@
 #include <cmocka.h>
 
 static void
-store (KqSchedDesk *d)
+store_progress (KqSchedDesk *d)
 {
   KqProgress rows[4];
   kq_sched_store_begin (d->sched, rows, 4, d->now);
   kq_sched_stored (d->sched, true, d->now);
 }
 
-/* Ends hide behind stored ones for good: their acknowledgement got lost with an agent. */
+/* Guards against ends that are never received. The acknowledgement of stored ends is lost
+ * with an agent, so the runner goes on listing these, and its list is cut before the
+ * newer ones. */
 static void
 test_next_agent_is_told_of_stored_ends (void **state)
 {
@@ -24,7 +26,7 @@
   KqAgentInfo next = { .name = kq_name (KQ_STR ("b")), .share_milli = 1000 };
   KqEndRow end = { 1, KQ_STR ("zz.0.0.0"), 1, KQ_END_DONE, KQ_STR ("") };
   kq_sched_desk_list_cut (d, "r0", &end);
-  store (d);
+  store_progress (d);
   assert_int_equal (d->seen, 1);
   kq_sched_agent_down (d->sched, d->agent, false, d->now);
   d->agent = kq_sched_agent_up (d->sched, &next, d->now);
@@ -34,7 +36,8 @@
   assert_int_equal (d->seen, 1);
 }
 
-/* Ends that aren't stored are forgotten by their runner. */
+/* Guards against an acknowledgement before the end is stored: the runner would forget an
+ * end that no later leader knows of. */
 static void
 test_next_agent_is_not_told_of_ends_before_they_are_stored (void **state)
 {
@@ -47,7 +50,7 @@
   kq_sched_desk_run (d, 300 * KQ_MS);
   kq_sched_desk_list_cut (d, "r0", &end);
   assert_int_equal (d->seen, 0);
-  store (d);
+  store_progress (d);
   assert_int_equal (d->seen, 1);
 }
 
--- a/src/sched/ended_repeat_race_test.c
+++ b/src/sched/ended_repeat_race_test.c
@@ -9,11 +9,12 @@
 
 #define RUNNERS 12
 /* By then the second agent has some of the runners. */
-#define SPREAD_AFTER (18 * KQ_SEC)
+#define REBALANCED_AFTER (18 * KQ_SEC)
 
-/* A start's answer is lost; its repeat is on a slow way to the runner's agent while the
- * runner lists the run, then its end, and starts anew. The next run goes to a runner of
- * another agent: one runner is full, so that the first two aren't taken again. */
+/* The answer to a start is lost. Its repeat is delayed on the link to the runner's agent
+ * while the runner lists the run, then its end, and restarts. The next run goes to a
+ * runner of another agent: a task that fills one runner keeps the scheduler from choosing
+ * the first two again. Returns the number of invariants broken. */
 static int
 breaches (KqTime phase, KqTime length, KqTime slow, KqTime restart)
 {
@@ -26,7 +27,7 @@
   fill.lasting = true;
   kq_sched_rig_submit (r, "bb", &fill, 1, 3, 60 * KQ_SEC, -1);
   kq_sched_rig_add_agent (r);
-  kq_sched_rig_run (r, SPREAD_AFTER + phase);
+  kq_sched_rig_run (r, REBALANCED_AFTER + phase);
   for (int i = 0; i < RUNNERS; i++)
     r->runners[i].deaf_until = r->now + 950 * KQ_MS;
   kq_sched_rig_submit (r, "aa", &s, 1, 3, length, 0);
@@ -45,8 +46,9 @@
   return kq_sched_rig_free (r);
 }
 
-/* Guards against a run that is dropped by the list that brings its end, though the repeat
- * of its start is under way to its runner's next life. */
+/* Guards against a task that runs twice: its run is removed by the list that holds its
+ * end although a repeat of its start is in flight and reaches the runner after a restart.
+ */
 static void
 test_repeat_reaches_the_next_life (void **state)
 {
--- a/src/sched/ended_repeat_test.c
+++ b/src/sched/ended_repeat_test.c
@@ -8,8 +8,8 @@
 
 #include <cmocka.h>
 
-/* A task runs twice: its run is listed and ends while the repeat of its start is under
- * way, which may arrive in the runner's next life. */
+/* Guards against a task that runs twice: its run is listed and ends while a repeat of its
+ * start is in flight, which may arrive after a restart of the runner. */
 static void
 test_listed_run_ends_while_its_start_is_repeated (void **state)
 {
--- a/src/sched/last_word_test.c
+++ b/src/sched/last_word_test.c
@@ -9,8 +9,9 @@
 
 #define RUNNERS 12
 
-/* The leader hears no more of an agent whose ways from it have become slow; the other
- * agent doesn't reach the runners that it is given. */
+/* The link from the leader to an agent becomes slow, then the leader gets no more
+ * messages of that agent. The other agent can't reach the runners that it is assigned.
+ * Returns the number of invariants broken. */
 static int
 breaches (KqTime slow, KqTime phase)
 {
@@ -30,8 +31,8 @@
   return kq_sched_rig_free (r);
 }
 
-/* Guards against a blind time that an agent counts from words sent before it was given
- * up. */
+/* Guards against leases that outlast the leader's wait for a lost agent: the agent counts
+ * blind_ms from messages that were still in flight when the leader gave it up. */
 static void
 test_last_word_under_way_when_an_agent_is_given_up (void **state)
 {
--- a/src/sched/late_start_test.c
+++ b/src/sched/late_start_test.c
@@ -8,8 +8,8 @@
 
 #include <cmocka.h>
 
-/* A task runs twice: a start arrives in its runner's next life, whose young clock grants
- * it a lease from then on. */
+/* Guards against a task that runs twice: a start arrives after a restart of its runner,
+ * whose new clock allows the run a whole lease from then on. */
 static void
 test_start_with_the_lease_of_an_earlier_life (void **state)
 {
--- a/src/sched/lease_race_test.c
+++ b/src/sched/lease_race_test.c
@@ -7,8 +7,9 @@
 
 #include <cmocka.h>
 
-/* The runner is out of its agent's reach for so long; before it answers again, the
- * agent's ways to it and to the leader become slow. */
+/* The runner is cut off from its agent for the time `cut`. Shortly before it answers
+ * again, the links from the agent to it and to the leader become slow. Returns the number
+ * of invariants broken. */
 static int
 breaches (KqTime cut, KqTime slow_before)
 {
@@ -31,7 +32,8 @@
   return kq_sched_rig_free (r);
 }
 
-/* Guards against a lease that is renewed while the leader counts it as over. */
+/* Guards against a task that runs twice: an agent renews its runner's lease while the
+ * leader treats the lease as expired. */
 static void
 test_lease_renewed_while_its_end_is_counted_on (void **state)
 {
--- a/src/sched/long_soak_test.c
+++ b/src/sched/long_soak_test.c
@@ -8,8 +8,8 @@
 
 #include <cmocka.h>
 
-/* Jobs never end, or wait beside free room, after long runs that leave more work than the
- * room does in a minute. */
+/* Guards against jobs that never end, or that wait although room is free. With these
+ * seeds the soak leaves more work at its end than the runners complete in a minute. */
 static void
 test_work_left_after_long_runs_ends (void **state)
 {
--- a/src/sched/maintenance_test.c
+++ b/src/sched/maintenance_test.c
@@ -8,12 +8,13 @@
 
 #include <cmocka.h>
 
-/* A new leader gives no order for so long. */
-#define FIRST_ORDER (3500 * KQ_MS)
+/* A new leader makes no maintenance call before this time. */
+#define FIRST_CALL (3500 * KQ_MS)
+/* Long enough for one check of the waves and a placing pass. */
 #define SETTLE (700 * KQ_MS)
 
 static void
-ask_wave (KqSchedDesk *d, size_t n_hosts, int32_t cap)
+request_wave (KqSchedDesk *d, size_t n_hosts, int32_t cap)
 {
   KqStr hosts[] = { KQ_STR ("h0"), KQ_STR ("h1") };
   KqWaveInfo w = {
@@ -23,15 +24,15 @@
 }
 
 static void
-ended (KqSchedDesk *d, const char *host, KqMaintenanceResult r)
+answer_call (KqSchedDesk *d, const char *host, KqMaintenanceResult r)
 {
   kq_sched_maintenance_ended (d->sched, 4, kq_str (host), r, d->now);
   kq_sched_desk_run (d, SETTLE);
 }
 
-/* A new runner on the host, as after its maintenance. */
+/* Replaces the host's runner by a new one, as a maintenance does. */
 static void
-come_back (KqSchedDesk *d, const char *old, const char *id, const char *host)
+replace_runner (KqSchedDesk *d, const char *old, const char *id, const char *host)
 {
   KqRunnerEntry e = { .id = kq_str (id),
                       .service = KQ_STR ("desk"),
@@ -61,10 +62,10 @@
   return completed;
 }
 
-/* All that runs on a host ends when it goes down. Its task is stopped first, and the host
- * goes down only when the runner has listed the end. */
+/* Guards against a host that goes down with tasks on it, which all end then. Its task is
+ * stopped first, and the host goes down only when the runner has listed the end. */
 static void
-test_host_is_emptied_first (void **state)
+test_host_is_drained_first (void **state)
 {
   KqSchedDesk *d = *state;
   KqStep serving = kq_sched_desk_step ();
@@ -74,15 +75,15 @@
   size_t n_hosts;
   serving.lasting = true;
   kq_sched_desk_submit (d, "aa", serving, false);
-  kq_sched_desk_run (d, FIRST_ORDER);
+  kq_sched_desk_run (d, FIRST_CALL);
   memcpy (runner, d->runner, sizeof runner);
   memcpy (task, d->task, sizeof task);
   n_hosts = strcmp (runner, "r0") == 0 ? 1 : 2;
   kq_sched_desk_outcome (d, KQ_ORDER_START, runner, task, d->run, KQ_ORDER_OK);
-  ask_wave (d, n_hosts, 2);
+  request_wave (d, n_hosts, 2);
   kq_sched_desk_run (d, SETTLE);
   assert_int_equal (d->stops, 1);
-  assert_int_equal (d->went_down, (int)n_hosts - 1); /* the empty one */
+  assert_int_equal (d->went_down, (int)n_hosts - 1); /* the host without runs */
   end.task = kq_str (task);
   end.run = d->run;
   kq_sched_desk_list (d, runner, &end, 1);
@@ -90,29 +91,30 @@
   assert_int_equal (d->went_down, (int)n_hosts);
 }
 
-/* With one host down at most, the second waits until the first has its new runner. */
+/* Guards against more hosts down than the wave allows: with a cap of one the second waits
+ * until the first has its new runner. */
 static void
 test_no_more_hosts_than_allowed (void **state)
 {
   KqSchedDesk *d = *state;
-  kq_sched_desk_run (d, FIRST_ORDER);
-  ask_wave (d, 2, 1);
+  kq_sched_desk_run (d, FIRST_CALL);
+  request_wave (d, 2, 1);
   kq_sched_desk_run (d, SETTLE);
   assert_int_equal (d->went_down, 1);
   assert_string_equal (d->last_down, "h0");
-  ended (d, "h0", KQ_MAINTENANCE_OK);
+  answer_call (d, "h0", KQ_MAINTENANCE_OK);
   assert_int_equal (d->went_down, 1);
-  come_back (d, "r0", "r2", "h0");
+  replace_runner (d, "r0", "r2", "h0");
   assert_int_equal (d->went_down, 2);
   assert_string_equal (d->last_down, "h1");
   assert_false (is_completed (d));
-  ended (d, "h1", KQ_MAINTENANCE_OK);
+  answer_call (d, "h1", KQ_MAINTENANCE_OK);
   assert_true (is_completed (d));
 }
 
-/* A host belongs to two waves. The first one's new runner comes up when the second one's
- * maintenance has just begun; it must not be taken for the second one's, or one host too
- * many goes down. */
+/* Guards against one host too many down when a host belongs to two waves. The new runner
+ * of the first maintenance comes up just after the second one has begun, and must not
+ * count as the new runner of the second. */
 static void
 test_earlier_new_runner_is_not_taken_for_the_next (void **state)
 {
@@ -120,39 +122,39 @@
   KqStr hosts[] = { KQ_STR ("h0"), KQ_STR ("h1") };
   KqWaveInfo next
       = { .number = 5, .hosts = hosts, .n_hosts = 2, .duration_ms = 9000, .cap = 1 };
-  kq_sched_desk_run (d, FIRST_ORDER);
-  ask_wave (d, 1, 1);
+  kq_sched_desk_run (d, FIRST_CALL);
+  request_wave (d, 1, 1);
   kq_sched_desk_run (d, SETTLE);
-  ended (d, "h0", KQ_MAINTENANCE_OK);
+  answer_call (d, "h0", KQ_MAINTENANCE_OK);
   kq_sched_wave (d->sched, &next, d->now);
   kq_sched_desk_run (d, SETTLE);
-  assert_int_equal (d->went_down, 1); /* h0 is down, and h1 would be the second one */
-  come_back (d, "r0", "r2", "h0");
+  assert_int_equal (d->went_down, 1); /* h0 is down, and h1 would exceed the cap */
+  replace_runner (d, "r0", "r2", "h0");
   assert_int_equal (d->went_down, 2);
   kq_sched_maintenance_ended (d->sched, 5, kq_str (d->last_down), KQ_MAINTENANCE_OK,
                               d->now);
-  come_back (d, "r2", "r3", "h0");
+  replace_runner (d, "r2", "r3", "h0");
   assert_int_equal (d->went_down, strcmp (d->last_down, "h0") == 0 ? 2 : 3);
 }
 
-/* The answer to the call is lost: the host may be down, so no other one goes, and the
- * same call is repeated until it is answered. */
+/* Guards against a second host taken down when the answer to a call is lost: the first
+ * host may be down, so the same call is repeated until it is answered. */
 static void
 test_call_without_an_answer_is_repeated (void **state)
 {
   KqSchedDesk *d = *state;
-  kq_sched_desk_run (d, FIRST_ORDER);
-  ask_wave (d, 2, 1);
+  kq_sched_desk_run (d, FIRST_CALL);
+  request_wave (d, 2, 1);
   kq_sched_desk_run (d, SETTLE);
-  ended (d, "h0", KQ_MAINTENANCE_UNKNOWN);
+  answer_call (d, "h0", KQ_MAINTENANCE_UNKNOWN);
   assert_int_equal (d->went_down, 1);
   kq_sched_desk_run (d, KQ_SEC);
   assert_int_equal (d->went_down, 2);
   assert_string_equal (d->last_down, "h0");
 }
 
-/* Users have said how many tasks of the step may be away by our doing: with none left to
- * spare the host waits, however late the wave is. */
+/* Guards against more tasks of a step stopped by the scheduler than its spec allows: if
+ * none may be stopped the host waits, however late the wave is. */
 static void
 test_tasks_that_may_not_be_away (void **state)
 {
@@ -161,9 +163,9 @@
   serving.lasting = true;
   serving.away_most = 0;
   kq_sched_desk_submit (d, "aa", serving, false);
-  kq_sched_desk_run (d, FIRST_ORDER);
+  kq_sched_desk_run (d, FIRST_CALL);
   kq_sched_desk_outcome (d, KQ_ORDER_START, d->runner, d->task, d->run, KQ_ORDER_OK);
-  ask_wave (d, 2, 2);
+  request_wave (d, 2, 2);
   for (int i = 0; i < 20; i++)
     {
       kq_sched_desk_list_serving (d, d->runner, d->task, d->run, 5);
@@ -173,7 +175,8 @@
   assert_int_equal (d->went_down, 1); /* the other host */
 }
 
-/* All nodes die in a wave: the next leader goes on with the hosts that are left. */
+/* Guards against hosts taken down twice after the loss of all nodes during a wave: the
+ * next leader goes on with the hosts that are left. */
 static void
 test_next_leader_goes_on (void **state)
 {
@@ -181,18 +184,18 @@
   KqBuf record = { 0 };
   void *next;
   KqSchedDesk *e;
-  kq_sched_desk_run (d, FIRST_ORDER);
-  ask_wave (d, 2, 2);
+  kq_sched_desk_run (d, FIRST_CALL);
+  request_wave (d, 2, 2);
   kq_sched_desk_run (d, SETTLE);
-  ended (d, "h0", KQ_MAINTENANCE_OK);
+  answer_call (d, "h0", KQ_MAINTENANCE_OK);
   assert_true (kq_sched_waves_pending (d->sched));
   kq_sched_waves_pack (d->sched, &record);
   assert_false (kq_sched_waves_pending (d->sched));
   kq_sched_desk_set_up (&next);
   e = next;
   assert_true (kq_sched_waves_stored (e->sched, kq_buf_str (&record)));
-  ask_wave (e, 2, 2);
-  kq_sched_desk_run (e, FIRST_ORDER);
+  request_wave (e, 2, 2);
+  kq_sched_desk_run (e, FIRST_CALL);
   assert_int_equal (e->went_down, 1);
   assert_string_equal (e->last_down, "h1");
   assert_false (kq_sched_waves_stored (e->sched, KQ_STR ("x")));
@@ -200,19 +203,19 @@
   kq_sched_desk_tear_down (&next);
 }
 
-/* Lasting tasks wait for room beside a runner that stays empty for the rest of the day.
- * An earlier leader has taken its host down; the next one doesn't know, empties the new
- * runner, and is told that the maintenance is done. The runner goes on listing its runs,
- * so it didn't end, and must be used again. */
+/* Guards against a runner that stays unused while tasks wait for room. An earlier leader
+ * has taken its host down; the next one doesn't know, drains the new runner, and its call
+ * is answered as done. The runner goes on listing its runs, so it wasn't ended and must
+ * be used again. */
 static void
 test_host_that_was_done_before_is_used_again (void **state)
 {
   KqSchedDesk *d = *state;
-  kq_sched_desk_run (d, FIRST_ORDER);
-  ask_wave (d, 1, 1);
+  kq_sched_desk_run (d, FIRST_CALL);
+  request_wave (d, 1, 1);
   kq_sched_desk_run (d, SETTLE);
   assert_int_equal (d->went_down, 1);
-  ended (d, "h0", KQ_MAINTENANCE_OK);
+  answer_call (d, "h0", KQ_MAINTENANCE_OK);
   kq_sched_entry_gone (d->sched, KQ_STR ("r1"), d->now);
   for (int i = 0; i < 8; i++)
     {
@@ -226,7 +229,7 @@
 }
 
 static bool
-stands_in_known (KqSchedDesk *d, const char *id)
+is_in_stored_list (KqSchedDesk *d, const char *id)
 {
   KqBuf list = { 0 };
   bool found;
@@ -237,10 +240,10 @@
   return found;
 }
 
-/* Users of a lasting task are without it for the lease of a runner that is known to be
- * gone. Its host has been taken down while the stop of the task had no answer yet; when
- * nobody answers there any more the task can start elsewhere, and no later leader needs
- * to wait for that runner either. */
+/* Guards against a lasting task that waits for the lease of a runner that is known to be
+ * gone. The runner's host was taken down while the stop of the task was unanswered. Once
+ * the runner can't be reached either, the task starts elsewhere at once, and a later
+ * leader doesn't wait for that runner. */
 static void
 test_runner_taken_down_is_not_waited_for (void **state)
 {
@@ -249,26 +252,26 @@
   char runner[16];
   serving.lasting = true;
   kq_sched_desk_submit (d, "aa", serving, false);
-  kq_sched_desk_run (d, FIRST_ORDER);
+  kq_sched_desk_run (d, FIRST_CALL);
   memcpy (runner, d->runner, sizeof runner);
   kq_sched_desk_outcome (d, KQ_ORDER_START, runner, d->task, d->run, KQ_ORDER_OK);
   kq_sched_desk_list_serving (d, runner, d->task, d->run, 5);
-  ask_wave (d, 2, 1);
+  request_wave (d, 2, 1);
   kq_sched_desk_run (d, SETTLE);
-  ended (d, d->last_down, KQ_MAINTENANCE_OK); /* the empty one */
-  come_back (d, strcmp (runner, "r0") == 0 ? "r1" : "r0", "r2", d->last_down);
-  assert_true (stands_in_known (d, "r2"));
+  answer_call (d, d->last_down, KQ_MAINTENANCE_OK); /* the host without runs */
+  replace_runner (d, strcmp (runner, "r0") == 0 ? "r1" : "r0", "r2", d->last_down);
+  assert_true (is_in_stored_list (d, "r2"));
   kq_sched_desk_run (d, 3 * KQ_SEC);
   kq_sched_desk_list (d, "r2", NULL, 0);
   assert_int_equal (d->went_down, 2);
   assert_int_equal (d->starts, 1);
-  ended (d, d->last_down, KQ_MAINTENANCE_OK);
-  assert_int_equal (d->starts, 1); /* it may have been done before, and run on */
+  answer_call (d, d->last_down, KQ_MAINTENANCE_OK);
+  assert_int_equal (d->starts, 1); /* the maintenance may have been done before */
   kq_sched_desk_unreached (d, d->agent, runner, 4500);
   kq_sched_desk_run (d, 100 * KQ_MS);
   assert_int_equal (d->starts, 2);
   assert_string_equal (d->runner, "r2");
-  assert_false (stands_in_known (d, runner));
+  assert_false (is_in_stored_list (d, runner));
 }
 
 static KqRunnerEntry
@@ -282,9 +285,9 @@
                           .room = { 4000, 16000, 0 } };
 }
 
-/* A change of leader stops earlier jobs until all runners that may run something have
- * answered. One that drains and is empty runs nothing and gets nothing; it is about to go
- * and must not be waited for. */
+/* Guards against jobs delayed after a change of leader by a runner that is about to go. A
+ * new leader starts no earlier jobs before all stored runners have answered, so a
+ * draining runner without runs must not be in the stored list. */
 static void
 test_drained_runner_is_not_waited_for (void **state)
 {
@@ -293,16 +296,16 @@
   kq_sched_entry (d->sched, &e, d->now);
   kq_sched_desk_run (d, SETTLE);
   assert_true (kq_sched_known_pending (d->sched));
-  assert_false (stands_in_known (d, "r0"));
-  e.draining = false; /* it stays after all: known again before any start */
+  assert_false (is_in_stored_list (d, "r0"));
+  e.draining = false; /* it stays: it must be in the list again before any start */
   kq_sched_entry (d->sched, &e, d->now);
   assert_true (kq_sched_known_pending (d->sched));
-  assert_true (stands_in_known (d, "r0"));
+  assert_true (is_in_stored_list (d, "r0"));
 }
 
-/* A task that is done runs again. Its runner drains and is empty, but the end isn't in
- * the store when the leader dies; the next leader must wait for that runner to tell it.
- */
+/* Guards against a done task that runs again. Its runner is draining and has no runs, but
+ * the task's end isn't stored when the leader dies, so the next leader must wait for that
+ * runner's list. */
 static void
 test_drained_runner_with_an_end_is_waited_for (void **state)
 {
@@ -313,7 +316,7 @@
   kq_sched_desk_list (d, "r0", &end, 1);
   kq_sched_entry (d->sched, &e, d->now);
   kq_sched_desk_run (d, SETTLE);
-  assert_false (kq_sched_known_pending (d->sched)); /* it stands there */
+  assert_false (kq_sched_known_pending (d->sched)); /* it is in the list */
 }
 
 #define DESK(test)                                                                       \
@@ -323,7 +326,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    DESK (test_host_is_emptied_first),
+    DESK (test_host_is_drained_first),
     DESK (test_no_more_hosts_than_allowed),
     DESK (test_earlier_new_runner_is_not_taken_for_the_next),
     DESK (test_call_without_an_answer_is_repeated),
--- a/src/sched/orders_test.c
+++ b/src/sched/orders_test.c
@@ -11,11 +11,11 @@
 
 #include <cmocka.h>
 
-/* The client sees its task run on two runners at once.
- * A start has no answer and is sent again; before that one's answer the runner lists the
- * run as ended, and the task would go on elsewhere. If the runner restarts meanwhile, the
- * repeated start begins the run again in its new life, beside the next one. So the run is
- * stopped first, which makes any life of the runner refuse it. */
+/* Guards against a task that runs on two runners at once. A start is unanswered and is
+ * sent again; before the answer to the repeat the runner lists the run as ended, and the
+ * task's next run would start elsewhere. If the runner restarts meanwhile, the repeat
+ * begins the run again beside the next one. So the run is stopped first, which makes the
+ * runner refuse the start, also after a restart. */
 static void
 expect_stop_before_the_next_run (KqSchedDesk *d, KqEndHow how)
 {
@@ -32,7 +32,7 @@
   kq_sched_desk_outcome (d, KQ_ORDER_START, runner, task, first, KQ_ORDER_UNKNOWN);
   kq_sched_desk_run (d, 300 * KQ_MS);
   assert_int_equal (d->starts, 2);
-  assert_int_equal (d->run, first); /* again, not anew */
+  assert_int_equal (d->run, first); /* a repeat, not a new run */
   end.task = kq_str (task);
   end.run = first;
   kq_sched_desk_list (d, runner, &end, 1);
@@ -44,7 +44,7 @@
   kq_sched_desk_run (d, 300 * KQ_MS);
 }
 
-/* Guards against a task that waits for good for a run whose stop has been answered. */
+/* Guards against a task that waits forever for a run whose stop has been answered. */
 static void
 test_answered_stop_is_not_repeated (void **state)
 {
@@ -64,7 +64,7 @@
   kq_sched_desk_list (d, runner, &end, 1);
   assert_int_equal (d->stops, 1);
   before.taking = d->taking[strcmp (runner, "r0") == 0 ? 0 : 1];
-  /* A runner where nothing else ends: each list's question left 1.5 s ago. */
+  /* Nothing else ends at the runner: each list was requested 1.5 s before it arrives. */
   for (int i = 0; i < 5 * 15 && d->starts == 1; i++)
     {
       if (i % 15 == 0)
@@ -89,7 +89,7 @@
   assert_int_equal (kq_sched_state (d->sched, KQ_STR ("aa")), KQ_JOB_RUNNING);
 }
 
-/* As above, but the run ended well: it must not begin again at all. */
+/* As above, but the task is done: it must not run again at all. */
 static void
 test_done_end_while_a_start_is_out (void **state)
 {
@@ -98,10 +98,9 @@
   assert_int_equal (d->starts, 2);
 }
 
-/* A task is begun on a runner that has said long ago that it leaves, and dies with it.
- * The start had no answer; meanwhile the runner's entry says that it is draining, and the
- * repeat of the start is sent all the same. It must be stopped there instead, and go
- * elsewhere. */
+/* Guards against a task that begins on a draining runner and is lost when that goes. The
+ * start is unanswered when the runner's entry changes to draining. The start must not be
+ * repeated then; the run is stopped there, and the task goes elsewhere. */
 static void
 test_start_is_not_repeated_at_a_runner_that_leaves (void **state)
 {
@@ -128,7 +127,8 @@
   assert_string_not_equal (d->runner, runner);
 }
 
-/* A runner that was silent for a moment loses all its work: nobody renews its lease. */
+/* Guards against a runner that loses all its runs after a short failure, because its
+ * agent never gets the order to renew the lease again. */
 static void
 test_list_after_silence_lets_its_agent_renew (void **state)
 {
@@ -151,7 +151,7 @@
   uint32_t run;
 } Serving;
 
-/* A serving task runs, and its runner is the only one there is. */
+/* Starts a serving task and removes the other runner. */
 static void
 serve_alone (KqSchedDesk *d, int32_t target_ms, Serving *out)
 {
@@ -171,10 +171,10 @@
                          KQ_ORDER_OK);
 }
 
-/* Users of a serving task wait too long for seconds on end.
- * Its tail is over the target and all that fills beside it has been stopped; but new
- * filling tasks come to its runner meanwhile, each at full speed until the next report,
- * so that the tail never comes down. None may come until it has. */
+/* Guards against a serving task whose tail latency stays over its target for seconds. All
+ * filling tasks beside it have been stopped, but new ones are placed on its runner, each
+ * at full speed until the next report, so that the tail never falls. None may be placed
+ * there until it has. */
 static void
 test_nothing_fills_beside_a_task_over_its_target (void **state)
 {
@@ -197,9 +197,9 @@
   assert_int_equal (d->starts, 2);
 }
 
-/* As above, with a tail that hovers about the target. Reports are rough, and every other
- * one is below it by chance; each such report counted as a recovery, and what fills was
- * let on for 4 s. The mean of the reports decides. */
+/* As above, with a tail about as long as the target. Reports are noisy, and every other
+ * one is below the target by chance. When each such report counted as a recovery, filling
+ * tasks were placed there for 4 s. The mean of the reports decides. */
 static void
 test_rough_reports_about_the_target (void **state)
 {
@@ -220,10 +220,9 @@
   assert_int_equal (d->starts, 1);
 }
 
-/* The users of a lasting task are without it for as long as short jobs come.
- * It has lost its runner; each time room is free another job that can still end in time
- * takes it, and jobs in time came before lasting ones. After two seconds it goes first.
- */
+/* Guards against a lasting task that isn't placed as long as short jobs arrive. It has
+ * lost its runner, and each free room goes to a job that can still meet its objective,
+ * because such jobs precede lasting ones. After two seconds the lost task goes first. */
 static void
 test_lost_lasting_task_gets_the_next_room (void **state)
 {
@@ -257,12 +256,12 @@
     }
   while (strncmp (d->task, "aa", 2) != 0 && turn < 9);
   assert_int_equal (strncmp (d->task, "aa", 2), 0);
-  assert_true (turn > 2); /* not before: jobs in time have the first claim */
+  assert_true (turn > 2); /* before that, jobs that can meet their objective go first */
 }
 
-/* A task runs on r0 under agent d->agent, and r1 is there to take it over. */
+/* Starts a task on r0, assigned to agent d->agent; r1 is free for the task's next run. */
 static void
-run_on_r0 (KqSchedDesk *d)
+start_on_r0 (KqSchedDesk *d)
 {
   KqRunnerEntry r1 = { .id = KQ_STR ("r1"),
                        .service = KQ_STR ("desk"),
@@ -288,8 +287,8 @@
   kq_sched_desk_run (d, 2 * KQ_SEC);
 }
 
-/* A start on r0 has been answered; then a list of r0's next life comes, whose question
- * left before that answer. */
+/* A start on r0 is answered. Then a list from after a restart of r0 arrives, which was
+ * requested before that answer. */
 static void
 start_across_two_lives (KqSchedDesk *d)
 {
@@ -307,7 +306,8 @@
   assert_int_equal (d->stops, 0);
 }
 
-/* One task runs twice: its start reached a new life after that life's first list. */
+/* Guards against a task that runs twice: its start reached a restarted runner after that
+ * runner's first list. */
 static void
 test_start_in_a_new_life (void **state)
 {
@@ -322,7 +322,8 @@
   assert_int_equal (d->stops, 0);
 }
 
-/* A task stands still: its start had reached the life before, and that life is over. */
+/* Guards against a task that isn't started again: its start had reached the runner before
+ * the restart, which ended the run. */
 static void
 test_start_in_the_life_before (void **state)
 {
@@ -333,9 +334,9 @@
   assert_int_equal (d->starts, 2);
 }
 
-/* The agent that held r0 was told to drop it just now: its last grant may be on its way
- * to the leader, and until the order arrives, or it counts the leader as lost, it grants
- * more. */
+/* r0's earlier agent has just been ordered to drop it. Its last renewal may not be known
+ * to the leader yet, and it goes on renewing until the order arrives or it counts the
+ * leader as lost. */
 static void
 expect_wait_for_the_earlier_agent (KqSchedDesk *d, int agent)
 {
@@ -348,21 +349,22 @@
   assert_string_equal (d->runner, "r1");
 }
 
-/* One task runs twice: grants of an earlier agent of its runner weren't waited for. */
+/* Guards against a task that runs twice: leases granted by the earlier agent of its
+ * runner weren't waited for. */
 static void
 test_lease_of_a_runner_given_to_another_agent (void **state)
 {
   KqSchedDesk *d = *state;
   KqAgentInfo strong = { .name = kq_name (KQ_STR ("b")), .share_milli = 9000 };
   int b;
-  run_on_r0 (d);
+  start_on_r0 (d);
   b = kq_sched_agent_up (d->sched, &strong, d->now);
   kq_sched_desk_run (d, 300 * KQ_MS);
   expect_wait_for_the_earlier_agent (d, b);
 }
 
-/* One task runs twice: an agent went on renewing at an address that the entry has left.
- */
+/* Guards against a task that runs twice: an agent goes on renewing the lease of the
+ * runner at its old address after the entry has changed. */
 static void
 test_lease_of_a_runner_with_a_new_address (void **state)
 {
@@ -371,15 +373,15 @@
                       .service = KQ_STR ("desk"),
                       .address = KQ_STR ("127.0.0.1:2"),
                       .room = { 4000, 16000, 0 } };
-  run_on_r0 (d);
+  start_on_r0 (d);
   kq_sched_entry (d->sched, &e, d->now);
   kq_sched_desk_run (d, 300 * KQ_MS);
   expect_wait_for_the_earlier_agent (d, d->agent);
 }
 
-/* The entry of r0 has a new address, and the same agent takes it again. */
+/* Changes the address in r0's entry, so that the same agent is assigned r0 again. */
 static void
-take_r0_again (KqSchedDesk *d)
+reassign_r0 (KqSchedDesk *d)
 {
   KqRunnerEntry e = { .id = KQ_STR ("r0"),
                       .service = KQ_STR ("desk"),
@@ -391,7 +393,8 @@
   assert_true (d->taking[0] > before);
 }
 
-/* One task runs twice: a list of an earlier taking, made before its start, counts. */
+/* Guards against a task that runs twice: a list from an earlier assignment of its runner,
+ * made before the task's start, is applied. */
 static void
 test_list_of_an_earlier_taking (void **state)
 {
@@ -399,8 +402,8 @@
   uint64_t early = d->results;
   uint64_t taking = d->taking[0];
   uint64_t now;
-  run_on_r0 (d);
-  take_r0_again (d);
+  start_on_r0 (d);
+  reassign_r0 (d);
   now = d->taking[0];
   d->taking[0] = taking;
   d->results = early;
@@ -409,20 +412,21 @@
   assert_int_equal (d->starts, 1);
   d->taking[0] = now;
   d->results = 0;
-  kq_sched_desk_list (d, "r0", NULL, 0); /* and the present one's counts */
+  kq_sched_desk_list (d, "r0", NULL, 0); /* a list of the present one is applied */
   kq_sched_desk_run (d, KQ_SEC);
   assert_int_equal (d->starts, 2);
 }
 
-/* A task stands still: an outcome of an earlier taking keeps a vanished run alive. */
+/* Guards against a task that isn't started again: an outcome from an earlier assignment
+ * of its runner keeps a run that is no longer listed. */
 static void
 test_outcome_of_an_earlier_taking (void **state)
 {
   KqSchedDesk *d = *state;
   uint64_t taking = d->taking[0];
   uint64_t now;
-  run_on_r0 (d);
-  take_r0_again (d);
+  start_on_r0 (d);
+  reassign_r0 (d);
   now = d->taking[0];
   d->taking[0] = taking;
   d->results = 20;
@@ -434,12 +438,13 @@
   assert_int_equal (d->starts, 2);
 }
 
-/* One task runs twice: a leader counts a lease as over that the next leader renews. */
+/* Guards against a task that runs twice: a leader that may have been replaced treats a
+ * lease as expired that the next leader renews. */
 static void
 test_lease_of_a_runner_that_another_may_renew (void **state)
 {
   KqSchedDesk *d = *state;
-  run_on_r0 (d);
+  start_on_r0 (d);
   kq_sched_lead_until (d->sched, d->now + KQ_SEC);
   kq_sched_desk_unreached (d, d->agent, "r0", 2000);
   kq_sched_desk_run (d, 20 * KQ_SEC);
@@ -449,7 +454,8 @@
   assert_int_equal (d->starts, 2);
 }
 
-/* A task runs twice: a runner that was empty has a run, and no later leader knows it. */
+/* Guards against a task that runs twice: a runner that is not in the stored list, because
+ * it was drained, gets a run after all, and a later leader doesn't know the runner. */
 static void
 test_a_late_run_puts_its_runner_into_the_list (void **state)
 {
@@ -473,7 +479,8 @@
   assert_true (kq_sched_known_pending (d->sched));
 }
 
-/* A task that is done runs again: its end waits behind a list that is cut. */
+/* Guards against a done task that runs again: its end is not in the cut list that the new
+ * leader gets, which must not count as the runner's whole list. */
 static void
 test_a_cut_list_settles_nothing (void **state)
 {
@@ -497,7 +504,8 @@
   assert_int_equal (kq_sched_state (d->sched, KQ_STR ("aa")), KQ_JOB_COMPLETED);
 }
 
-/* A task runs twice: the next leader has taken its job for one that nobody knows. */
+/* Guards against a task that runs twice: a leader starts a job that arrives after its own
+ * lease may have ended, and the next leader starts it too. */
 static void
 test_job_learned_in_doubt_waits (void **state)
 {
@@ -511,7 +519,8 @@
   assert_int_equal (d->starts, 1);
 }
 
-/* Tasks run twice: a leader without the store goes on beside one that it has lost. */
+/* Guards against tasks that run twice: a leader that can't reach the store may go on only
+ * while no agent is lost, because a lost agent's node may be the next leader. */
 static void
 test_lost_agents_are_known (void **state)
 {
--- a/src/sched/repeat_test.c
+++ b/src/sched/repeat_test.c
@@ -15,7 +15,7 @@
   uint32_t run;
 } Start;
 
-/* A start without an answer has been sent again, and the runner lists its run. */
+/* Sends a start whose outcome is unknown a second time, then lists its run. */
 static void
 repeat_start (KqSchedDesk *d, bool lasting, Start *out)
 {
@@ -38,7 +38,8 @@
   kq_sched_desk_list_runs (d, out->runner, &row, 1);
 }
 
-/* A task runs twice: the repeat of a start is refused, and the first has been taken. */
+/* Guards against a task that runs twice: the repeat of a start is refused, and the
+ * refusal is taken for the end of the run that the first start began. */
 static void
 test_refused_repeat_of_a_listed_run (void **state)
 {
@@ -56,7 +57,8 @@
     }
 }
 
-/* A task runs twice: the repeat of a start is refused while its run is being stopped. */
+/* Guards against a task that runs twice: the repeat of a start is refused while its run
+ * is being stopped. */
 static void
 test_refused_repeat_of_a_stopped_run (void **state)
 {
@@ -82,8 +84,8 @@
   assert_string_not_equal (d->runner, s.runner);
 }
 
-/* A task runs twice: of two sendings of its start the first arrives in its runner's next
- * life. */
+/* Guards against a task that runs twice: its start was sent twice, and the first copy
+ * arrives after a restart of the runner. */
 static void
 test_repeated_start_is_stopped_in_the_next_life (void **state)
 {
@@ -102,9 +104,10 @@
   assert_int_equal (d->starts, 3);
 }
 
-/* A task runs twice: a silent runner's next life has begun it, with a longer lease. */
+/* Guards against a task that runs twice: a runner that its agent couldn't reach has
+ * restarted and begun it, with a lease that ends later. */
 static void
-test_start_answered_by_a_silent_runner (void **state)
+test_start_answered_by_an_unreached_runner (void **state)
 {
   KqSchedDesk *d = *state;
   KqOrderOutcome o = { .kind = KQ_ORDER_START, .lease_left_ms = 5000 };
@@ -125,7 +128,8 @@
   assert_int_equal (d->starts, 2);
 }
 
-/* A task runs twice: a start under way to a silent runner begins in its next life. */
+/* Guards against a task that runs twice: a start is in flight to a runner that its agent
+ * can't reach, and the runner begins it after a restart. */
 static void
 test_start_under_way_to_a_silent_runner (void **state)
 {
@@ -151,7 +155,7 @@
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
     cmocka_unit_test_setup_teardown (test_start_under_way_to_a_silent_runner,
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
-    cmocka_unit_test_setup_teardown (test_start_answered_by_a_silent_runner,
+    cmocka_unit_test_setup_teardown (test_start_answered_by_an_unreached_runner,
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/src/sched/runners.c
+++ b/src/sched/runners.c
@@ -287,7 +287,7 @@
       run->stopped = false;
       ++*s->runs_lost;
       if (under_way && run->phase != KQ_RUN_STOPPING)
-        kq_run_stop (s, run, "its runner has started anew", now);
+        kq_run_stop (s, run, "its runner has restarted", now);
       else if (!under_way)
         kq_run_over (s, run, now);
     }
--- a/src/sched/sched_test.c
+++ b/src/sched/sched_test.c
@@ -84,9 +84,9 @@
   drop_rig (r);
 }
 
-/* The client sees its lasting job served again within seconds of a runner's crash.
- * The runner dies without a word; its lease is the only proof that its tasks are over, so
- * they start elsewhere only once it has ended, and not a moment before. */
+/* Guards against a lasting task that runs twice, or not at all, after its runner becomes
+ * unreachable. Only the end of the runner's lease proves that its tasks are over, so they
+ * start elsewhere when it has expired, and not before. */
 static void
 test_lasting_task_moves_after_its_runners_lease (void **state)
 {
@@ -107,10 +107,10 @@
   drop_rig (r);
 }
 
-/* The operators see one attempt too many for a task that fails everywhere.
- * The leader dies after two failures that nobody has acknowledged; the new one hears of
- * the ends in the order in which runners answer, the later run's first. Counting by the
- * highest failed run passed over the earlier one. */
+/* Guards against one attempt too many for a task that fails everywhere. The leader dies
+ * after two failures that aren't acknowledged. The new one gets the ends in the order in
+ * which runners answer, possibly the later run's first; counting failures by the highest
+ * run number missed the earlier one. */
 static void
 test_failures_count_in_any_order (void **state)
 {
@@ -132,10 +132,10 @@
     }
 }
 
-/* The client sees its task run on two runners at once.
- * A start is on its way when the agent of its runner dies; the next agent knows nothing
- * of the runner's clock, so that an order by it is refused. Taken for a refusal of the
- * task, the start was given to another runner while the first one ran. */
+/* Guards against a task that runs on two runners at once. A start is in flight when the
+ * agent of its runner dies. The next agent doesn't know the runner's clock, so its orders
+ * are refused; when that was treated as a refusal of the task, the task was started on
+ * another runner while the first one ran it. */
 static void
 test_start_under_way_when_the_agent_changes (void **state)
 {
@@ -161,7 +161,8 @@
   drop_rig (r);
 }
 
-/* Guards against a lease counted as over that an earlier agent has granted unheard. */
+/* Guards against a lease treated as expired that an earlier agent has renewed without a
+ * report to the leader. */
 static void
 test_moved_runner_that_its_next_agent_never_reaches (void **state)
 {
@@ -183,9 +184,9 @@
     }
 }
 
-/* The client sees a task run twice after all nodes have died.
- * A runner that ran it is cut off when the new leader asks; its lease still runs. The
- * task may start elsewhere only when that lease has ended. */
+/* Guards against a task that runs twice after all nodes have died. The runner with the
+ * task is cut off when the new leader asks for its list, and its lease hasn't expired.
+ * The task may start elsewhere only when it has. */
 static void
 test_new_leader_waits_for_silent_runners (void **state)
 {
@@ -260,9 +261,9 @@
   drop_rig (r);
 }
 
-/* The client waits out the lease of a dead runner although its tasks may run twice.
- * With copies allowed the task starts elsewhere as soon as its runner is silent; when the
- * runner comes back, what still runs there is stopped. */
+/* Guards against waiting for the lease of a dead runner when the task may run twice. With
+ * copies allowed the task starts elsewhere as soon as its runner can't be reached; when
+ * the runner comes back, its run is stopped. */
 static void
 test_copy_instead_of_waiting_for_a_lease (void **state)
 {
@@ -278,7 +279,7 @@
   r->runners[at].cut_until = r->now + 4 * KQ_SEC;
   kq_sched_rig_run (r, 3800 * KQ_MS);
   assert_int_equal (kq_sched_rig_running (r, "aa"), 1 + 1);
-  r->broken = 0; /* two runs at a time are what is wanted here */
+  r->broken = 0; /* two runs at once are intended here */
   kq_sched_rig_run (r, 8 * KQ_SEC);
   assert_int_equal (kq_sched_rig_state (r, "aa"), KQ_JOB_COMPLETED);
   assert_int_equal (kq_sched_rig_running (r, "aa"), 0);
--- a/src/sched/takeover_test.c
+++ b/src/sched/takeover_test.c
@@ -14,15 +14,15 @@
 #define RUNNERS 400
 #define AGENTS 8
 
-/* A new leader, after all hosts have gone down. */
+/* A new leader and its runners after all hosts went down. */
 typedef struct
 {
   KqSched *sched;
   KqCounters *counters;
   KqTime now;
-  int holds[RUNNERS]; /* agent; -1: none */
+  int agent_of[RUNNERS]; /* -1: none */
   uint64_t taking[RUNNERS];
-  bool told[RUNNERS];
+  bool listed[RUNNERS]; /* since the runner was assigned */
 } Fleet;
 
 static int
@@ -40,18 +40,18 @@
   int n = runner_of (o->runner);
   if (o->kind == KQ_ORDER_TAKE)
     {
-      f->holds[n] = agent;
+      f->agent_of[n] = agent;
       f->taking[n] = o->u.take.taking;
-      f->told[n] = false;
+      f->listed[n] = false;
     }
 }
 
 static int
-held_by (const Fleet *f, int agent)
+count_runners_of (const Fleet *f, int agent)
 {
   int n = 0;
   for (int i = 0; i < RUNNERS; i++)
-    n += f->holds[i] == agent;
+    n += f->agent_of[i] == agent;
   return n;
 }
 
@@ -69,19 +69,19 @@
     kq_sched_run (f->sched, f->now, f->now / KQ_MS);
 }
 
-/* All agents tell of what they have been given. */
+/* Sends the first list of all runners that have been assigned to an agent. */
 static void
-tell (Fleet *f)
+send_first_lists (Fleet *f)
 {
   for (int i = 0; i < RUNNERS; i++)
     {
       char id[16];
       KqRunnerList l = { .born_ms = 1, .lease_left_ms = 5000, .taking = f->taking[i] };
-      if (f->holds[i] < 0 || f->told[i])
+      if (f->agent_of[i] < 0 || f->listed[i])
         continue;
-      f->told[i] = true;
+      f->listed[i] = true;
       snprintf (id, sizeof id, "r%d", i);
-      kq_sched_list (f->sched, f->holds[i], kq_str (id), &l, f->now);
+      kq_sched_list (f->sched, f->agent_of[i], kq_str (id), &l, f->now);
     }
 }
 
@@ -110,7 +110,7 @@
                           .room = { 4000, 16000, 0 } };
       snprintf (id, sizeof id, "r%d", i);
       e.id = kq_str (id);
-      f->holds[i] = -1;
+      f->agent_of[i] = -1;
       kq_sched_entry (f->sched, &e, f->now);
     }
   kq_sched_loaded (f->sched, f->now);
@@ -131,16 +131,17 @@
   return 0;
 }
 
-/* Leases lapse: the first host back takes all runners, and can't renew them. */
+/* Guards against leases that expire because the first agent back is assigned all runners,
+ * more than it can renew. */
 static void
-test_first_host_back_does_not_take_the_fleet (void **state)
+test_first_agent_back_does_not_get_all_runners (void **state)
 {
   Fleet *f = *state;
   int weak = add_agent (f, "weak", 70);
   int agents[AGENTS];
   run (f, KQ_SEC);
-  assert_true (held_by (f, weak) > 0);
-  assert_true (held_by (f, weak) < RUNNERS / 10);
+  assert_true (count_runners_of (f, weak) > 0);
+  assert_true (count_runners_of (f, weak) < RUNNERS / 10);
   for (int i = 0; i < AGENTS; i++)
     {
       char name[16];
@@ -150,16 +151,17 @@
   for (int i = 0; i < 10; i++)
     {
       run (f, 50 * KQ_MS);
-      tell (f);
+      send_first_lists (f);
     }
-  assert_int_equal (held_by (f, -1), 0);
+  assert_int_equal (count_runners_of (f, -1), 0);
   for (int i = 0; i < AGENTS; i++)
-    assert_in_range (held_by (f, agents[i]), 30, 70);
+    assert_in_range (count_runners_of (f, agents[i]), 30, 70);
 }
 
-/* The lead is lost: the lists of all runners come at once, and fill the leader's link. */
+/* Guards against a leader that loses its own lease because the lists of all runners
+ * arrive at once and fill its link. */
 static void
-test_runners_are_taken_over_in_slices (void **state)
+test_runners_are_assigned_in_batches (void **state)
 {
   Fleet *f = *state;
   for (int i = 0; i < AGENTS; i++)
@@ -169,15 +171,15 @@
       add_agent (f, name, 1000);
     }
   run (f, KQ_SEC);
-  assert_in_range (RUNNERS - held_by (f, -1), 64, 128);
-  tell (f);
-  run (f, 10 * KQ_MS); /* the next slice doesn't wait */
-  assert_true (RUNNERS - held_by (f, -1) > 128);
+  assert_in_range (RUNNERS - count_runners_of (f, -1), 64, 128);
+  send_first_lists (f);
+  run (f, 10 * KQ_MS); /* the next batch is assigned at once */
+  assert_true (RUNNERS - count_runners_of (f, -1) > 128);
 }
 
-/* Work stands still: runners that no agent reaches keep the next ones waiting. */
+/* Guards against unreachable runners that keep the others from being assigned. */
 static void
-test_silent_runners_dont_hold_up_the_others (void **state)
+test_unreachable_runners_dont_delay_the_others (void **state)
 {
   Fleet *f = *state;
   for (int i = 0; i < AGENTS; i++)
@@ -191,24 +193,24 @@
     {
       char id[16];
       snprintf (id, sizeof id, "r%d", i);
-      if (f->holds[i] >= 0)
-        kq_sched_unreached (f->sched, f->holds[i], kq_str (id), f->taking[i], 5000,
+      if (f->agent_of[i] >= 0)
+        kq_sched_unreached (f->sched, f->agent_of[i], kq_str (id), f->taking[i], 5000,
                             f->now);
     }
   run (f, 10 * KQ_MS);
-  assert_true (RUNNERS - held_by (f, -1) > 128);
+  assert_true (RUNNERS - count_runners_of (f, -1) > 128);
 }
 
 int
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test_setup_teardown (test_first_host_back_does_not_take_the_fleet, set_up,
-                                     tear_down),
-    cmocka_unit_test_setup_teardown (test_runners_are_taken_over_in_slices, set_up,
-                                     tear_down),
-    cmocka_unit_test_setup_teardown (test_silent_runners_dont_hold_up_the_others, set_up,
+    cmocka_unit_test_setup_teardown (test_first_agent_back_does_not_get_all_runners,
+                                     set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_runners_are_assigned_in_batches, set_up,
                                      tear_down),
+    cmocka_unit_test_setup_teardown (test_unreachable_runners_dont_delay_the_others,
+                                     set_up, tear_down),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
