--- a/src/sched/book.c
+++ b/src/sched/book.c
@@ -55,7 +55,7 @@
 
 /* The estimated time of the longest chain of dependent steps that aren't done. */
 static int64_t
-critical_path_ms (const KqOccurrence *o)
+longest_chain_ms (const KqOccurrence *o)
 {
   const KqSpec *spec = &o->job->spec;
   int64_t ends[KQ_SPEC_STEPS_MAX];
@@ -86,7 +86,7 @@
         open = open && o->steps[p->after[k]].done == spec->steps[p->after[k]].width;
       o->steps[i].open = open;
     }
-  o->chain_left_ms = critical_path_ms (o);
+  o->chain_left_ms = longest_chain_ms (o);
 }
 
 KqOccurrence *
--- a/src/sched/lists.c
+++ b/src/sched/lists.c
@@ -298,8 +298,8 @@
     t->avoid = r;
   if (result == KQ_ORDER_NO_TICKET)
     {
-      run->job->spec.advised
-          = true; /* its queue became advised after the job's acceptance */
+      /* Its queue became advised after the job was accepted. */
+      run->job->spec.advised = true;
       if (run->occurrence != NULL)
         kq_tickets_refused (run->occurrence, run->step, r);
     }
--- a/src/sched/maintenance.c
+++ b/src/sched/maintenance.c
@@ -19,8 +19,7 @@
 #define HOST_DURATION (5 * KQ_SEC)
 /* The wave should be completed this long before its time is over. */
 #define WAVE_RESERVE (2 * KQ_SEC)
-/* Tasks that can't save their progress may go on for this time while a host is drained.
- */
+/* While a host is drained, tasks that can't save their progress may go on this long. */
 #define DRAIN_MAX (2 * KQ_SEC)
 /* A task that is expected to end within this time isn't stopped. */
 #define ENDS_SOON_MS 500
--- a/src/sched/sched.c
+++ b/src/sched/sched.c
@@ -350,8 +350,7 @@
   const KqJob *j = kq_book_find (s, id);
   if (j == NULL)
     return KQ_JOB_UNKNOWN;
-  /* An end is reported only once it is stored: a new leader wouldn't know of it before.
-   */
+  /* An end is reported only once it is stored; until then a new leader wouldn't know. */
   if (j->shown >= KQ_JOB_COMPLETED)
     return j->shown;
   return j->begun ? KQ_JOB_RUNNING : KQ_JOB_WAITING;
