--- a/src/sched/ended_repeat_race_test.c
+++ b/src/sched/ended_repeat_race_test.c
@@ -50,7 +50,7 @@
  * end although a repeat of its start is in flight and reaches the runner after a restart.
  */
 static void
-test_repeat_reaches_the_next_life (void **state)
+test_repeat_arrives_after_a_restart (void **state)
 {
   int broken = 0;
   (void)state;
@@ -66,6 +66,6 @@
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (test_repeat_reaches_the_next_life) };
+      = { cmocka_unit_test (test_repeat_arrives_after_a_restart) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/sched/last_word_test.c
+++ b/src/sched/last_word_test.c
@@ -34,7 +34,7 @@
 /* Guards against leases that outlast the leader's wait for a lost agent: the agent counts
  * blind_ms from messages that were still in flight when the leader gave it up. */
 static void
-test_last_word_under_way_when_an_agent_is_given_up (void **state)
+test_messages_in_flight_to_a_lost_agent (void **state)
 {
   int broken = 0;
   (void)state;
@@ -48,6 +48,6 @@
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (test_last_word_under_way_when_an_agent_is_given_up) };
+      = { cmocka_unit_test (test_messages_in_flight_to_a_lost_agent) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/sched/late_start_test.c
+++ b/src/sched/late_start_test.c
@@ -11,7 +11,7 @@
 /* Guards against a task that runs twice: a start arrives after a restart of its runner,
  * whose new clock allows the run a whole lease from then on. */
 static void
-test_start_with_the_lease_of_an_earlier_life (void **state)
+test_start_with_the_lease_from_before_a_restart (void **state)
 {
   static const uint64_t seeds[] = { 20319, 22775, 36905, 41359, 41997, 68132, 4287 };
   int broken = 0;
@@ -32,6 +32,6 @@
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (test_start_with_the_lease_of_an_earlier_life) };
+      = { cmocka_unit_test (test_start_with_the_lease_from_before_a_restart) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/sched/lease_race_test.c
+++ b/src/sched/lease_race_test.c
@@ -35,7 +35,7 @@
 /* Guards against a task that runs twice: an agent renews its runner's lease while the
  * leader treats the lease as expired. */
 static void
-test_lease_renewed_while_its_end_is_counted_on (void **state)
+test_lease_renewed_while_treated_as_expired (void **state)
 {
   int broken = 0;
   (void)state;
@@ -49,6 +49,6 @@
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (test_lease_renewed_while_its_end_is_counted_on) };
+      = { cmocka_unit_test (test_lease_renewed_while_treated_as_expired) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/sched/maintenance_test.c
+++ b/src/sched/maintenance_test.c
@@ -140,7 +140,7 @@
 /* Guards against a second host taken down when the answer to a call is lost: the first
  * host may be down, so the same call is repeated until it is answered. */
 static void
-test_call_without_an_answer_is_repeated (void **state)
+test_unanswered_call_is_repeated (void **state)
 {
   KqSchedDesk *d = *state;
   kq_sched_desk_run (d, FIRST_CALL);
@@ -178,7 +178,7 @@
 /* Guards against hosts taken down twice after the loss of all nodes during a wave: the
  * next leader goes on with the hosts that are left. */
 static void
-test_next_leader_goes_on (void **state)
+test_next_leader_continues_wave (void **state)
 {
   KqSchedDesk *d = *state;
   KqBuf record = { 0 };
@@ -329,9 +329,9 @@
     DESK (test_host_is_drained_first),
     DESK (test_no_more_hosts_than_allowed),
     DESK (test_earlier_new_runner_is_not_taken_for_the_next),
-    DESK (test_call_without_an_answer_is_repeated),
+    DESK (test_unanswered_call_is_repeated),
     DESK (test_tasks_that_may_not_be_away),
-    DESK (test_next_leader_goes_on),
+    DESK (test_next_leader_continues_wave),
     DESK (test_host_that_was_done_before_is_used_again),
     DESK (test_runner_taken_down_is_not_waited_for),
     DESK (test_drained_runner_is_not_waited_for),
--- a/src/sched/orders_test.c
+++ b/src/sched/orders_test.c
@@ -290,7 +290,7 @@
 /* A start on r0 is answered. Then a list from after a restart of r0 arrives, which was
  * requested before that answer. */
 static void
-start_across_two_lives (KqSchedDesk *d)
+answer_start_before_a_restart (KqSchedDesk *d)
 {
   kq_sched_entry_gone (d->sched, KQ_STR ("r1"), d->now);
   kq_sched_desk_submit (d, "aa", kq_sched_desk_step (), false);
@@ -313,7 +313,7 @@
 {
   KqSchedDesk *d = *state;
   KqRunRow row = { .checkpoint = KQ_STR (""), .percent = 1 };
-  start_across_two_lives (d);
+  answer_start_before_a_restart (d);
   row.task = kq_str (d->task);
   row.run = d->run;
   kq_sched_desk_list_runs (d, "r0", &row, 1);
@@ -325,10 +325,10 @@
 /* Guards against a task that isn't started again: its start had reached the runner before
  * the restart, which ended the run. */
 static void
-test_start_in_the_life_before (void **state)
+test_start_run_before_a_restart (void **state)
 {
   KqSchedDesk *d = *state;
-  start_across_two_lives (d);
+  answer_start_before_a_restart (d);
   kq_sched_desk_list (d, "r0", NULL, 0);
   kq_sched_desk_run (d, 300 * KQ_MS);
   assert_int_equal (d->starts, 2);
@@ -399,20 +399,20 @@
 test_list_of_an_earlier_taking (void **state)
 {
   KqSchedDesk *d = *state;
-  uint64_t early = d->results;
-  uint64_t taking = d->taking[0];
-  uint64_t now;
+  uint64_t earlier_results = d->results;
+  uint64_t earlier = d->taking[0];
+  uint64_t current;
   start_on_r0 (d);
   reassign_r0 (d);
-  now = d->taking[0];
-  d->taking[0] = taking;
-  d->results = early;
+  current = d->taking[0];
+  d->taking[0] = earlier;
+  d->results = earlier_results;
   kq_sched_desk_list (d, "r0", NULL, 0);
   kq_sched_desk_run (d, KQ_SEC);
   assert_int_equal (d->starts, 1);
-  d->taking[0] = now;
+  d->taking[0] = current;
   d->results = 0;
-  kq_sched_desk_list (d, "r0", NULL, 0); /* a list of the present one is applied */
+  kq_sched_desk_list (d, "r0", NULL, 0); /* a list of the current assignment counts */
   kq_sched_desk_run (d, KQ_SEC);
   assert_int_equal (d->starts, 2);
 }
@@ -420,18 +420,18 @@
 /* Guards against a task that isn't started again: an outcome from an earlier assignment
  * of its runner keeps a run that is no longer listed. */
 static void
-test_outcome_of_an_earlier_taking (void **state)
+test_outcome_of_an_earlier_assignment (void **state)
 {
   KqSchedDesk *d = *state;
-  uint64_t taking = d->taking[0];
-  uint64_t now;
+  uint64_t earlier = d->taking[0];
+  uint64_t current;
   start_on_r0 (d);
   reassign_r0 (d);
-  now = d->taking[0];
-  d->taking[0] = taking;
+  current = d->taking[0];
+  d->taking[0] = earlier;
   d->results = 20;
   kq_sched_desk_outcome (d, KQ_ORDER_START, "r0", d->task, d->run, KQ_ORDER_OK);
-  d->taking[0] = now;
+  d->taking[0] = current;
   d->results = 0;
   kq_sched_desk_list (d, "r0", NULL, 0);
   kq_sched_desk_run (d, KQ_SEC);
@@ -457,7 +457,7 @@
 /* Guards against a task that runs twice: a runner that is not in the stored list, because
  * it was drained, gets a run after all, and a later leader doesn't know the runner. */
 static void
-test_a_late_run_puts_its_runner_into_the_list (void **state)
+test_late_run_adds_its_runner_to_stored_list (void **state)
 {
   KqSchedDesk *d = *state;
   KqRunnerEntry e = { .id = KQ_STR ("r0"),
@@ -482,7 +482,7 @@
 /* Guards against a done task that runs again: its end is not in the cut list that the new
  * leader gets, which must not count as the runner's whole list. */
 static void
-test_a_cut_list_settles_nothing (void **state)
+test_cut_list_does_not_account_for_all_runs (void **state)
 {
   KqSchedDesk *d = *state;
   KqEndRow end = { 1, KQ_STR ("zz.0.0.0"), 1, KQ_END_DONE, KQ_STR ("") };
@@ -558,21 +558,21 @@
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
     cmocka_unit_test_setup_teardown (test_start_in_a_new_life, kq_sched_desk_set_up,
                                      kq_sched_desk_tear_down),
-    cmocka_unit_test_setup_teardown (test_start_in_the_life_before, kq_sched_desk_set_up,
-                                     kq_sched_desk_tear_down),
+    cmocka_unit_test_setup_teardown (test_start_run_before_a_restart,
+                                     kq_sched_desk_set_up, kq_sched_desk_tear_down),
     cmocka_unit_test_setup_teardown (test_lease_of_a_runner_that_another_may_renew,
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
     cmocka_unit_test_setup_teardown (test_job_learned_in_doubt_waits,
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
-    cmocka_unit_test_setup_teardown (test_a_late_run_puts_its_runner_into_the_list,
+    cmocka_unit_test_setup_teardown (test_late_run_adds_its_runner_to_stored_list,
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
-    cmocka_unit_test_setup_teardown (test_a_cut_list_settles_nothing,
+    cmocka_unit_test_setup_teardown (test_cut_list_does_not_account_for_all_runs,
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
     cmocka_unit_test_setup_teardown (test_lost_agents_are_known, kq_sched_desk_set_up,
                                      kq_sched_desk_tear_down),
     cmocka_unit_test_setup_teardown (test_list_of_an_earlier_taking, kq_sched_desk_set_up,
                                      kq_sched_desk_tear_down),
-    cmocka_unit_test_setup_teardown (test_outcome_of_an_earlier_taking,
+    cmocka_unit_test_setup_teardown (test_outcome_of_an_earlier_assignment,
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
     cmocka_unit_test_setup_teardown (test_lease_of_a_runner_given_to_another_agent,
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
--- a/src/sched/runners.c
+++ b/src/sched/runners.c
@@ -119,11 +119,11 @@
   if (!r->passed_over)
     {
       KqStr from = agent_node (s, agent);
-      KqStr now_of = agent_node (s, r->agent);
+      KqStr current = agent_node (s, r->agent);
       kq_log (KQ_LOG_INFO, PART,
               "Ignoring a message of an earlier agent. runner=%s what=%s from=%.*s "
               "agent=%.*s",
-              r->id, what, KQ_STR_ARG (from), KQ_STR_ARG (now_of));
+              r->id, what, KQ_STR_ARG (from), KQ_STR_ARG (current));
     }
   r->passed_over = true;
   return false;
--- a/src/sched/sched_test.c
+++ b/src/sched/sched_test.c
@@ -236,7 +236,7 @@
 }
 
 static void
-test_runner_that_fails_all_is_left_alone (void **state)
+test_runner_that_fails_all_is_avoided (void **state)
 {
   KqSchedRig *r = new_rig (6, 1);
   KqStep s = kq_sched_rig_step (4, 500, 200);
@@ -301,7 +301,7 @@
     cmocka_unit_test (test_new_leader_waits_for_silent_runners),
     cmocka_unit_test (test_job_after_the_election_starts_at_once),
     cmocka_unit_test (test_task_that_stands_still_goes_elsewhere),
-    cmocka_unit_test (test_runner_that_fails_all_is_left_alone),
+    cmocka_unit_test (test_runner_that_fails_all_is_avoided),
     cmocka_unit_test (test_copy_instead_of_waiting_for_a_lease),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
