--- a/src/sched/lease_race_test.c
+++ b/src/sched/lease_race_test.c
@@ -7,8 +7,9 @@
 
 #include <cmocka.h>
 
-/* The runner is out of its agent's reach for so long; before it answers again, the
- * agent's ways to it and to the leader become slow. */
+/* The runner is cut off from its agent for the time `cut`. Shortly before it answers
+ * again, the links from the agent to it and to the leader become slow. Returns the number
+ * of invariants broken. */
 static int
 breaches (KqTime cut, KqTime slow_before)
 {
@@ -31,9 +32,10 @@
   return kq_sched_rig_free (r);
 }
 
-/* Guards against a lease that is renewed while the leader counts it as over. */
+/* Guards against a task that runs twice: an agent renews its runner's lease while the
+ * leader treats the lease as expired. */
 static void
-test_lease_renewed_while_its_end_is_counted_on (void **state)
+test_lease_renewed_while_treated_as_expired (void **state)
 {
   int broken = 0;
   (void)state;
@@ -47,6 +49,6 @@
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (test_lease_renewed_while_its_end_is_counted_on) };
+      = { cmocka_unit_test (test_lease_renewed_while_treated_as_expired) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
