--- a/src/steps/queues.c
+++ b/src/steps/queues.c
@@ -13,7 +13,7 @@
   free (t);
 }
 
-/* A Host header may carry the port. */
+/* The Host header may contain a port, which is ignored. */
 static bool
 same_host (KqStr configured, KqStr given)
 {
--- a/src/steps/queues.h
+++ b/src/steps/queues.h
@@ -1,10 +1,10 @@
 #ifndef KQ_STEPS_QUEUES_H
 #define KQ_STEPS_QUEUES_H
 
-/* queues: the operators' configuration of queues and services, as one version of it.
+/* queues: one version of the operators' configuration of queues and services.
  *
- * A table is built once and then only read. A newer version replaces it as a whole; an
- * older one never does. */
+ * A table isn't changed once it is built. Only a newer version replaces it, as a whole.
+ */
 
 #include "base/str.h"
 
@@ -16,18 +16,18 @@
   KqStr host;   /* value of the Host header; "" matches any */
   KqStr prefix; /* of the path */
   KqStr service;
-  int32_t priority;
+  int32_t priority; /* this and the following as in KqSpec */
   int32_t attempts;
   int32_t stretch_percent;
   int32_t slo_ms;
-  bool advised; /* an advice service names the runners allowed */
+  bool advised; /* starts need a ticket of the advice service, which names the runners */
 } KqQueue;
 
 typedef struct
 {
   KqStr name;
-  bool checks_room; /* its runners refuse what doesn't fit */
-  bool spare;       /* its hosts are off */
+  bool checks_room; /* its runners refuse tasks that don't fit */
+  bool spare;       /* its hosts are switched off */
 } KqService;
 
 typedef struct
@@ -37,13 +37,15 @@
   size_t n_queues;
   KqService *services;
   size_t n_services;
-  int64_t body_max;
-  KqBuf bytes; /* what the strings point into */
+  int64_t body_max; /* bytes of a request's body */
+  KqBuf bytes;      /* the strings point into it */
 } KqQueueTable;
 
 void kq_queue_table_free (KqQueueTable *t);
-/* The queue with the longest prefix of path at that host; NULL: none. */
+/* Returns the queue of that Host header value with the longest prefix of path; NULL:
+ * none. */
 const KqQueue *kq_queue_find (const KqQueueTable *t, KqStr host, KqStr path);
+/* NULL: no queue has that name. */
 const KqQueue *kq_queue_by_name (const KqQueueTable *t, KqStr name);
 
 #endif
--- a/src/steps/spec.c
+++ b/src/steps/spec.c
@@ -4,8 +4,8 @@
 
 #include <stdlib.h>
 
-/* First field of a stored job, so that a later form can be told apart. */
-#define FORM 1
+/* First field of a stored job. */
+#define FORMAT_VERSION 1
 
 static const char *
 check_step (const KqSpec *s, int32_t n)
@@ -33,7 +33,7 @@
     *why = "the text is too long";
   else if (s->n_steps < 1 || s->n_steps > KQ_SPEC_STEPS_MAX)
     *why = "no steps or too many";
-  else if (s->times < 0 || s->times > KQ_SPEC_TIMES_MAX || s->interval_ms < 0)
+  else if (s->times < 0 || s->times > KQ_SPEC_OCCURRENCES_MAX || s->interval_ms < 0)
     *why = "bad occurrences";
   for (int32_t i = 0; i < s->n_steps && *why == NULL; i++)
     {
@@ -46,18 +46,18 @@
 }
 
 int64_t
-kq_spec_chain_ms (const KqSpec *s)
+kq_spec_critical_path_ms (const KqSpec *s)
 {
   int64_t *ends = kq_alloc ((size_t)s->n_steps * sizeof *ends);
   int64_t longest = 0;
   for (int32_t i = 0; i < s->n_steps; i++)
     {
       const KqStep *p = &s->steps[i];
-      int64_t begin = 0;
+      int64_t start = 0;
       for (int32_t k = 0; k < p->n_after; k++)
-        if (ends[p->after[k]] > begin)
-          begin = ends[p->after[k]];
-      ends[i] = begin + p->estimate_ms;
+        if (ends[p->after[k]] > start)
+          start = ends[p->after[k]];
+      ends[i] = start + p->estimate_ms;
       if (ends[i] > longest)
         longest = ends[i];
     }
@@ -68,7 +68,7 @@
 int64_t
 kq_spec_objective_ms (const KqSpec *s)
 {
-  return kq_spec_chain_ms (s) * s->stretch_percent / 100 + s->slo_ms;
+  return kq_spec_critical_path_ms (s) * s->stretch_percent / 100 + s->slo_ms;
 }
 
 int32_t
@@ -118,7 +118,7 @@
   KqPacker p;
   kq_packer_init (&p, out);
   kq_pack_array (&p, 15);
-  kq_pack_i64 (&p, FORM);
+  kq_pack_i64 (&p, FORMAT_VERSION);
   kq_pack_str (&p, s->id);
   kq_pack_str (&p, s->queue);
   kq_pack_str (&p, s->service);
@@ -206,11 +206,11 @@
   KqUnpacked u;
   KqReader r;
   const char *why;
-  bool good;
+  bool valid;
   *out = (KqSpec){ 0 };
   if (!kq_unpacked_open (&u, bytes, &r))
     return false;
-  good = kq_read_i64 (&r) == FORM;
+  valid = kq_read_i64 (&r) == FORMAT_VERSION;
   out->id = kq_read_str (&r);
   out->queue = kq_read_str (&r);
   out->service = kq_read_str (&r);
@@ -224,13 +224,13 @@
   out->interval_ms = kq_read_i64 (&r);
   out->times = (int32_t)kq_read_i64 (&r);
   read_steps (&r, out);
-  /* Jobs stored by a version that knew no advice end here. */
+  /* Jobs stored by a version without the advice service have no such field. */
   out->advised = r.left > 0 && kq_read_bool (&r);
-  good = good && !r.bad && kq_spec_check (out, &why) == KQ_OK;
+  valid = valid && !r.bad && kq_spec_check (out, &why) == KQ_OK;
   kq_unpacked_close (&u);
-  if (!good)
+  if (!valid)
     kq_spec_clear (out);
-  return good;
+  return valid;
 }
 
 void
--- a/src/steps/spec_test.c
+++ b/src/steps/spec_test.c
@@ -34,7 +34,7 @@
 }
 
 static void
-test_stored_form_is_whole (void **state)
+test_stored_form_round_trip (void **state)
 {
   KqStep steps[2];
   int32_t after = 0;
@@ -51,7 +51,7 @@
   assert_int_equal (o.steps[1].target_ms, 18);
   assert_true (o.steps[1].checkpoints);
   assert_true (kq_str_eq (o.steps[1].image, KQ_STR ("img")));
-  assert_int_equal (kq_spec_chain_ms (&o), 500);
+  assert_int_equal (kq_spec_critical_path_ms (&o), 500);
   assert_int_equal (kq_spec_objective_ms (&o), 500 * 150 / 100 + 500);
   for (size_t n = 0; n < b.len; n++)
     {
@@ -106,7 +106,7 @@
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (test_stored_form_is_whole),
+      = { cmocka_unit_test (test_stored_form_round_trip),
           cmocka_unit_test (test_bad_jobs_are_refused),
           cmocka_unit_test (test_longest_prefix_selects_the_queue) };
   return cmocka_run_group_tests (tests, NULL, NULL);
