--- a/src/fleet/accepts.c
+++ b/src/fleet/accepts.c
@@ -9,18 +9,18 @@
 #include <stdlib.h>
 
 #define PART "accepts"
-/* Of the time that a node waits for the answer; its way there and back takes the rest. */
+/* Shorter than the time that the node waits for the answer, less a round trip. */
 #define WRITE_MS 700
-/* Nothing is written for so long after a write without an answer: until the leader's
+/* No jobs are written for this long after a write without an answer: by then the leader's
  * other calls have shown whether it still reaches the store. */
-#define DOUBT (700 * KQ_MS)
-/* Writes under way; each holds its job's text. */
+#define PAUSE_AFTER_UNKNOWN (700 * KQ_MS)
+/* Outstanding writes; each holds a copy of its job. */
 #define CALLS_MAX 500
 
 typedef struct
 {
-  KqAccepts *accepts; /* NULL: forgotten */
-  KqPeer *peer;       /* NULL: gone */
+  KqAccepts *accepts; /* NULL: freed meanwhile */
+  KqPeer *peer;       /* NULL: disconnected meanwhile */
   uint64_t call;
   KqBuf stored;
 } Call;
@@ -29,8 +29,8 @@
 {
   KqKv *kv;
   KqAcceptsOwner owner;
-  GPtrArray *calls;  /* Call */
-  KqTime doubted_at; /* the last write without an answer; 0: none */
+  GPtrArray *calls;  /* outstanding Calls */
+  KqTime unknown_at; /* when the last write ended without an answer; 0: never */
 };
 
 KqAccepts *
@@ -69,7 +69,7 @@
   switch (r)
     {
     case KQ_KV_OK:
-    case KQ_KV_CONFLICT: /* it is there: a repeat */
+    case KQ_KV_CONFLICT: /* stored already: the job was submitted again */
       return KQ_ACCEPT_DONE;
     case KQ_KV_REFUSED:
       return KQ_ACCEPT_REFUSED;
@@ -91,7 +91,7 @@
     goto out;
   g_ptr_array_remove_fast (a->calls, c);
   if (result == KQ_ACCEPT_UNKNOWN)
-    a->doubted_at = now;
+    a->unknown_at = now;
   if (result == KQ_ACCEPT_DONE)
     a->owner.answered (a->owner.arg, r->sent_at, now);
   if (r->result == KQ_KV_OK)
@@ -115,16 +115,16 @@
 }
 
 void
-kq_accepts_take (KqAccepts *a, KqPeer *p, uint64_t call, KqStr stored, KqTime now)
+kq_accepts_write (KqAccepts *a, KqPeer *p, uint64_t call, KqStr stored, KqTime now)
 {
-  bool doubt = a->doubted_at != 0 && now - a->doubted_at < DOUBT;
+  bool paused = a->unknown_at != 0 && now - a->unknown_at < PAUSE_AFTER_UNKNOWN;
   KqSpec spec;
   Call *c;
-  if (doubt || a->calls->len >= CALLS_MAX || !kq_spec_unpack (stored, &spec))
+  if (paused || a->calls->len >= CALLS_MAX || !kq_spec_unpack (stored, &spec))
     {
       kq_log (KQ_LOG_INFO, PART,
-              "A node's job isn't written. doubt=%d under_way=%u bytes=%zu", doubt,
-              a->calls->len, stored.len);
+              "Refusing to write a job for a node. doubt=%d under_way=%u bytes=%zu",
+              paused, a->calls->len, stored.len);
       answer (p, call, KQ_ACCEPT_REFUSED);
       return;
     }
@@ -141,7 +141,7 @@
 }
 
 void
-kq_accepts_left (KqAccepts *a, const KqPeer *p)
+kq_accepts_peer_left (KqAccepts *a, const KqPeer *p)
 {
   for (guint i = 0; i < a->calls->len; i++)
     {
--- a/src/fleet/accepts.h
+++ b/src/fleet/accepts.h
@@ -1,44 +1,45 @@
 #ifndef KQ_FLEET_ACCEPTS_H
 #define KQ_FLEET_ACCEPTS_H
 
-/* accepts: jobs that the leader writes to the store for nodes that don't reach it.
+/* accepts: the leader writes jobs to the store for nodes that cannot reach it.
  *
- * Load pattern: the store turns a third of the nodes away for seconds and serves the
- * rest. Client accounts' connections stay with their nodes, so all jobs that come there
- * would be refused meanwhile.
+ * The store may refuse a third of the nodes for seconds and serve the rest. Clients keep
+ * their connections, so without this every job sent to those nodes would be refused.
  *
- * The leader's word to the node is how its one write ended; a job whose write has no
- * answer may have been accepted. After such a write nothing is written for a while: the
- * store may be going away for the leader as well. */
+ * The leader makes one write per job and replies with its result; a job whose write got
+ * no answer may have been accepted. After such a write no jobs are written for a while:
+ * the store may be about to become unreachable for the leader as well. */
 
 #include "fleet/link.h"
 #include "port/kv.h"
 
 typedef struct KqAccepts KqAccepts;
 
-/* The value of the answer to KQ_ASK_ACCEPT; any other: it wasn't tried. */
+/* The value of the answer to KQ_ASK_ACCEPT; any other value: no write was tried. */
 typedef enum
 {
   KQ_ACCEPT_DONE,    /* the job is in the store */
-  KQ_ACCEPT_REFUSED, /* it isn't, and won't be by this call */
-  KQ_ACCEPT_UNKNOWN
+  KQ_ACCEPT_REFUSED, /* the job hasn't been written, and won't be by this call */
+  KQ_ACCEPT_UNKNOWN  /* the write got no answer: it may or may not be carried out */
 } KqAcceptResult;
 
 typedef struct
 {
   void *arg;
-  /* The job was written at that revision. */
+  /* The job has been written for the first time, at that revision. */
   void (*accepted) (void *arg, KqStr stored, uint64_t revision, KqTime now);
-  /* The store has answered. */
+  /* The store has answered a call that was sent at sent_at. */
   void (*answered) (void *arg, KqTime sent_at, KqTime now);
 } KqAcceptsOwner;
 
 KqAccepts *kq_accepts_new (KqKv *kv, const KqAcceptsOwner *owner);
-/* Before the store's client; calls that are out are forgotten. */
+/* To be called before kv is freed; the results of outstanding writes are ignored. */
 void kq_accepts_free (KqAccepts *a);
-/* stored: the job as the store holds it. The peer gets its answer when it is written. */
-void kq_accepts_take (KqAccepts *a, KqPeer *p, uint64_t call, KqStr stored, KqTime now);
-/* The peer is gone. */
-void kq_accepts_left (KqAccepts *a, const KqPeer *p);
+/* Writes a job in its stored form, unless it cannot be decoded, too many writes are
+ * outstanding or the last one got no answer. The peer gets the result as the
+ * KQ_CREW_ANSWER to `call`. */
+void kq_accepts_write (KqAccepts *a, KqPeer *p, uint64_t call, KqStr stored, KqTime now);
+/* The peer has disconnected: it gets no more answers. */
+void kq_accepts_peer_left (KqAccepts *a, const KqPeer *p);
 
 #endif
--- a/src/fleet/accepts_test.c
+++ b/src/fleet/accepts_test.c
@@ -13,7 +13,7 @@
 
 #define START (100 * KQ_SEC)
 
-/* The store and the connections to nodes, played by the test. */
+/* Fake store and node connections. */
 static struct
 {
   int writes;
@@ -23,9 +23,9 @@
   uint64_t call; /* of the last answer */
   int64_t value;
   int accepted;
-} world;
+} fake;
 
-static KqPeer *const peer = (KqPeer *)&world;
+static KqPeer *const peer = (KqPeer *)&fake;
 
 void
 kq_kv_txn (KqKv *kv, const KqKvTxn *t, int timeout_ms, KqKvCallback cb)
@@ -33,18 +33,18 @@
   (void)kv;
   (void)timeout_ms;
   assert_int_equal (t->checks[0].revision, 0);
-  kq_str_copy (t->checks[0].key, world.key, sizeof world.key);
-  world.writes++;
-  world.cb = cb;
+  kq_str_copy (t->checks[0].key, fake.key, sizeof fake.key);
+  fake.writes++;
+  fake.cb = cb;
 }
 
 void
 kq_link_send_peer (KqPeer *p, const KqCrewItem *i)
 {
   assert_ptr_equal (p, peer);
-  world.answers++;
-  world.call = i->u.answer.call;
-  world.value = i->u.answer.value;
+  fake.answers++;
+  fake.call = i->u.answer.call;
+  fake.value = i->u.answer.value;
 }
 
 int
@@ -61,7 +61,7 @@
   (void)now;
   assert_true (stored.len > 0);
   assert_int_equal (revision, 9);
-  world.accepted++;
+  fake.accepted++;
 }
 
 static void
@@ -73,13 +73,13 @@
 }
 
 static void
-take (KqAccepts *a, uint64_t call, KqTime now)
+write_job (KqAccepts *a, uint64_t call, KqTime now)
 {
   KqStep step = { .width = 1, .cpu_milli = 100, .away_most = -1 };
   KqSpec spec = { .id = KQ_STR ("j1"), .steps = &step, .n_steps = 1 };
   KqBuf stored = { 0 };
   kq_spec_pack (&spec, &stored);
-  kq_accepts_take (a, peer, call, kq_buf_str (&stored), now);
+  kq_accepts_write (a, peer, call, kq_buf_str (&stored), now);
   kq_buf_free (&stored);
 }
 
@@ -88,11 +88,11 @@
 {
   KqAcceptsOwner owner = { NULL, on_accepted, on_answered };
   KqAccepts *a = kq_accepts_new (NULL, &owner);
-  memset (&world, 0, sizeof world);
+  memset (&fake, 0, sizeof fake);
   kq_log_set_level (KQ_LOG_ERROR);
-  take (a, 5, START);
-  assert_int_equal (world.writes, 1);
-  assert_string_equal (world.key, "kq/in/j/j1");
+  write_job (a, 5, START);
+  assert_int_equal (fake.writes, 1);
+  assert_string_equal (fake.key, "kq/in/j/j1");
   return a;
 }
 
@@ -100,41 +100,43 @@
 store_answers (KqKvResult result)
 {
   KqKvReply r = { .result = result, .revision = 9 };
-  world.cb.done (world.cb.arg, &r, START);
+  fake.cb.done (fake.cb.arg, &r, START);
 }
 
 static void
-test_job_is_written_and_taken_in (void **state)
+test_job_is_written_and_accepted (void **state)
 {
   KqAccepts *a = begin ();
   (void)state;
   store_answers (KQ_KV_OK);
-  assert_int_equal (world.accepted, 1);
-  assert_int_equal (world.call, 5);
-  assert_int_equal (world.value, KQ_ACCEPT_DONE);
+  assert_int_equal (fake.accepted, 1);
+  assert_int_equal (fake.call, 5);
+  assert_int_equal (fake.value, KQ_ACCEPT_DONE);
   kq_accepts_free (a);
 }
 
-/* A job runs twice: a repeat is taken for another one. */
+/* Guards against a job that runs twice because a repeated submission counts as a new job.
+ */
 static void
 test_repeat_is_the_same_job (void **state)
 {
   KqAccepts *a = begin ();
   (void)state;
   store_answers (KQ_KV_CONFLICT);
-  assert_int_equal (world.accepted, 0);
-  assert_int_equal (world.value, KQ_ACCEPT_DONE);
+  assert_int_equal (fake.accepted, 0);
+  assert_int_equal (fake.value, KQ_ACCEPT_DONE);
   kq_accepts_free (a);
 }
 
-/* A job that was refused as not run runs: the write's answer was lost. */
+/* Guards against a job that runs although it was reported as refused: its write was
+ * carried out, but the answer was lost. */
 static void
-test_write_without_an_answer_is_left_open (void **state)
+test_write_without_an_answer_has_unknown_outcome (void **state)
 {
   KqAccepts *a = begin ();
   (void)state;
   store_answers (KQ_KV_UNKNOWN);
-  assert_int_equal (world.value, KQ_ACCEPT_UNKNOWN);
+  assert_int_equal (fake.value, KQ_ACCEPT_UNKNOWN);
   kq_accepts_free (a);
 }
 
@@ -144,57 +146,58 @@
   KqAccepts *a = begin ();
   (void)state;
   store_answers (KQ_KV_REFUSED);
-  assert_int_equal (world.value, KQ_ACCEPT_REFUSED);
+  assert_int_equal (fake.value, KQ_ACCEPT_REFUSED);
   kq_accepts_free (a);
 }
 
-/* The job counts though the node that handed it in has gone; so do answers that come
- * after the leader's end. */
+/* Guards against losing a job whose node disconnects before the write is answered, and
+ * against use of freed memory when the answer comes after kq_accepts_free. */
 static void
-test_node_or_leader_goes_meanwhile (void **state)
+test_node_or_leader_is_gone_before_the_answer (void **state)
 {
   KqAccepts *a = begin ();
   (void)state;
-  kq_accepts_left (a, peer);
+  kq_accepts_peer_left (a, peer);
   store_answers (KQ_KV_OK);
-  assert_int_equal (world.accepted, 1);
-  assert_int_equal (world.answers, 0);
+  assert_int_equal (fake.accepted, 1);
+  assert_int_equal (fake.answers, 0);
   kq_accepts_free (a);
   a = begin ();
   kq_accepts_free (a);
   store_answers (KQ_KV_OK);
-  assert_int_equal (world.accepted, 0);
-  assert_int_equal (world.answers, 0);
+  assert_int_equal (fake.accepted, 0);
+  assert_int_equal (fake.answers, 0);
 }
 
 static void
-test_what_is_no_job_is_refused (void **state)
+test_invalid_job_is_refused (void **state)
 {
   KqAccepts *a = begin ();
   (void)state;
   store_answers (KQ_KV_OK);
-  kq_accepts_take (a, peer, 6, KQ_STR ("damaged"), START);
-  assert_int_equal (world.writes, 1);
-  assert_int_equal (world.call, 6);
-  assert_int_equal (world.value, KQ_ACCEPT_REFUSED);
+  kq_accepts_write (a, peer, 6, KQ_STR ("damaged"), START);
+  assert_int_equal (fake.writes, 1);
+  assert_int_equal (fake.call, 6);
+  assert_int_equal (fake.value, KQ_ACCEPT_REFUSED);
   kq_accepts_free (a);
 }
 
-/* Clients are left in doubt one after the other while the store goes away for all. */
+/* Guards against one write after the other ending with unknown outcome while the store
+ * becomes unreachable for the leader as well. */
 static void
 test_nothing_is_written_after_a_write_without_an_answer (void **state)
 {
   KqAccepts *a = begin ();
   (void)state;
   store_answers (KQ_KV_UNKNOWN);
-  take (a, 6, START + 100 * KQ_MS);
-  assert_int_equal (world.writes, 1);
-  assert_int_equal (world.call, 6);
-  assert_int_equal (world.value, KQ_ACCEPT_REFUSED);
-  take (a, 7, START + KQ_SEC);
-  assert_int_equal (world.writes, 2);
+  write_job (a, 6, START + 100 * KQ_MS);
+  assert_int_equal (fake.writes, 1);
+  assert_int_equal (fake.call, 6);
+  assert_int_equal (fake.value, KQ_ACCEPT_REFUSED);
+  write_job (a, 7, START + KQ_SEC);
+  assert_int_equal (fake.writes, 2);
   store_answers (KQ_KV_OK);
-  assert_int_equal (world.value, KQ_ACCEPT_DONE);
+  assert_int_equal (fake.value, KQ_ACCEPT_DONE);
   kq_accepts_free (a);
 }
 
@@ -202,12 +205,12 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_job_is_written_and_taken_in),
+    cmocka_unit_test (test_job_is_written_and_accepted),
     cmocka_unit_test (test_repeat_is_the_same_job),
-    cmocka_unit_test (test_write_without_an_answer_is_left_open),
+    cmocka_unit_test (test_write_without_an_answer_has_unknown_outcome),
     cmocka_unit_test (test_refused_write_is_refused),
-    cmocka_unit_test (test_node_or_leader_goes_meanwhile),
-    cmocka_unit_test (test_what_is_no_job_is_refused),
+    cmocka_unit_test (test_node_or_leader_is_gone_before_the_answer),
+    cmocka_unit_test (test_invalid_job_is_refused),
     cmocka_unit_test (test_nothing_is_written_after_a_write_without_an_answer),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/src/fleet/batch.c
+++ b/src/fleet/batch.c
@@ -7,20 +7,20 @@
 #include <stdlib.h>
 
 #define PART "batch"
-#define TIMEOUT_MS 1200
-/* After a refusal or no answer: the store is in trouble, what waits is kept in memory. */
-#define RETRY (200 * KQ_MS)
-/* Rows of a transaction behind two checks, the sequence, the list of runners and what has
- * been learned. */
-#define ROWS (KQ_KV_TXN_MAX - 5)
-/* What has been learned goes along with progress this often: a few kilobytes that change
- * slowly. */
-#define LEARNED_EVERY (4 * KQ_SEC)
+#define CALL_TIMEOUT_MS 1200
+/* Delay after a refusal or no answer; meanwhile progress is kept in memory. */
+#define RETRY_DELAY (200 * KQ_MS)
+/* Progress rows of one transaction. The other 5 operations are the two checks, the
+ * sequence key, the list of runners and the learned data. */
+#define ROWS_MAX (KQ_KV_TXN_MAX - 5)
+/* How often a transaction includes the learned data (which tasks disturb which): a few
+ * kilobytes that change slowly. */
+#define LEARNED_PERIOD (4 * KQ_SEC)
 
 typedef enum
 {
   IDLE,
-  READING, /* the sequence key's revision isn't known */
+  READING, /* the sequence key, as its revision isn't known */
   WRITING
 } Phase;
 
@@ -28,17 +28,17 @@
 {
   KqBatchConfig config;
   Phase phase;
-  bool dead;
-  bool known_sequence;
-  uint64_t sequence; /* revision of the sequence key; 0: not there */
-  bool unsure;       /* the last write had no answer */
-  bool open;         /* the scheduler's batch is with us */
-  bool runners_sent;
-  KqProgress rows[ROWS];
+  bool freed;
+  bool sequence_known;
+  uint64_t sequence;       /* revision of the sequence key; 0: it doesn't exist */
+  bool last_write_unknown; /* the last write got no answer */
+  bool batch_open;         /* rows hold the scheduler's batch, which isn't stored yet */
+  bool runners_sent;       /* the last write included `runners` */
+  KqProgress rows[ROWS_MAX];
   size_t n;
-  KqBuf runners;
-  KqBuf learned; /* on its way; empty: none */
-  KqTime learned_at;
+  KqBuf runners;     /* the list of runners to be written; empty: none */
+  KqBuf learned;     /* the learned data as last written */
+  KqTime learned_at; /* when `learned` was written */
   KqTime retry_at;
   uint64_t *writes;
   uint64_t *conflicts;
@@ -69,7 +69,7 @@
 {
   if (b == NULL)
     return;
-  b->dead = true;
+  b->freed = true;
   if (b->phase == IDLE)
     destroy (b);
 }
@@ -80,7 +80,7 @@
   KqTime due;
   if (b->phase != IDLE)
     return KQ_TIME_NEVER;
-  if (b->open || !b->known_sequence || b->runners.len > 0)
+  if (b->batch_open || !b->sequence_known || b->runners.len > 0)
     return b->retry_at;
   due = kq_sched_known_pending (b->config.sched) ? 0
                                                  : kq_sched_store_due (b->config.sched);
@@ -88,11 +88,11 @@
 }
 
 static void
-finish (KqBatch *b, KqTime now)
+finish_write (KqBatch *b, KqTime now)
 {
   bool runners = b->runners_sent;
-  b->unsure = false;
-  b->open = false;
+  b->last_write_unknown = false;
+  b->batch_open = false;
   b->n = 0;
   if (runners)
     {
@@ -103,17 +103,18 @@
   kq_sched_stored (b->config.sched, true, now);
 }
 
-/* The sequence key as the store has it now. After a write without an answer a change of
- * it means that the write was carried out: nobody else writes it in our epoch. */
+/* Records the sequence key's present revision. After a write without an answer, a changed
+ * revision means that the write was carried out: only the leader of this epoch writes it.
+ */
 static void
-learn_sequence (KqBatch *b, uint64_t revision, KqTime now)
+set_sequence (KqBatch *b, uint64_t revision, KqTime now)
 {
-  bool changed = b->known_sequence && revision != b->sequence;
+  bool changed = b->sequence_known && revision != b->sequence;
   b->sequence = revision;
-  b->known_sequence = true;
-  if (b->unsure && changed)
-    finish (b, now);
-  b->unsure = false;
+  b->sequence_known = true;
+  if (b->last_write_unknown && changed)
+    finish_write (b, now);
+  b->last_write_unknown = false;
 }
 
 static void
@@ -121,34 +122,34 @@
 {
   KqBatch *b = arg;
   b->phase = IDLE;
-  if (b->dead)
+  if (b->freed)
     {
       destroy (b);
       return;
     }
   if (r->result != KQ_KV_OK && r->result != KQ_KV_NOT_FOUND)
     {
-      b->retry_at = now + RETRY;
+      b->retry_at = now + RETRY_DELAY;
       return;
     }
   b->config.answered (b->config.arg, r->sent_at, now);
-  learn_sequence (b, r->n_items == 1 ? r->items[0].revision : 0, now);
-  kq_batch_go (b, now);
+  set_sequence (b, r->n_items == 1 ? r->items[0].revision : 0, now);
+  kq_batch_write (b, now);
 }
 
-/* A check failed: the reply has the checked keys as they are. */
+/* A check failed: the reply holds the checked keys' present state. */
 static void
-take_conflict (KqBatch *b, const KqKvReply *r, KqTime now)
+handle_conflict (KqBatch *b, const KqKvReply *r, KqTime now)
 {
-  uint64_t lead = 0;
+  uint64_t leader_revision = 0;
   uint64_t sequence = 0;
   ++*b->conflicts;
   for (size_t i = 0; i < r->n_items; i++)
     if (kq_str_eq (r->items[i].key, kq_lead_key))
-      lead = r->items[i].revision;
+      leader_revision = r->items[i].revision;
     else if (kq_str_eq (r->items[i].key, KQ_STR (KQ_KEY_SEQUENCE)))
       sequence = r->items[i].revision;
-  if (lead != b->config.epoch)
+  if (leader_revision != b->config.epoch)
     {
       b->config.deposed (b->config.arg, "the store has another leader", now);
       return;
@@ -156,8 +157,8 @@
   kq_log (KQ_LOG_WARN, PART,
           "An earlier write was carried out late. sequence=%llu was=%llu",
           (unsigned long long)sequence, (unsigned long long)b->sequence);
-  b->unsure = true;
-  learn_sequence (b, sequence, now);
+  b->last_write_unknown = true;
+  set_sequence (b, sequence, now);
 }
 
 static void
@@ -165,7 +166,7 @@
 {
   KqBatch *b = arg;
   b->phase = IDLE;
-  if (b->dead)
+  if (b->freed)
     {
       destroy (b);
       return;
@@ -176,20 +177,20 @@
     {
     case KQ_KV_OK:
       b->sequence = r->revision;
-      finish (b, now);
+      finish_write (b, now);
       break;
     case KQ_KV_CONFLICT:
-      take_conflict (b, r, now);
+      handle_conflict (b, r, now);
       break;
     case KQ_KV_UNKNOWN:
       kq_log (KQ_LOG_WARN, PART, "No answer to a write of progress. rows=%zu", b->n);
-      b->unsure = true;
-      b->retry_at = now + RETRY;
+      b->last_write_unknown = true;
+      b->retry_at = now + RETRY_DELAY;
       break;
     default:
-      kq_log (KQ_LOG_WARN, PART, "Progress not written. rows=%zu result=%d", b->n,
+      kq_log (KQ_LOG_WARN, PART, "Progress was not written. rows=%zu result=%d", b->n,
               r->result);
-      b->retry_at = now + RETRY;
+      b->retry_at = now + RETRY_DELAY;
       break;
     }
 }
@@ -199,9 +200,9 @@
 {
   KqKvCheck checks[2]
       = { { kq_lead_key, b->config.epoch }, { KQ_STR (KQ_KEY_SEQUENCE), b->sequence } };
-  KqKvPut puts[ROWS + 3];
-  KqStr keys[ROWS];
-  KqStr removes[ROWS];
+  KqKvPut puts[ROWS_MAX + 3];
+  KqStr keys[ROWS_MAX];
+  KqStr removes[ROWS_MAX];
   KqKvTxn t = { checks, 2, puts, 0, removes, 0 };
   size_t n_keys = 0;
   puts[t.n_puts++] = (KqKvPut){ KQ_STR (KQ_KEY_SEQUENCE), KQ_STR ("1"), 0 };
@@ -211,7 +212,7 @@
           = (KqKvPut){ KQ_STR (KQ_KEY_RUNNERS), kq_buf_str (&b->runners), 0 };
       b->runners_sent = true;
     }
-  if (now - b->learned_at >= LEARNED_EVERY)
+  if (now - b->learned_at >= LEARNED_PERIOD)
     {
       b->learned_at = now;
       kq_buf_clear (&b->learned);
@@ -234,29 +235,29 @@
     }
   ++*b->writes;
   b->phase = WRITING;
-  kq_kv_txn (b->config.kv, &t, TIMEOUT_MS, (KqKvCallback){ on_written, b });
+  kq_kv_txn (b->config.kv, &t, CALL_TIMEOUT_MS, (KqKvCallback){ on_written, b });
   for (size_t i = 0; i < n_keys; i++)
     free ((char *)keys[i].ptr);
 }
 
 void
-kq_batch_go (KqBatch *b, KqTime now)
+kq_batch_write (KqBatch *b, KqTime now)
 {
   if (b->phase != IDLE || now < b->retry_at)
     return;
-  if (!b->known_sequence || b->unsure)
+  if (!b->sequence_known || b->last_write_unknown)
     {
       b->phase = READING;
-      kq_kv_get (b->config.kv, KQ_STR (KQ_KEY_SEQUENCE), TIMEOUT_MS,
+      kq_kv_get (b->config.kv, KQ_STR (KQ_KEY_SEQUENCE), CALL_TIMEOUT_MS,
                  (KqKvCallback){ on_read, b });
       return;
     }
-  if (!b->open)
+  if (!b->batch_open)
     {
       if (b->runners.len == 0)
         kq_sched_known_pack (b->config.sched, &b->runners);
-      b->n = kq_sched_store_begin (b->config.sched, b->rows, ROWS, now);
-      b->open = b->n > 0;
+      b->n = kq_sched_store_begin (b->config.sched, b->rows, ROWS_MAX, now);
+      b->batch_open = b->n > 0;
     }
   if (b->n > 0 || b->runners.len > 0)
     write_rows (b, now);
--- a/src/fleet/fleet.c
+++ b/src/fleet/fleet.c
@@ -22,23 +22,24 @@
 #include <stdlib.h>
 
 #define PART "fleet"
-/* Length of the lead's lease: work stands still for about so long when a leader dies, and
- * a host that is slow or a renewal that is lost must not end it. */
-#define LEAD_TTL_MS 1500
-/* Leases of runners: a gap of leadership and a slow host must not end them; a dead
- * runner's tasks wait for their end. */
+/* Leader lease. When a leader dies, no decisions are made for about this long. A slow
+ * host or one lost renewal must not end it. */
+#define LEADER_LEASE_MS 1500
+/* Runner lease. It must outlast a change of leader and a slow host; the tasks of a dead
+ * runner start elsewhere only when it has expired. */
 #define RUNNER_LEASE_MS 5000
-/* Without a leader, leases of runners are renewed for as long as an election may take:
- * the old leader's lease, then this. */
+/* Longest election. Nodes without a leader renew runner leases for the old leader's lease
+ * plus this. */
 #define ELECTION_MS 2500
-#define LOOK_S 0.2
-/* A planned stop: the platform sends no new connections after two missed probes, a second
- * apart. */
-#define STOP_LINGER (3200 * KQ_MS)
-/* The end comes so long before the platform would kill the process. */
+#define CHECK_PERIOD_S 0.2
+/* Shortest time between a planned stop and the end: the platform routes new connections
+ * here until it has seen two failed probes, a second apart. */
+#define STOP_MIN (3200 * KQ_MS)
+/* The process ends this long before the platform would kill it. */
 #define STOP_MARGIN (500 * KQ_MS)
-/* Nodes nearer to the store and with more processor try first to lead. */
-#define RANK_BY_SHARE_MS 200
+/* Delay before a node without cpu share stands for election, so that stronger nodes win:
+ * those with a larger share wait less, those near the store have shorter calls. */
+#define CANDIDACY_DELAY_MS 200
 
 struct KqFleet
 {
@@ -46,25 +47,25 @@
   KqKv *kv;
   KqRunnerCalls *calls;
   KqAdviceCalls *advice;           /* NULL: none in the settings */
-  KqMaintenanceCalls *maintenance; /* NULL as well */
+  KqMaintenanceCalls *maintenance; /* NULL: no control plane in the settings */
   KqCrewAgent *agent;
   KqLink *link;
   KqLead *lead;
-  KqLeader *leader; /* while this node leads */
+  KqLeader *leader; /* NULL: this node isn't leader */
   KqAccepts *accepts;
-  KqFrontDesk *desk;
+  KqFrontHandler *handler;
   KqFront *front;
   KqMetrics *metrics;
   KqQueueKeys *queues;
   KqAgentInfo self;
   KqReach store;
   KqLeadDoubt doubt;
-  KqYield yield; /* the strongest node heard of since the election */
-  bool store_lost;
-  bool leaving;
+  KqYield yield;   /* the strongest node seen since the election */
+  bool store_down; /* an outage has been logged */
+  bool stopping;
   bool stopped;
-  KqTime leaving_at;
-  ev_timer look;
+  KqTime stopping_at;
+  ev_timer check_timer;
 };
 
 static void
@@ -72,11 +73,11 @@
 {
   KqFleet *f = arg;
   (void)sent_at;
-  if (f->store_lost)
+  if (f->store_down)
     kq_log (KQ_LOG_INFO, PART, "The store answers again. away_ms=%lld",
-            (long long)((now - f->store.alive_at) / KQ_MS));
-  f->store_lost = false;
-  kq_reach_alive (&f->store, now);
+            (long long)((now - f->store.answered_at) / KQ_MS));
+  f->store_down = false;
+  kq_reach_answered (&f->store, now);
 }
 
 static void
@@ -100,17 +101,17 @@
 }
 
 static bool
-store_by_leader (void *arg, KqTime now)
+store_via_leader (void *arg, KqTime now)
 {
   const KqFleet *f = arg;
-  return kq_reach_by_leader (&f->store, now);
+  return kq_reach_via_leader (&f->store, now);
 }
 
 static int64_t
-lead_ttl_ms (const KqFleet *f)
+leader_lease_ms (const KqFleet *f)
 {
   int64_t least = f->config.settings->lease_min_ms;
-  return least > LEAD_TTL_MS ? least : LEAD_TTL_MS;
+  return least > LEADER_LEASE_MS ? least : LEADER_LEASE_MS;
 }
 
 static int64_t
@@ -121,19 +122,19 @@
 }
 
 static const KqQueueTable *
-table (void *arg)
+queue_table (void *arg)
 {
   const KqFleet *f = arg;
   return kq_queue_keys_table (f->queues);
 }
 
-/* Leading. */
+/* Callbacks of the election. */
 
 static void
 on_deposed (void *arg, const char *why, KqTime now)
 {
   KqFleet *f = arg;
-  kq_lead_resign (f->lead, why, !f->leaving, now);
+  kq_lead_resign (f->lead, why, !f->stopping, now);
 }
 
 static void
@@ -146,7 +147,7 @@
                        .epoch = epoch,
                        .term = term,
                        .lease_ms = runner_lease_ms (f),
-                       .blind_ms = lead_ttl_ms (f) + ELECTION_MS,
+                       .blind_ms = leader_lease_ms (f) + ELECTION_MS,
                        .keep_ms = s->keep_ms,
                        .maintenance_ms = s->maintenance_ms,
                        .counters = f->config.counters,
@@ -156,78 +157,78 @@
                        .arg = f,
                        .deposed = on_deposed,
                        .answered = on_answered };
-  kq_link_lead (f->link, epoch, now);
+  kq_link_set_own_epoch (f->link, epoch, now);
   kq_crew_agent_released (f->agent);
   kq_crew_agent_counted (f->agent, epoch, now);
-  f->doubt = (KqLeadDoubt){ .length = lead_ttl_ms (f) * KQ_MS };
+  f->doubt = (KqLeadDoubt){ .length = leader_lease_ms (f) * KQ_MS };
   f->yield.other_milli = 0;
   f->leader = kq_leader_new (&c, now);
   kq_sched_lead_until (kq_leader_sched (f->leader), kq_lead_valid_until (f->lead));
 }
 
 static void
-on_lost (void *arg, const char *why, KqTime now)
+on_leadership_lost (void *arg, const char *why, KqTime now)
 {
   KqFleet *f = arg;
   (void)why;
-  kq_link_lead (f->link, 0, now);
+  kq_link_set_own_epoch (f->link, 0, now);
   kq_leader_free (f->leader);
   f->leader = NULL;
 }
 
 static void
-on_changed (void *arg, const KqLeadRecord *r, KqTime now)
+on_leader_changed (void *arg, const KqLeadRecord *r, KqTime now)
 {
   KqFleet *f = arg;
-  if (!f->leaving)
-    kq_link_leader (f->link, kq_name_str (&r->address), r->epoch, now);
+  if (!f->stopping)
+    kq_link_set_leader (f->link, kq_name_str (&r->address), r->epoch, now);
 }
 
-/* Between nodes. */
+/* Callbacks of the connections between nodes. */
 
 static void
 on_joined (void *arg, KqPeer *p, const KqAgentInfo *info, KqTime now)
 {
   KqFleet *f = arg;
   if (f->leader != NULL)
-    kq_leader_joined (f->leader, p, info, now);
+    kq_leader_node_joined (f->leader, p, info, now);
 }
 
 static void
 on_left (void *arg, KqPeer *p, bool planned, KqTime now)
 {
   KqFleet *f = arg;
-  kq_accepts_left (f->accepts, p);
+  kq_accepts_peer_left (f->accepts, p);
   if (f->leader != NULL)
-    kq_leader_left (f->leader, p, planned, now);
+    kq_leader_node_left (f->leader, p, planned, now);
 }
 
 static void
-answer_peer (KqFleet *f, KqPeer *p, const KqCrewItem *question, KqTime now)
+answer_query (KqFleet *f, KqPeer *p, const KqCrewItem *query, KqTime now)
 {
   KqCrewItem i = { .kind = KQ_CREW_ANSWER };
   KqBuf text = { 0 };
-  i.u.answer.call = question->u.ask.call;
-  i.u.answer.value = kq_leader_ask (f->leader, question->u.ask.what,
-                                    question->u.ask.about, now, &text);
+  i.u.answer.call = query->u.ask.call;
+  i.u.answer.value
+      = kq_leader_query (f->leader, query->u.ask.what, query->u.ask.about, now, &text);
   i.u.answer.text = kq_buf_str (&text);
   kq_link_send_peer (p, &i);
   kq_buf_free (&text);
 }
 
 static void
-take_beat (KqFleet *f, const KqPeer *p, int64_t store_age_ms, KqTime now)
+handle_beat (KqFleet *f, const KqPeer *p, int64_t store_age_ms, KqTime now)
 {
-  KqTime reached = now - store_age_ms * KQ_MS;
-  int share = kq_leader_share (f->leader, p);
+  KqTime answered_at = now - store_age_ms * KQ_MS;
+  int share = kq_leader_node_share (f->leader, p);
   if (store_age_ms < 0)
     return;
-  if (reached > f->doubt.peer_reached_at)
-    f->doubt.peer_reached_at = reached;
+  if (answered_at > f->doubt.peer_reached_at)
+    f->doubt.peer_reached_at = answered_at;
   if (share >= f->yield.other_milli)
     {
       f->yield.other_milli = share;
-      f->yield.other_stored = reached;
+      f->yield.other_stored = answered_at;
     }
 }
 
@@ -238,14 +239,14 @@
   if (f->leader == NULL)
     return;
   if (i->kind == KQ_CREW_BEAT)
-    take_beat (f, p, i->u.beat.store_age_ms, now);
+    handle_beat (f, p, i->u.beat.store_age_ms, now);
   else if (i->kind == KQ_CREW_ASK && i->u.ask.what == KQ_ASK_ACCEPT)
-    kq_accepts_take (f->accepts, p, i->u.ask.call, i->u.ask.about, now);
+    kq_accepts_write (f->accepts, p, i->u.ask.call, i->u.ask.about, now);
   else if (i->kind == KQ_CREW_ASK)
-    answer_peer (f, p, i, now);
+    answer_query (f, p, i, now);
   else if (i->kind == KQ_CREW_JOB || i->kind == KQ_CREW_CANCEL
            || epoch == kq_lead_record (f->lead)->epoch)
-    kq_leader_item (f->leader, p, i, now);
+    kq_leader_handle_item (f->leader, p, i, now);
 }
 
 static void
@@ -257,11 +258,11 @@
 }
 
 static void
-take_ping (KqFleet *f, uint64_t epoch, const KqCrewItem *i, KqTime now)
+handle_ping (KqFleet *f, uint64_t epoch, const KqCrewItem *i, KqTime now)
 {
   kq_crew_agent_counted (f->agent, epoch, i->u.ping.beat_sent_at);
   if (i->u.ping.store_age_ms >= 0)
-    kq_reach_leader_alive (&f->store, now - i->u.ping.store_age_ms * KQ_MS);
+    kq_reach_leader_answered (&f->store, now - i->u.ping.store_age_ms * KQ_MS);
 }
 
 static void
@@ -270,58 +271,58 @@
   KqFleet *f = arg;
   kq_crew_agent_heard (f->agent, epoch, now);
   if (i->kind == KQ_CREW_PING)
-    take_ping (f, epoch, i, now);
+    handle_ping (f, epoch, i, now);
   else if (i->kind == KQ_CREW_WELCOME)
     kq_crew_agent_tell_changes (f->agent, i->u.welcome.version > 1);
   else if (i->kind == KQ_CREW_ORDER)
     kq_crew_agent_order (f->agent, epoch, &i->u.order, now);
   else if (i->kind == KQ_CREW_ANSWER)
-    kq_front_desk_answer (f->desk, i->u.answer.call, i->u.answer.value, now);
+    kq_front_handler_answer (f->handler, i->u.answer.call, i->u.answer.value, now);
 }
 
 static int64_t
 store_age_ms (void *arg, KqTime now)
 {
   const KqFleet *f = arg;
-  return f->store.alive_at == 0 ? -1 : (now - f->store.alive_at) / KQ_MS;
+  return f->store.answered_at == 0 ? -1 : (now - f->store.answered_at) / KQ_MS;
 }
 
 static void
-on_notice (void *arg, uint64_t epoch, const KqCrewItem *i)
+on_agent_item (void *arg, uint64_t epoch, const KqCrewItem *i)
 {
   KqFleet *f = arg;
   if (f->leader == NULL)
     kq_link_send (f->link, epoch, i);
   else if (epoch == kq_lead_record (f->lead)->epoch)
-    kq_leader_item (f->leader, NULL, i, kq_loop_now (f->config.loop));
+    kq_leader_handle_item (f->leader, NULL, i, kq_loop_now (f->config.loop));
 }
 
 static bool
-ask (void *arg, const KqCrewItem *question, KqTime now)
+query_leader (void *arg, const KqCrewItem *query, KqTime now)
 {
   KqFleet *f = arg;
   KqBuf text = { 0 };
   int64_t value;
   if (f->leader != NULL)
     {
-      value = kq_leader_ask (f->leader, question->u.ask.what, question->u.ask.about, now,
-                             &text);
+      value = kq_leader_query (f->leader, query->u.ask.what, query->u.ask.about, now,
+                               &text);
       kq_buf_free (&text);
-      kq_front_desk_answer (f->desk, question->u.ask.call, value, now);
+      kq_front_handler_answer (f->handler, query->u.ask.call, value, now);
       return true;
     }
-  if (!kq_link_up (f->link))
+  if (!kq_link_connected (f->link))
     return false;
-  kq_link_send (f->link, kq_lead_record (f->lead)->epoch, question);
+  kq_link_send (f->link, kq_lead_record (f->lead)->epoch, query);
   return true;
 }
 
 static void
-tell (void *arg, const KqCrewItem *i, KqTime now)
+send_to_leader (void *arg, const KqCrewItem *i, KqTime now)
 {
   KqFleet *f = arg;
   if (f->leader != NULL)
-    kq_leader_item (f->leader, NULL, i, now);
+    kq_leader_handle_item (f->leader, NULL, i, now);
   else
     kq_link_send (f->link, kq_lead_record (f->lead)->epoch, i);
 }
@@ -332,110 +333,113 @@
   KqCrewItem i = { .kind = KQ_CREW_JOB };
   i.u.job.stored = stored;
   i.u.job.revision = revision;
-  tell (arg, &i, now);
+  send_to_leader (arg, &i, now);
 }
 
-/* Client accounts. */
+/* Callbacks of the front end for client accounts. */
 
 static void
 on_request (void *arg, KqAsk *a, const KqFrontRequest *r, KqTime now)
 {
   KqFleet *f = arg;
-  kq_front_desk_request (f->desk, a, r, now);
+  kq_front_handler_request (f->handler, a, r, now);
 }
 
 static bool
 ready (void *arg, KqTime now)
 {
   const KqFleet *f = arg;
-  return !f->leaving && table (arg) != NULL && kq_reach_up (&f->store, now);
+  return !f->stopping && queue_table (arg) != NULL && kq_reach_up (&f->store, now);
 }
 
 static bool
-leaving (void *arg)
+stopping (void *arg)
 {
   const KqFleet *f = arg;
-  return f->leaving;
+  return f->stopping;
 }
 
 static int64_t
 body_max (void *arg)
 {
-  const KqQueueTable *t = table (arg);
+  const KqQueueTable *t = queue_table (arg);
   return t != NULL ? t->body_max : 262144;
 }
 
-/* Looking after it all. */
+/* Periodic checks. */
 
 static void
-look_at_stronger (KqFleet *f, KqTime now)
+check_stronger_node (KqFleet *f, KqTime now)
 {
   if (!kq_lead_yields (&f->yield, now))
     return;
-  kq_log (KQ_LOG_INFO, PART, "Handing over to a stronger node. own_milli=%d its_milli=%d",
+  kq_log (KQ_LOG_INFO, PART,
+          "Handing leadership over to a stronger node. own_milli=%d its_milli=%d",
           f->yield.own_milli, f->yield.other_milli);
   f->yield.yielded_at = now;
-  kq_lead_resign (f->lead, "a stronger node can lead", !f->leaving, now);
+  kq_lead_resign (f->lead, "a stronger node can lead", !f->stopping, now);
 }
 
 static void
-look_at_lead (KqFleet *f, KqTime now)
+check_leadership (KqFleet *f, KqTime now)
 {
   KqTime until = kq_lead_valid_until (f->lead);
   const char *why;
   if (f->leader == NULL)
     return;
   kq_sched_lead_until (kq_leader_sched (f->leader), until);
-  kq_link_lead_until (f->link, until, kq_sched_agents_lost (kq_leader_sched (f->leader)));
+  kq_link_set_exclusive_until (f->link, until,
+                               kq_sched_agents_lost (kq_leader_sched (f->leader)));
   kq_crew_agent_counted (f->agent, kq_lead_record (f->lead)->epoch, MIN (now, until));
   f->doubt.valid_until = until;
-  f->doubt.peers = kq_link_peers (f->link);
+  f->doubt.peers = kq_link_peer_count (f->link);
   switch (kq_lead_doubt (&f->doubt, now, &why))
     {
     case KQ_DOUBT_NONE:
-      look_at_stronger (f, now);
+      check_stronger_node (f, now);
       break;
     case KQ_DOUBT_GO_ON:
       break;
     case KQ_DOUBT_ASK:
-      kq_log (KQ_LOG_INFO, PART, "Another node reaches the store; renewing. late_ms=%lld",
+      kq_log (KQ_LOG_INFO, PART,
+              "Another node reaches the store; renewing the leader lease. late_ms=%lld",
               (long long)((now - until) / KQ_MS));
       kq_lead_renew (f->lead);
       break;
     case KQ_DOUBT_GIVE_UP:
-      kq_lead_resign (f->lead, why, !f->leaving, now);
+      kq_lead_resign (f->lead, why, !f->stopping, now);
       break;
     }
 }
 
 static void
-look_at_stop (KqFleet *f, KqTime now)
+check_stop (KqFleet *f, KqTime now)
 {
-  KqTime since = now - f->leaving_at;
+  KqTime elapsed = now - f->stopping_at;
   KqTime most = f->config.settings->grace_ms * KQ_MS - STOP_MARGIN;
   bool idle = kq_front_open (f->front) == 0;
-  if (f->stopped || (since < most && !(idle && since > STOP_LINGER)))
+  if (f->stopped || (elapsed < most && !(idle && elapsed > STOP_MIN)))
     return;
   f->stopped = true;
   f->config.stopped (f->config.arg, idle);
 }
 
 static void
-on_look (struct ev_loop *ev, ev_timer *w, int events)
+on_check (struct ev_loop *ev, ev_timer *w, int events)
 {
   KqFleet *f = w->data;
   KqTime now = kq_loop_now (f->config.loop);
   (void)ev;
   (void)events;
-  if (!f->store_lost && f->store.alive_at != 0 && !kq_reach_up (&f->store, now))
+  if (!f->store_down && f->store.answered_at != 0 && !kq_reach_up (&f->store, now))
     {
-      f->store_lost = true;
-      kq_log (KQ_LOG_WARN, PART, "The store is away. since_ms=%lld",
-              (long long)((now - f->store.alive_at) / KQ_MS));
+      f->store_down = true;
+      kq_log (KQ_LOG_WARN, PART, "The store is unreachable. since_ms=%lld",
+              (long long)((now - f->store.answered_at) / KQ_MS));
     }
-  look_at_lead (f, now);
-  if (f->leaving)
-    look_at_stop (f, now);
+  check_leadership (f, now);
+  if (f->stopping)
+    check_stop (f, now);
   kq_log_flush ();
 }
 
@@ -462,9 +466,9 @@
                               .calls = f->calls,
                               .advice = f->advice,
                               .lease_ms = runner_lease_ms (f),
-                              .blind_ms = lead_ttl_ms (f) + ELECTION_MS,
+                              .blind_ms = leader_lease_ms (f) + ELECTION_MS,
                               .counters = f->config.counters,
-                              .notice = on_notice,
+                              .notice = on_agent_item,
                               .arg = f };
   KqLinkConfig link = { .loop = loop,
                         .ip = s->ip,
@@ -472,38 +476,39 @@
                         .self = f->self,
                         .owner = { f, on_joined, on_left, on_from_node, on_connected,
                                    on_from_leader, store_age_ms } };
-  KqFrontDeskConfig desk = { loop,  f->kv,       f->config.counters, f,
-                             table, store_state, store_by_leader,    ask,
-                             tell,  on_answered, on_store_failed };
-  KqFrontOwner owner = { f, on_request, ready, leaving, body_max };
+  KqFrontHandlerConfig handler
+      = { loop,           f->kv,       f->config.counters, f,
+          queue_table,    store_state, store_via_leader,   query_leader,
+          send_to_leader, on_answered, on_store_failed };
+  KqFrontOwner owner = { f, on_request, ready, stopping, body_max };
   KqAcceptsOwner accepts = { f, on_accepted, on_answered };
   f->accepts = kq_accepts_new (f->kv, &accepts);
   f->agent = kq_crew_agent_new (&agent);
   f->link = kq_link_new (&link);
-  f->desk = kq_front_desk_new (&desk);
+  f->handler = kq_front_handler_new (&handler);
   f->front = kq_front_new (loop, kq_str (s->front), kq_str (s->ready), &owner);
   f->metrics = kq_metrics_new (loop, s->ip, (int)s->metrics_port, print_metrics, f);
   return f->link != NULL && f->front != NULL && f->metrics != NULL;
 }
 
 static void
-start_lead (KqFleet *f)
+start_election (KqFleet *f)
 {
   const KqFleetSettings *s = f->config.settings;
   KqLeadConfig c = { .loop = f->config.loop,
                      .kv = f->kv,
                      .node = s->node,
-                     .ttl_ms = lead_ttl_ms (f),
+                     .ttl_ms = leader_lease_ms (f),
                      .counters = f->config.counters,
                      .arg = f,
-                     .changed = on_changed,
+                     .changed = on_leader_changed,
                      .elected = on_elected,
-                     .lost = on_lost,
+                     .lost = on_leadership_lost,
                      .answered = on_answered };
   char address[32];
   snprintf (address, sizeof address, "%s:%d", s->ip, kq_link_port (f->link));
   c.address = kq_name (kq_str (address));
-  c.rank_ms = (int)(RANK_BY_SHARE_MS * 100
+  c.rank_ms = (int)(CANDIDACY_DELAY_MS * 100
                     / (100 + (s->cpu_share_milli < 1000 ? s->cpu_share_milli : 1000)));
   f->lead = kq_lead_new (&c);
 }
@@ -525,16 +530,16 @@
     f->advice = kq_advice_new (c->loop, kq_str (c->settings->advice));
   if (c->settings->control_plane[0] != '\0')
     f->maintenance = kq_maintenance_new (c->loop, kq_str (c->settings->control_plane));
-  ev_timer_init (&f->look, on_look, LOOK_S, LOOK_S);
-  f->look.data = f;
+  ev_timer_init (&f->check_timer, on_check, CHECK_PERIOD_S, CHECK_PERIOD_S);
+  f->check_timer.data = f;
   if (!start_parts (f))
     {
       kq_fleet_free (f);
       return NULL;
     }
-  start_lead (f);
+  start_election (f);
   f->queues = kq_queue_keys_new (c->loop, f->kv, &queues);
-  ev_timer_start (kq_loop_ev (c->loop), &f->look);
+  ev_timer_start (kq_loop_ev (c->loop), &f->check_timer);
   return f;
 }
 
@@ -551,7 +556,7 @@
 {
   if (f == NULL)
     return;
-  ev_timer_stop (kq_loop_ev (f->config.loop), &f->look);
+  ev_timer_stop (kq_loop_ev (f->config.loop), &f->check_timer);
   kq_leader_free (f->leader);
   f->leader = NULL;
   kq_lead_free (f->lead);
@@ -559,7 +564,7 @@
   kq_link_free (f->link);
   kq_crew_agent_free (f->agent);
   kq_front_free (f->front);
-  kq_front_desk_free (f->desk);
+  kq_front_handler_free (f->handler);
   kq_accepts_free (f->accepts);
   kq_metrics_free (f->metrics);
   kq_runners_calls_free (f->calls);
@@ -572,14 +577,14 @@
 void
 kq_fleet_stop (KqFleet *f, KqTime now)
 {
-  if (f->leaving)
+  if (f->stopping)
     return;
   kq_log (KQ_LOG_INFO, PART, "Stopping. leading=%d open=%zu runners=%zu",
           f->leader != NULL, kq_front_open (f->front), kq_crew_agent_runners (f->agent));
-  f->leaving = true;
-  f->leaving_at = now;
+  f->stopping = true;
+  f->stopping_at = now;
   kq_lead_resign (f->lead, "planned stop", false, now);
-  /* The leader gives our runners to others as soon as it hears of it. */
+  /* On the LEAVE of kq_link_leave the leader assigns our runners to other nodes. */
   kq_crew_agent_released (f->agent);
   kq_link_leave (f->link);
 }
--- a/src/fleet/follow.c
+++ b/src/fleet/follow.c
@@ -8,13 +8,14 @@
 #include <stdlib.h>
 
 #define PART "follow"
-#define LIST_ANSWER_MS 1500
-/* After a failed call; doubled up to the bound, so that a store in trouble isn't pressed.
- */
-#define RETRY_MS 100
-#define RETRY_MAX_MS 400
-/* A long answer that was cut has used up the link in vain: its repeats leave room. */
-#define CUT_RETRY_MAX_MS 3200
+#define LIST_TIMEOUT_MS 1500
+/* Delay after a failed call, doubled up to the bound so that a store in trouble isn't
+ * overloaded. */
+#define RETRY_DELAY_MS 100
+#define RETRY_DELAY_MAX_MS 400
+/* The bound after an answer that was cut off: it has used link capacity for nothing, so
+ * retries leave more room to others. */
+#define CUT_RETRY_DELAY_MAX_MS 3200
 
 struct KqFollow
 {
@@ -24,20 +25,20 @@
   char *prefix;
   int wait_ms;
   int pause_ms;
-  int failures; /* in a row */
+  int failures; /* consecutive */
   KqRand rand;
   ev_timer timer;
   GHashTable *revisions; /* key -> revision, in the pointer */
-  GHashTable *listed;    /* while listing: keys seen */
-  char *after;           /* page's last key; NULL: first page */
-  uint64_t from;         /* watch on from this revision */
+  GHashTable *listed;    /* while listing: keys seen so far */
+  char *after;           /* last key of the previous page; NULL: first page */
+  uint64_t from;         /* the next watch starts after this revision */
   bool listing;
-  bool calling;
-  bool dead; /* freed while a call was out */
-  bool busy; /* in a callback of the owner */
+  bool call_pending; /* a call is outstanding */
+  bool freed;        /* freed while a call was outstanding or a callback running */
+  bool in_callback;  /* a callback of the owner is running */
 };
 
-static void go (KqFollow *f);
+static void call_store (KqFollow *f);
 
 static void
 destroy (KqFollow *f)
@@ -55,14 +56,14 @@
 {
   if (f == NULL)
     return;
-  f->dead = true;
+  f->freed = true;
   ev_timer_stop (kq_loop_ev (f->loop), &f->timer);
-  if (!f->calling && !f->busy)
+  if (!f->call_pending && !f->in_callback)
     destroy (f);
 }
 
 static void
-go_in (KqFollow *f, int ms)
+call_later (KqFollow *f, int ms)
 {
   struct ev_loop *ev = kq_loop_ev (f->loop);
   ev_timer_stop (ev, &f->timer);
@@ -75,11 +76,11 @@
 {
   (void)ev;
   (void)events;
-  go (w->data);
+  call_store (w->data);
 }
 
 static void
-take_item (KqFollow *f, const KqKvItem *i, KqTime now)
+handle_item (KqFollow *f, const KqKvItem *i, KqTime now)
 {
   char *key = kq_str_dup (i->key);
   uint64_t known = (uint64_t)(uintptr_t)g_hash_table_lookup (f->revisions, key);
@@ -102,7 +103,7 @@
   f->owner.item (f->owner.arg, i, now);
 }
 
-/* Keys that an earlier listing or watch had and this listing hasn't. */
+/* Reports the known keys that the listing didn't contain as gone. */
 static void
 drop_unlisted (KqFollow *f, KqTime now)
 {
@@ -113,7 +114,7 @@
   while (g_hash_table_iter_next (&it, &key, NULL))
     if (!g_hash_table_contains (f->listed, key))
       g_ptr_array_add (gone, kq_str_dup (kq_str (key)));
-  for (guint i = 0; i < gone->len && !f->dead; i++)
+  for (guint i = 0; i < gone->len && !f->freed; i++)
     {
       g_hash_table_remove (f->revisions, g_ptr_array_index (gone, i));
       if (f->owner.gone != NULL)
@@ -123,12 +124,12 @@
 }
 
 static void
-take_page (KqFollow *f, const KqKvReply *r, KqTime now)
+handle_page (KqFollow *f, const KqKvReply *r, KqTime now)
 {
   if (f->after == NULL)
-    f->from = r->revision; /* what changes during later pages is watched again */
-  for (size_t i = 0; i < r->n_items && !f->dead; i++)
-    take_item (f, &r->items[i], now);
+    f->from = r->revision; /* changes during later pages are seen by the watch */
+  for (size_t i = 0; i < r->n_items && !f->freed; i++)
+    handle_item (f, &r->items[i], now);
   if (r->more && r->n_items > 0)
     {
       free (f->after);
@@ -139,12 +140,12 @@
   drop_unlisted (f, now);
   g_hash_table_destroy (f->listed);
   f->listed = NULL;
-  if (!f->dead && f->owner.synced != NULL)
+  if (!f->freed && f->owner.synced != NULL)
     f->owner.synced (f->owner.arg, now);
 }
 
 static void
-list_anew (KqFollow *f)
+start_listing (KqFollow *f)
 {
   f->listing = true;
   free (f->after);
@@ -157,8 +158,8 @@
 int
 kq_follow_retry_ms (KqRand *rand, int failures, bool cut)
 {
-  int most = cut ? CUT_RETRY_MAX_MS : RETRY_MAX_MS;
-  int ms = RETRY_MS;
+  int most = cut ? CUT_RETRY_DELAY_MAX_MS : RETRY_DELAY_MAX_MS;
+  int ms = RETRY_DELAY_MS;
   for (int i = 1; i < failures && ms < most; i++)
     ms *= 2;
   ms = ms < most ? ms : most;
@@ -170,33 +171,35 @@
 {
   KqFollow *f = arg;
   int pause = 0;
-  f->calling = false;
-  if (f->dead)
+  f->call_pending = false;
+  if (f->freed)
     {
       destroy (f);
       return;
     }
-  f->busy = true;
+  f->in_callback = true;
   switch (r->result)
     {
     case KQ_KV_OK:
       f->failures = 0;
       f->owner.answered (f->owner.arg, r->sent_at, now);
       if (f->listing)
-        take_page (f, r, now);
+        handle_page (f, r, now);
       else
         {
-          for (size_t i = 0; i < r->n_items && !f->dead; i++)
-            take_item (f, &r->items[i], now);
+          for (size_t i = 0; i < r->n_items && !f->freed; i++)
+            handle_item (f, &r->items[i], now);
           if (r->revision > f->from)
             f->from = r->revision;
           pause = r->n_items > 0 ? f->pause_ms : 0;
         }
       break;
     case KQ_KV_COMPACTED:
-      kq_log (KQ_LOG_INFO, PART, "History is gone; listing anew. prefix=%s from=%llu",
-              f->prefix, (unsigned long long)f->from);
-      list_anew (f);
+      kq_log (
+          KQ_LOG_INFO, PART,
+          "The watch's revision has been compacted; listing again. prefix=%s from=%llu",
+          f->prefix, (unsigned long long)f->from);
+      start_listing (f);
       break;
     default:
       if (f->owner.failed != NULL)
@@ -207,26 +210,26 @@
                 f->prefix, r->result, f->listing, r->cut);
       pause = kq_follow_retry_ms (&f->rand, f->failures, r->cut);
     }
-  f->busy = false;
-  if (f->dead)
+  f->in_callback = false;
+  if (f->freed)
     destroy (f);
   else if (pause > 0)
-    go_in (f, pause);
+    call_later (f, pause);
   else
-    go (f);
+    call_store (f);
 }
 
-/* After a failure the first answer is wanted at once, whether anything has changed or
- * not: a watch that waited told of the store's return 1.5 s late, and clients were
- * refused all that time (29 of 380 jobs in an outage of 4.2 s). */
+/* The first watch after a failure doesn't wait for a change. Otherwise the store's
+ * recovery is noticed only at the end of the wait, 1.5 s late, and clients' jobs are
+ * refused until then (29 of 380 jobs in an outage of 4.2 s). */
 static void
-go (KqFollow *f)
+call_store (KqFollow *f)
 {
   KqKvCallback cb = { on_reply, f };
   int wait_ms = f->failures == 0 ? f->wait_ms : 0;
-  f->calling = true;
+  f->call_pending = true;
   if (f->listing)
-    kq_kv_range (f->kv, kq_str (f->prefix), kq_str (f->after), LIST_ANSWER_MS, cb);
+    kq_kv_range (f->kv, kq_str (f->prefix), kq_str (f->after), LIST_TIMEOUT_MS, cb);
   else
     kq_kv_watch (f->kv, kq_str (f->prefix), f->from, wait_ms, cb);
 }
@@ -246,7 +249,7 @@
   f->revisions = g_hash_table_new_full (g_str_hash, g_str_equal, free, NULL);
   ev_timer_init (&f->timer, on_timer, 0, 0);
   f->timer.data = f;
-  list_anew (f);
-  go (f);
+  start_listing (f);
+  call_store (f);
   return f;
 }
--- a/src/fleet/follow.h
+++ b/src/fleet/follow.h
@@ -1,10 +1,11 @@
 #ifndef KQ_FLEET_FOLLOW_H
 #define KQ_FLEET_FOLLOW_H
 
-/* follow: a copy of the keys under a prefix, kept up by listing and then watching.
+/* follow: follows the keys under a prefix by listing them once and then watching.
  *
- * After a gap in the store's history the keys are listed anew, and what has gone
- * meanwhile is told as gone. A key is told once for each revision. */
+ * When the store has compacted the history that the watch needs, the keys are listed
+ * again and those that have disappeared are reported as gone. Each revision of a key is
+ * reported once. */
 
 #include "base/rand.h"
 #include "port/kv.h"
@@ -15,24 +16,26 @@
 {
   void *arg;
   void (*item) (void *arg, const KqKvItem *i, KqTime now);
-  /* The key wasn't there at that revision. May be NULL. */
+  /* The key doesn't exist at that revision. May be NULL. */
   void (*gone) (void *arg, KqStr key, uint64_t revision, KqTime now);
-  /* All keys have been told once; called after each listing. May be NULL. */
+  /* A listing is complete: all keys have been reported. May be NULL. */
   void (*synced) (void *arg, KqTime now);
-  /* The store has answered. */
+  /* The store has answered a call that was sent at sent_at. */
   void (*answered) (void *arg, KqTime sent_at, KqTime now);
-  /* It has not, or has refused. May be NULL. */
+  /* A call sent at sent_at got no answer or was refused. May be NULL. */
   void (*failed) (void *arg, KqTime sent_at);
 } KqFollowOwner;
 
-/* pause_ms: changes are collected for so long before the next call; 0: none. */
+/* wait_ms: longest time that a watch waits for a change. pause_ms: delay between an
+ * answer with changes and the next watch, so that changes are collected; 0: none. */
 KqFollow *kq_follow_new (KqLoop *loop, KqKv *kv, KqStr prefix, int wait_ms, int pause_ms,
                          const KqFollowOwner *owner);
-/* May be called from within the owner's functions. */
+/* May be called from the owner's callbacks. */
 void kq_follow_free (KqFollow *f);
 
-/* How long to wait after `failures` calls in a row that failed, 1 or more. cut: the last
- * one's answer had begun. Spread at random, so that many nodes don't call at once. */
+/* Delay before the next try after `failures` (1 or more) consecutive failed calls. cut:
+ * the last answer was cut off after its beginning. Randomized, so that many nodes don't
+ * retry at once. */
 int kq_follow_retry_ms (KqRand *rand, int failures, bool cut);
 
 #endif
--- a/src/fleet/follow_test.c
+++ b/src/fleet/follow_test.c
@@ -13,7 +13,7 @@
 
 #define WAIT_MS 1500
 
-/* The store, played by the test: calls are noted here and answered by answer (). */
+/* Fake store: records calls; answer () answers them. */
 static struct
 {
   int watches;
@@ -95,7 +95,7 @@
   store.failed++;
 }
 
-/* Runs the loop until the next call has left. */
+/* Runs the loop until n watches have been sent. */
 static void
 await_watch (KqLoop *loop, int n)
 {
@@ -104,10 +104,10 @@
   assert_int_equal (store.watches, n);
 }
 
-/* Clients go on being refused for seconds after the store is back.
- * The store fails, then serves again; nothing has changed under the prefix, so a watch
- * that waits its full time is answered only when that is over, and until then the node
- * takes the store for away. The first call after a failure must not wait. */
+/* Guards against clients that are refused for seconds after the store has recovered.
+ * Without a change under the prefix a watch is answered only after its full wait, and
+ * until then the node counts the store as unreachable. So the first watch after a failure
+ * must not wait. */
 static void
 test_return_of_the_store_is_noticed_at_once (void **state)
 {
@@ -134,9 +134,10 @@
   kq_loop_free (loop);
 }
 
-/* Nodes whose downloads were cut together begin anew together, and fill the link. */
+/* Guards against nodes whose answers were cut off at the same time retrying at the same
+ * time, which overloads the link. */
 static void
-test_cut_downloads_are_repeated_apart (void **state)
+test_cut_answers_are_retried_apart (void **state)
 {
   KqRand rand = kq_rand (1);
   int longest_before = 0;
@@ -160,9 +161,10 @@
   assert_true (longest_before <= 3200);
 }
 
-/* Clients are refused until the return of the store is noticed, seconds late. */
+/* Guards against clients that are refused for seconds after the store has recovered, as
+ * the retry delay has grown too long. */
 static void
-test_silent_store_is_asked_often (void **state)
+test_silent_store_is_retried_often (void **state)
 {
   KqRand rand = kq_rand (1);
   (void)state;
@@ -174,8 +176,8 @@
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (test_cut_downloads_are_repeated_apart),
-          cmocka_unit_test (test_silent_store_is_asked_often),
+      = { cmocka_unit_test (test_cut_answers_are_retried_apart),
+          cmocka_unit_test (test_silent_store_is_retried_often),
           cmocka_unit_test (test_return_of_the_store_is_noticed_at_once) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/fleet/front.c
+++ b/src/fleet/front.c
@@ -12,30 +12,27 @@
 #include <stdlib.h>
 
 #define PART "front"
-/* Time of one write, and how often one without an answer is repeated: the store takes
- * repeats for one, as the job's key must not exist. */
-#define WRITE_MS 900
-/* No request is tried longer than this: the client knows better what to do with its time.
- */
-#define TRY_FOR (1000 * KQ_MS)
-/* Left for the answer's way when a client's deadline is near. */
+/* Timeout of one write. A write without an answer may safely be retried: it is
+ * conditional on the job's key not existing. */
+#define WRITE_TIMEOUT_MS 900
+/* Retries end after this long; the client can decide better whether to go on. */
+#define TRY_MAX (1000 * KQ_MS)
+/* Part of the client's deadline that is reserved for sending the reply. */
 #define DEADLINE_SLACK_MS 250
-/* When it isn't sure that the store answers, it is asked before it is written to: a
- * question without an answer has done nothing, so that the client can be told so. It is
- * given up after this long. */
-#define QUESTION_MS 400
-/* A call to the store without an answer is repeated after this long, doubled each time: a
- * store in trouble resets connections at once, and repeats without a pause were 500 calls
- * a second from nine nodes. */
+/* Timeout of the read that precedes a write while the store is suspected. A read without
+ * an answer has no effect, so the client can be told that its job was not accepted. */
+#define PROBE_TIMEOUT_MS 400
+/* Delay before a call without an answer is retried, doubled each time. A store in trouble
+ * resets connections at once: without a delay nine nodes made 500 calls a second. */
 #define RETRY_FIRST (80 * KQ_MS)
 #define RETRY_LONGEST (640 * KQ_MS)
-/* How long the leader is waited for before the store is asked. */
-#define LEADER_WAIT (500 * KQ_MS)
-/* The same for a job that the leader writes: both ways between regions, and its call. */
-#define LEADER_WRITES (1000 * KQ_MS)
-#define SWEEP_S 0.04
-/* When a client that was refused should come back: the store's outages last seconds, and
- * many clients at once wouldn't help it. */
+/* Timeout of a query to the leader; then the store is read. */
+#define LEADER_TIMEOUT (500 * KQ_MS)
+/* Timeout of a job that the leader writes: a round trip between regions and its call. */
+#define LEADER_WRITE_TIMEOUT (1000 * KQ_MS)
+#define SWEEP_PERIOD_S 0.04
+/* Retry-After of refusals: outages of the store last seconds, and earlier retries of many
+ * clients would only add load. */
 #define RETRY_STORE_MS 1000
 #define RETRY_LEADER_MS 1000
 #define RETRY_START_MS 1000
@@ -43,89 +40,89 @@
 typedef enum
 {
   SUBMIT,
-  SUBMIT_READ,   /* is it there already, and does the store answer */
-  SUBMIT_LEADER, /* the leader writes it */
-  READ_LEADER,   /* waits for the leader's word */
+  SUBMIT_PROBE,  /* reads the job's key to see whether the store answers */
+  SUBMIT_LEADER, /* the leader writes the job */
+  STATE_LEADER,  /* waits for the state from the leader */
   READ_PROGRESS,
   READ_CANCEL,
   READ_JOB,
   CANCEL_READ,
   CANCEL_WRITE,
-  WAITING_LEADER
+  COUNT_LEADER /* waits for the number of waiting jobs from the leader */
 } Step;
 
 typedef struct
 {
-  KqFrontDesk *desk;
+  KqFrontHandler *handler;
   KqAsk *ask;
   Step step;
-  uint64_t call;
-  KqStr id;     /* owned */
-  KqBuf stored; /* SUBMIT: the job */
-  KqTime begun_at;
+  uint64_t call; /* of the outstanding query to the leader; 0: none */
+  KqStr id;      /* owned */
+  KqBuf stored;  /* of a submission: the job as it is stored */
+  KqTime received_at;
   KqTime deadline;
-  KqTime leader_until;
-  KqTime retry_at; /* in the list of those to be repeated */
-  KqTime retry_gap;
-  uint64_t revision; /* of the job's key */
-  bool unsure;       /* some write had no answer */
+  KqTime leader_deadline;
+  KqTime retry_at; /* while in the list of retries */
+  KqTime retry_delay;
+  uint64_t revision;  /* of the job's key */
+  bool write_unknown; /* the outcome of some write is unknown */
 } Request;
 
 static const char *const step_names[]
     = { "submit",      "submit_read", "submit_leader", "ask_leader",   "read_progress",
         "read_cancel", "read_job",    "cancel_read",   "cancel_write", "count_waiting" };
-struct KqFrontDesk
+struct KqFrontHandler
 {
-  KqFrontDeskConfig config;
-  GHashTable *waiting; /* call -> Request, for the leader's word */
-  GPtrArray *later;    /* Request, to be repeated at their times */
-  uint64_t calls;
+  KqFrontHandlerConfig config;
+  GHashTable *queries; /* call -> Request, for outstanding queries to the leader */
+  GPtrArray *retries;  /* Request, to be retried at its retry_at */
+  uint64_t last_call;  /* number of the last query */
   ev_timer sweep;
   KqFrontCounts counts;
 };
 
 static void
-start_sweep (KqFrontDesk *d)
+start_sweep (KqFrontHandler *h)
 {
-  if (!ev_is_active (&d->sweep))
-    ev_timer_again (kq_loop_ev (d->config.loop), &d->sweep);
+  if (!ev_is_active (&h->sweep))
+    ev_timer_again (kq_loop_ev (h->config.loop), &h->sweep);
 }
 
 static void read_from_store (Request *q, Step step);
 static void submit (Request *q);
 
 static void
-finish (Request *q, const KqFrontReply *r, KqTime now)
+reply (Request *q, const KqFrontReply *r, KqTime now)
 {
-  KqFrontDesk *d = q->desk;
-  ++*d->counts.replies[r->kind];
-  kq_histogram_add (&d->counts.took, now - q->begun_at);
+  KqFrontHandler *h = q->handler;
+  ++*h->counts.replies[r->kind];
+  kq_histogram_add (&h->counts.took, now - q->received_at);
   if (q->step <= SUBMIT_LEADER || q->step == CANCEL_WRITE || r->kind >= KQ_REPLY_NO_JOB)
     kq_log (KQ_LOG_INFO, PART,
             "Answered. job=%.*s at=%s reply=%s took_ms=%lld unsure=%d why=%s",
             KQ_STR_ARG (q->id), step_names[q->step], kq_reply_kind_name (r->kind),
-            (long long)((now - q->begun_at) / KQ_MS), q->unsure,
+            (long long)((now - q->received_at) / KQ_MS), q->write_unknown,
             r->why != NULL ? r->why : "-");
   kq_ask_reply (q->ask, r);
   if (q->call != 0)
-    g_hash_table_remove (d->waiting, &q->call);
+    g_hash_table_remove (h->queries, &q->call);
   free ((char *)q->id.ptr);
   kq_buf_free (&q->stored);
   free (q);
 }
 
 static void
-finish_kind (Request *q, KqReplyKind kind, KqTime now)
+reply_kind (Request *q, KqReplyKind kind, KqTime now)
 {
   KqFrontReply r = { .kind = kind };
-  finish (q, &r, now);
+  reply (q, &r, now);
 }
 
 static void
-finish_state (Request *q, KqJobState state, KqTime now)
+reply_state (Request *q, KqJobState state, KqTime now)
 {
   KqFrontReply r = { .kind = KQ_REPLY_STATE, .state = state };
-  finish (q, &r, now);
+  reply (q, &r, now);
 }
 
 static void
@@ -133,62 +130,62 @@
 {
   KqFrontReply r = { .kind = KQ_REPLY_REFUSED, .why = why, .retry_ms = retry_ms };
   ++*counter;
-  finish (q, &r, now);
+  reply (q, &r, now);
 }
 
 static bool
-time_left (const Request *q, KqTime now)
+may_retry (const Request *q, KqTime now)
 {
   return now + (DEADLINE_SLACK_MS + 50) * KQ_MS < q->deadline
-         && now - q->begun_at < TRY_FOR;
+         && now - q->received_at < TRY_MAX;
 }
 
 static int
 timeout_ms (const Request *q, KqTime now)
 {
   int64_t left = (q->deadline - now) / KQ_MS - DEADLINE_SLACK_MS;
-  return left > WRITE_MS ? WRITE_MS : left < 50 ? 50 : (int)left;
+  return left > WRITE_TIMEOUT_MS ? WRITE_TIMEOUT_MS : left < 50 ? 50 : (int)left;
 }
 
 static void
-note_answer (Request *q, const KqKvReply *r, KqTime now)
+report_reach (Request *q, const KqKvReply *r, KqTime now)
 {
   if (r->result != KQ_KV_UNKNOWN && r->result != KQ_KV_REFUSED)
-    q->desk->config.answered (q->desk->config.arg, r->sent_at, now);
+    q->handler->config.answered (q->handler->config.arg, r->sent_at, now);
   else
-    q->desk->config.failed (q->desk->config.arg, r->sent_at);
+    q->handler->config.failed (q->handler->config.arg, r->sent_at);
 }
 
 static void
-tell_job (Request *q, uint64_t revision, KqTime now)
+notify_job (Request *q, uint64_t revision, KqTime now)
 {
   KqCrewItem i = { .kind = KQ_CREW_JOB };
   i.u.job.stored = kq_buf_str (&q->stored);
   i.u.job.revision = revision;
-  q->desk->config.tell (q->desk->config.arg, &i, now);
+  q->handler->config.notify_leader (q->handler->config.arg, &i, now);
 }
 
 static void
-repeat_later (Request *q, Step step, KqTime now)
+schedule_retry (Request *q, Step step, KqTime now)
 {
   q->step = step;
-  q->retry_gap = q->retry_gap == 0 ? RETRY_FIRST : 2 * q->retry_gap;
-  if (q->retry_gap > RETRY_LONGEST)
-    q->retry_gap = RETRY_LONGEST;
-  q->retry_at = now + q->retry_gap;
-  ++*q->desk->counts.retried;
-  g_ptr_array_add (q->desk->later, q);
-  start_sweep (q->desk);
+  q->retry_delay = q->retry_delay == 0 ? RETRY_FIRST : 2 * q->retry_delay;
+  if (q->retry_delay > RETRY_LONGEST)
+    q->retry_delay = RETRY_LONGEST;
+  q->retry_at = now + q->retry_delay;
+  ++*q->handler->counts.retried;
+  g_ptr_array_add (q->handler->retries, q);
+  start_sweep (q->handler);
 }
 
 static void
-repeat (Request *q, KqTime now)
+retry (Request *q, KqTime now)
 {
-  if (!time_left (q, now) && (q->step == SUBMIT || q->step == CANCEL_READ))
-    finish_kind (q, KQ_REPLY_UNKNOWN, now);
-  else if (!time_left (q, now))
-    refuse (q, "the store can't be read", RETRY_STORE_MS, q->desk->counts.refused_store,
-            now);
+  if (!may_retry (q, now) && (q->step == SUBMIT || q->step == CANCEL_READ))
+    reply_kind (q, KQ_REPLY_UNKNOWN, now);
+  else if (!may_retry (q, now))
+    refuse (q, "the store can't be read", RETRY_STORE_MS,
+            q->handler->counts.refused_store, now);
   else if (q->step == SUBMIT)
     submit (q);
   else
@@ -199,26 +196,27 @@
 on_submitted (void *arg, const KqKvReply *r, KqTime now)
 {
   Request *q = arg;
-  note_answer (q, r, now);
+  report_reach (q, r, now);
   switch (r->result)
     {
     case KQ_KV_OK:
-      tell_job (q, r->revision, now);
-      finish_kind (q, KQ_REPLY_DONE, now);
+      notify_job (q, r->revision, now);
+      reply_kind (q, KQ_REPLY_DONE, now);
       break;
-    case KQ_KV_CONFLICT: /* it is there: a repeat, or our own write without an answer */
-      finish_kind (q, KQ_REPLY_DONE, now);
+    case KQ_KV_CONFLICT: /* stored already, by an earlier request or an earlier try */
+      reply_kind (q, KQ_REPLY_DONE, now);
       break;
     case KQ_KV_UNKNOWN:
-      q->unsure = true;
-      repeat_later (q, SUBMIT, now);
+      q->write_unknown = true;
+      schedule_retry (q, SUBMIT, now);
       break;
     default:
-      /* An earlier try may still be carried out: then "not run" could become untrue. */
-      if (q->unsure)
-        repeat_later (q, SUBMIT, now);
+      /* An earlier try may still be carried out, so the job cannot be reported as
+       * refused. */
+      if (q->write_unknown)
+        schedule_retry (q, SUBMIT, now);
       else
-        refuse (q, "the store refused", RETRY_STORE_MS, q->desk->counts.refused_store,
+        refuse (q, "the store refused", RETRY_STORE_MS, q->handler->counts.refused_store,
                 now);
       break;
     }
@@ -232,33 +230,34 @@
   KqKvPut put = { key, kq_buf_str (&q->stored), 0 };
   KqKvTxn t = { &check, 1, &put, 1, NULL, 0 };
   q->step = SUBMIT;
-  kq_kv_txn (q->desk->config.kv, &t, timeout_ms (q, kq_loop_now (q->desk->config.loop)),
+  kq_kv_txn (q->handler->config.kv, &t,
+             timeout_ms (q, kq_loop_now (q->handler->config.loop)),
              (KqKvCallback){ on_submitted, q });
   free ((char *)key.ptr);
 }
 
 static void
-tell_cancel (Request *q, KqTime now)
+notify_cancel (Request *q, KqTime now)
 {
   KqCrewItem i = { .kind = KQ_CREW_CANCEL };
   i.u.cancel.id = q->id;
-  q->desk->config.tell (q->desk->config.arg, &i, now);
+  q->handler->config.notify_leader (q->handler->config.arg, &i, now);
 }
 
 static void
 on_cancelled (void *arg, const KqKvReply *r, KqTime now)
 {
   Request *q = arg;
-  note_answer (q, r, now);
+  report_reach (q, r, now);
   if (r->result == KQ_KV_OK)
     {
-      tell_cancel (q, now);
-      finish_kind (q, KQ_REPLY_DONE, now);
+      notify_cancel (q, now);
+      reply_kind (q, KQ_REPLY_DONE, now);
     }
   else if (r->result == KQ_KV_CONFLICT)
-    read_from_store (q, CANCEL_READ); /* the job has gone meanwhile */
+    read_from_store (q, CANCEL_READ); /* the job's key has changed or was deleted */
   else
-    repeat_later (q, CANCEL_READ, now);
+    schedule_retry (q, CANCEL_READ, now);
 }
 
 static void
@@ -270,20 +269,20 @@
   KqKvPut put = { mark, KQ_STR ("1"), 0 };
   KqKvTxn t = { &check, 1, &put, 1, NULL, 0 };
   q->step = CANCEL_WRITE;
-  kq_kv_txn (q->desk->config.kv, &t, timeout_ms (q, now),
+  kq_kv_txn (q->handler->config.kv, &t, timeout_ms (q, now),
              (KqKvCallback){ on_cancelled, q });
   free ((char *)job.ptr);
   free ((char *)mark.ptr);
 }
 
-/* How a job stands by its stored progress; KQ_JOB_UNKNOWN: it hasn't ended by that. */
+/* Replies with the job's stored final state, or goes on with the cancellation's key. */
 static void
-take_progress (Request *q, const KqKvReply *r, KqTime now)
+handle_progress (Request *q, const KqKvReply *r, KqTime now)
 {
   KqJobState state = r->result == KQ_KV_OK ? kq_sched_stored_state (r->items[0].value)
                                            : KQ_JOB_UNKNOWN;
   if (state >= KQ_JOB_COMPLETED && state < KQ_JOB_UNKNOWN)
-    finish_state (q, state, now);
+    reply_state (q, state, now);
   else
     read_from_store (q, READ_CANCEL);
 }
@@ -292,56 +291,56 @@
 on_read (void *arg, const KqKvReply *r, KqTime now)
 {
   Request *q = arg;
-  note_answer (q, r, now);
+  report_reach (q, r, now);
   if (r->result != KQ_KV_OK && r->result != KQ_KV_NOT_FOUND)
     {
       if (q->step == CANCEL_READ)
-        repeat_later (q, CANCEL_READ, now);
-      else if (q->step == SUBMIT_READ)
+        schedule_retry (q, CANCEL_READ, now);
+      else if (q->step == SUBMIT_PROBE)
         refuse (q, "the store doesn't answer", RETRY_STORE_MS,
-                q->desk->counts.refused_store, now);
-      else if (time_left (q, now))
+                q->handler->counts.refused_store, now);
+      else if (may_retry (q, now))
         read_from_store (q, q->step);
       else
         refuse (q, "the store can't be read", RETRY_STORE_MS,
-                q->desk->counts.refused_store, now);
+                q->handler->counts.refused_store, now);
       return;
     }
   switch (q->step)
     {
     case READ_PROGRESS:
-      take_progress (q, r, now);
+      handle_progress (q, r, now);
       break;
     case READ_CANCEL:
       if (r->result == KQ_KV_OK)
-        finish_state (q, KQ_JOB_CANCELLED, now);
+        reply_state (q, KQ_JOB_CANCELLED, now);
       else
         read_from_store (q, READ_JOB);
       break;
     case READ_JOB:
       if (r->result == KQ_KV_OK)
-        finish_state (q, KQ_JOB_RUNNING, now);
+        reply_state (q, KQ_JOB_RUNNING, now);
       else
-        finish_kind (q, KQ_REPLY_NO_JOB, now);
+        reply_kind (q, KQ_REPLY_NO_JOB, now);
       break;
     case CANCEL_READ:
       q->revision = r->n_items == 1 ? r->items[0].revision : 0;
       if (r->result == KQ_KV_OK)
         write_cancel (q, now);
       else
-        finish_kind (q, KQ_REPLY_NO_JOB, now);
+        reply_kind (q, KQ_REPLY_NO_JOB, now);
       break;
-    case SUBMIT_READ:
+    case SUBMIT_PROBE:
       if (r->result == KQ_KV_OK)
-        finish_kind (q, KQ_REPLY_DONE, now);
+        reply_kind (q, KQ_REPLY_DONE, now);
       else
         submit (q);
       break;
     case SUBMIT:
     case SUBMIT_LEADER:
-    case READ_LEADER:
+    case STATE_LEADER:
     case CANCEL_WRITE:
-    case WAITING_LEADER:
+    case COUNT_LEADER:
       break;
     }
 }
@@ -353,86 +352,89 @@
                        : step == READ_CANCEL ? KQ_KEY_CANCEL
                                              : KQ_KEY_JOB;
   KqStr key = kq_key_of (prefix, q->id);
-  int timeout = timeout_ms (q, kq_loop_now (q->desk->config.loop));
+  int timeout = timeout_ms (q, kq_loop_now (q->handler->config.loop));
   q->step = step;
-  ++*q->desk->counts.from_store;
-  if (step == SUBMIT_READ)
-    timeout = MIN (timeout, QUESTION_MS);
-  kq_kv_get (q->desk->config.kv, key, timeout, (KqKvCallback){ on_read, q });
+  ++*q->handler->counts.from_store;
+  if (step == SUBMIT_PROBE)
+    timeout = MIN (timeout, PROBE_TIMEOUT_MS);
+  kq_kv_get (q->handler->config.kv, key, timeout, (KqKvCallback){ on_read, q });
   free ((char *)key.ptr);
 }
 
 static void
-ask_leader (Request *q, KqAskKind what, KqStr about, KqTime wait, KqTime now)
+query_leader (Request *q, KqAskKind what, KqStr about, KqTime wait, KqTime now)
 {
-  KqFrontDesk *d = q->desk;
+  KqFrontHandler *h = q->handler;
   KqCrewItem i = { .kind = KQ_CREW_ASK };
-  q->call = ++d->calls;
-  q->leader_until = now + wait;
-  g_hash_table_insert (d->waiting, &q->call, q);
-  start_sweep (d);
+  q->call = ++h->last_call;
+  q->leader_deadline = now + wait;
+  g_hash_table_insert (h->queries, &q->call, q);
+  start_sweep (h);
   i.u.ask.call = q->call;
   i.u.ask.what = what;
   i.u.ask.about = about;
-  if (!d->config.ask (d->config.arg, &i, now))
-    kq_front_desk_answer (d, q->call, -1, now);
+  if (!h->config.query_leader (h->config.arg, &i, now))
+    kq_front_handler_answer (h, q->call, -1, now);
 }
 
 static void
-submit_by_leader (Request *q, KqTime now)
+submit_via_leader (Request *q, KqTime now)
 {
-  KqFrontDesk *d = q->desk;
+  KqFrontHandler *h = q->handler;
   KqTime left = q->deadline - DEADLINE_SLACK_MS * KQ_MS - now;
-  if (left <= 0 || !d->config.by_leader (d->config.arg, now))
+  if (left <= 0 || !h->config.store_via_leader (h->config.arg, now))
     {
-      refuse (q, "the store is away", RETRY_STORE_MS, d->counts.refused_store, now);
+      refuse (q, "the store is away", RETRY_STORE_MS, h->counts.refused_store, now);
       return;
     }
   q->step = SUBMIT_LEADER;
-  ++*d->counts.by_leader;
-  ask_leader (q, KQ_ASK_ACCEPT, kq_buf_str (&q->stored), MIN (left, LEADER_WRITES), now);
+  ++*h->counts.via_leader;
+  query_leader (q, KQ_ASK_ACCEPT, kq_buf_str (&q->stored),
+                MIN (left, LEADER_WRITE_TIMEOUT), now);
 }
 
-/* result: a KqAcceptResult, or what says that the leader hasn't tried. */
+/* result: a KqAcceptResult; any other value: the leader hasn't tried. */
 static void
-leader_has_written (Request *q, int64_t result, KqTime now)
+on_leader_written (Request *q, int64_t result, KqTime now)
 {
   if (result == KQ_ACCEPT_DONE)
-    finish_kind (q, KQ_REPLY_DONE, now);
+    reply_kind (q, KQ_REPLY_DONE, now);
   else if (result == KQ_ACCEPT_UNKNOWN)
-    finish_kind (q, KQ_REPLY_UNKNOWN, now);
+    reply_kind (q, KQ_REPLY_UNKNOWN, now);
   else
-    refuse (q, "the store is away", RETRY_STORE_MS, q->desk->counts.refused_store, now);
+    refuse (q, "the store is away", RETRY_STORE_MS, q->handler->counts.refused_store,
+            now);
 }
 
-/* A job that the leader doesn't know may have been accepted a moment ago. */
+/* A job that is unknown to the leader may have just been accepted, so the store is read.
+ */
 void
-kq_front_desk_answer (KqFrontDesk *d, uint64_t call, int64_t value, KqTime now)
+kq_front_handler_answer (KqFrontHandler *h, uint64_t call, int64_t value, KqTime now)
 {
-  Request *q = g_hash_table_lookup (d->waiting, &call);
+  Request *q = g_hash_table_lookup (h->queries, &call);
   KqFrontReply waiting = { .kind = KQ_REPLY_WAITING, .waiting = value };
   if (q == NULL)
     return;
-  g_hash_table_remove (d->waiting, &call);
+  g_hash_table_remove (h->queries, &call);
   q->call = 0;
   if (q->step == SUBMIT_LEADER)
-    leader_has_written (q, value, now);
-  else if (q->step == WAITING_LEADER)
+    on_leader_written (q, value, now);
+  else if (q->step == COUNT_LEADER)
     {
       if (value < 0)
-        refuse (q, "no leader", RETRY_LEADER_MS, d->counts.refused_leader, now);
+        refuse (q, "no leader", RETRY_LEADER_MS, h->counts.refused_leader, now);
       else
-        finish (q, &waiting, now);
+        reply (q, &waiting, now);
     }
   else if ((value < 0 || value == KQ_JOB_UNKNOWN)
-           && d->config.store (d->config.arg, now) == KQ_REACH_AWAY)
-    refuse (q, "neither leader nor store", RETRY_STORE_MS, d->counts.refused_store, now);
+           && h->config.store_state (h->config.arg, now) == KQ_REACH_DOWN)
+    refuse (q, "neither leader nor store", RETRY_STORE_MS, h->counts.refused_store, now);
   else if (value < 0)
     read_from_store (q, READ_PROGRESS);
   else if (value == KQ_JOB_UNKNOWN)
     read_from_store (q, READ_JOB);
   else
-    finish_state (q, (KqJobState)value, now);
+    reply_state (q, (KqJobState)value, now);
 }
 
 static void
@@ -458,17 +460,17 @@
     fill_spec (r->spec, queue, q->id);
   if (r->spec == NULL || kq_spec_check (r->spec, &bad.why) != KQ_OK)
     {
-      finish (q, &bad, now);
+      reply (q, &bad, now);
       return;
     }
   kq_spec_pack (r->spec, &q->stored);
-  switch (q->desk->config.store (q->desk->config.arg, now))
+  switch (q->handler->config.store_state (q->handler->config.arg, now))
     {
-    case KQ_REACH_AWAY:
-      submit_by_leader (q, now);
+    case KQ_REACH_DOWN:
+      submit_via_leader (q, now);
       break;
-    case KQ_REACH_IN_DOUBT:
-      read_from_store (q, SUBMIT_READ);
+    case KQ_REACH_SUSPECT:
+      read_from_store (q, SUBMIT_PROBE);
       break;
     case KQ_REACH_UP:
       submit (q);
@@ -477,119 +479,120 @@
 }
 
 static Request *
-new_request (KqFrontDesk *d, KqAsk *a, const KqFrontRequest *r, KqStr id, KqTime now)
+new_request (KqFrontHandler *h, KqAsk *a, const KqFrontRequest *r, KqStr id, KqTime now)
 {
   Request *q = kq_alloc (sizeof *q);
-  q->desk = d;
+  q->handler = h;
   q->ask = a;
   q->id = kq_str_own (id);
-  q->begun_at = now;
+  q->received_at = now;
   q->deadline = now + r->deadline_ms * KQ_MS;
   return q;
 }
 
 void
-kq_front_desk_request (KqFrontDesk *d, KqAsk *a, const KqFrontRequest *r, KqTime now)
+kq_front_handler_request (KqFrontHandler *h, KqAsk *a, const KqFrontRequest *r,
+                          KqTime now)
 {
-  const KqQueueTable *t = d->config.table (d->config.arg);
+  const KqQueueTable *t = h->config.table (h->config.arg);
   const KqQueue *queue = t != NULL ? kq_queue_find (t, r->host, r->path) : NULL;
   KqStr id = KQ_STR ("");
   Request *q;
   if (queue != NULL)
     id = kq_str_n (r->path.ptr + queue->prefix.len, r->path.len - queue->prefix.len);
-  q = new_request (d, a, r, id, now);
+  q = new_request (h, a, r, id, now);
   if (t == NULL)
-    refuse (q, "no configuration yet", RETRY_START_MS, d->counts.refused_start, now);
+    refuse (q, "no configuration yet", RETRY_START_MS, h->counts.refused_start, now);
   else if (queue == NULL)
-    finish_kind (q, KQ_REPLY_NO_QUEUE, now);
+    reply_kind (q, KQ_REPLY_NO_QUEUE, now);
   else if (r->kind == KQ_FRONT_SUBMIT)
     begin_submit (q, r, queue, now);
   else if (r->kind == KQ_FRONT_CANCEL
-           && d->config.store (d->config.arg, now) == KQ_REACH_AWAY)
-    refuse (q, "the store is away", RETRY_STORE_MS, d->counts.refused_store, now);
+           && h->config.store_state (h->config.arg, now) == KQ_REACH_DOWN)
+    refuse (q, "the store is away", RETRY_STORE_MS, h->counts.refused_store, now);
   else if (r->kind == KQ_FRONT_CANCEL)
     read_from_store (q, CANCEL_READ);
   else if (id.len == 0)
     {
-      q->step = WAITING_LEADER;
-      ask_leader (q, KQ_ASK_WAITING, queue->name, LEADER_WAIT, now);
+      q->step = COUNT_LEADER;
+      query_leader (q, KQ_ASK_WAITING, queue->name, LEADER_TIMEOUT, now);
     }
   else
     {
-      q->step = READ_LEADER;
-      ask_leader (q, KQ_ASK_STATE, q->id, LEADER_WAIT, now);
+      q->step = STATE_LEADER;
+      query_leader (q, KQ_ASK_STATE, q->id, LEADER_TIMEOUT, now);
     }
 }
 
 static void
-sweep_waiting (KqFrontDesk *d, KqTime now)
+sweep_queries (KqFrontHandler *h, KqTime now)
 {
   GHashTableIter it;
   gpointer value;
   GArray *late = g_array_new (FALSE, FALSE, sizeof (uint64_t));
-  g_hash_table_iter_init (&it, d->waiting);
+  g_hash_table_iter_init (&it, h->queries);
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const Request *q = value;
-      if (now >= q->leader_until)
+      if (now >= q->leader_deadline)
         g_array_append_val (late, q->call);
     }
   for (guint i = 0; i < late->len; i++)
     {
       uint64_t call = g_array_index (late, uint64_t, i);
-      const Request *q = g_hash_table_lookup (d->waiting, &call);
+      const Request *q = g_hash_table_lookup (h->queries, &call);
       bool writes = q != NULL && q->step == SUBMIT_LEADER;
-      kq_front_desk_answer (d, call, writes ? KQ_ACCEPT_UNKNOWN : -1, now);
+      kq_front_handler_answer (h, call, writes ? KQ_ACCEPT_UNKNOWN : -1, now);
     }
   g_array_free (late, TRUE);
 }
 
 static void
-sweep_later (KqFrontDesk *d, KqTime now)
+sweep_retries (KqFrontHandler *h, KqTime now)
 {
-  for (guint i = 0; i < d->later->len; i++)
+  for (guint i = 0; i < h->retries->len; i++)
     {
-      Request *q = g_ptr_array_index (d->later, i);
+      Request *q = g_ptr_array_index (h->retries, i);
       if (now < q->retry_at)
         continue;
-      g_ptr_array_remove_index (d->later, i);
+      g_ptr_array_remove_index (h->retries, i);
       i--;
-      repeat (q, now);
+      retry (q, now);
     }
 }
 
 static void
 on_sweep (struct ev_loop *ev, ev_timer *w, int events)
 {
-  KqFrontDesk *d = w->data;
-  KqTime now = kq_loop_now (d->config.loop);
+  KqFrontHandler *h = w->data;
+  KqTime now = kq_loop_now (h->config.loop);
   (void)events;
-  sweep_waiting (d, now);
-  sweep_later (d, now);
-  if (g_hash_table_size (d->waiting) == 0 && d->later->len == 0)
+  sweep_queries (h, now);
+  sweep_retries (h, now);
+  if (g_hash_table_size (h->queries) == 0 && h->retries->len == 0)
     ev_timer_stop (ev, w);
 }
 
-KqFrontDesk *
-kq_front_desk_new (const KqFrontDeskConfig *c)
+KqFrontHandler *
+kq_front_handler_new (const KqFrontHandlerConfig *c)
 {
-  KqFrontDesk *d = kq_alloc (sizeof *d);
-  d->config = *c;
-  d->waiting = g_hash_table_new (g_int64_hash, g_int64_equal);
-  d->later = g_ptr_array_new ();
-  kq_front_counts_init (&d->counts, c->counters);
-  ev_timer_init (&d->sweep, on_sweep, SWEEP_S, SWEEP_S);
-  d->sweep.data = d;
-  return d;
+  KqFrontHandler *h = kq_alloc (sizeof *h);
+  h->config = *c;
+  h->queries = g_hash_table_new (g_int64_hash, g_int64_equal);
+  h->retries = g_ptr_array_new ();
+  kq_front_counts_init (&h->counts, c->counters);
+  ev_timer_init (&h->sweep, on_sweep, SWEEP_PERIOD_S, SWEEP_PERIOD_S);
+  h->sweep.data = h;
+  return h;
 }
 
 void
-kq_front_desk_free (KqFrontDesk *d)
+kq_front_handler_free (KqFrontHandler *h)
 {
-  if (d == NULL)
+  if (h == NULL)
     return;
-  ev_timer_stop (kq_loop_ev (d->config.loop), &d->sweep);
-  g_hash_table_destroy (d->waiting);
-  g_ptr_array_free (d->later, TRUE);
-  free (d);
+  ev_timer_stop (kq_loop_ev (h->config.loop), &h->sweep);
+  g_hash_table_destroy (h->queries);
+  g_ptr_array_free (h->retries, TRUE);
+  free (h);
 }
--- a/src/fleet/front.h
+++ b/src/fleet/front.h
@@ -1,12 +1,12 @@
 #ifndef KQ_FLEET_FRONT_H
 #define KQ_FLEET_FRONT_H
 
-/* front: what becomes of client accounts' requests at the node that takes them in.
+/* front: handles client accounts' requests on the node that receives them.
  *
- * Accepting and cancelling need the store only, so every node does both by itself and
- * without a leader. States are asked of the leader, which knows them without a call; when
- * it can't be reached, the store tells what is certain. A node that the store
- * turns away, and not the leader, hands jobs in through the leader. */
+ * Accepting and cancelling need only the store, so every node does both without a leader.
+ * Job states are queried from the leader, which has them in memory; without a leader they
+ * are derived from the store. A node that cannot reach the store, while the leader can,
+ * has the leader write its jobs. */
 
 #include "base/counter.h"
 #include "crew/frame.h"
@@ -15,7 +15,7 @@
 #include "port/kv.h"
 #include "steps/queues.h"
 
-typedef struct KqFrontDesk KqFrontDesk;
+typedef struct KqFrontHandler KqFrontHandler;
 
 typedef struct
 {
@@ -24,24 +24,29 @@
   KqCounters *counters;
   void *arg;
   const KqQueueTable *(*table) (void *arg); /* NULL: none yet */
-  /* How the store has answered lately: while it is away a write would only wait for a
-   * timeout. */
-  KqReachState (*store) (void *arg, KqTime now);
-  bool (*by_leader) (void *arg, KqTime now); /* whether the leader reaches it */
-  /* Passes a question on to the leader; false: there is none at hand. The answer comes by
-   * kq_front_desk_answer. */
-  bool (*ask) (void *arg, const KqCrewItem *question, KqTime now);
-  /* Tells the leader of a job or a cancellation that is in the store now. */
-  void (*tell) (void *arg, const KqCrewItem *i, KqTime now);
+  /* Whether this node reaches the store: no calls are made while it is down. */
+  KqReachState (*store_state) (void *arg, KqTime now);
+  /* Whether the leader reaches the store. */
+  bool (*store_via_leader) (void *arg, KqTime now);
+  /* Sends a query to the leader; the reply is passed to kq_front_handler_answer, possibly
+   * before this returns. False: there is no leader, and no reply will come. */
+  bool (*query_leader) (void *arg, const KqCrewItem *query, KqTime now);
+  /* Tells the leader about a job or a cancellation that has been written to the store. */
+  void (*notify_leader) (void *arg, const KqCrewItem *i, KqTime now);
+  /* The store has answered a call that was sent at sent_at. */
   void (*answered) (void *arg, KqTime sent_at, KqTime now);
-  void (*failed) (void *arg, KqTime sent_at); /* a call to the store had no answer */
-} KqFrontDeskConfig;
+  /* A call sent at sent_at got no answer or was refused. */
+  void (*failed) (void *arg, KqTime sent_at);
+} KqFrontHandlerConfig;
 
-KqFrontDesk *kq_front_desk_new (const KqFrontDeskConfig *c);
-void kq_front_desk_free (KqFrontDesk *d);
-void kq_front_desk_request (KqFrontDesk *d, KqAsk *a, const KqFrontRequest *r,
-                            KqTime now);
-/* value < 0: the leader doesn't know. */
-void kq_front_desk_answer (KqFrontDesk *d, uint64_t call, int64_t value, KqTime now);
+KqFrontHandler *kq_front_handler_new (const KqFrontHandlerConfig *c);
+void kq_front_handler_free (KqFrontHandler *h);
+/* Handles one request; replies by kq_ask_reply exactly once. */
+void kq_front_handler_request (KqFrontHandler *h, KqAsk *a, const KqFrontRequest *r,
+                               KqTime now);
+/* The leader's reply to query `call`: a KqJobState, a KqAcceptResult or a number of jobs;
+ * below 0: unknown. Ignored when the request has already been replied to. */
+void kq_front_handler_answer (KqFrontHandler *h, uint64_t call, int64_t value,
+                              KqTime now);
 
 #endif
--- a/src/fleet/front_counts.c
+++ b/src/fleet/front_counts.c
@@ -40,6 +40,6 @@
                            "Calls to the store repeated for a request.");
   f->from_store = kq_counter (c, "kq_front_store_reads_total", "",
                               "Reads of the store for a request.");
-  f->by_leader = kq_counter (c, "kq_front_by_leader_total", "",
-                             "Jobs handed in through the leader.");
+  f->via_leader = kq_counter (c, "kq_front_by_leader_total", "",
+                              "Jobs handed in through the leader.");
 }
--- a/src/fleet/front_counts.h
+++ b/src/fleet/front_counts.h
@@ -1,7 +1,7 @@
 #ifndef KQ_FLEET_FRONT_COUNTS_H
 #define KQ_FLEET_FRONT_COUNTS_H
 
-/* front_counts: what the front desk counts. */
+/* front_counts: metrics of the handler of client accounts' requests. */
 
 #include "base/histogram.h"
 #include "port/front.h"
@@ -17,11 +17,11 @@
   uint64_t *refused_leader;
   uint64_t *retried;
   uint64_t *from_store;
-  uint64_t *by_leader;
+  uint64_t *via_leader;
 } KqFrontCounts;
 
 void kq_front_counts_init (KqFrontCounts *f, KqCounters *c);
-/* For logs and labels. */
+/* Static; used in logs and metric labels. */
 const char *kq_reply_kind_name (KqReplyKind k);
 
 #endif
--- a/src/fleet/keys.h
+++ b/src/fleet/keys.h
@@ -1,15 +1,18 @@
 #ifndef KQ_FLEET_KEYS_H
 #define KQ_FLEET_KEYS_H
 
-/* keys: where this system keeps things in the store.
+/* keys: the keys that this system uses in the store.
  *
- *   kq/lead      who leads, under its lease           kq/term     number of leaders so
- * far kq/in/j/ID   a job as accepted, never changed     kq/in/x/ID  its cancellation
- *   kq/p/ID      its progress, by the leader          kq/runners  runners ever in use
- *   kq/learned  which tasks disturb which, for the next leader
- *   kq/waves    how far the waves of maintenance are
- *   kq/seq       changes with each batch of progress, so that a batch whose answer was
- * lost and that is carried out late can't overwrite a later one */
+ *   kq/lead      the leader's record, under its lease
+ *   kq/term      number of leaders so far
+ *   kq/in/j/ID   a job as accepted; never changed
+ *   kq/in/x/ID   the job's cancellation
+ *   kq/p/ID      the job's progress, written by the leader
+ *   kq/runners   all runners that were ever used
+ *   kq/learned   which tasks disturb which, for the next leader
+ *   kq/waves     state of maintenance waves
+ *   kq/seq       written with every transaction of progress, so that one that is carried
+ *                out late, after its answer was lost, cannot overwrite a newer one */
 
 #include "base/str.h"
 
@@ -22,9 +25,10 @@
 #define KQ_KEY_WAVES "kq/waves"
 #define KQ_KEY_SEQUENCE "kq/seq"
 
-/* The key of an id under one of the prefixes above; freed with free (). */
+/* Returns prefix followed by id; free its ptr with free (). */
 KqStr kq_key_of (const char *prefix, KqStr id);
-/* The id behind the prefix; "" when the key has another. */
+/* Returns the part of key behind prefix, pointing into key; "": key has another prefix.
+ */
 KqStr kq_key_id (KqStr key, const char *prefix);
 
 #endif
--- a/src/fleet/leader.c
+++ b/src/fleet/leader.c
@@ -14,21 +14,21 @@
 #include <stdlib.h>
 
 #define PART "leader"
-#define TIMEOUT_MS 1500
-/* Watches: wait for a change so long, and collect changes so long. New jobs come from the
- * nodes that accepted them as well, so their watch is only the safety net. */
+#define CALL_TIMEOUT_MS 1500
+/* Longest wait of a watch, and pauses between watches, so that changes are collected. The
+ * pause for jobs is longer: nodes send accepted jobs, the watch only finds lost ones. */
 #define WATCH_MS 2000
 #define JOBS_PAUSE_MS 250
 #define RUNNERS_PAUSE_MS 50
 
 typedef enum
 {
-  LOAD_WAVES,   /* how far waves of maintenance are */
-  LOAD_LEARNED, /* what an earlier leader has learned */
-  LOAD_RUNNERS, /* the list of runners ever in use */
+  LOAD_WAVES,   /* state of maintenance waves */
+  LOAD_LEARNED, /* which tasks disturb which, learned by earlier leaders */
+  LOAD_RUNNERS, /* all runners that were ever used */
   LOAD_JOBS,    /* accepted jobs and cancellations */
   LOAD_PROGRESS,
-  LOAD_ENTRIES, /* runners' own entries */
+  LOAD_ENTRIES, /* the runners' own entries in the store */
   LOAD_DONE
 } LoadPhase;
 
@@ -37,24 +37,24 @@
   KqLeaderConfig config;
   KqSched *sched;
   KqBatch *batch;
-  KqWaves *waves; /* once loaded */
+  KqWaves *waves; /* NULL until loaded */
   KqFollow *jobs;
   KqFollow *entries;
-  GPtrArray *peers;  /* by agent number; NULL: gone */
-  GHashTable *early; /* cancelled ids whose job hasn't been seen yet */
+  GPtrArray *peers;          /* by agent number; NULL: disconnected */
+  GHashTable *early_cancels; /* ids of cancelled jobs that haven't been received yet */
   int own_agent;
   LoadPhase phase;
-  char *page_after; /* of the progress listing */
-  int failures;     /* of loading, in a row */
+  char *page_after; /* last key of the previous page of progress */
+  int failures;     /* consecutive failed calls while loading */
   KqRand rand;
-  ev_timer retry; /* of loading */
+  ev_timer retry; /* of a failed call while loading */
   ev_timer timer;
   ev_prepare before_poll;
-  KqTime next_at;
-  bool dirty; /* an input has come since the last run */
-  bool calling;
-  bool dead;
-  bool closing; /* within the owner's deposed */
+  KqTime next_at;    /* the scheduler's next run is due */
+  bool dirty;        /* input has arrived since the last run */
+  bool call_pending; /* a call of on_loaded is outstanding */
+  bool freed;        /* freed while that call was outstanding */
+  bool closing;      /* the owner's deposed callback is running */
 };
 
 static void load (KqLeader *l);
@@ -64,7 +64,7 @@
 {
   kq_sched_free (l->sched);
   g_ptr_array_free (l->peers, TRUE);
-  g_hash_table_destroy (l->early);
+  g_hash_table_destroy (l->early_cancels);
   free (l->page_after);
   free (l);
 }
@@ -93,7 +93,7 @@
 {
   KqLeader *l = arg;
   if (l->waves != NULL)
-    kq_waves_maintenance (l->waves, host, wave);
+    kq_waves_start_maintenance (l->waves, host, wave);
 }
 
 static void
@@ -118,14 +118,14 @@
 }
 
 static void
-run (KqLeader *l, KqTime now)
+run_sched (KqLeader *l, KqTime now)
 {
   l->dirty = false;
   l->next_at = kq_sched_run (l->sched, now, kq_time_wall_ms ());
 }
 
 static void
-arm (KqLeader *l, KqTime now)
+start_timer (KqLeader *l, KqTime now)
 {
   struct ev_loop *ev = kq_loop_ev (l->config.loop);
   KqTime at = l->next_at;
@@ -137,7 +137,7 @@
   ev_timer_start (ev, &l->timer);
 }
 
-/* Once for all that a turn of the loop has brought. */
+/* Runs the scheduler once for all input of one loop iteration. */
 static void
 on_before_poll (struct ev_loop *ev, ev_prepare *w, int events)
 {
@@ -148,12 +148,12 @@
   if (!l->dirty)
     return;
   now = kq_loop_now (l->config.loop);
-  run (l, now);
+  run_sched (l, now);
   if (l->phase == LOAD_DONE && kq_batch_due (l->batch) <= now)
-    kq_batch_go (l->batch, now);
+    kq_batch_write (l->batch, now);
   if (l->waves != NULL && !l->closing)
-    kq_waves_go (l->waves, now);
-  arm (l, now);
+    kq_waves_write (l->waves, now);
+  start_timer (l, now);
 }
 
 static void
@@ -162,7 +162,7 @@
   KqLeader *l = w->data;
   (void)ev;
   (void)events;
-  l->dirty = true; /* on_before_poll does the rest */
+  l->dirty = true; /* handled by on_before_poll */
 }
 
 static void
@@ -185,7 +185,7 @@
     }
   else
     return;
-  kq_leader_item (l, NULL, &item, now);
+  kq_leader_handle_item (l, NULL, &item, now);
 }
 
 static void
@@ -200,21 +200,21 @@
 }
 
 static void
-take_entry (void *arg, const KqRunnerEntry *e)
+on_runner_entry (void *arg, const KqRunnerEntry *e)
 {
   KqLeader *l = arg;
   kq_sched_entry (l->sched, e, kq_loop_now (l->config.loop));
 }
 
 static void
-on_entry (void *arg, const KqKvItem *i, KqTime now)
+on_entry_item (void *arg, const KqKvItem *i, KqTime now)
 {
   KqLeader *l = arg;
   KqStr id;
-  if (!kq_source_runner (i->key, i->value, &id, take_entry, l))
+  if (!kq_source_runner (i->key, i->value, &id, on_runner_entry, l))
     {
       kq_log (KQ_LOG_WARN, PART,
-              "An entry names no runner to use. runner=%.*s revision=%llu",
+              "Ignoring an invalid runner entry. runner=%.*s revision=%llu",
               KQ_STR_ARG (id), (unsigned long long)i->revision);
       kq_sched_entry_gone (l->sched, id, now);
     }
@@ -227,13 +227,13 @@
   KqLeader *l = arg;
   KqStr id;
   (void)revision;
-  kq_source_runner (key, KQ_STR (""), &id, take_entry, l);
+  kq_source_runner (key, KQ_STR (""), &id, on_runner_entry, l);
   kq_sched_entry_gone (l->sched, id, now);
   l->dirty = true;
 }
 
 static void
-follow_waves (KqLeader *l)
+start_waves (KqLeader *l)
 {
   KqWavesConfig c = { .loop = l->config.loop,
                       .kv = l->config.kv,
@@ -259,8 +259,8 @@
     return;
   l->phase = LOAD_DONE;
   kq_sched_loaded (l->sched, now);
-  follow_waves (l);
-  g_hash_table_iter_init (&it, l->early);
+  start_waves (l);
+  g_hash_table_iter_init (&it, l->early_cancels);
   while (g_hash_table_iter_next (&it, &id, NULL))
     {
       cancel.u.cancel.id = kq_str (id);
@@ -278,20 +278,20 @@
 }
 
 static void
-load_again (KqLeader *l, bool cut)
+retry_load (KqLeader *l, bool cut)
 {
   int ms = kq_follow_retry_ms (&l->rand, ++l->failures, cut);
   ev_timer_set (&l->retry, ms / 1000.0, 0);
   ev_timer_start (kq_loop_ev (l->config.loop), &l->retry);
 }
 
-/* The keys of the phases that load one value. */
-static const char *const values[] = { [LOAD_WAVES] = KQ_KEY_WAVES,
-                                      [LOAD_LEARNED] = KQ_KEY_LEARNED,
-                                      [LOAD_RUNNERS] = KQ_KEY_RUNNERS };
+/* Keys of the phases that load a single value. */
+static const char *const value_keys[] = { [LOAD_WAVES] = KQ_KEY_WAVES,
+                                          [LOAD_LEARNED] = KQ_KEY_LEARNED,
+                                          [LOAD_RUNNERS] = KQ_KEY_RUNNERS };
 
 static bool
-take_value (KqLeader *l, KqStr value, KqTime now)
+load_value (KqLeader *l, KqStr value, KqTime now)
 {
   if (l->phase == LOAD_WAVES)
     return kq_sched_waves_stored (l->sched, value);
@@ -304,26 +304,26 @@
 on_loaded (void *arg, const KqKvReply *r, KqTime now)
 {
   KqLeader *l = arg;
-  l->calling = false;
-  if (l->dead)
+  l->call_pending = false;
+  if (l->freed)
     {
       destroy (l);
       return;
     }
   if (r->result != KQ_KV_OK && r->result != KQ_KV_NOT_FOUND)
     {
-      kq_log (KQ_LOG_WARN, PART, "Loading is held up by the store. phase=%d result=%d",
-              l->phase, r->result);
-      load_again (l, r->cut);
+      kq_log (KQ_LOG_WARN, PART, "Loading failed; retrying. phase=%d result=%d", l->phase,
+              r->result);
+      retry_load (l, r->cut);
       return;
     }
   l->failures = 0;
   on_answered (l, r->sent_at, now);
   if (l->phase < LOAD_JOBS)
     {
-      if (r->n_items == 1 && !take_value (l, r->items[0].value, now))
-        kq_log (KQ_LOG_ERROR, PART, "A stored value can't be read. key=%s",
-                values[l->phase]);
+      if (r->n_items == 1 && !load_value (l, r->items[0].value, now))
+        kq_log (KQ_LOG_ERROR, PART, "A stored value cannot be decoded. key=%s",
+                value_keys[l->phase]);
       l->phase++;
     }
   else
@@ -342,31 +342,31 @@
   load (l);
 }
 
-/* What must be known before the first decision, one after the other: progress belongs to
- * jobs, and runs that runners list belong to jobs with their progress. */
+/* Loads what the scheduler needs before its first decision. The order matters: progress
+ * refers to jobs, and the runs that runners list refer to jobs and their progress. */
 static void
 load (KqLeader *l)
 {
   KqFollowOwner jobs = { l, on_job_item, NULL, on_jobs_synced, on_answered, NULL };
   KqFollowOwner entries
-      = { l, on_entry, on_entry_gone, on_entries_synced, on_answered, NULL };
+      = { l, on_entry_item, on_entry_gone, on_entries_synced, on_answered, NULL };
   KqKvCallback cb = { on_loaded, l };
   switch (l->phase)
     {
     case LOAD_WAVES:
     case LOAD_LEARNED:
     case LOAD_RUNNERS:
-      l->calling = true;
-      kq_kv_get (l->config.kv, kq_str (values[l->phase]), TIMEOUT_MS, cb);
+      l->call_pending = true;
+      kq_kv_get (l->config.kv, kq_str (value_keys[l->phase]), CALL_TIMEOUT_MS, cb);
       break;
     case LOAD_JOBS:
       l->jobs = kq_follow_new (l->config.loop, l->config.kv, KQ_STR (KQ_KEY_IN), WATCH_MS,
                                JOBS_PAUSE_MS, &jobs);
       break;
     case LOAD_PROGRESS:
-      l->calling = true;
+      l->call_pending = true;
       kq_kv_range (l->config.kv, KQ_STR (KQ_KEY_PROGRESS), kq_str (l->page_after),
-                   TIMEOUT_MS, cb);
+                   CALL_TIMEOUT_MS, cb);
       break;
     case LOAD_ENTRIES:
       l->entries
@@ -404,12 +404,12 @@
   l->config.self.leader = true;
   l->own_agent = -1;
   l->peers = g_ptr_array_new ();
-  l->early = g_hash_table_new_full (g_str_hash, g_str_equal, free, NULL);
+  l->early_cancels = g_hash_table_new_full (g_str_hash, g_str_equal, free, NULL);
   l->sched = kq_sched_new (&sched, now);
   batch.sched = l->sched;
   batch.loop = c->loop;
   l->batch = kq_batch_new (&batch);
-  run (l, now);
+  run_sched (l, now);
   l->own_agent = kq_sched_agent_up (l->sched, &l->config.self, now);
   l->rand = kq_rand (kq_rand_system ());
   ev_timer_init (&l->retry, on_retry, 0, 0);
@@ -436,15 +436,15 @@
   kq_follow_free (l->entries);
   kq_waves_free (l->waves);
   kq_batch_free (l->batch);
-  l->dead = true;
-  if (!l->calling)
+  l->freed = true;
+  if (!l->call_pending)
     destroy (l);
 }
 
-/* A node that is back has let go of its runners, whether the end of its earlier
- * connection has been noticed or not. */
+/* A node that connects again has released its runners, so its earlier connection counts
+ * as closed even if that hasn't been detected yet. */
 static void
-end_earlier (KqLeader *l, const KqAgentInfo *info, KqTime now)
+end_earlier_connection (KqLeader *l, const KqAgentInfo *info, KqTime now)
 {
   int agent = kq_sched_agent_find (l->sched, kq_name_str (&info->name));
   KqPeer *p = agent >= 0 && (guint)agent < l->peers->len
@@ -452,17 +452,17 @@
                   : NULL;
   if (p == NULL)
     return;
-  kq_leader_left (l, p, false, now);
+  kq_leader_node_left (l, p, false, now);
 }
 
 void
-kq_leader_joined (KqLeader *l, KqPeer *p, const KqAgentInfo *info, KqTime now)
+kq_leader_node_joined (KqLeader *l, KqPeer *p, const KqAgentInfo *info, KqTime now)
 {
-  KqAgentInfo other = *info;
+  KqAgentInfo agent_info = *info;
   int agent;
-  end_earlier (l, info, now);
-  other.leader = false;
-  agent = kq_sched_agent_up (l->sched, &other, now);
+  end_earlier_connection (l, info, now);
+  agent_info.leader = false;
+  agent = kq_sched_agent_up (l->sched, &agent_info, now);
   kq_peer_set_agent (p, agent);
   if (agent < 0)
     return;
@@ -475,14 +475,14 @@
 }
 
 int
-kq_leader_share (const KqLeader *l, const KqPeer *p)
+kq_leader_node_share (const KqLeader *l, const KqPeer *p)
 {
   int agent = kq_peer_agent (p);
   return agent >= 0 ? kq_sched_agent_share (l->sched, agent) : 0;
 }
 
 void
-kq_leader_left (KqLeader *l, KqPeer *p, bool planned, KqTime now)
+kq_leader_node_left (KqLeader *l, KqPeer *p, bool planned, KqTime now)
 {
   int agent = kq_peer_agent (p);
   if (agent < 0)
@@ -494,40 +494,40 @@
 }
 
 static void
-take_cancel (KqLeader *l, KqStr id, KqTime now)
+handle_cancel (KqLeader *l, KqStr id, KqTime now)
 {
   if (l->phase == LOAD_DONE)
     kq_sched_cancel (l->sched, id, now);
   if (kq_sched_state (l->sched, id) == KQ_JOB_UNKNOWN || l->phase != LOAD_DONE)
-    g_hash_table_add (l->early, kq_str_dup (id));
+    g_hash_table_add (l->early_cancels, kq_str_dup (id));
 }
 
 static void
-take_job (KqLeader *l, const KqCrewItem *i, KqTime now)
+handle_job (KqLeader *l, const KqCrewItem *i, KqTime now)
 {
   KqSpec spec;
   char *id;
   if (!kq_sched_job (l->sched, i->u.job.stored, i->u.job.revision, now)
-      || l->phase != LOAD_DONE || g_hash_table_size (l->early) == 0)
+      || l->phase != LOAD_DONE || g_hash_table_size (l->early_cancels) == 0)
     return;
   if (!kq_spec_unpack (i->u.job.stored, &spec))
     return;
   id = kq_str_dup (spec.id);
-  if (g_hash_table_contains (l->early, id))
+  if (g_hash_table_contains (l->early_cancels, id))
     kq_sched_cancel (l->sched, spec.id, now);
   kq_spec_clear (&spec);
   free (id);
 }
 
 void
-kq_leader_item (KqLeader *l, KqPeer *p, const KqCrewItem *i, KqTime now)
+kq_leader_handle_item (KqLeader *l, KqPeer *p, const KqCrewItem *i, KqTime now)
 {
   int agent = p == NULL ? l->own_agent : kq_peer_agent (p);
-  bool of_runner = i->kind == KQ_CREW_LIST || i->kind == KQ_CREW_OUTCOME
-                   || i->kind == KQ_CREW_UNREACHED || i->kind == KQ_CREW_ADVICE;
-  /* Of a connection that has been given up for the node's next one: the number stands for
-   * no agent, and equals that of runners which nobody looks after. */
-  if (of_runner && agent < 0)
+  bool from_runner = i->kind == KQ_CREW_LIST || i->kind == KQ_CREW_OUTCOME
+                     || i->kind == KQ_CREW_UNREACHED || i->kind == KQ_CREW_ADVICE;
+  /* The connection has been replaced by a newer one of the same node. Its agent number of
+   * -1 must not reach the scheduler, where -1 marks runners without an agent. */
+  if (from_runner && agent < 0)
     return;
   l->dirty = true;
   switch (i->kind)
@@ -554,10 +554,10 @@
       kq_sched_advice (l->sched, agent, &i->u.advice, now);
       break;
     case KQ_CREW_JOB:
-      take_job (l, i, now);
+      handle_job (l, i, now);
       break;
     case KQ_CREW_CANCEL:
-      take_cancel (l, i->u.cancel.id, now);
+      handle_cancel (l, i->u.cancel.id, now);
       break;
     case KQ_CREW_ORDER:
     case KQ_CREW_ANSWER:
@@ -567,14 +567,14 @@
     case KQ_CREW_ASK:
     case KQ_CREW_UNKNOWN:
     case KQ_CREW_WELCOME:
-    case KQ_CREW_CHANGES: /* come as the list that they lead to */
+    case KQ_CREW_CHANGES: /* fleet/link.c has turned these into a LIST */
     case KQ_CREW_LEAVE:
       break;
     }
 }
 
 int64_t
-kq_leader_ask (KqLeader *l, KqAskKind what, KqStr about, KqTime now, KqBuf *text)
+kq_leader_query (KqLeader *l, KqAskKind what, KqStr about, KqTime now, KqBuf *text)
 {
   if (l->phase != LOAD_DONE)
     return -1;
@@ -587,7 +587,7 @@
     case KQ_ASK_EXPLAIN:
       kq_sched_explain (l->sched, about, now, text);
       return 0;
-    case KQ_ASK_ACCEPT: /* only for other nodes: fleet/accepts.c */
+    case KQ_ASK_ACCEPT: /* handled by fleet/accepts.c */
       break;
     }
   return -1;
--- a/src/fleet/leader.h
+++ b/src/fleet/leader.h
@@ -1,9 +1,10 @@
 #ifndef KQ_FLEET_LEADER_H
 #define KQ_FLEET_LEADER_H
 
-/* leader: the scheduler of the node that leads, with what it needs: the store's jobs and
- * progress, the runners' entries, and the nodes that carry out its orders. Lives from an
- * election until the lead is lost; nothing of it is kept for the next one. */
+/* leader: runs the scheduler on the node that is leader. It loads jobs, progress and
+ * runner entries from the store, and passes the scheduler's orders to the nodes. Created
+ * when the node is elected, freed when it loses leadership; a later leader starts from
+ * the store alone. */
 
 #include "crew/agent.h"
 #include "fleet/link.h"
@@ -17,34 +18,37 @@
   KqKv *kv;
   uint64_t epoch;
   uint32_t term;
-  int64_t lease_ms; /* of runners */
-  int64_t blind_ms;
-  int64_t keep_ms;
-  int64_t
-      maintenance_ms; /* a host that goes down for maintenance stays down for so long */
+  int64_t lease_ms;       /* of runners */
+  int64_t blind_ms;       /* how long nodes renew runners' leases without a leader */
+  int64_t keep_ms;        /* how long ended jobs are kept */
+  int64_t maintenance_ms; /* how long a host is down for maintenance */
   KqCounters *counters;
   KqAgentInfo self;
   KqCrewAgent *agent;              /* of this node */
   KqMaintenanceCalls *maintenance; /* NULL: there is no control plane */
   void *arg;
-  /* Somebody else leads: the store or a runner has refused our epoch. */
+  /* Another node is leader: the store, a runner or the control plane has a newer epoch.
+   * The callee may free the leader. */
   void (*deposed) (void *arg, const char *why, KqTime now);
+  /* The store has answered a call that was sent at sent_at. */
   void (*answered) (void *arg, KqTime sent_at, KqTime now);
 } KqLeaderConfig;
 
 KqLeader *kq_leader_new (const KqLeaderConfig *c, KqTime now);
 void kq_leader_free (KqLeader *l);
 
-void kq_leader_joined (KqLeader *l, KqPeer *p, const KqAgentInfo *info, KqTime now);
-/* The part of a processor that the node has, in thousandths; 0: it hasn't joined. */
-int kq_leader_share (const KqLeader *l, const KqPeer *p);
-/* planned: the node has said that it stops, and let go of its runners. */
-void kq_leader_left (KqLeader *l, KqPeer *p, bool planned, KqTime now);
-/* LIST, OUTCOME, UNREACHED, FENCED, JOB, CANCEL. p NULL: of this node's own agent. */
-void kq_leader_item (KqLeader *l, KqPeer *p, const KqCrewItem *i, KqTime now);
-/* An answer to a question, for this node's or another's client accounts. */
-int64_t kq_leader_ask (KqLeader *l, KqAskKind what, KqStr about, KqTime now, KqBuf *text);
-/* Its decisions. */
+void kq_leader_node_joined (KqLeader *l, KqPeer *p, const KqAgentInfo *info, KqTime now);
+/* The node's cpu share in thousandths of a processor; 0: it hasn't joined. */
+int kq_leader_node_share (const KqLeader *l, const KqPeer *p);
+/* planned: the node has announced its stop and released its runners. */
+void kq_leader_node_left (KqLeader *l, KqPeer *p, bool planned, KqTime now);
+/* Handles a LIST, OUTCOME, UNREACHED, FENCED, ADVICE, JOB or CANCEL; ignores other kinds.
+ * p NULL: from this node's own agent. */
+void kq_leader_handle_item (KqLeader *l, KqPeer *p, const KqCrewItem *i, KqTime now);
+/* Answers a query of this or another node. Returns the value of a KQ_CREW_ANSWER; -1: not
+ * known, or not yet loaded. text gets the explanation of KQ_ASK_EXPLAIN. */
+int64_t kq_leader_query (KqLeader *l, KqAskKind what, KqStr about, KqTime now,
+                         KqBuf *text);
 KqSched *kq_leader_sched (KqLeader *l);
 
 #endif
--- a/src/fleet/leader_test.c
+++ b/src/fleet/leader_test.c
@@ -11,7 +11,7 @@
 
 #include <cmocka.h>
 
-/* The store, played by the test: calls are noted here and answered by answer (). */
+/* Fake store: records calls; answer () answers the last one. */
 static struct
 {
   int calls;
@@ -19,7 +19,7 @@
 } store;
 
 static void
-note (KqKvCallback cb)
+record (KqKvCallback cb)
 {
   store.calls++;
   store.cb = cb;
@@ -31,7 +31,7 @@
   (void)kv;
   (void)key;
   (void)timeout_ms;
-  note (cb);
+  record (cb);
 }
 
 void
@@ -41,7 +41,7 @@
   (void)prefix;
   (void)after;
   (void)answer_ms;
-  note (cb);
+  record (cb);
 }
 
 void
@@ -51,7 +51,7 @@
   (void)prefix;
   (void)after;
   (void)wait_ms;
-  note (cb);
+  record (cb);
 }
 
 void
@@ -60,7 +60,7 @@
   (void)kv;
   (void)t;
   (void)timeout_ms;
-  note (cb);
+  record (cb);
 }
 
 void
@@ -69,7 +69,7 @@
   (void)kv;
   (void)ttl_ms;
   (void)timeout_ms;
-  note (cb);
+  record (cb);
 }
 
 void
@@ -78,7 +78,7 @@
   (void)kv;
   (void)lease;
   (void)timeout_ms;
-  note (cb);
+  record (cb);
 }
 
 void
@@ -87,7 +87,7 @@
   (void)kv;
   (void)lease;
   (void)timeout_ms;
-  note (cb);
+  record (cb);
 }
 
 static void
@@ -133,12 +133,13 @@
 free_leader (KqLeader *l, KqCounters *counters, KqLoop *loop)
 {
   kq_leader_free (l);
-  answer (KQ_KV_NOT_FOUND); /* the open call; frees it */
+  answer (KQ_KV_NOT_FOUND); /* ends the outstanding call, which frees the leader */
   kq_counters_free (counters);
   kq_loop_free (loop);
 }
 
-/* A new leader presses a store in trouble: the next call follows a refusal at once. */
+/* Guards against a new leader that overloads a store in trouble by retrying without a
+ * delay. */
 static void
 test_loading_pauses_after_a_refusal (void **state)
 {
@@ -155,37 +156,37 @@
         ev_run (kq_loop_ev (loop), EVRUN_ONCE);
     }
   answer (KQ_KV_NOT_FOUND);
-  assert_int_equal (store.calls, 5); /* what comes next is asked for at once */
+  assert_int_equal (store.calls, 5); /* the next phase starts without a delay */
   free_leader (l, counters, loop);
 }
 
 static void
-on_soon (struct ev_loop *ev, ev_timer *w, int events)
+on_timer (struct ev_loop *ev, ev_timer *w, int events)
 {
   (void)ev;
   (void)events;
   *(bool *)w->data = true;
 }
 
-/* A new leader uses up its processor while it waits for the store. */
+/* Guards against a busy loop in a new leader that waits for the store. */
 static void
 test_loading_leader_sleeps (void **state)
 {
   KqLoop *loop = kq_loop_new ();
   KqCounters *counters = kq_counters_new ();
   KqLeader *l = new_leader (loop, counters);
-  bool over = false;
-  ev_timer soon;
+  bool done = false;
+  ev_timer timer;
   int turns = 0;
   (void)state;
-  ev_timer_init (&soon, on_soon, 0.3, 0);
-  soon.data = &over;
-  ev_timer_start (kq_loop_ev (loop), &soon);
-  for (; turns < 1000 && !over; turns++)
+  ev_timer_init (&timer, on_timer, 0.3, 0);
+  timer.data = &done;
+  ev_timer_start (kq_loop_ev (loop), &timer);
+  for (; turns < 1000 && !done; turns++)
     ev_run (kq_loop_ev (loop), EVRUN_ONCE);
-  assert_true (over);
+  assert_true (done);
   assert_in_range (turns, 1, 50);
-  ev_timer_stop (kq_loop_ev (loop), &soon);
+  ev_timer_stop (kq_loop_ev (loop), &timer);
   free_leader (l, counters, loop);
 }
 
--- a/src/fleet/link.c
+++ b/src/fleet/link.c
@@ -13,14 +13,16 @@
 #include <unistd.h>
 
 #define PART "link"
-/* Sign of life either way; a host that stands still for a second is soon without tasks.
- */
-#define BEAT_S 0.3
-/* Several beats may be late: hosts are slow at times, and links between regions queue. */
-#define SILENT (1400 * KQ_MS)
-/* More than SILENT, a beat and the time to look at the lead. */
-#define DOUBT (2 * KQ_SEC)
-#define RECONNECT (150 * KQ_MS)
+/* Interval of heartbeats in both directions. A host that hangs for a second soon loses
+ * its tasks, so this has to be well below. */
+#define HEARTBEAT_S 0.3
+/* A connection that has been silent for this long is closed. Several beats may be late:
+ * hosts are slow at times, and links between regions queue. */
+#define PEER_TIMEOUT (1400 * KQ_MS)
+/* Time within which the leader surely notices that it has lost nodes: more than
+ * PEER_TIMEOUT, a heartbeat and the period of its checks. */
+#define LOSS_DETECTION (2 * KQ_SEC)
+#define RECONNECT_DELAY (150 * KQ_MS)
 
 struct KqPeer
 {
@@ -28,23 +30,23 @@
   KqConn *conn;
   int agent;
   bool joined;
-  bool damaged; /* what it has sent can't be right: it has to connect anew */
-  bool unknown_told;
-  bool busy;              /* its message is being read */
-  bool ended;             /* meanwhile: it goes when that is over */
-  GHashTable *told;       /* runner -> Told */
-  KqTime beat_sent_at;    /* of its last beat, by its clock */
-  KqTime certain_beat_at; /* of the last that came while the lead was certain */
+  bool damaged; /* has sent invalid data: it has to reconnect */
+  bool unknown_logged;
+  bool in_message;          /* one of its messages is being handled */
+  bool closed;              /* closed meanwhile: freed after the message */
+  GHashTable *reports;      /* runner -> RunnerReport */
+  KqTime beat_sent_at;      /* time of its last beat, by its clock */
+  KqTime exclusive_beat_at; /* the same for beats received before exclusive_until */
   KqBuf out;
 };
 
-/* What the peer has told of a runner's runs. */
+/* A runner's runs as the peer has reported them. */
 typedef struct
 {
   char *runner;
   uint64_t taking;
   KqTold *runs;
-} Told;
+} RunnerReport;
 
 struct KqLink
 {
@@ -52,27 +54,27 @@
   int port;
   int fd;
   ev_io acceptable;
-  ev_timer beat;
+  ev_timer beat_timer;
   ev_prepare before_poll;
   GPtrArray *peers;
-  uint64_t lead_epoch; /* we lead with it; 0: we don't */
-  KqTime lead_until;   /* nobody else can lead until then */
-  bool nodes_lost;     /* some node that was there isn't heard */
-  KqConn *up;          /* to the leader */
-  bool up_ready;
-  uint32_t up_version;
-  bool leaving; /* the leader knows that we go */
-  KqName leader;
+  uint64_t own_epoch;     /* of this node's leadership; 0: it isn't leader */
+  KqTime exclusive_until; /* no other node can be leader until then */
+  bool nodes_lost;        /* some node has disconnected unplanned and isn't back */
+  KqConn *leader_conn;    /* to the leader; NULL: none */
+  bool leader_connected;
+  uint32_t leader_version;
+  bool leaving;  /* the planned stop has been announced */
+  KqName leader; /* its address; "": none */
   uint64_t leader_epoch;
-  KqTime tried_at;
-  KqBuf out; /* to the leader */
-  uint64_t out_epoch;
+  KqTime connect_tried_at;
+  KqBuf out;          /* items for the leader */
+  uint64_t out_epoch; /* epoch of those items */
 };
 
 static void
-free_told (gpointer p)
+free_report (gpointer p)
 {
-  Told *t = p;
+  RunnerReport *t = p;
   free (t->runner);
   kq_told_free (t->runs);
   free (t);
@@ -82,13 +84,13 @@
 free_peer (KqPeer *p)
 {
   kq_buf_free (&p->out);
-  g_hash_table_destroy (p->told);
+  g_hash_table_destroy (p->reports);
   free (p);
 }
 
-/* The peer is out of the list already. */
+/* The caller has removed the peer from the list. */
 static void
-end_peer (KqPeer *p, const char *why, KqTime now)
+close_peer (KqPeer *p, const char *why, KqTime now)
 {
   KqLink *l = p->link;
   kq_log (KQ_LOG_INFO, PART, "Node disconnected. agent=%d why=%s heard_ms_ago=%lld",
@@ -96,13 +98,13 @@
   if (p->joined)
     l->config.owner.left (l->config.owner.arg, p, false, now);
   kq_conn_free (p->conn);
-  p->ended = true;
-  if (!p->busy)
+  p->closed = true;
+  if (!p->in_message)
     free_peer (p);
 }
 
 static void
-greet_peer (KqPeer *p, const KqCrewItem *i, KqTime now)
+handle_hello (KqPeer *p, const KqCrewItem *i, KqTime now)
 {
   KqLink *l = p->link;
   KqCrewItem answer = { .kind = KQ_CREW_WELCOME };
@@ -114,35 +116,35 @@
 }
 
 static KqTold *
-told_of (KqPeer *p, KqStr runner, uint64_t taking)
+reported_runs (KqPeer *p, KqStr runner, uint64_t taking)
 {
   char *id = kq_str_dup (runner);
-  Told *t = g_hash_table_lookup (p->told, id);
+  RunnerReport *t = g_hash_table_lookup (p->reports, id);
   if (t == NULL || t->taking != taking)
     {
       t = kq_alloc (sizeof *t);
       t->runner = id;
       t->taking = taking;
       t->runs = kq_told_new ();
-      g_hash_table_replace (p->told, t->runner, t);
+      g_hash_table_replace (p->reports, t->runner, t);
     }
   else
     free (id);
   return t->runs;
 }
 
-/* The list that the changes lead to, in place of them. */
+/* Applies the changes to the last list and passes the new list on in their place. */
 static void
-take_changes (KqPeer *p, uint64_t epoch, const KqCrewItem *i, KqTime now)
+apply_changes (KqPeer *p, uint64_t epoch, const KqCrewItem *i, KqTime now)
 {
   KqLink *l = p->link;
   KqCrewItem list = { .kind = KQ_CREW_LIST, .runner = i->runner };
-  KqTold *told = told_of (p, i->runner, i->u.changes.list.taking);
+  KqTold *runs = reported_runs (p, i->runner, i->u.changes.list.taking);
   KqRunRow *rows = NULL;
-  if (!kq_told_apply (told, &i->u.changes.running))
+  if (!kq_told_apply (runs, &i->u.changes.running))
     {
       kq_log (KQ_LOG_ERROR, PART,
-              "Changes don't follow the list before. error=%d agent=%d runner=%.*s "
+              "Changes do not apply to the last list. error=%d agent=%d runner=%.*s "
               "serial=%llu",
               KQ_ERR_FRAME_FORMAT, p->agent, KQ_STR_ARG (i->runner),
               (unsigned long long)i->u.changes.running.serial);
@@ -150,39 +152,39 @@
       return;
     }
   list.u.list = i->u.changes.list;
-  list.u.list.n_running = kq_told_list (told, &rows);
+  list.u.list.n_running = kq_told_list (runs, &rows);
   list.u.list.running = rows;
   l->config.owner.from_node (l->config.owner.arg, p, epoch, &list, now);
   free (rows);
 }
 
-/* Of a later version: said once a connection. */
+/* Items of a later version are logged once per connection. */
 static void
-note_unknown (KqPeer *p, int64_t kind)
+log_unknown (KqPeer *p, int64_t kind)
 {
-  if (!p->unknown_told)
+  if (!p->unknown_logged)
     kq_log (KQ_LOG_WARN, PART,
-            "An item of an unknown kind is passed over. error=%d agent=%d kind=%lld",
+            "Ignoring an item of an unknown kind. error=%d agent=%d kind=%lld",
             KQ_ERR_PEER_KIND, p->agent, (long long)kind);
-  p->unknown_told = true;
+  p->unknown_logged = true;
 }
 
 static void
-peer_item (KqPeer *p, uint64_t epoch, const KqCrewItem *i, KqTime now)
+handle_peer_item (KqPeer *p, uint64_t epoch, const KqCrewItem *i, KqTime now)
 {
   KqLink *l = p->link;
   if (i->kind == KQ_CREW_BEAT)
     p->beat_sent_at = i->u.beat.sent_at;
-  if (now < l->lead_until)
-    p->certain_beat_at = p->beat_sent_at;
+  if (now < l->exclusive_until)
+    p->exclusive_beat_at = p->beat_sent_at;
   if (i->kind == KQ_CREW_HELLO)
-    greet_peer (p, i, now);
+    handle_hello (p, i, now);
   else if (i->kind == KQ_CREW_UNKNOWN)
-    note_unknown (p, i->u.unknown.kind);
+    log_unknown (p, i->u.unknown.kind);
   else if (!p->joined)
     return;
   else if (i->kind == KQ_CREW_CHANGES)
-    take_changes (p, epoch, i, now);
+    apply_changes (p, epoch, i, now);
   else if (i->kind == KQ_CREW_LEAVE)
     {
       p->joined = false;
@@ -203,21 +205,21 @@
   (void)c;
   if (m->kind != KQ_MSG_CREW)
     return;
-  p->busy = true;
-  while (!p->ended && !p->damaged && kq_crew_unpack (&rest, &i))
+  p->in_message = true;
+  while (!p->closed && !p->damaged && kq_crew_unpack (&rest, &i))
     {
-      peer_item (p, m->u.crew.epoch, &i, now);
+      handle_peer_item (p, m->u.crew.epoch, &i, now);
       kq_crew_clear (&i);
     }
-  p->busy = false;
-  if (!p->ended && (p->damaged || rest.len > 0))
+  p->in_message = false;
+  if (!p->closed && (p->damaged || rest.len > 0))
     {
-      kq_log (KQ_LOG_ERROR, PART, "A node's message is damaged. error=%d left=%zu",
+      kq_log (KQ_LOG_ERROR, PART, "A node's message cannot be decoded. error=%d left=%zu",
               KQ_ERR_FRAME_FORMAT, rest.len);
       g_ptr_array_remove_fast (l->peers, p);
-      end_peer (p, "damaged", now);
+      close_peer (p, "damaged", now);
     }
-  else if (p->ended)
+  else if (p->closed)
     free_peer (p);
 }
 
@@ -228,7 +230,7 @@
   KqTime now = kq_loop_now (p->link->config.loop);
   (void)c;
   g_ptr_array_remove_fast (p->link->peers, p);
-  end_peer (p, kq_result_name (why), now);
+  close_peer (p, kq_result_name (why), now);
 }
 
 static void
@@ -242,42 +244,42 @@
   (void)events;
   if (fd < 0)
     return;
-  if (l->lead_epoch == 0)
+  if (l->own_epoch == 0)
     {
-      close (fd); /* the node tries again, at whoever leads then */
+      close (fd); /* the node retries with the leader that it knows by then */
       return;
     }
   p = kq_alloc (sizeof *p);
   p->link = l;
   p->agent = -1;
-  p->told = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, free_told);
+  p->reports = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, free_report);
   cb.arg = p;
   p->conn = kq_conn_accept (l->config.loop, fd, &cb);
   g_ptr_array_add (l->peers, p);
 }
 
 static void
-close_up (KqLink *l, const char *why)
+close_leader_conn (KqLink *l, const char *why)
 {
-  if (l->up == NULL)
+  if (l->leader_conn == NULL)
     return;
-  if (l->up_ready)
+  if (l->leader_connected)
     kq_log (KQ_LOG_INFO, PART, "Disconnected from the leader. epoch=%llu why=%s",
             (unsigned long long)l->leader_epoch, why);
-  kq_conn_free (l->up);
-  l->up = NULL;
-  l->up_ready = false;
-  l->up_version = 1;
+  kq_conn_free (l->leader_conn);
+  l->leader_conn = NULL;
+  l->leader_connected = false;
+  l->leader_version = 1;
   kq_buf_clear (&l->out);
 }
 
 static void
-on_up (void *arg, KqConn *c)
+on_leader_connected (void *arg, KqConn *c)
 {
   KqLink *l = arg;
   KqCrewItem i = { .kind = KQ_CREW_HELLO };
   (void)c;
-  l->up_ready = true;
+  l->leader_connected = true;
   kq_log (KQ_LOG_INFO, PART, "Connected to the leader. epoch=%llu",
           (unsigned long long)l->leader_epoch);
   i.u.hello.info = l->config.self;
@@ -287,7 +289,7 @@
 }
 
 static void
-on_up_message (void *arg, KqConn *c, const KqMsg *m)
+on_leader_message (void *arg, KqConn *c, const KqMsg *m)
 {
   KqLink *l = arg;
   KqStr rest = m->u.crew.items;
@@ -295,10 +297,10 @@
   KqTime now = kq_loop_now (l->config.loop);
   if (m->kind != KQ_MSG_CREW)
     return;
-  while (l->up == c && !l->leaving && kq_crew_unpack (&rest, &i))
+  while (l->leader_conn == c && !l->leaving && kq_crew_unpack (&rest, &i))
     {
       if (i.kind == KQ_CREW_WELCOME)
-        l->up_version = i.u.welcome.version;
+        l->leader_version = i.u.welcome.version;
       if (i.kind != KQ_CREW_UNKNOWN)
         l->config.owner.from_leader (l->config.owner.arg, m->u.crew.epoch, &i, now);
       kq_crew_clear (&i);
@@ -306,30 +308,30 @@
 }
 
 static void
-on_up_closed (void *arg, KqConn *c, KqResult why)
+on_leader_closed (void *arg, KqConn *c, KqResult why)
 {
   KqLink *l = arg;
   (void)c;
-  close_up (l, kq_result_name (why));
+  close_leader_conn (l, kq_result_name (why));
 }
 
 static void
-open_up (KqLink *l, KqTime now)
+open_leader_conn (KqLink *l, KqTime now)
 {
-  KqConnCallback cb = { l, on_up, on_up_message, on_up_closed };
-  if (l->up != NULL || l->leader.len == 0 || l->lead_epoch != 0 || l->leaving)
+  KqConnCallback cb = { l, on_leader_connected, on_leader_message, on_leader_closed };
+  if (l->leader_conn != NULL || l->leader.len == 0 || l->own_epoch != 0 || l->leaving)
     return;
-  l->tried_at = now;
-  l->up = kq_conn_open (l->config.loop, kq_name_str (&l->leader), &cb);
+  l->connect_tried_at = now;
+  l->leader_conn = kq_conn_open (l->config.loop, kq_name_str (&l->leader), &cb);
 }
 
 void
-kq_link_leader (KqLink *l, KqStr address, uint64_t epoch, KqTime now)
+kq_link_set_leader (KqLink *l, KqStr address, uint64_t epoch, KqTime now)
 {
-  close_up (l, "another leader");
+  close_leader_conn (l, "another leader");
   l->leader = kq_name (address);
   l->leader_epoch = epoch;
-  open_up (l, now);
+  open_leader_conn (l, now);
 }
 
 void
@@ -338,16 +340,16 @@
   KqCrewItem i = { .kind = KQ_CREW_LEAVE };
   l->leaving = true;
   l->leader.len = 0;
-  if (l->up_ready && l->up_version > 1)
+  if (l->leader_connected && l->leader_version > 1)
     kq_link_send (l, l->leader_epoch, &i); /* the leader closes the connection */
   else
-    close_up (l, "leaving");
+    close_leader_conn (l, "leaving");
 }
 
 bool
-kq_link_up (const KqLink *l)
+kq_link_connected (const KqLink *l)
 {
-  return l->up_ready && !l->leaving;
+  return l->leader_connected && !l->leaving;
 }
 
 static void
@@ -362,16 +364,17 @@
   kq_buf_clear (out);
 }
 
-/* A frame has a bound; a part of it is kept for what is added by one more item. */
+/* Items are sent early at this size, so that one more item cannot exceed the maximum size
+ * of a frame. */
 #define FLUSH_AT (KQ_FRAME_MAX / 4)
 
 void
 kq_link_send (KqLink *l, uint64_t epoch, const KqCrewItem *i)
 {
-  if (!l->up_ready)
+  if (!l->leader_connected)
     return;
   if (epoch != l->out_epoch || l->out.len > FLUSH_AT)
-    flush (l->up, l->out_epoch, &l->out);
+    flush (l->leader_conn, l->out_epoch, &l->out);
   l->out_epoch = epoch;
   kq_crew_pack (i, &l->out);
 }
@@ -380,7 +383,7 @@
 kq_link_send_peer (KqPeer *p, const KqCrewItem *i)
 {
   if (p->out.len > FLUSH_AT)
-    flush (p->conn, p->link->lead_epoch, &p->out);
+    flush (p->conn, p->link->own_epoch, &p->out);
   kq_crew_pack (i, &p->out);
 }
 
@@ -390,43 +393,44 @@
   KqLink *l = w->data;
   (void)ev;
   (void)events;
-  if (l->up_ready)
-    flush (l->up, l->out_epoch, &l->out);
+  if (l->leader_connected)
+    flush (l->leader_conn, l->out_epoch, &l->out);
   for (guint i = 0; i < l->peers->len; i++)
     {
       KqPeer *p = g_ptr_array_index (l->peers, i);
-      flush (p->conn, l->lead_epoch, &p->out);
+      flush (p->conn, l->own_epoch, &p->out);
     }
 }
 
 static void
-beat_up (KqLink *l, KqTime now)
+beat_leader (KqLink *l, KqTime now)
 {
   KqCrewItem i = { .kind = KQ_CREW_BEAT };
-  if (l->up != NULL && now - kq_conn_heard_at (l->up) > SILENT)
-    close_up (l, "silent");
-  if (l->up == NULL && now - l->tried_at > RECONNECT)
-    open_up (l, now);
-  if (!l->up_ready)
+  if (l->leader_conn != NULL && now - kq_conn_heard_at (l->leader_conn) > PEER_TIMEOUT)
+    close_leader_conn (l, "silent");
+  if (l->leader_conn == NULL && now - l->connect_tried_at > RECONNECT_DELAY)
+    open_leader_conn (l, now);
+  if (!l->leader_connected)
     return;
   i.u.beat.sent_at = now;
   i.u.beat.store_age_ms = l->config.owner.store_age_ms (l->config.owner.arg, now);
   kq_link_send (l, l->leader_epoch, &i);
 }
 
-/* Nodes grant leases for a while after the beat that is answered. A leader that others
- * may have replaced answers none that came since; if it hears all nodes and none reaches
- * the store, nobody can have been elected but for nodes that have just been cut off. */
+/* Returns which beat the next ping acknowledges. A node renews runner leases for a while
+ * after the beat that is acknowledged, so a leader that may have been replaced must not
+ * acknowledge newer ones. A leader that still hears all nodes can have been replaced only
+ * through nodes that were cut off a moment ago, so it acknowledges beats from before. */
 static KqTime
-beat_to_answer (const KqPeer *p, KqTime now)
+acknowledged_beat (const KqPeer *p, KqTime now)
 {
-  if (now < p->link->lead_until)
+  if (now < p->link->exclusive_until)
     return p->beat_sent_at;
-  return p->link->nodes_lost ? p->certain_beat_at : p->beat_sent_at - DOUBT;
+  return p->link->nodes_lost ? p->exclusive_beat_at : p->beat_sent_at - LOSS_DETECTION;
 }
 
 static void
-beat_peers (KqLink *l, KqTime now)
+ping_peers (KqLink *l, KqTime now)
 {
   KqCrewItem i = { .kind = KQ_CREW_PING };
   guint n = 0;
@@ -434,15 +438,15 @@
   while (n < l->peers->len)
     {
       KqPeer *p = g_ptr_array_index (l->peers, n);
-      if (now - kq_conn_heard_at (p->conn) <= SILENT)
+      if (now - kq_conn_heard_at (p->conn) <= PEER_TIMEOUT)
         {
-          i.u.ping.beat_sent_at = beat_to_answer (p, now);
+          i.u.ping.beat_sent_at = acknowledged_beat (p, now);
           kq_link_send_peer (p, &i);
           n++;
           continue;
         }
       g_ptr_array_steal_index_fast (l->peers, n);
-      end_peer (p, "silent", now);
+      close_peer (p, "silent", now);
     }
 }
 
@@ -453,25 +457,25 @@
   KqTime now = kq_loop_now (l->config.loop);
   (void)ev;
   (void)events;
-  beat_up (l, now);
-  beat_peers (l, now);
+  beat_leader (l, now);
+  ping_peers (l, now);
 }
 
 void
-kq_link_lead (KqLink *l, uint64_t epoch, KqTime now)
+kq_link_set_own_epoch (KqLink *l, uint64_t epoch, KqTime now)
 {
-  close_up (l, "we lead");
-  l->lead_epoch = epoch;
-  l->lead_until = 0;
+  close_leader_conn (l, "we lead");
+  l->own_epoch = epoch;
+  l->exclusive_until = 0;
   l->leader.len = 0;
   while (l->peers->len > 0)
-    end_peer (g_ptr_array_steal_index_fast (l->peers, 0), "no longer this leader", now);
+    close_peer (g_ptr_array_steal_index_fast (l->peers, 0), "no longer this leader", now);
 }
 
 void
-kq_link_lead_until (KqLink *l, KqTime until, bool nodes_lost)
+kq_link_set_exclusive_until (KqLink *l, KqTime until, bool nodes_lost)
 {
-  l->lead_until = until;
+  l->exclusive_until = until;
   l->nodes_lost = nodes_lost;
 }
 
@@ -488,7 +492,7 @@
 }
 
 size_t
-kq_link_peers (const KqLink *l)
+kq_link_peer_count (const KqLink *l)
 {
   return l->peers->len;
 }
@@ -508,11 +512,11 @@
   l->port = port;
   l->peers = g_ptr_array_new ();
   ev_io_init (&l->acceptable, on_acceptable, fd, EV_READ);
-  ev_timer_init (&l->beat, on_beat, BEAT_S, BEAT_S);
+  ev_timer_init (&l->beat_timer, on_beat, HEARTBEAT_S, HEARTBEAT_S);
   ev_prepare_init (&l->before_poll, on_before_poll);
-  l->acceptable.data = l->beat.data = l->before_poll.data = l;
+  l->acceptable.data = l->beat_timer.data = l->before_poll.data = l;
   ev_io_start (ev, &l->acceptable);
-  ev_timer_start (ev, &l->beat);
+  ev_timer_start (ev, &l->beat_timer);
   ev_prepare_start (ev, &l->before_poll);
   return l;
 }
@@ -524,7 +528,7 @@
   if (l == NULL)
     return;
   ev = kq_loop_ev (l->config.loop);
-  close_up (l, "stopping");
+  close_leader_conn (l, "stopping");
   for (guint i = 0; i < l->peers->len; i++)
     {
       KqPeer *p = g_ptr_array_index (l->peers, i);
@@ -534,7 +538,7 @@
   g_ptr_array_free (l->peers, TRUE);
   kq_buf_free (&l->out);
   ev_io_stop (ev, &l->acceptable);
-  ev_timer_stop (ev, &l->beat);
+  ev_timer_stop (ev, &l->beat_timer);
   ev_prepare_stop (ev, &l->before_poll);
   close (l->fd);
   free (l);
--- a/src/fleet/queue_keys.c
+++ b/src/fleet/queue_keys.c
@@ -24,19 +24,19 @@
   KqQueueTable *t = kq_source_config (i->key, i->value, &bad);
   (void)now;
   if (bad)
-    kq_log (KQ_LOG_ERROR, PART, "The configuration can't be read. revision=%llu",
+    kq_log (KQ_LOG_ERROR, PART, "The configuration cannot be decoded. revision=%llu",
             (unsigned long long)i->revision);
   if (t == NULL)
     return;
   if (k->table != NULL && t->version <= k->table->version)
     {
       kq_log (KQ_LOG_WARN, PART,
-              "An older configuration is passed over. version=%lld have=%lld",
+              "Ignoring an older configuration. version=%lld have=%lld",
               (long long)t->version, (long long)k->table->version);
       kq_queue_table_free (t);
       return;
     }
-  kq_log (KQ_LOG_INFO, PART, "Configuration. version=%lld queues=%zu revision=%llu",
+  kq_log (KQ_LOG_INFO, PART, "New configuration. version=%lld queues=%zu revision=%llu",
           (long long)t->version, t->n_queues, (unsigned long long)i->revision);
   kq_queue_table_free (k->table);
   k->table = t;
@@ -47,9 +47,10 @@
 {
   (void)arg;
   (void)now;
-  kq_log (KQ_LOG_WARN, PART,
-          "A configuration key is gone; what it said stays. key=%.*s revision=%llu",
-          KQ_STR_ARG (key), (unsigned long long)revision);
+  kq_log (
+      KQ_LOG_WARN, PART,
+      "A configuration key was deleted; keeping its last value. key=%.*s revision=%llu",
+      KQ_STR_ARG (key), (unsigned long long)revision);
 }
 
 static void
--- a/src/fleet/reach.h
+++ b/src/fleet/reach.h
@@ -1,13 +1,12 @@
 #ifndef KQ_FLEET_REACH_H
 #define KQ_FLEET_REACH_H
 
-/* reach: whether this node reaches the store, by the signs of life that come from it, by
- * the calls that fail and by what the leader says of its own calls.
+/* reach: a failure detector for the store. It decides from the store's answers, from
+ * failed calls and from what the leader reports about its own calls.
  *
- * Load pattern: of a hundred nodes each has a call to the store every few seconds. By its
- * own calls alone each would find out that the store is away at the price of a client's
- * request, whose write may or may not have been carried out. The leader calls many times
- * a second. */
+ * Most nodes call the store only every few seconds, so a node that relied on its own
+ * calls would detect an outage by a client's write that times out with unknown outcome.
+ * The leader calls many times a second, and detects it earlier. */
 
 #include "base/time.h"
 
@@ -15,28 +14,30 @@
 
 typedef enum
 {
-  KQ_REACH_AWAY,
-  KQ_REACH_IN_DOUBT, /* no sign of life of late: a write may stay without an answer */
+  KQ_REACH_DOWN,
+  KQ_REACH_SUSPECT, /* no recent answer: a write may time out with unknown outcome */
   KQ_REACH_UP
 } KqReachState;
 
 typedef struct
 {
-  KqTime alive_at;        /* the last sign of life; 0: none yet */
-  KqTime leader_alive_at; /* the last one that the leader has told of; 0: none */
-  int failures;           /* of calls that began after alive_at */
+  KqTime answered_at;        /* the last answer to this node; 0: none yet */
+  KqTime leader_answered_at; /* the last answer to the leader; 0: none reported */
+  int failures;              /* failed calls that were sent after answered_at */
 } KqReach;
 
-/* An answer has come, or part of one. */
-void kq_reach_alive (KqReach *r, KqTime now);
-/* A call of that time had no answer or was turned away. */
+/* The store has sent an answer, or part of one. */
+void kq_reach_answered (KqReach *r, KqTime now);
+/* A call sent at sent_at got no answer or was refused. */
 void kq_reach_failed (KqReach *r, KqTime sent_at);
-/* The leader had an answer at that time, by this node's clock. */
-void kq_reach_leader_alive (KqReach *r, KqTime at);
+/* The store answered the leader at that time of this node's clock. */
+void kq_reach_leader_answered (KqReach *r, KqTime at);
+/* The leader's answers clear a suspicion, but not KQ_REACH_DOWN: only this node may be
+ * cut off from the store. */
 KqReachState kq_reach_state (const KqReach *r, KqTime now);
-/* Whether the leader reaches it. */
-bool kq_reach_by_leader (const KqReach *r, KqTime now);
-/* Whether it isn't known to be away. */
+/* Whether the leader has had an answer recently. */
+bool kq_reach_via_leader (const KqReach *r, KqTime now);
+/* Whether the state isn't KQ_REACH_DOWN. */
 bool kq_reach_up (const KqReach *r, KqTime now);
 
 #endif
--- a/src/fleet/reach_test.c
+++ b/src/fleet/reach_test.c
@@ -9,96 +9,99 @@
 
 #define START (100 * KQ_SEC)
 
-/* Clients are refused by a node that hears the store all the while. */
+/* Guards against refusing clients although the store answers: calls sent before its last
+ * answer fail late. */
 static void
-test_old_calls_that_fail_do_not_outweigh_a_sign_of_life (void **state)
+test_old_failed_calls_do_not_outweigh_an_answer (void **state)
 {
   KqReach r = { 0 };
   (void)state;
-  kq_reach_alive (&r, START);
+  kq_reach_answered (&r, START);
   for (int i = 1; i <= 5; i++)
     kq_reach_failed (&r, START - i * 100 * KQ_MS);
   assert_true (kq_reach_up (&r, START + 100 * KQ_MS));
 }
 
-/* Each client waits for a store that has gone away. */
+/* Guards against every client waiting for a timeout of an unreachable store. */
 static void
-test_later_calls_that_fail_tell (void **state)
+test_later_failed_calls_count (void **state)
 {
   KqReach r = { 0 };
   (void)state;
   assert_false (kq_reach_up (&r, START));
-  kq_reach_alive (&r, START);
+  kq_reach_answered (&r, START);
   kq_reach_failed (&r, START);
   kq_reach_failed (&r, START + 1);
   assert_true (kq_reach_up (&r, START + KQ_SEC));
   kq_reach_failed (&r, START + 2);
   assert_false (kq_reach_up (&r, START + KQ_SEC));
-  kq_reach_alive (&r, START + KQ_SEC);
+  kq_reach_answered (&r, START + KQ_SEC);
   assert_true (kq_reach_up (&r, START + KQ_SEC));
 }
 
-/* Calls that hang tell of an outage only when they end. */
+/* Guards against an outage that goes undetected while all calls hang: they fail only at
+ * their timeout. */
 static void
-test_silence_tells (void **state)
+test_silence_counts_as_outage (void **state)
 {
   KqReach r = { 0 };
   (void)state;
-  kq_reach_alive (&r, START);
+  kq_reach_answered (&r, START);
   assert_true (kq_reach_up (&r, START + 2 * KQ_SEC));
   assert_false (kq_reach_up (&r, START + 3 * KQ_SEC));
 }
 
-/* The answer to a client is that its job may have been accepted: each node finds out by
- * itself, by a write, that the store is away. */
+/* Guards against replies with unknown outcome: without the leader's reports each node
+ * detects an outage only by a client's write that gets no answer. */
 static void
-test_leader_without_answers_raises_a_doubt (void **state)
+test_leader_without_answers_makes_the_store_suspect (void **state)
 {
   KqReach r = { 0 };
   (void)state;
-  kq_reach_alive (&r, START);
-  kq_reach_leader_alive (&r, START + KQ_SEC);
+  kq_reach_answered (&r, START);
+  kq_reach_leader_answered (&r, START + KQ_SEC);
   assert_int_equal (kq_reach_state (&r, START + 1600 * KQ_MS), KQ_REACH_UP);
-  assert_int_equal (kq_reach_state (&r, START + 1800 * KQ_MS), KQ_REACH_IN_DOUBT);
-  kq_reach_alive (&r, START + 1700 * KQ_MS);
+  assert_int_equal (kq_reach_state (&r, START + 1800 * KQ_MS), KQ_REACH_SUSPECT);
+  kq_reach_answered (&r, START + 1700 * KQ_MS);
   assert_int_equal (kq_reach_state (&r, START + 1800 * KQ_MS), KQ_REACH_UP);
 }
 
-/* A node that is cut off from the store by itself takes jobs in, as the leader has
- * answers. */
+/* Guards against a node that writes although it alone is cut off from the store, because
+ * the leader gets answers. */
 static void
 test_leader_with_answers_does_not_outweigh_failed_calls (void **state)
 {
   KqReach r = { 0 };
   (void)state;
-  kq_reach_alive (&r, START);
-  kq_reach_leader_alive (&r, START + 2900 * KQ_MS);
-  assert_int_equal (kq_reach_state (&r, START + 3 * KQ_SEC), KQ_REACH_AWAY);
+  kq_reach_answered (&r, START);
+  kq_reach_leader_answered (&r, START + 2900 * KQ_MS);
+  assert_int_equal (kq_reach_state (&r, START + 3 * KQ_SEC), KQ_REACH_DOWN);
 }
 
-/* Clients are refused by a node that the store turns away, and only that node. */
+/* Guards against refusing clients at a node that alone is cut off from the store, though
+ * the leader could write their jobs. */
 static void
-test_leader_reaches_a_store_that_is_away (void **state)
+test_leader_reaches_a_store_that_is_down (void **state)
 {
   KqReach r = { 0 };
   (void)state;
-  kq_reach_alive (&r, START);
-  assert_int_equal (kq_reach_state (&r, START + 3 * KQ_SEC), KQ_REACH_AWAY);
-  assert_false (kq_reach_by_leader (&r, START + 3 * KQ_SEC));
-  kq_reach_leader_alive (&r, START + 2900 * KQ_MS);
-  assert_true (kq_reach_by_leader (&r, START + 3 * KQ_SEC));
-  assert_false (kq_reach_by_leader (&r, START + 4 * KQ_SEC));
+  kq_reach_answered (&r, START);
+  assert_int_equal (kq_reach_state (&r, START + 3 * KQ_SEC), KQ_REACH_DOWN);
+  assert_false (kq_reach_via_leader (&r, START + 3 * KQ_SEC));
+  kq_reach_leader_answered (&r, START + 2900 * KQ_MS);
+  assert_true (kq_reach_via_leader (&r, START + 3 * KQ_SEC));
+  assert_false (kq_reach_via_leader (&r, START + 4 * KQ_SEC));
 }
 
 int
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (test_old_calls_that_fail_do_not_outweigh_a_sign_of_life),
-          cmocka_unit_test (test_later_calls_that_fail_tell),
-          cmocka_unit_test (test_silence_tells),
-          cmocka_unit_test (test_leader_without_answers_raises_a_doubt),
+      = { cmocka_unit_test (test_old_failed_calls_do_not_outweigh_an_answer),
+          cmocka_unit_test (test_later_failed_calls_count),
+          cmocka_unit_test (test_silence_counts_as_outage),
+          cmocka_unit_test (test_leader_without_answers_makes_the_store_suspect),
           cmocka_unit_test (test_leader_with_answers_does_not_outweigh_failed_calls),
-          cmocka_unit_test (test_leader_reaches_a_store_that_is_away) };
+          cmocka_unit_test (test_leader_reaches_a_store_that_is_down) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/fleet/waves.c
+++ b/src/fleet/waves.c
@@ -9,26 +9,26 @@
 #include <stdlib.h>
 
 #define PART "waves"
-/* Requests for maintenance are rare and have tens of seconds. */
+/* Requests for maintenance are rare, and may wait for tens of seconds. */
 #define WATCH_MS 2000
 #define WRITE_TIMEOUT_MS 1200
 #define MAINTENANCE_TIMEOUT_MS 1500
-#define RETRY (300 * KQ_MS)
-/* Waves told in one transaction, besides our own record and the check. */
-#define TOLD_MAX (KQ_KV_TXN_MAX - 2)
+#define RETRY_DELAY (300 * KQ_MS)
+/* Waves whose status one transaction can write besides our record and the check. */
+#define STATUS_MAX (KQ_KV_TXN_MAX - 2)
 
 struct KqWaves
 {
   KqWavesConfig config;
   KqFollow *requests;
-  bool writing;
-  bool dead;
-  int calls_out;
+  bool write_pending;
+  bool freed;
+  int calls_pending; /* outstanding calls to the control plane */
   KqTime retry_at;
-  KqBuf record;
-  KqBuf keys[TOLD_MAX];
-  KqBuf values[TOLD_MAX];
-  size_t n_told;
+  KqBuf record;           /* state of all waves, for the next leader */
+  KqBuf keys[STATUS_MAX]; /* status of each wave, for operators */
+  KqBuf values[STATUS_MAX];
+  size_t n_statuses;
 };
 
 typedef struct
@@ -36,15 +36,15 @@
   KqWaves *waves;
   char *host;
   int64_t wave;
-} Call;
+} MaintenanceCall;
 
 static void
 destroy (KqWaves *w)
 {
-  if (w->writing || w->calls_out > 0)
+  if (w->write_pending || w->calls_pending > 0)
     return;
   kq_buf_free (&w->record);
-  for (size_t i = 0; i < TOLD_MAX; i++)
+  for (size_t i = 0; i < STATUS_MAX; i++)
     {
       kq_buf_free (&w->keys[i]);
       kq_buf_free (&w->values[i]);
@@ -53,7 +53,7 @@
 }
 
 static void
-take_wave (void *arg, const KqWaveInfo *info)
+on_wave (void *arg, const KqWaveInfo *info)
 {
   KqWaves *w = arg;
   kq_sched_wave (w->config.sched, info, kq_loop_now (w->config.loop));
@@ -64,8 +64,9 @@
 on_request (void *arg, const KqKvItem *i, KqTime now)
 {
   (void)now;
-  if (!kq_source_wave (i->key, i->value, take_wave, arg))
-    kq_log (KQ_LOG_ERROR, PART, "A wave can't be read. key=%.*s revision=%llu",
+  if (!kq_source_wave (i->key, i->value, on_wave, arg))
+    kq_log (KQ_LOG_ERROR, PART,
+            "A wave's request cannot be decoded. key=%.*s revision=%llu",
             KQ_STR_ARG (i->key), (unsigned long long)i->revision);
 }
 
@@ -75,7 +76,7 @@
   (void)arg;
   (void)revision;
   (void)now;
-  kq_log (KQ_LOG_INFO, PART, "A wave's request is gone; it goes on. key=%.*s",
+  kq_log (KQ_LOG_INFO, PART, "A wave's request was deleted; the wave continues. key=%.*s",
           KQ_STR_ARG (key));
 }
 
@@ -111,17 +112,17 @@
   if (w == NULL)
     return;
   kq_follow_free (w->requests);
-  w->dead = true;
+  w->freed = true;
   destroy (w);
 }
 
 static void
 on_maintenance (void *arg, KqMaintenanceResult r, KqTime now)
 {
-  Call *c = arg;
+  MaintenanceCall *c = arg;
   KqWaves *w = c->waves;
-  w->calls_out--;
-  if (w->dead)
+  w->calls_pending--;
+  if (w->freed)
     destroy (w);
   else
     {
@@ -136,16 +137,16 @@
 }
 
 void
-kq_waves_maintenance (KqWaves *w, KqStr host, int64_t wave)
+kq_waves_start_maintenance (KqWaves *w, KqStr host, int64_t wave)
 {
-  Call *c;
+  MaintenanceCall *c;
   if (w->config.calls == NULL)
     return;
   c = kq_alloc (sizeof *c);
   c->waves = w;
   c->host = kq_str_dup (host);
   c->wave = wave;
-  w->calls_out++;
+  w->calls_pending++;
   kq_maintenance_begin (w->config.calls, host, wave, kq_name_str (&w->config.holder),
                         w->config.epoch, MAINTENANCE_TIMEOUT_MS,
                         (KqMaintenanceCallback){ on_maintenance, c });
@@ -155,8 +156,8 @@
 on_written (void *arg, const KqKvReply *r, KqTime now)
 {
   KqWaves *w = arg;
-  w->writing = false;
-  if (w->dead)
+  w->write_pending = false;
+  if (w->freed)
     {
       destroy (w);
       return;
@@ -166,41 +167,42 @@
       w->config.answered (w->config.arg, r->sent_at, now);
       return;
     }
-  kq_log (KQ_LOG_WARN, PART, "The state of waves is not written. result=%d", r->result);
+  kq_log (KQ_LOG_WARN, PART, "The state of waves was not written. result=%d", r->result);
   kq_sched_waves_failed (w->config.sched);
-  w->retry_at = now + RETRY;
+  w->retry_at = now + RETRY_DELAY;
   if (r->result == KQ_KV_CONFLICT)
     w->config.deposed (w->config.arg, "the store has another leader", now);
 }
 
 static void
-tell_wave (void *arg, int64_t number, bool completed)
+add_wave_status (void *arg, int64_t number, bool completed)
 {
   KqWaves *w = arg;
-  if (w->n_told == TOLD_MAX)
-    return; /* the eldest thirty; more at a time are not asked for */
-  kq_buf_clear (&w->keys[w->n_told]);
-  kq_buf_clear (&w->values[w->n_told]);
-  kq_source_wave_state (number, completed, &w->keys[w->n_told], &w->values[w->n_told]);
-  w->n_told++;
+  if (w->n_statuses == STATUS_MAX)
+    return; /* only the oldest waves get a status; more at a time aren't expected */
+  kq_buf_clear (&w->keys[w->n_statuses]);
+  kq_buf_clear (&w->values[w->n_statuses]);
+  kq_source_wave_state (number, completed, &w->keys[w->n_statuses],
+                        &w->values[w->n_statuses]);
+  w->n_statuses++;
 }
 
 void
-kq_waves_go (KqWaves *w, KqTime now)
+kq_waves_write (KqWaves *w, KqTime now)
 {
   KqKvCheck check = { kq_lead_key, w->config.epoch };
-  KqKvPut puts[1 + TOLD_MAX];
+  KqKvPut puts[1 + STATUS_MAX];
   KqKvTxn t = { .checks = &check, .n_checks = 1, .puts = puts };
-  if (w->writing || now < w->retry_at || !kq_sched_waves_pending (w->config.sched))
+  if (w->write_pending || now < w->retry_at || !kq_sched_waves_pending (w->config.sched))
     return;
   kq_buf_clear (&w->record);
   kq_sched_waves_pack (w->config.sched, &w->record);
   puts[t.n_puts++] = (KqKvPut){ KQ_STR (KQ_KEY_WAVES), kq_buf_str (&w->record), 0 };
-  w->n_told = 0;
-  kq_sched_waves_each (w->config.sched, tell_wave, w);
-  for (size_t i = 0; i < w->n_told; i++)
+  w->n_statuses = 0;
+  kq_sched_waves_each (w->config.sched, add_wave_status, w);
+  for (size_t i = 0; i < w->n_statuses; i++)
     puts[t.n_puts++]
         = (KqKvPut){ kq_buf_str (&w->keys[i]), kq_buf_str (&w->values[i]), 0 };
-  w->writing = true;
+  w->write_pending = true;
   kq_kv_txn (w->config.kv, &t, WRITE_TIMEOUT_MS, (KqKvCallback){ on_written, w });
 }
--- a/src/fleet/waves.h
+++ b/src/fleet/waves.h
@@ -1,11 +1,12 @@
 #ifndef KQ_FLEET_WAVES_H
 #define KQ_FLEET_WAVES_H
 
-/* waves: what the leader reads, calls and writes for waves of maintenance.
+/* waves: the leader's calls to the store and the control plane for maintenance waves.
  *
- * The requests are followed in the store; the scheduler says which host goes down when;
- * how far each wave is goes into the store together with what operators are told, in one
- * transaction that holds only while this node leads. */
+ * A wave is an operator's request for maintenance of a set of hosts. Requests are
+ * followed in the store; the scheduler decides when each host goes down. The state of all
+ * waves is written to the store together with the status for operators, in one
+ * transaction that is conditional on this node still being leader. */
 
 #include "port/kv.h"
 #include "sched/sched.h"
@@ -18,20 +19,24 @@
   KqKv *kv;
   KqMaintenanceCalls *calls; /* NULL: there is no control plane */
   KqSched *sched;
-  KqName holder; /* this node */
+  KqName holder; /* name of this node, sent with calls to the control plane */
   uint64_t epoch;
   void *arg;
-  void (*changed) (void *arg); /* the scheduler has news */
+  /* The scheduler has got new input. */
+  void (*changed) (void *arg);
+  /* Another node is leader. */
   void (*deposed) (void *arg, const char *why, KqTime now);
+  /* The store has answered a call that was sent at sent_at. */
   void (*answered) (void *arg, KqTime sent_at, KqTime now);
 } KqWavesConfig;
 
-/* After the scheduler has been loaded. */
+/* To be called when the scheduler has been loaded. */
 KqWaves *kq_waves_new (const KqWavesConfig *c);
 void kq_waves_free (KqWaves *w);
-/* The scheduler's order. */
-void kq_waves_maintenance (KqWaves *w, KqStr host, int64_t wave);
-/* Writes what has changed, one transaction at a time. */
-void kq_waves_go (KqWaves *w, KqTime now);
+/* Has the control plane start maintenance of the host; passes the result to the
+ * scheduler. Does nothing without a control plane. */
+void kq_waves_start_maintenance (KqWaves *w, KqStr host, int64_t wave);
+/* Writes the state of waves if it has changed and no write is outstanding. */
+void kq_waves_write (KqWaves *w, KqTime now);
 
 #endif
