--- a/src/fleet/accepts.c
+++ b/src/fleet/accepts.c
@@ -9,7 +9,8 @@
 #include <stdlib.h>
 
 #define PART "accepts"
-/* Shorter than the time that the node waits for the answer, less a round trip. */
+/* Shorter by a round trip than the node's LEADER_WRITE_TIMEOUT for the answer (front.c).
+ */
 #define WRITE_MS 700
 /* No jobs are written for this long after a write without an answer: by then the leader's
  * other calls have shown whether it still reaches the store. */
--- a/src/fleet/batch.c
+++ b/src/fleet/batch.c
@@ -20,7 +20,7 @@
 typedef enum
 {
   IDLE,
-  READING, /* the sequence key, as its revision isn't known */
+  READING, /* reading the sequence key, whose revision isn't known */
   WRITING
 } Phase;
 
