--- a/src/crew/advise.c
+++ b/src/crew/advise.c
@@ -1,11 +1,12 @@
-/* advise: questions to the advice service, for the leader. */
+/* advise: asks the advice service on behalf of the leader. */
 
 #include "base/log.h"
 #include "crew/state.h"
 
 #include <stdlib.h>
 
-/* The service takes its time for each runner asked about, and answers in turn. */
+/* The service handles one request at a time, and needs longer the more runners it is
+ * asked about. */
 #define ADVICE_TIMEOUT_MS 2000
 
 typedef struct
@@ -13,10 +14,10 @@
   KqCrewAgent *agent;
   uint64_t epoch;
   char *step;
-} Question;
+} AdviceRequest;
 
 static void
-tell_advice (KqCrewAgent *a, uint64_t epoch, KqStr step, const KqAdviceReply *r)
+report_advice (KqCrewAgent *a, uint64_t epoch, KqStr step, const KqAdviceReply *r)
 {
   KqCrewItem i = { .kind = KQ_CREW_ADVICE };
   i.u.advice.step = step;
@@ -27,30 +28,31 @@
 static void
 on_advice (void *arg, const KqAdviceReply *r, KqTime now)
 {
-  Question *q = arg;
+  AdviceRequest *req = arg;
   (void)now;
-  tell_advice (q->agent, q->epoch, kq_str (q->step), r);
-  free (q->step);
-  free (q);
+  report_advice (req->agent, req->epoch, kq_str (req->step), r);
+  free (req->step);
+  free (req);
 }
 
 void
-kq_crew_agent_advise (KqCrewAgent *a, uint64_t epoch, const KqOrder *o)
+kq_agent_ask_advice (KqCrewAgent *a, uint64_t epoch, const KqOrder *o)
 {
-  Question *q;
+  AdviceRequest *req;
   if (a->config.advice == NULL)
     {
       KqAdviceReply none = { .result = KQ_ADVICE_UNKNOWN };
-      kq_log (KQ_LOG_ERROR, PART, "No advice service in the settings. step=%.*s",
+      kq_log (KQ_LOG_ERROR, PART,
+              "Advice requested, but the settings name no advice service. step=%.*s",
               KQ_STR_ARG (o->u.advise.step));
-      tell_advice (a, epoch, o->u.advise.step, &none);
+      report_advice (a, epoch, o->u.advise.step, &none);
       return;
     }
-  q = kq_alloc (sizeof *q);
-  q->agent = a;
-  q->epoch = epoch;
-  q->step = kq_str_dup (o->u.advise.step);
+  req = kq_alloc (sizeof *req);
+  req->agent = a;
+  req->epoch = epoch;
+  req->step = kq_str_dup (o->u.advise.step);
   kq_advice_ask (a->config.advice, o->u.advise.step, o->u.advise.runners,
                  o->u.advise.n_runners, ADVICE_TIMEOUT_MS,
-                 (KqAdviceCallback){ on_advice, q });
+                 (KqAdviceCallback){ on_advice, req });
 }
--- a/src/crew/agent.h
+++ b/src/crew/agent.h
@@ -1,11 +1,13 @@
 #ifndef KQ_CREW_AGENT_H
 #define KQ_CREW_AGENT_H
 
-/* agent: carries out a leader's orders at the runners given to this node.
+/* agent: carries out a leader's orders at the runners that the leader has assigned to
+ * this node. Each node has one.
  *
- * It decides nothing about tasks. It renews the leases of its runners, passes on what
- * they list, makes each call once and tells how it ended. When its leader falls silent it
- * goes on renewing for a while, so that work lives through a change of leader. */
+ * An agent makes no scheduling decisions. It renews the leases of its runners, reports
+ * their lists of runs and of ends (how each finished run ended), makes each call once and
+ * reports its outcome. When the leader stops sending, the agent keeps renewing for
+ * blind_ms, so that tasks survive a change of leader. */
 
 #include "crew/frame.h"
 
@@ -15,30 +17,33 @@
 {
   KqLoop *loop;
   KqRunnerCalls *calls;
-  KqAdviceCalls *advice; /* NULL: there is no such service */
+  KqAdviceCalls *advice; /* NULL: no advice service is configured */
   int64_t lease_ms;
-  int64_t blind_ms; /* leases are renewed for so long without a word of a leader */
+  int64_t blind_ms; /* how long leases are renewed without a message of a leader */
   KqCounters *counters;
+  /* An item for the leader of that epoch. */
   void (*notice) (void *arg, uint64_t epoch, const KqCrewItem *i);
   void *arg;
 } KqCrewAgentConfig;
 
 KqCrewAgent *kq_crew_agent_new (const KqCrewAgentConfig *c);
 void kq_crew_agent_free (KqCrewAgent *a);
-/* Of a leader with an older epoch than one heard before: ignored. */
+/* Orders of a leader with a lower epoch than the highest known are ignored. */
 void kq_crew_agent_order (KqCrewAgent *a, uint64_t epoch, const KqOrder *o, KqTime now);
-/* A sign of life of the leader of that epoch. */
+/* The leader of that epoch has sent something. */
 void kq_crew_agent_heard (KqCrewAgent *a, uint64_t epoch, KqTime now);
-/* A leader of that epoch counts us as there at `at` or later: it has a beat that left
- * then, or a connection is new. What comes in may have been on its way for long, so only
- * this tells how long the leader waits for leases that we grant: blind_ms from then. Also
- * a sign of life. */
+/* The leader of that epoch knows this node as alive at `at` or later: it has answered a
+ * heartbeat sent then, or a connection was opened. The leader waits for leases granted
+ * here until blind_ms after `at`; other messages don't extend that, as they may have been
+ * delayed. Also counts as a message of the leader. */
 void kq_crew_agent_counted (KqCrewAgent *a, uint64_t epoch, KqTime at);
-/* The connection to a leader is new, or this node leads from now on: whatever leader gave
- * the runners has given them to others by now, or will give them again. */
+/* Releases all runners: the connection to a leader is new, or this node leads from now
+ * on. The leader that assigned them has assigned them to other agents, or will assign
+ * them again. */
 void kq_crew_agent_released (KqCrewAgent *a);
-/* Whether the leader knows KQ_CREW_CHANGES; not at first, nor after a release. */
+/* Whether the leader understands KQ_CREW_CHANGES; false at first and after a release. */
 void kq_crew_agent_tell_changes (KqCrewAgent *a, bool known);
+/* Number of runners that are assigned to this agent. */
 size_t kq_crew_agent_runners (const KqCrewAgent *a);
 
 #endif
--- a/src/crew/agent_test.c
+++ b/src/crew/agent_test.c
@@ -15,27 +15,27 @@
 #define LEASE_MS 5000
 #define BLIND_MS 4000
 
-/* An agent; its runner and its leader are played by the test. */
+/* An agent. The test stands in for its runner and its leader. */
 static struct
 {
   KqLoop *loop;
   KqCounters *counters;
   KqCrewAgent *agent;
   int renewals;
-  int64_t lease_end_ms; /* the latest that a call has carried */
-  KqRunnerCallback question;
+  int64_t lease_end_ms; /* the latest end in any call */
+  KqRunnerCallback poll;
   KqRunnerCallback start;
-  KqRunnerCallback proof; /* a question to prove a connection */
-  bool starting;          /* starts are looked at: what is asked then is a proof */
+  KqRunnerCallback verification; /* a call that only verifies a connection */
+  bool starting; /* starts are being sent: a list fetched now is a verification */
   int starts;
   KqTime opened_before; /* of the last start */
   KqOrderResult result; /* of the last outcome */
   bool confirms;        /* the leader answers lists */
-  KqCrewKind told;
+  KqAgentItemKind last_item;
   uint64_t taking;
   uint64_t halt;
   int64_t lease_left_ms;
-  int silences;
+  int unreached;
 } t;
 
 static void
@@ -53,15 +53,15 @@
   (void)a;
   (void)ends_seen;
   (void)wait_ms;
-  if (t.starting || t.question.done != NULL)
+  if (t.starting || t.poll.done != NULL)
     {
       assert_int_equal (lease_end_ms, -1);
-      t.proof = cb;
+      t.verification = cb;
       return;
     }
   t.renewals++;
   note_lease (lease_end_ms);
-  t.question = cb;
+  t.poll = cb;
 }
 
 void
@@ -97,7 +97,7 @@
 }
 
 static void
-renew (uint64_t halt)
+order_renew (uint64_t halt)
 {
   KqOrder o = { .kind = KQ_ORDER_RENEW, .runner = KQ_STR ("r") };
   o.u.renew.halt = halt;
@@ -109,7 +109,7 @@
 {
   (void)arg;
   (void)epoch;
-  t.told = i->kind;
+  t.last_item = i->kind;
   if (i->kind == KQ_CREW_OUTCOME)
     {
       t.taking = i->u.outcome.taking;
@@ -119,7 +119,7 @@
   else if (i->kind == KQ_CREW_UNREACHED)
     {
       t.taking = i->u.unreached.taking;
-      t.silences++;
+      t.unreached++;
     }
   else if (i->kind == KQ_CREW_LIST)
     {
@@ -127,76 +127,76 @@
       t.halt = i->u.list.halt;
       t.lease_left_ms = i->u.list.lease_left_ms;
       if (t.confirms && t.halt != 0)
-        renew (t.halt);
+        order_renew (t.halt);
     }
 }
 
 static void
-on_time (struct ev_loop *ev, ev_timer *w, int events)
+stop_loop (struct ev_loop *ev, ev_timer *w, int events)
 {
   (void)w;
   (void)events;
   ev_break (ev, EVBREAK_ALL);
 }
 
-/* Longer than the agent waits before a question where nothing holds it up. */
+/* Runs the loop for longer than the agent's delay before a poll. */
 static void
-pass_time (void)
+run_loop (void)
 {
   ev_timer wait;
-  ev_timer_init (&wait, on_time, 0.1, 0);
+  ev_timer_init (&wait, stop_loop, 0.1, 0);
   ev_timer_start (kq_loop_ev (t.loop), &wait);
   ev_run (kq_loop_ev (t.loop), 0);
 }
 
 static void
-answer (KqOrderResult result, int64_t born_ms, int64_t clock_ms, KqTime now)
+answer_poll (KqOrderResult result, int64_t born_ms, int64_t clock_ms, KqTime now)
 {
   KqRunnerReply r
       = { .result = result, .clock_ms = clock_ms, .born_ms = born_ms, .left_at = now };
-  KqRunnerCallback cb = t.question;
+  KqRunnerCallback cb = t.poll;
   assert_non_null (cb.done);
-  t.question = (KqRunnerCallback){ 0 };
+  t.poll = (KqRunnerCallback){ 0 };
   cb.done (cb.arg, &r, now);
 }
 
-/* Lets the agent ask; the runner's clock is the test's. */
+/* Waits for the agent's next poll and answers it. The runner's clock is the test's. */
 static void
-exchange (KqOrderResult result)
+answer_next_poll (KqOrderResult result)
 {
   KqTime now;
-  for (int i = 0; i < 50 && t.question.done == NULL; i++)
-    pass_time ();
+  for (int i = 0; i < 50 && t.poll.done == NULL; i++)
+    run_loop ();
   now = kq_time_now ();
-  answer (result, 1, result == KQ_ORDER_OK ? now / KQ_MS : -1, now);
+  answer_poll (result, 1, result == KQ_ORDER_OK ? now / KQ_MS : -1, now);
 }
 
-/* The runner answers the question that proves a connection, if one is out. */
+/* Answers the call that verifies a connection, if one is in flight. */
 static void
-answer_proof (KqOrderResult result, KqTime left_at, KqTime now)
+answer_verification (KqOrderResult result, KqTime left_at, KqTime now)
 {
   KqRunnerReply r = { .result = result, .clock_ms = -1, .left_at = left_at };
-  KqRunnerCallback cb = t.proof;
+  KqRunnerCallback cb = t.verification;
   if (cb.done == NULL)
     return;
-  t.proof = (KqRunnerCallback){ 0 };
+  t.verification = (KqRunnerCallback){ 0 };
   t.starting = true;
   cb.done (cb.arg, &r, now);
   t.starting = false;
 }
 
 static void
-take (uint64_t taking)
+assign_runner (uint64_t taking)
 {
   KqOrder o = { .kind = KQ_ORDER_TAKE, .runner = KQ_STR ("r") };
   o.u.take.address = KQ_STR ("127.0.0.1:1");
   o.u.take.taking = taking;
   kq_crew_agent_order (t.agent, EPOCH, &o, kq_time_now ());
-  /* What an earlier taking has asked. */
-  if (t.question.done != NULL)
-    answer (KQ_ORDER_UNKNOWN, 0, -1, kq_time_now ());
-  answer_proof (KQ_ORDER_UNKNOWN, 0, kq_time_now ());
-  pass_time ();
+  /* Calls of an earlier assignment. */
+  if (t.poll.done != NULL)
+    answer_poll (KQ_ORDER_UNKNOWN, 0, -1, kq_time_now ());
+  answer_verification (KQ_ORDER_UNKNOWN, 0, kq_time_now ());
+  run_loop ();
 }
 
 static void
@@ -211,11 +211,11 @@
 }
 
 static void
-begin_run (KqTime now)
+start_task (KqTime now)
 {
-  answer_proof (KQ_ORDER_OK, now, now);
+  answer_verification (KQ_ORDER_OK, now, now);
   order_start (1, now);
-  answer_proof (KQ_ORDER_OK, now, now);
+  answer_verification (KQ_ORDER_OK, now, now);
 }
 
 static void
@@ -225,12 +225,12 @@
   t.start.done (t.start.arg, &r, now);
 }
 
-/* The end of the lease, on the runner's clock, that a start grants. */
+/* Starts a task; returns the end of the lease, on the runner's clock, in that call. */
 static int64_t
-grant (KqTime now)
+grant_by_start (KqTime now)
 {
   t.lease_end_ms = -1;
-  begin_run (now);
+  start_task (now);
   return t.lease_end_ms;
 }
 
@@ -254,153 +254,160 @@
 tear_down (void **state)
 {
   (void)state;
-  if (t.question.done != NULL)
-    answer (KQ_ORDER_UNKNOWN, 0, -1, kq_time_now ());
-  answer_proof (KQ_ORDER_UNKNOWN, 0, kq_time_now ());
+  if (t.poll.done != NULL)
+    answer_poll (KQ_ORDER_UNKNOWN, 0, -1, kq_time_now ());
+  answer_verification (KQ_ORDER_UNKNOWN, 0, kq_time_now ());
   kq_crew_agent_free (t.agent);
   kq_counters_free (t.counters);
   kq_loop_free (t.loop);
   return 0;
 }
 
-/* A task runs twice: a node that is back renews leases of runners given to others. */
+/* A task runs twice: a node that reconnects keeps renewing the leases of runners that
+ * were assigned to other agents meanwhile. */
 static void
 test_new_connection_ends_renewals (void **state)
 {
   int before;
   (void)state;
-  take (1);
+  assign_runner (1);
   assert_int_equal (t.renewals, 1);
-  exchange (KQ_ORDER_OK);
-  exchange (KQ_ORDER_OK);
+  answer_next_poll (KQ_ORDER_OK);
+  answer_next_poll (KQ_ORDER_OK);
   assert_true (t.renewals >= 2);
   kq_crew_agent_released (t.agent);
   assert_int_equal (kq_crew_agent_runners (t.agent), 0);
   before = t.renewals;
   kq_crew_agent_heard (t.agent, EPOCH, kq_time_now ());
-  pass_time ();
+  run_loop ();
   assert_int_equal (t.renewals, before);
-  take (2);
+  assign_runner (2);
   assert_int_equal (t.renewals, before + 1);
 }
 
-/* A task runs twice: its runner's lease is extended after the leader was told its end. */
+/* A task runs twice: the agent reports an unreachable runner and the time left of its
+ * lease, then extends the lease before the leader has acknowledged that the runner is
+ * back. */
 static void
 test_reported_lease_end_stands (void **state)
 {
   int64_t reported;
   uint64_t earlier;
   (void)state;
-  take (1);
-  exchange (KQ_ORDER_OK);
+  assign_runner (1);
+  answer_next_poll (KQ_ORDER_OK);
   earlier = t.halt;
-  exchange (KQ_ORDER_OK);
-  while (t.silences == 0)
-    exchange (KQ_ORDER_UNKNOWN);
+  answer_next_poll (KQ_ORDER_OK);
+  while (t.unreached == 0)
+    answer_next_poll (KQ_ORDER_UNKNOWN);
   reported = t.lease_end_ms;
   assert_true (reported > 0);
   t.confirms = false;
-  exchange (KQ_ORDER_OK);
-  renew (earlier);
-  exchange (KQ_ORDER_OK);
-  begin_run (kq_time_now ());
+  answer_next_poll (KQ_ORDER_OK);
+  order_renew (earlier);
+  answer_next_poll (KQ_ORDER_OK);
+  start_task (kq_time_now ());
   answer_start (-1, kq_time_now (), kq_time_now ());
-  exchange (KQ_ORDER_OK);
+  answer_next_poll (KQ_ORDER_OK);
   assert_int_equal (t.lease_end_ms, reported);
-  renew (t.halt);
-  exchange (KQ_ORDER_OK);
-  exchange (KQ_ORDER_OK);
+  order_renew (t.halt);
+  answer_next_poll (KQ_ORDER_OK);
+  answer_next_poll (KQ_ORDER_OK);
   assert_true (t.lease_end_ms > reported);
 }
 
-/* A task runs twice: a node that takes a runner over extends its lease before the leader
- * has heard from it. */
+/* A task runs twice: an agent that a runner was just assigned to extends its lease before
+ * the leader has received a list, while the leader may take the lease for expired. */
 static void
-test_taken_runner_waits_for_the_leader (void **state)
+test_assigned_runner_waits_for_the_leader (void **state)
 {
   (void)state;
   t.confirms = false;
-  take (1);
-  exchange (KQ_ORDER_OK);
-  exchange (KQ_ORDER_OK);
-  exchange (KQ_ORDER_OK);
+  assign_runner (1);
+  answer_next_poll (KQ_ORDER_OK);
+  answer_next_poll (KQ_ORDER_OK);
+  answer_next_poll (KQ_ORDER_OK);
   assert_int_equal (t.lease_end_ms, -1);
-  renew (t.halt);
-  exchange (KQ_ORDER_OK);
-  exchange (KQ_ORDER_OK);
+  order_renew (t.halt);
+  answer_next_poll (KQ_ORDER_OK);
+  answer_next_poll (KQ_ORDER_OK);
   assert_true (t.lease_end_ms > 0);
 }
 
-/* A task runs twice: what is told of an earlier taking of its runner counts. */
+/* A task runs twice: the leader takes a report of an earlier assignment of a runner for
+ * one of the current assignment. Each report must carry the assignment's number. */
 static void
-test_words_name_their_taking (void **state)
+test_reports_name_their_assignment (void **state)
 {
   KqTime now = kq_time_now ();
   (void)state;
-  take (8);
-  answer (KQ_ORDER_OK, 1, 1000, now);
-  assert_int_equal (t.told, KQ_CREW_LIST);
+  assign_runner (8);
+  answer_poll (KQ_ORDER_OK, 1, 1000, now);
+  assert_int_equal (t.last_item, KQ_CREW_LIST);
   assert_int_equal (t.taking, 8);
-  take (9);
-  answer (KQ_ORDER_OTHER_LIFE, 0, -1, now);
-  assert_int_equal (t.told, KQ_CREW_UNREACHED);
+  assign_runner (9);
+  answer_poll (KQ_ORDER_OTHER_LIFE, 0, -1, now);
+  assert_int_equal (t.last_item, KQ_CREW_UNREACHED);
   assert_int_equal (t.taking, 9);
-  begin_run (now);
+  start_task (now);
   answer_start (-1, now, now);
-  assert_int_equal (t.told, KQ_CREW_OUTCOME);
+  assert_int_equal (t.last_item, KQ_CREW_OUTCOME);
   assert_int_equal (t.taking, 9);
 }
 
-/* A task runs twice: a lease is granted by the clock of a runner's earlier life. */
+/* A task runs twice: a lease's end is computed from the clock of a runner's process
+ * before its restart. */
 static void
-test_clock_of_a_new_life (void **state)
+test_clock_after_a_restart (void **state)
 {
   KqTime now = kq_time_now ();
   KqTime later = now + 500 * KQ_MS;
   (void)state;
-  take (1);
-  answer (KQ_ORDER_OK, 1, 3000, now);
-  pass_time ();
-  grant (now + 100 * KQ_MS);
-  answer (KQ_ORDER_OK, 2, 100, later);
+  assign_runner (1);
+  answer_poll (KQ_ORDER_OK, 1, 3000, now);
+  run_loop ();
+  grant_by_start (now + 100 * KQ_MS);
+  answer_poll (KQ_ORDER_OK, 2, 100, later);
   assert_int_equal (t.lease_left_ms, LEASE_MS * 100 / 98 + 1);
-  /* The earlier life's answer to a start, on its way until now. */
+  /* The earlier process's answer to a start, delayed until now. */
   answer_start (3200, now + 100 * KQ_MS, later);
-  assert_int_equal (grant (later), 100 + LEASE_MS);
+  assert_int_equal (grant_by_start (later), 100 + LEASE_MS);
   answer_start (100, later, later);
 }
 
-/* As above, where the runner is taken again between the two lives. */
+/* As above, where the runner is assigned again between the two processes. */
 static void
-test_clock_of_a_new_life_taken_again (void **state)
+test_clock_after_a_restart_and_reassignment (void **state)
 {
   KqTime now = kq_time_now ();
   KqTime later = now + 500 * KQ_MS;
   (void)state;
-  take (1);
-  answer (KQ_ORDER_OK, 1, 3000, now);
-  take (2);
-  answer (KQ_ORDER_OK, 2, 100, later);
-  assert_int_equal (grant (later), 100 + LEASE_MS);
+  assign_runner (1);
+  answer_poll (KQ_ORDER_OK, 1, 3000, now);
+  assign_runner (2);
+  answer_poll (KQ_ORDER_OK, 2, 100, later);
+  assert_int_equal (grant_by_start (later), 100 + LEASE_MS);
   answer_start (100, later, later);
 }
 
-/* A task runs twice: the leader isn't told that a start has begun in a new life. */
+/* A task runs twice: a start reaches a restarted runner, and the leader doesn't learn of
+ * the lease that the task has there. */
 static void
-test_start_in_a_new_life_tells_its_lease (void **state)
+test_start_after_a_restart_reports_its_lease (void **state)
 {
   KqTime now = kq_time_now ();
   KqTime later = now + 500 * KQ_MS;
   (void)state;
-  take (1);
-  answer (KQ_ORDER_OK, 1, 30000, now);
-  begin_run (now);
+  assign_runner (1);
+  answer_poll (KQ_ORDER_OK, 1, 30000, now);
+  start_task (now);
   answer_start (100, now, later);
-  assert_int_equal (t.told, KQ_CREW_OUTCOME);
+  assert_int_equal (t.last_item, KQ_CREW_OUTCOME);
   assert_int_equal (t.lease_left_ms, LEASE_MS * 100 / 98 + 1);
 }
 
-/* A task runs twice: a lease is granted on the word of a leader that is long gone. */
+/* A task runs twice: a delayed message of a leader extends the time for which leases are
+ * granted, though the leader no longer waits for them. */
 static void
 test_delayed_words_grant_nothing (void **state)
 {
@@ -408,19 +415,20 @@
   KqTime later = now + (BLIND_MS + 200) * KQ_MS;
   int64_t granted;
   (void)state;
-  take (1);
-  answer (KQ_ORDER_OK, 1, 1000, now);
+  assign_runner (1);
+  answer_poll (KQ_ORDER_OK, 1, 1000, now);
   granted = t.lease_end_ms;
   kq_crew_agent_heard (t.agent, EPOCH, later);
-  assert_int_equal (grant (later), granted);
+  assert_int_equal (grant_by_start (later), granted);
   answer_start (-1, later, later);
   kq_crew_agent_counted (t.agent, EPOCH, later - KQ_SEC);
-  assert_int_equal (grant (later), 1000 + (BLIND_MS + 200) * 98 / 100 + LEASE_MS);
+  assert_int_equal (grant_by_start (later),
+                    1000 + (BLIND_MS + 200) * 98 / 100 + LEASE_MS);
   answer_start (-1, later, later);
 }
 
 static void
-refuse_unsent (KqTime now)
+fail_start_unsent (KqTime now)
 {
   KqRunnerReply r = { .result = KQ_ORDER_UNHEALTHY, .unsent = true, .clock_ms = -1 };
   KqRunnerCallback cb = t.start;
@@ -430,63 +438,64 @@
   t.starting = false;
 }
 
-/* A task runs twice: a start reaches its runner's next life, on a new connection. */
+/* A task runs twice: a start is sent on a new connection and reaches the runner's process
+ * after a restart. */
 static void
-test_start_keeps_to_the_life_that_was_listed (void **state)
+test_start_reaches_only_the_listed_process (void **state)
 {
   KqTime now = kq_time_now ();
   (void)state;
-  take (1);
-  answer (KQ_ORDER_OK, 1, 1000, now);
-  pass_time ();
-  answer_proof (KQ_ORDER_OK, now + 7 * KQ_MS, now + 20 * KQ_MS);
+  assign_runner (1);
+  answer_poll (KQ_ORDER_OK, 1, 1000, now);
+  run_loop ();
+  answer_verification (KQ_ORDER_OK, now + 7 * KQ_MS, now + 20 * KQ_MS);
   order_start (1, now + 30 * KQ_MS);
   assert_int_equal (t.starts, 1);
   assert_int_equal (t.opened_before, now + 7 * KQ_MS);
   answer_start (1050, now + 30 * KQ_MS, now + 50 * KQ_MS);
 }
 
-/* A task runs twice: as above, where no connection is free but a new one. */
+/* A task runs twice: as above, where every verified connection is in use. */
 static void
-test_start_waits_for_a_proven_connection (void **state)
+test_start_waits_for_a_verified_connection (void **state)
 {
   KqTime now = kq_time_now ();
   KqRunnerCallback first;
   (void)state;
-  take (1);
-  answer (KQ_ORDER_OK, 1, 1000, now);
-  pass_time ();
-  answer_proof (KQ_ORDER_OK, now, now);
+  assign_runner (1);
+  answer_poll (KQ_ORDER_OK, 1, 1000, now);
+  run_loop ();
+  answer_verification (KQ_ORDER_OK, now, now);
   order_start (1, now);
   first = t.start;
   order_start (2, now);
   assert_int_equal (t.starts, 1);
-  answer_proof (KQ_ORDER_OK, now + KQ_MS, now + 2 * KQ_MS);
+  answer_verification (KQ_ORDER_OK, now + KQ_MS, now + 2 * KQ_MS);
   assert_int_equal (t.starts, 2);
-  refuse_unsent (now + 3 * KQ_MS); /* the connection had been closed */
+  fail_start_unsent (now + 3 * KQ_MS); /* the connection had been closed */
   assert_int_equal (t.starts, 2);
-  answer_proof (KQ_ORDER_OK, now + 4 * KQ_MS, now + 5 * KQ_MS);
+  answer_verification (KQ_ORDER_OK, now + 4 * KQ_MS, now + 5 * KQ_MS);
   assert_int_equal (t.starts, 3);
   answer_start (1005, now + 5 * KQ_MS, now + 6 * KQ_MS);
   t.start = first;
   answer_start (1006, now, now + 6 * KQ_MS);
 }
 
-/* A job stands still: its start waits for a connection to a runner that is gone. */
+/* A job makes no progress: its start waits for a connection to a runner that is gone. */
 static void
-test_start_that_cannot_leave_is_refused (void **state)
+test_start_that_cannot_be_sent_is_refused (void **state)
 {
   KqTime now = kq_time_now ();
   (void)state;
-  take (1);
-  answer (KQ_ORDER_OK, 1, 1000, now);
-  pass_time ();
-  answer_proof (KQ_ORDER_UNKNOWN, now, now);
+  assign_runner (1);
+  answer_poll (KQ_ORDER_OK, 1, 1000, now);
+  run_loop ();
+  answer_verification (KQ_ORDER_UNKNOWN, now, now);
   order_start (1, now);
   assert_int_equal (t.starts, 0);
-  answer_proof (KQ_ORDER_UNKNOWN, now, now);
+  answer_verification (KQ_ORDER_UNKNOWN, now, now);
   assert_int_equal (t.starts, 0);
-  assert_int_equal (t.told, KQ_CREW_OUTCOME);
+  assert_int_equal (t.last_item, KQ_CREW_OUTCOME);
   assert_int_equal (t.result, KQ_ORDER_UNHEALTHY);
 }
 
@@ -497,20 +506,21 @@
     cmocka_unit_test_setup_teardown (test_new_connection_ends_renewals, set_up,
                                      tear_down),
     cmocka_unit_test_setup_teardown (test_reported_lease_end_stands, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_taken_runner_waits_for_the_leader, set_up,
+    cmocka_unit_test_setup_teardown (test_assigned_runner_waits_for_the_leader, set_up,
+                                     tear_down),
+    cmocka_unit_test_setup_teardown (test_reports_name_their_assignment, set_up,
                                      tear_down),
-    cmocka_unit_test_setup_teardown (test_words_name_their_taking, set_up, tear_down),
     cmocka_unit_test_setup_teardown (test_delayed_words_grant_nothing, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_clock_of_a_new_life, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_start_in_a_new_life_tells_its_lease, set_up,
+    cmocka_unit_test_setup_teardown (test_clock_after_a_restart, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_start_after_a_restart_reports_its_lease, set_up,
                                      tear_down),
-    cmocka_unit_test_setup_teardown (test_clock_of_a_new_life_taken_again, set_up,
+    cmocka_unit_test_setup_teardown (test_clock_after_a_restart_and_reassignment, set_up,
                                      tear_down),
-    cmocka_unit_test_setup_teardown (test_start_keeps_to_the_life_that_was_listed, set_up,
+    cmocka_unit_test_setup_teardown (test_start_reaches_only_the_listed_process, set_up,
                                      tear_down),
-    cmocka_unit_test_setup_teardown (test_start_waits_for_a_proven_connection, set_up,
+    cmocka_unit_test_setup_teardown (test_start_waits_for_a_verified_connection, set_up,
                                      tear_down),
-    cmocka_unit_test_setup_teardown (test_start_that_cannot_leave_is_refused, set_up,
+    cmocka_unit_test_setup_teardown (test_start_that_cannot_be_sent_is_refused, set_up,
                                      tear_down),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/src/crew/frame.c
+++ b/src/crew/frame.c
@@ -58,7 +58,7 @@
   KqStr *list;
   size_t n;
   o->u.advise.step = kq_read_str (r);
-  n = kq_crew_open_rows (r, &rows);
+  n = kq_agent_item_open_rows (r, &rows);
   if (n > KQ_ADVICE_RUNNERS_MAX)
     r->bad = true;
   n = r->bad ? 0 : n;
@@ -70,7 +70,7 @@
   kq_read_join (r, &rows);
 }
 
-/* False: an order that isn't known. */
+/* False: the kind of order is unknown. */
 static bool
 read_order (KqReader *r, KqOrder *o)
 {
@@ -172,14 +172,14 @@
       kq_pack_i64 (p, i->u.beat.sent_at);
       break;
     case KQ_CREW_LIST:
-      kq_crew_pack_list_head (p, &i->u.list);
-      kq_crew_pack_running (p, &i->u.list);
-      kq_crew_pack_ended (p, &i->u.list);
+      kq_agent_item_pack_list_head (p, &i->u.list);
+      kq_agent_item_pack_running (p, &i->u.list);
+      kq_agent_item_pack_ended (p, &i->u.list);
       break;
     case KQ_CREW_CHANGES:
-      kq_crew_pack_list_head (p, &i->u.changes.list);
-      kq_crew_pack_changes (p, &i->u.changes.running);
-      kq_crew_pack_ended (p, &i->u.changes.list);
+      kq_agent_item_pack_list_head (p, &i->u.changes.list);
+      kq_agent_item_pack_changes (p, &i->u.changes.running);
+      kq_agent_item_pack_ended (p, &i->u.changes.list);
       break;
     case KQ_CREW_OUTCOME:
       pack_outcome (p, &i->u.outcome);
@@ -202,7 +202,7 @@
       kq_pack_str (p, i->u.cancel.id);
       break;
     case KQ_CREW_ADVICE:
-      kq_crew_pack_advice (p, &i->u.advice);
+      kq_agent_item_pack_advice (p, &i->u.advice);
       break;
     case KQ_CREW_PING:
       kq_pack_i64 (p, i->u.ping.beat_sent_at);
@@ -243,14 +243,14 @@
       i->u.beat.sent_at = kq_read_i64 (r);
       return;
     case KQ_CREW_LIST:
-      kq_crew_read_list_head (r, &i->u.list);
-      kq_crew_read_running (r, &i->u.list);
-      kq_crew_read_ended (r, &i->u.list);
+      kq_agent_item_read_list_head (r, &i->u.list);
+      kq_agent_item_read_running (r, &i->u.list);
+      kq_agent_item_read_ended (r, &i->u.list);
       return;
     case KQ_CREW_CHANGES:
-      kq_crew_read_list_head (r, &i->u.changes.list);
-      kq_crew_read_changes (r, &i->u.changes.running);
-      kq_crew_read_ended (r, &i->u.changes.list);
+      kq_agent_item_read_list_head (r, &i->u.changes.list);
+      kq_agent_item_read_changes (r, &i->u.changes.running);
+      kq_agent_item_read_ended (r, &i->u.changes.list);
       return;
     case KQ_CREW_OUTCOME:
       read_outcome (r, &i->u.outcome);
@@ -273,7 +273,7 @@
       i->u.cancel.id = kq_read_str (r);
       return;
     case KQ_CREW_ADVICE:
-      kq_crew_read_advice (r, &i->u.advice);
+      kq_agent_item_read_advice (r, &i->u.advice);
       return;
     case KQ_CREW_PING:
       i->u.ping.beat_sent_at = kq_read_i64 (r);
@@ -286,9 +286,9 @@
     }
 }
 
-/* Numbers of fields behind kind and runner; an array must tell its length first. */
+/* The number of fields after kind and runner: an array is preceded by its length. */
 static size_t
-n_fields (const KqCrewItem *i)
+count_fields (const KqCrewItem *i)
 {
   static const uint8_t of_kind[] = { 0, 0, 3, 2, 4, 2, 8, 7, 3, 0, 3, 2, 1, 4, 1, 10, 0 };
   static const uint8_t of_order[] = { 4, 2, 7, 4, 5, 5, 4, 3 };
@@ -305,7 +305,7 @@
   uint32_t n;
   kq_buf_add (out, "\0\0\0\0", 4);
   kq_packer_init (&p, out);
-  kq_pack_array (&p, 2 + n_fields (i));
+  kq_pack_array (&p, 2 + count_fields (i));
   kq_pack_i64 (&p, i->kind);
   kq_pack_str (&p, i->runner);
   pack_fields (&p, i);
@@ -320,7 +320,7 @@
   KqReader r;
   uint32_t n;
   int64_t kind;
-  bool good;
+  bool ok;
   *out = (KqCrewItem){ 0 };
   if (rest->len < sizeof n)
     return false;
@@ -331,19 +331,19 @@
   kind = kq_read_i64 (&r);
   if (kind >= KQ_CREW_ORDER && kind <= KQ_CREW_LEAVE)
     {
-      out->kind = (KqCrewKind)kind;
+      out->kind = (KqAgentItemKind)kind;
       out->runner = kq_read_str (&r);
       read_fields (&r, out);
     }
   else
     out->u.unknown.kind = kind;
-  good = !r.bad;
+  ok = !r.bad;
   kq_unpacked_close (&u);
-  if (good)
+  if (ok)
     *rest = kq_str_n (rest->ptr + sizeof n + n, rest->len - sizeof n - n);
   else
     kq_crew_clear (out);
-  return good;
+  return ok;
 }
 
 void
--- a/src/crew/frame.h
+++ b/src/crew/frame.h
@@ -1,54 +1,56 @@
 #ifndef KQ_CREW_FRAME_H
 #define KQ_CREW_FRAME_H
 
-/* frame: what a leader and the other nodes tell each other, many items to one message.
+/* frame: the items that a leader and the agents on the nodes send each other, several to
+ * a message.
  *
- * Nodes of two versions of the program work together while one replaces the other. A
- * node greets with its version, the leader answers with its own, and both speak the lower
- * one. Fields that a reader doesn't know stand behind those that it does, and are passed
- * over; so are items of a kind that it doesn't know. */
+ * During an upgrade nodes of two versions of the program work together. A node sends its
+ * version in HELLO, the leader answers with its own in WELCOME, and both use the lower
+ * one. New fields are appended after the known ones; a reader skips fields and kinds of
+ * items that it doesn't know. */
 
 #include "crew/told.h"
 #include "sched/sched.h"
 
-/* 1: no answer to the greeting, whole lists, no word of leaving. */
+/* Version 1 has no WELCOME, CHANGES and LEAVE: it sends whole lists. */
 #define KQ_CREW_VERSION 2
 
 typedef enum
 {
-  KQ_CREW_UNKNOWN, /* of a later version */
+  KQ_CREW_UNKNOWN, /* a kind of a later version */
   /* leader to node */
   KQ_CREW_ORDER = 1,
   KQ_CREW_ANSWER, /* to an ASK */
-  KQ_CREW_PING,   /* the leader is alive */
+  KQ_CREW_PING,   /* heartbeat of the leader */
   /* node to leader */
   KQ_CREW_HELLO,
-  KQ_CREW_BEAT, /* the node is alive; when it last reached the store */
+  KQ_CREW_BEAT, /* heartbeat of the node, and how long ago the store last answered it */
   KQ_CREW_LIST,
   KQ_CREW_OUTCOME,
   KQ_CREW_UNREACHED,
   KQ_CREW_FENCED, /* a runner has seen a higher epoch */
   KQ_CREW_ASK,
-  KQ_CREW_JOB,    /* accepted: it is in the store */
-  KQ_CREW_CANCEL, /* as well */
-  KQ_CREW_ADVICE, /* the answer to an order to ask for it */
+  KQ_CREW_JOB,    /* a job was accepted and is in the store */
+  KQ_CREW_CANCEL, /* a cancellation was accepted and is in the store */
+  KQ_CREW_ADVICE, /* the answer to an order ADVISE */
   /* from version 2 on */
   KQ_CREW_WELCOME, /* leader to node: the answer to HELLO */
-  KQ_CREW_CHANGES, /* node to leader: a LIST, as far as it differs from the last one */
-  KQ_CREW_LEAVE /* node to leader: it stops as planned, and has let go of all runners */
-} KqCrewKind;
+  KQ_CREW_CHANGES, /* node to leader: the difference from the last list */
+  KQ_CREW_LEAVE    /* node to leader: planned stop; all its runners are released */
+} KqAgentItemKind;
 
 typedef enum
 {
   KQ_ASK_STATE,
   KQ_ASK_WAITING,
   KQ_ASK_EXPLAIN,
-  KQ_ASK_ACCEPT /* write this job to the store; version 2 answers that it hasn't */
+  KQ_ASK_ACCEPT /* write this job to the store; a leader of version 2 answers that
+                    it hasn't */
 } KqAskKind;
 
 typedef struct
 {
-  KqCrewKind kind;
+  KqAgentItemKind kind;
   KqStr runner; /* LIST, CHANGES, OUTCOME, UNREACHED, FENCED */
   union
   {
@@ -79,14 +81,14 @@
     } beat;
     struct
     {
-      KqTime beat_sent_at; /* of a BEAT of the node that has come */
+      KqTime beat_sent_at; /* sent_at of the node's last BEAT received */
       int64_t
-          store_age_ms; /* since the store's last answer to the leader; -1: not told */
+          store_age_ms; /* since the store's last answer to the leader; -1: not given */
     } ping;
     KqRunnerList list;
     struct
     {
-      KqRunnerList list; /* without `running`; of the ends the new ones */
+      KqRunnerList list; /* without `running`; only the new ends */
       KqToldChanges running;
     } changes;
     KqOrderOutcome outcome;
@@ -116,9 +118,9 @@
 } KqCrewItem;
 
 void kq_crew_pack (const KqCrewItem *i, KqBuf *out);
-/* Takes the next item from the front of *rest. Strings point into it; rows are allocated
- * and freed by kq_crew_clear. False: none left, or damaged (then *rest is not empty). An
- * item of a kind that isn't known is KQ_CREW_UNKNOWN. */
+/* Removes the next item from the front of *rest. Its strings point into *rest; its rows
+ * are allocated, and freed by kq_crew_clear. False: no item is left, or it is damaged
+ * (*rest then isn't empty). An item of an unknown kind is returned as KQ_CREW_UNKNOWN. */
 bool kq_crew_unpack (KqStr *rest, KqCrewItem *out);
 void kq_crew_clear (KqCrewItem *i);
 
--- a/src/crew/frame_rows.c
+++ b/src/crew/frame_rows.c
@@ -2,11 +2,11 @@
 
 #include <stdlib.h>
 
-/* Rows of one list at most; more is a damaged frame. */
+/* Most rows of one list; more means a damaged message. */
 #define ROWS_MAX 100000
 
 void
-kq_crew_pack_list_head (KqPacker *p, const KqRunnerList *l)
+kq_agent_item_pack_list_head (KqPacker *p, const KqRunnerList *l)
 {
   kq_pack_i64 (p, l->born_ms);
   kq_pack_i64 (p, l->lease_left_ms);
@@ -17,7 +17,7 @@
 }
 
 void
-kq_crew_read_list_head (KqReader *r, KqRunnerList *l)
+kq_agent_item_read_list_head (KqReader *r, KqRunnerList *l)
 {
   l->born_ms = kq_read_i64 (r);
   l->lease_left_ms = kq_read_i64 (r);
@@ -28,7 +28,7 @@
 }
 
 void
-kq_crew_pack_running (KqPacker *p, const KqRunnerList *l)
+kq_agent_item_pack_running (KqPacker *p, const KqRunnerList *l)
 {
   kq_pack_array (p, l->n_running);
   for (size_t i = 0; i < l->n_running; i++)
@@ -44,7 +44,7 @@
 }
 
 void
-kq_crew_pack_ended (KqPacker *p, const KqRunnerList *l)
+kq_agent_item_pack_ended (KqPacker *p, const KqRunnerList *l)
 {
   kq_pack_array (p, l->n_ended);
   for (size_t i = 0; i < l->n_ended; i++)
@@ -60,7 +60,7 @@
 }
 
 size_t
-kq_crew_open_rows (KqReader *r, KqReader *rows)
+kq_agent_item_open_rows (KqReader *r, KqReader *rows)
 {
   kq_read_array (r, rows);
   if (rows->bad || rows->left > ROWS_MAX)
@@ -73,10 +73,10 @@
 }
 
 void
-kq_crew_read_running (KqReader *r, KqRunnerList *l)
+kq_agent_item_read_running (KqReader *r, KqRunnerList *l)
 {
   KqReader rows;
-  size_t n = kq_crew_open_rows (r, &rows);
+  size_t n = kq_agent_item_open_rows (r, &rows);
   KqRunRow *list = kq_alloc ((n + 1) * sizeof *list);
   l->running = list;
   l->n_running = n;
@@ -95,10 +95,10 @@
 }
 
 void
-kq_crew_read_ended (KqReader *r, KqRunnerList *l)
+kq_agent_item_read_ended (KqReader *r, KqRunnerList *l)
 {
   KqReader rows;
-  size_t n = kq_crew_open_rows (r, &rows);
+  size_t n = kq_agent_item_open_rows (r, &rows);
   KqEndRow *list = kq_alloc ((n + 1) * sizeof *list);
   l->ended = list;
   l->n_ended = n;
@@ -120,28 +120,30 @@
   kq_read_join (r, &rows);
 }
 
-/* A row is as long as what it gives: slot, percent, load; the checkpoint; task and run.
- */
+/* The number of a row's fields says what it holds: slot, percent and load; also the
+ * checkpoint; also task and run. */
 enum
 {
-  ROW_MOVED = 3,
-  ROW_SAVED = 4,
-  ROW_WHOLE = 6
+  ROW_FIELDS_LOAD = 3,
+  ROW_FIELDS_CHECKPOINT = 4,
+  ROW_FIELDS_NEW_RUN = 6
 };
 
 void
-kq_crew_pack_changes (KqPacker *p, const KqToldChanges *c)
+kq_agent_item_pack_changes (KqPacker *p, const KqToldChanges *c)
 {
   kq_pack_u64 (p, c->serial);
   kq_pack_array (p, c->n_rows);
   for (size_t i = 0; i < c->n_rows; i++)
     {
       const KqToldRow *r = &c->rows[i];
-      kq_pack_array (p, r->whole ? ROW_WHOLE : r->saved ? ROW_SAVED : ROW_MOVED);
+      kq_pack_array (p, r->whole            ? ROW_FIELDS_NEW_RUN
+                        : r->has_checkpoint ? ROW_FIELDS_CHECKPOINT
+                                            : ROW_FIELDS_LOAD);
       kq_pack_u64 (p, r->slot);
       kq_pack_i64 (p, r->row.percent);
       kq_pack_i64 (p, r->row.load);
-      if (r->whole || r->saved)
+      if (r->whole || r->has_checkpoint)
         kq_pack_str (p, r->row.checkpoint);
       if (!r->whole)
         continue;
@@ -158,12 +160,12 @@
 {
   KqReader r;
   kq_read_array (rows, &r);
-  out->whole = r.left >= ROW_WHOLE;
-  out->saved = !out->whole && r.left >= ROW_SAVED;
+  out->whole = r.left >= ROW_FIELDS_NEW_RUN;
+  out->has_checkpoint = !out->whole && r.left >= ROW_FIELDS_CHECKPOINT;
   out->slot = (uint32_t)kq_read_u64 (&r);
   out->row.percent = (int)kq_read_i64 (&r);
   out->row.load = (int)kq_read_i64 (&r);
-  if (out->whole || out->saved)
+  if (out->whole || out->has_checkpoint)
     out->row.checkpoint = kq_read_str (&r);
   if (out->whole)
     {
@@ -174,19 +176,19 @@
 }
 
 void
-kq_crew_read_changes (KqReader *r, KqToldChanges *c)
+kq_agent_item_read_changes (KqReader *r, KqToldChanges *c)
 {
   KqReader rows;
   KqReader slots;
   KqToldRow *list;
   uint32_t *gone;
   c->serial = kq_read_u64 (r);
-  c->n_rows = kq_crew_open_rows (r, &rows);
+  c->n_rows = kq_agent_item_open_rows (r, &rows);
   c->rows = list = kq_alloc ((c->n_rows + 1) * sizeof *list);
   for (size_t i = 0; i < c->n_rows; i++)
     read_changed_row (&rows, &list[i]);
   kq_read_join (r, &rows);
-  c->n_gone = kq_crew_open_rows (r, &slots);
+  c->n_gone = kq_agent_item_open_rows (r, &slots);
   c->gone = gone = kq_alloc ((c->n_gone + 1) * sizeof *gone);
   for (size_t i = 0; i < c->n_gone; i++)
     gone[i] = (uint32_t)kq_read_u64 (&slots);
@@ -194,7 +196,7 @@
 }
 
 void
-kq_crew_pack_advice (KqPacker *p, const KqStepAdvice *a)
+kq_agent_item_pack_advice (KqPacker *p, const KqStepAdvice *a)
 {
   kq_pack_str (p, a->step);
   kq_pack_i64 (p, a->reply.result);
@@ -209,7 +211,7 @@
 }
 
 void
-kq_crew_read_advice (KqReader *r, KqStepAdvice *a)
+kq_agent_item_read_advice (KqReader *r, KqStepAdvice *a)
 {
   KqReader rows;
   KqAdviceRow *list;
@@ -220,7 +222,7 @@
     r->bad = true;
   a->reply.result = (KqAdviceResult)result;
   a->reply.valid_ms = kq_read_i64 (r);
-  a->reply.n_rows = kq_crew_open_rows (r, &rows);
+  a->reply.n_rows = kq_agent_item_open_rows (r, &rows);
   list = kq_alloc ((a->reply.n_rows + 1) * sizeof *list);
   a->reply.rows = list;
   for (size_t i = 0; i < a->reply.n_rows; i++)
--- a/src/crew/frame_test.c
+++ b/src/crew/frame_test.c
@@ -9,7 +9,7 @@
 #include <cmocka.h>
 
 static KqCrewItem
-pass (const KqCrewItem *i, KqBuf *b)
+round_trip (const KqCrewItem *i, KqBuf *b)
 {
   KqCrewItem out;
   KqStr rest;
@@ -26,7 +26,7 @@
 }
 
 static void
-test_list_passes_whole (void **state)
+test_list_round_trips (void **state)
 {
   KqRunRow running[] = { { KQ_STR ("j.0.1.2"), 7, KQ_STR ("cp"), 41, 12 } };
   KqEndRow ended[] = { { 58, KQ_STR ("j.0.1.3"), 6, KQ_END_FAILED, KQ_STR ("") } };
@@ -35,7 +35,7 @@
   KqCrewItem o;
   (void)state;
   i.u.list = (KqRunnerList){ 99, 5000, 3, 4, 8, running, 1, ended, 1, true };
-  o = pass (&i, &b);
+  o = round_trip (&i, &b);
   assert_int_equal (o.u.list.born_ms, 99);
   assert_int_equal (o.u.list.lease_left_ms, 5000);
   assert_int_equal (o.u.list.order, 3);
@@ -53,7 +53,7 @@
 }
 
 static void
-test_advice_passes_whole (void **state)
+test_advice_round_trips (void **state)
 {
   KqStr runners[] = { KQ_STR ("i-1"), KQ_STR ("i-2") };
   KqAdviceRow rows[] = { { KQ_STR ("i-2"), KQ_STR ("t-9") } };
@@ -65,7 +65,7 @@
   i.u.order.u.advise.step = KQ_STR ("j.0.1");
   i.u.order.u.advise.runners = runners;
   i.u.order.u.advise.n_runners = 2;
-  o = pass (&i, &b);
+  o = round_trip (&i, &b);
   assert_int_equal (o.u.order.u.advise.n_runners, 2);
   assert_true (kq_str_eq (o.u.order.u.advise.step, KQ_STR ("j.0.1")));
   assert_true (kq_str_eq (o.u.order.u.advise.runners[1], KQ_STR ("i-2")));
@@ -73,7 +73,7 @@
   i = (KqCrewItem){ .kind = KQ_CREW_ADVICE };
   i.u.advice.step = KQ_STR ("j.0.1");
   i.u.advice.reply = (KqAdviceReply){ KQ_ADVICE_OK, rows, 1, 3000 };
-  o = pass (&i, &b);
+  o = round_trip (&i, &b);
   assert_int_equal (o.u.advice.reply.result, KQ_ADVICE_OK);
   assert_int_equal (o.u.advice.reply.valid_ms, 3000);
   assert_int_equal (o.u.advice.reply.n_rows, 1);
@@ -83,7 +83,7 @@
 }
 
 static void
-test_orders_pass_whole (void **state)
+test_orders_round_trip (void **state)
 {
   KqBuf b = { 0 };
   KqCrewItem i = { .kind = KQ_CREW_ORDER };
@@ -95,31 +95,31 @@
   i.u.order.u.start.run = 1001;
   i.u.order.u.start.text = KQ_STR ("text");
   i.u.order.u.start.checkpoint = KQ_STR ("cp");
-  o = pass (&i, &b);
+  o = round_trip (&i, &b);
   assert_int_equal (o.u.order.u.start.run, 1001);
   assert_true (kq_str_eq (o.u.order.u.start.checkpoint, KQ_STR ("cp")));
   i.u.order.kind = KQ_ORDER_TAKE;
   i.u.order.u.take.address = KQ_STR ("127.0.0.1:1");
   i.u.order.u.take.taking = 5;
-  o = pass (&i, &b);
+  o = round_trip (&i, &b);
   assert_int_equal (o.u.order.u.take.taking, 5);
   i.u.order.kind = KQ_ORDER_SEEN;
   i.u.order.u.seen.ends = 12;
   i.u.order.u.seen.born_ms = 34;
   i.u.order.u.seen.watched = true;
-  o = pass (&i, &b);
+  o = round_trip (&i, &b);
   assert_int_equal (o.u.order.u.seen.ends, 12);
   assert_int_equal (o.u.order.u.seen.born_ms, 34);
   assert_true (o.u.order.u.seen.watched);
   i.u.order.kind = KQ_ORDER_RENEW;
   i.u.order.u.renew.halt = 56;
-  o = pass (&i, &b);
+  o = round_trip (&i, &b);
   assert_int_equal (o.u.order.u.renew.halt, 56);
   for (int k = KQ_ORDER_TAKE; k <= KQ_ORDER_RENEW; k++)
     {
       memset (&i.u.order.u, 0, sizeof i.u.order.u);
       i.u.order.kind = (KqOrderKind)k;
-      o = pass (&i, &b);
+      o = round_trip (&i, &b);
       assert_int_equal (o.u.order.kind, k);
       kq_crew_clear (&o);
     }
@@ -127,7 +127,7 @@
 }
 
 static void
-test_words_of_a_runner_pass_whole (void **state)
+test_outcome_and_unreached_round_trip (void **state)
 {
   KqBuf b = { 0 };
   KqCrewItem i = { .kind = KQ_CREW_OUTCOME };
@@ -136,7 +136,7 @@
   i.u.outcome = (KqOrderOutcome){
     .result = KQ_ORDER_OLD_RUN, .order = 3, .taking = 4, .lease_left_ms = 4900
   };
-  o = pass (&i, &b);
+  o = round_trip (&i, &b);
   assert_int_equal (o.u.outcome.result, KQ_ORDER_OLD_RUN);
   assert_int_equal (o.u.outcome.order, 3);
   assert_int_equal (o.u.outcome.taking, 4);
@@ -145,7 +145,7 @@
   i.u.unreached.lease_left_ms = -1;
   i.u.unreached.gone = true;
   i.u.unreached.taking = 6;
-  o = pass (&i, &b);
+  o = round_trip (&i, &b);
   assert_int_equal (o.u.unreached.lease_left_ms, -1);
   assert_true (o.u.unreached.gone);
   assert_int_equal (o.u.unreached.taking, 6);
@@ -153,38 +153,38 @@
 }
 
 static void
-test_signs_of_life_pass_whole (void **state)
+test_heartbeats_round_trip (void **state)
 {
   KqBuf b = { 0 };
   KqCrewItem i = { .kind = KQ_CREW_BEAT };
   (void)state;
   i.u.beat.store_age_ms = -1;
   i.u.beat.sent_at = 12;
-  assert_int_equal (pass (&i, &b).u.beat.store_age_ms, -1);
-  assert_int_equal (pass (&i, &b).u.beat.sent_at, 12);
+  assert_int_equal (round_trip (&i, &b).u.beat.store_age_ms, -1);
+  assert_int_equal (round_trip (&i, &b).u.beat.sent_at, 12);
   i = (KqCrewItem){ .kind = KQ_CREW_PING };
   i.u.ping.beat_sent_at = 13;
   i.u.ping.store_age_ms = 14;
-  assert_int_equal (pass (&i, &b).u.ping.beat_sent_at, 13);
-  assert_int_equal (pass (&i, &b).u.ping.store_age_ms, 14);
+  assert_int_equal (round_trip (&i, &b).u.ping.beat_sent_at, 13);
+  assert_int_equal (round_trip (&i, &b).u.ping.store_age_ms, 14);
   kq_buf_free (&b);
 }
 
 static void
-test_every_kind_passes (void **state)
+test_every_kind_round_trips (void **state)
 {
   KqBuf b = { 0 };
   (void)state;
   for (int k = KQ_CREW_ANSWER; k <= KQ_CREW_CANCEL; k++)
     {
-      KqCrewItem i = { .kind = (KqCrewKind)k };
-      KqCrewItem o = pass (&i, &b);
+      KqCrewItem i = { .kind = (KqAgentItemKind)k };
+      KqCrewItem o = round_trip (&i, &b);
       kq_crew_clear (&o);
     }
   kq_buf_free (&b);
 }
 
-/* A node gets a frame whose bytes were damaged: it must drop it, not crash on it. */
+/* A node crashes on a message with damaged bytes instead of refusing it. */
 static void
 test_damaged_bytes_are_refused (void **state)
 {
@@ -209,9 +209,10 @@
     }
 }
 
-/* Guards against a crash of the leader: an outcome's kind picks a name for the log. */
+/* The leader crashes on an outcome of unknown kind, as the kind is an index into the
+ * names for the log. */
 static void
-test_outcome_of_no_kind_is_refused (void **state)
+test_outcome_of_unknown_kind_is_refused (void **state)
 {
   static const int kinds[] = { -1, KQ_ORDER_RENEW + 1, 1000000 };
   (void)state;
@@ -244,14 +245,14 @@
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (test_list_passes_whole),
-          cmocka_unit_test (test_orders_pass_whole),
-          cmocka_unit_test (test_advice_passes_whole),
-          cmocka_unit_test (test_words_of_a_runner_pass_whole),
-          cmocka_unit_test (test_signs_of_life_pass_whole),
-          cmocka_unit_test (test_every_kind_passes),
+      = { cmocka_unit_test (test_list_round_trips),
+          cmocka_unit_test (test_orders_round_trip),
+          cmocka_unit_test (test_advice_round_trips),
+          cmocka_unit_test (test_outcome_and_unreached_round_trip),
+          cmocka_unit_test (test_heartbeats_round_trip),
+          cmocka_unit_test (test_every_kind_round_trips),
           cmocka_unit_test (test_damaged_bytes_are_refused),
-          cmocka_unit_test (test_outcome_of_no_kind_is_refused),
+          cmocka_unit_test (test_outcome_of_unknown_kind_is_refused),
           cmocka_unit_test (test_each_kind_of_order_has_a_name) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/crew/gate.c
+++ b/src/crew/gate.c
@@ -3,49 +3,49 @@
 #include <assert.h>
 
 int
-kq_gate_called (KqGate *g)
+kq_conns_call_began (KqConns *g)
 {
   return ++g->in_use;
 }
 
 void
-kq_gate_ended (KqGate *g, KqGateEnd end)
+kq_conns_call_ended (KqConns *g, KqConnEnd end)
 {
   assert (g->in_use > 0);
   g->in_use--;
   switch (end)
     {
-    case KQ_GATE_KEPT:
+    case KQ_CONN_KEPT:
       break;
-    case KQ_GATE_LOST:
-      if (g->proven > 0)
-        g->proven--;
+    case KQ_CONN_CLOSED:
+      if (g->verified > 0)
+        g->verified--;
       break;
-    case KQ_GATE_UNSENT:
-      if (g->proven > g->in_use)
-        g->proven = g->in_use;
+    case KQ_CONN_UNSENT:
+      if (g->verified > g->in_use)
+        g->verified = g->in_use;
       break;
     }
 }
 
 void
-kq_gate_proven (KqGate *g, int in_use, KqTime left_at)
+kq_conns_verified (KqConns *g, int in_use, KqTime sent_at)
 {
-  if (in_use > g->proven)
-    g->proven = in_use;
-  if (left_at > g->proven_at)
-    g->proven_at = left_at;
+  if (in_use > g->verified)
+    g->verified = in_use;
+  if (sent_at > g->verified_at)
+    g->verified_at = sent_at;
 }
 
 void
-kq_gate_new_life (KqGate *g)
+kq_conns_runner_restarted (KqConns *g)
 {
-  g->proven = 0;
-  g->proven_at = 0;
+  g->verified = 0;
+  g->verified_at = 0;
 }
 
 bool
-kq_gate_open (const KqGate *g)
+kq_conns_start_allowed (const KqConns *g)
 {
-  return g->proven_at != 0 && g->in_use < g->proven;
+  return g->verified_at != 0 && g->in_use < g->verified;
 }
--- a/src/crew/gate.h
+++ b/src/crew/gate.h
@@ -1,15 +1,16 @@
 #ifndef KQ_CREW_GATE_H
 #define KQ_CREW_GATE_H
 
-/* gate: when a start may leave for its runner, by the connections that are open to it.
+/* gate: decides when a start may be sent to a runner, by the connections open to it.
  *
- * A start that reaches its runner's next life begins there with a lease of that life,
- * which nobody counts on: its task would run twice. Connections end with the life that
- * they lead to. So a start leaves only on a connection that was open when a question left
- * that the runner has answered: it reaches that life, or nobody.
+ * A start must not reach a process of the runner that has restarted since its last list:
+ * it would run there under a lease that the leader doesn't know of, and the task would
+ * run twice. Connections close when the process at their other end exits. So a start is
+ * sent only on a verified connection, one that was open when a call was sent that the
+ * runner has answered: the start then reaches the process that gave that answer, or none.
  *
- * Load pattern: tasks of a step come to a runner several at a time. Connections are
- * proven one after the other, as far as starts wait, and used again. Pure. */
+ * Several tasks of a step are started on a runner at a time. Connections are verified one
+ * after the other while starts are queued, and are used again. No I/O. */
 
 #include "base/time.h"
 
@@ -17,28 +18,28 @@
 
 typedef struct
 {
-  int in_use;       /* calls under way, each on a connection of its own */
-  int proven;       /* connections known to lead to the life that was listed */
-  KqTime proven_at; /* that were open then; 0: none */
-} KqGate;
+  int in_use;         /* calls in flight, each on a connection of its own */
+  int verified;       /* connections known to lead to the process that answered last */
+  KqTime verified_at; /* these were open then; 0: none is verified */
+} KqConns;
 
-/* A call is made; returns how many are under way then. */
-int kq_gate_called (KqGate *g);
+/* A call is made; returns the number of calls in flight, this one included. */
+int kq_conns_call_began (KqConns *g);
 
 typedef enum
 {
-  KQ_GATE_KEPT,  /* answered: the connection can be used again */
-  KQ_GATE_LOST,  /* the connection is closed */
-  KQ_GATE_UNSENT /* the call found no connection that it could use */
-} KqGateEnd;
-
-void kq_gate_ended (KqGate *g, KqGateEnd end);
-/* The runner has answered a question that left at left_at, with so many calls under way.
- */
-void kq_gate_proven (KqGate *g, int in_use, KqTime left_at);
-/* The runner is in a new life. */
-void kq_gate_new_life (KqGate *g);
-/* Whether a start may leave now. */
-bool kq_gate_open (const KqGate *g);
+  KQ_CONN_KEPT,   /* the connection can be used again */
+  KQ_CONN_CLOSED, /* the connection is closed */
+  KQ_CONN_UNSENT  /* the call wasn't sent: no connection was usable */
+} KqConnEnd;
+
+void kq_conns_call_ended (KqConns *g, KqConnEnd end);
+/* The runner has answered a call that was sent at sent_at, while in_use calls were in
+ * flight. */
+void kq_conns_verified (KqConns *g, int in_use, KqTime sent_at);
+/* The runner's process has restarted: no connection is verified. */
+void kq_conns_runner_restarted (KqConns *g);
+/* Whether a start may be sent now. */
+bool kq_conns_start_allowed (const KqConns *g);
 
 #endif
--- a/src/crew/gate_test.c
+++ b/src/crew/gate_test.c
@@ -7,99 +7,101 @@
 
 #include <cmocka.h>
 
-/* One question waits at the runner all the time. */
-static KqGate
-one_proven (void)
+/* One connection is verified, and a poll that waits at the runner occupies it. */
+static KqConns
+one_verified (void)
 {
-  KqGate g = { 0 };
-  int in_use = kq_gate_called (&g);
-  kq_gate_ended (&g, KQ_GATE_KEPT);
-  kq_gate_proven (&g, in_use, 100);
-  kq_gate_called (&g);
+  KqConns g = { 0 };
+  int in_use = kq_conns_call_began (&g);
+  kq_conns_call_ended (&g, KQ_CONN_KEPT);
+  kq_conns_verified (&g, in_use, 100);
+  kq_conns_call_began (&g);
   return g;
 }
 
-/* A task runs twice: before its runner has answered anything no connection is known to
- * lead to a life that was listed. */
+/* A task runs twice: a start is sent before the runner has answered any call, so that no
+ * connection is known to lead to the process that the leader has a list of. */
 static void
-test_nothing_leaves_before_an_answer (void **state)
+test_no_start_before_an_answer (void **state)
 {
-  KqGate g = { 0 };
+  KqConns g = { 0 };
   (void)state;
-  assert_false (kq_gate_open (&g));
-  kq_gate_called (&g);
-  assert_false (kq_gate_open (&g));
+  assert_false (kq_conns_start_allowed (&g));
+  kq_conns_call_began (&g);
+  assert_false (kq_conns_start_allowed (&g));
 }
 
-/* A burst of starts: each one that leaves takes a connection, each proof adds one. */
+/* Starts stay queued although connections could be verified: each start occupies one,
+ * each verification adds one. */
 static void
-test_burst_grows_by_proofs (void **state)
+test_each_verification_adds_a_connection (void **state)
 {
-  KqGate g = one_proven ();
+  KqConns g = one_verified ();
   (void)state;
   for (int i = 0; i < 4; i++)
     {
       int in_use;
-      assert_false (kq_gate_open (&g));
-      in_use = kq_gate_called (&g);
-      kq_gate_ended (&g, KQ_GATE_KEPT);
-      kq_gate_proven (&g, in_use, 200 + i);
-      assert_true (kq_gate_open (&g));
-      kq_gate_called (&g);
+      assert_false (kq_conns_start_allowed (&g));
+      in_use = kq_conns_call_began (&g);
+      kq_conns_call_ended (&g, KQ_CONN_KEPT);
+      kq_conns_verified (&g, in_use, 200 + i);
+      assert_true (kq_conns_start_allowed (&g));
+      kq_conns_call_began (&g);
     }
-  assert_int_equal (g.proven, 5);
+  assert_int_equal (g.verified, 5);
   for (int i = 0; i < 4; i++)
-    kq_gate_ended (&g, KQ_GATE_KEPT);
-  assert_true (kq_gate_open (&g));
+    kq_conns_call_ended (&g, KQ_CONN_KEPT);
+  assert_true (kq_conns_start_allowed (&g));
 }
 
-/* A start leaves on a connection that has been closed: it would open a new one. */
+/* A task runs twice: a closed connection still counts as verified, and a start opens a
+ * new one to a restarted runner. */
 static void
 test_lost_connections_dont_count (void **state)
 {
-  KqGate g = one_proven ();
-  int in_use = kq_gate_called (&g);
+  KqConns g = one_verified ();
+  int in_use = kq_conns_call_began (&g);
   (void)state;
-  kq_gate_ended (&g, KQ_GATE_KEPT);
-  kq_gate_proven (&g, in_use, 200);
-  assert_true (kq_gate_open (&g));
-  kq_gate_called (&g);
-  kq_gate_ended (&g, KQ_GATE_LOST);
-  assert_false (kq_gate_open (&g));
+  kq_conns_call_ended (&g, KQ_CONN_KEPT);
+  kq_conns_verified (&g, in_use, 200);
+  assert_true (kq_conns_start_allowed (&g));
+  kq_conns_call_began (&g);
+  kq_conns_call_ended (&g, KQ_CONN_CLOSED);
+  assert_false (kq_conns_start_allowed (&g));
 }
 
 static void
-test_unsent_call_shows_that_none_is_left (void **state)
+test_unsent_call_shows_that_no_connection_is_left (void **state)
 {
-  KqGate g = one_proven ();
+  KqConns g = one_verified ();
   (void)state;
-  kq_gate_proven (&g, 4, 200);
-  kq_gate_called (&g);
-  kq_gate_ended (&g, KQ_GATE_UNSENT);
-  assert_false (kq_gate_open (&g));
-  assert_int_equal (g.proven, 1);
+  kq_conns_verified (&g, 4, 200);
+  kq_conns_call_began (&g);
+  kq_conns_call_ended (&g, KQ_CONN_UNSENT);
+  assert_false (kq_conns_start_allowed (&g));
+  assert_int_equal (g.verified, 1);
 }
 
-/* A task runs twice: a connection proven in a life is taken for one to the next. */
+/* A task runs twice: a connection verified before the runner's restart still counts. */
 static void
-test_new_life_begins_anew (void **state)
+test_restart_clears_verified_connections (void **state)
 {
-  KqGate g = one_proven ();
+  KqConns g = one_verified ();
   (void)state;
-  kq_gate_proven (&g, 3, 200);
-  assert_true (kq_gate_open (&g));
-  kq_gate_new_life (&g);
-  assert_false (kq_gate_open (&g));
+  kq_conns_verified (&g, 3, 200);
+  assert_true (kq_conns_start_allowed (&g));
+  kq_conns_runner_restarted (&g);
+  assert_false (kq_conns_start_allowed (&g));
 }
 
 int
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (test_nothing_leaves_before_an_answer),
-          cmocka_unit_test (test_burst_grows_by_proofs),
+      = { cmocka_unit_test (test_no_start_before_an_answer),
+          cmocka_unit_test (test_each_verification_adds_a_connection),
           cmocka_unit_test (test_lost_connections_dont_count),
-          cmocka_unit_test (test_unsent_call_shows_that_none_is_left),
-          cmocka_unit_test (test_new_life_begins_anew) };
+          cmocka_unit_test (test_unsent_call_shows_that_no_connection_is_left),
+          cmocka_unit_test (test_restart_clears_verified_connections) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/crew/held.c
+++ b/src/crew/held.c
@@ -1,4 +1,4 @@
-/* held: a runner that this node looks after, and the calls to it. */
+/* held: a runner that is assigned to this agent, and the calls to it. */
 
 #include "crew/state.h"
 
@@ -18,25 +18,25 @@
 }
 
 void
-kq_held_free (gpointer p)
+kq_agent_runner_free (gpointer p)
 {
-  KqHeld *h = p;
-  ev_timer_stop (kq_loop_ev (h->agent->config.loop), &h->next);
+  KqAgentRunner *h = p;
+  ev_timer_stop (kq_loop_ev (h->agent->config.loop), &h->poll_timer);
   g_queue_clear_full (&h->starts, kq_start_free);
-  kq_told_free (h->told);
+  kq_told_free (h->run_delta);
   free (h->id);
   free (h->address);
   free (h);
 }
 
-KqHeldCall *
-kq_held_call (KqHeld *h, KqOrderKind kind, KqStr task, uint32_t run)
+KqAgentCall *
+kq_agent_call_new (KqAgentRunner *h, KqOrderKind kind, KqStr task, uint32_t run)
 {
-  KqHeldCall *c = kq_alloc (sizeof *c);
+  KqAgentCall *c = kq_alloc (sizeof *c);
   c->agent = h->agent;
   c->serial = h->serial;
-  c->order = h->results;
-  c->in_use = kq_gate_called (&h->gate);
+  c->outcomes_sent = h->outcomes_sent;
+  c->in_use = kq_conns_call_began (&h->conns);
   c->kind = kind;
   c->runner = kq_str_dup (kq_str (h->id));
   c->task = kq_str_dup (task);
@@ -45,7 +45,7 @@
 }
 
 void
-kq_held_call_free (KqHeldCall *c)
+kq_agent_call_free (KqAgentCall *c)
 {
   free (c->runner);
   free (c->task);
@@ -53,46 +53,46 @@
   free (c);
 }
 
-KqHeld *
-kq_held_of (const KqHeldCall *c)
+KqAgentRunner *
+kq_agent_call_runner (const KqAgentCall *c)
 {
-  KqHeld *h = g_hash_table_lookup (c->agent->held, c->runner);
+  KqAgentRunner *h = g_hash_table_lookup (c->agent->runners, c->runner);
   return h != NULL && h->serial == c->serial ? h : NULL;
 }
 
-KqHeld *
-kq_held_call_ended (const KqHeldCall *c, const KqRunnerReply *r)
+KqAgentRunner *
+kq_agent_call_ended (const KqAgentCall *c, const KqRunnerReply *r)
 {
-  KqHeld *h = kq_held_of (c);
+  KqAgentRunner *h = kq_agent_call_runner (c);
   if (h == NULL)
     return NULL;
-  kq_gate_ended (&h->gate, r->unsent                       ? KQ_GATE_UNSENT
-                           : r->result == KQ_ORDER_UNKNOWN ? KQ_GATE_LOST
-                                                           : KQ_GATE_KEPT);
+  kq_conns_call_ended (&h->conns, r->unsent                       ? KQ_CONN_UNSENT
+                                  : r->result == KQ_ORDER_UNKNOWN ? KQ_CONN_CLOSED
+                                                                  : KQ_CONN_KEPT);
   return h;
 }
 
 void
-kq_held_tell (KqHeld *h, KqCrewItem *i)
+kq_agent_runner_notify (KqAgentRunner *h, KqCrewItem *i)
 {
   i->runner = kq_str (h->id);
   h->agent->config.notice (h->agent->config.arg, h->epoch, i);
 }
 
 void
-kq_held_note_clock (KqHeld *h, const KqRunnerReply *r, KqTime now)
+kq_agent_runner_update_lease (KqAgentRunner *h, const KqRunnerReply *r, KqTime now)
 {
   KqLeaseNews n = { r->clock_ms, r->born_ms, r->sent_at };
-  /* An acknowledgement of the earlier life's ends would make the new one forget ends that
-   * nobody has seen. */
+  /* The runner has restarted and numbers its ends from 1 again. An acknowledgement of the
+   * earlier numbers would make it drop ends that nobody has read. */
   if (!kq_lease_note (&h->lease, &n, h->agent->config.lease_ms, now))
     return;
-  h->ends_seen = h->ends_passed = 0;
-  kq_gate_new_life (&h->gate);
+  h->ends_acked = h->ends_reported = 0;
+  kq_conns_runner_restarted (&h->conns);
 }
 
 KqRunnerAim
-kq_held_aim (const KqHeld *h, int timeout_ms)
+kq_agent_runner_aim (const KqAgentRunner *h, int timeout_ms)
 {
   return (KqRunnerAim){ .address = kq_str (h->address),
                         .id = kq_str (h->id),
@@ -100,33 +100,35 @@
                         .timeout_ms = timeout_ms };
 }
 
-/* Beyond this the leader may have given the lease up, however late its words come. */
+/* Whether the leader still waits for leases that are granted now before it starts the
+ * tasks elsewhere. Messages of the leader may have been delayed, so their arrival proves
+ * nothing. */
 static bool
-counts_on_us (const KqCrewAgent *a, KqTime now)
+leader_honours_leases (const KqCrewAgent *a, KqTime now)
 {
-  return now - a->counted_at <= a->config.blind_ms * KQ_MS;
+  return now - a->leader_confirmed_at <= a->config.blind_ms * KQ_MS;
 }
 
-/* What is granted now; a later grant never ends sooner. Nothing more is granted to a
- * runner that doesn't answer: it may hear us all the same, and its lease must end some
- * time, or its tasks could never be started elsewhere. Nor before the leader has heard of
- * a runner that has just been taken or was silent: it may count the lease as over. */
+/* Nothing is granted to a runner that doesn't answer: it may still receive the calls, and
+ * its lease has to expire at some time, or its tasks could never be started elsewhere.
+ * Nor before the leader has acknowledged a runner that was just assigned or unreachable:
+ * the leader may take its lease for expired. */
 int64_t
-kq_held_grant (KqHeld *h, KqTime now)
+kq_agent_runner_grant_lease (KqAgentRunner *h, KqTime now)
 {
   if (h->lease.clock_ms < 0 || h->failures > 0 || h->halt != 0
-      || !counts_on_us (h->agent, now))
+      || !leader_honours_leases (h->agent, now))
     return -1;
   return kq_lease_grant (&h->lease, h->agent->config.lease_ms, now);
 }
 
 void
-kq_held_tell_outcome (KqHeld *h, const KqOrderOutcome *o, KqTime now)
+kq_agent_runner_report_outcome (KqAgentRunner *h, const KqOrderOutcome *o, KqTime now)
 {
   KqCrewItem i = { .kind = KQ_CREW_OUTCOME };
   i.u.outcome = *o;
-  i.u.outcome.order = ++h->results;
-  i.u.outcome.taking = h->taking;
+  i.u.outcome.order = ++h->outcomes_sent;
+  i.u.outcome.taking = h->assignment;
   i.u.outcome.lease_left_ms = kq_lease_left_ms (&h->lease, now);
-  kq_held_tell (h, &i);
+  kq_agent_runner_notify (h, &i);
 }
--- a/src/crew/lease.c
+++ b/src/crew/lease.c
@@ -2,8 +2,8 @@
 
 #include <assert.h>
 
-/* Runners' clocks may be this much slow. */
-#define CLOCK_SLOW 0.98
+/* A runner's clock may be 2% slow. */
+#define MIN_CLOCK_RATE 0.98
 
 void
 kq_lease_init (KqLease *l)
@@ -11,46 +11,46 @@
   *l = (KqLease){ .clock_ms = -1 };
 }
 
-/* The runner's clock has at least reached this. */
+/* A lower bound of the runner's clock now, in ms. */
 static int64_t
-clock_now (const KqLease *l, KqTime now)
+estimate_clock_ms (const KqLease *l, KqTime now)
 {
-  return l->clock_ms + (int64_t)((double)(now - l->clock_at) / KQ_MS * CLOCK_SLOW);
+  return l->clock_ms + (int64_t)((double)(now - l->clock_at) / KQ_MS * MIN_CLOCK_RATE);
 }
 
 static bool
-tells_new_life (const KqLease *l, const KqLeaseNews *n, int64_t length_ms, KqTime now)
+shows_restart (const KqLease *l, const KqLeaseNews *n, int64_t length_ms, KqTime now)
 {
   if (l->clock_ms < 0)
     return false;
   if (n->born_ms != 0 && l->born_ms != 0 && n->born_ms != l->born_ms)
     return true;
-  return n->clock_ms < clock_now (l, now) - length_ms;
+  return n->clock_ms < estimate_clock_ms (l, now) - length_ms;
 }
 
 bool
 kq_lease_note (KqLease *l, const KqLeaseNews *n, int64_t length_ms, KqTime now)
 {
   bool first = l->clock_ms < 0;
-  bool anew;
-  if (n->clock_ms < 0 || (n->born_ms == 0 && n->sent_at < l->life_at))
+  bool restarted;
+  if (n->clock_ms < 0 || (n->born_ms == 0 && n->sent_at < l->restart_seen_at))
     return false;
-  anew = tells_new_life (l, n, length_ms, now);
-  if (anew)
+  restarted = shows_restart (l, n, length_ms, now);
+  if (restarted)
     {
       l->born_ms = 0;
-      l->life_at = now;
+      l->restart_seen_at = now;
     }
   if (n->born_ms != 0)
     l->born_ms = n->born_ms;
-  if (!first && !anew && n->clock_ms < l->clock_ms)
-    return false; /* overtaken by a newer answer */
+  if (!first && !restarted && n->clock_ms < l->clock_ms)
+    return false; /* a newer answer has arrived before */
   l->clock_ms = n->clock_ms;
   l->clock_at = now;
-  /* An agent before us may have granted as much. */
-  if (first || anew)
+  /* Another agent may have granted a whole lease. */
+  if (first || restarted)
     l->end_ms = n->clock_ms + length_ms;
-  return anew;
+  return restarted;
 }
 
 int64_t
@@ -59,8 +59,8 @@
   int64_t left;
   if (l->clock_ms < 0)
     return -1;
-  left = l->end_ms - clock_now (l, now);
-  return left < 0 ? 0 : (int64_t)((double)left / CLOCK_SLOW) + 1;
+  left = l->end_ms - estimate_clock_ms (l, now);
+  return left < 0 ? 0 : (int64_t)((double)left / MIN_CLOCK_RATE) + 1;
 }
 
 int64_t
@@ -68,7 +68,7 @@
 {
   int64_t end;
   assert (l->clock_ms >= 0);
-  end = clock_now (l, now) + length_ms;
+  end = estimate_clock_ms (l, now) + length_ms;
   if (end > l->end_ms)
     l->end_ms = end;
   return l->end_ms;
--- a/src/crew/lease.h
+++ b/src/crew/lease.h
@@ -1,10 +1,11 @@
 #ifndef KQ_CREW_LEASE_H
 #define KQ_CREW_LEASE_H
 
-/* lease: what an agent knows of a runner's clock and of the lease that it has granted.
+/* lease: what an agent knows of a runner's clock, and of the lease that it has granted.
  *
- * Pure. The lease's end is a time on the runner's own clock, which may be slow and starts
- * anew with each life of the runner. */
+ * All tasks on a runner end when its lease expires. The lease's end is a time on the
+ * runner's own steady clock, which may be slow and starts again when the runner's process
+ * restarts. No I/O. */
 
 #include "base/time.h"
 
@@ -13,30 +14,31 @@
 
 typedef struct
 {
-  int64_t born_ms;  /* of the life that was heard last; 0: never told */
-  KqTime life_at;   /* when that was first heard, if there was one before it: answers to
-                       earlier calls may come from that one */
-  int64_t clock_ms; /* the runner's clock, as last told; -1: never */
-  KqTime clock_at;  /* when that was received */
-  int64_t end_ms;   /* the latest granted, on the runner's clock */
+  int64_t born_ms;        /* start of the runner's process, Unix time; 0: not known */
+  KqTime restart_seen_at; /* when a restart was noticed; answers to earlier calls
+                             may come from the process before; 0: never */
+  int64_t clock_ms;       /* the runner's clock, as in its last answer; -1: none */
+  KqTime clock_at;        /* when that answer was received */
+  int64_t end_ms;         /* end of the lease granted, on the runner's clock */
 } KqLease;
 
-/* What an answer of the runner tells. */
+/* The part of a runner's answer that concerns its lease. */
 typedef struct
 {
-  int64_t clock_ms; /* -1: nothing */
-  int64_t born_ms;  /* 0: not told */
-  KqTime sent_at;   /* when its question was sent */
+  int64_t clock_ms; /* -1: not given */
+  int64_t born_ms;  /* 0: not given */
+  KqTime sent_at;   /* when the call was sent */
 } KqLeaseNews;
 
 void kq_lease_init (KqLease *l);
-/* length_ms: of a whole lease. True: the runner is in a new life, which counts its ends
- * anew. */
+/* Takes in an answer; length_ms: of a whole lease. True: the runner has restarted, and
+ * numbers its ends from 1 again. */
 bool kq_lease_note (KqLease *l, const KqLeaseNews *n, int64_t length_ms, KqTime now);
-/* Until the lease granted ends, in ms of a sound clock; -1: the clock isn't known. */
+/* Time until the lease has certainly ended, in ms of this node's clock, also if the
+ * runner's clock is slow; -1: the runner's clock isn't known. */
 int64_t kq_lease_left_ms (const KqLease *l, KqTime now);
-/* Grants a whole lease from now on, and returns its end on the runner's clock; a later
- * grant never ends sooner. The clock must be known. */
+/* Grants a whole lease from now on and returns its end on the runner's clock, which is
+ * never before the end of an earlier grant. The clock must be known. */
 int64_t kq_lease_grant (KqLease *l, int64_t length_ms, KqTime now);
 
 #endif
--- a/src/crew/starts.c
+++ b/src/crew/starts.c
@@ -1,19 +1,20 @@
-/* starts: the starts that a leader has ordered, and how orders end. When a start may
- * leave is decided in gate.c. */
+/* starts: sends the starts that a leader has ordered, and reports how orders end. gate.c
+ * decides when a start may be sent. */
 
 #include "base/log.h"
 #include "crew/state.h"
 
 #include <stdlib.h>
 
-/* A start that can't leave for so long is refused: its leader finds another runner. */
-#define START_WAITS (KQ_CREW_CALL_MS * KQ_MS)
+/* A start that couldn't be sent within this time is refused; the leader picks another
+ * runner. */
+#define START_TIMEOUT (KQ_AGENT_CALL_MS * KQ_MS)
 
-/* A start that found no proven connection waits for another one. */
+/* Queues a start again that found no verified connection. */
 static bool
-start_again (KqHeld *h, KqHeldCall *c, const KqRunnerReply *r, KqTime now)
+requeue_start (KqAgentRunner *h, KqAgentCall *c, const KqRunnerReply *r, KqTime now)
 {
-  if (c->start == NULL || !r->unsent || now - c->start->ordered_at > START_WAITS)
+  if (c->start == NULL || !r->unsent || now - c->start->ordered_at > START_TIMEOUT)
     return false;
   g_queue_push_head (&h->starts, c->start);
   c->start = NULL;
@@ -21,15 +22,15 @@
 }
 
 void
-kq_held_on_outcome (void *arg, const KqRunnerReply *r, KqTime now)
+kq_agent_runner_on_outcome (void *arg, const KqRunnerReply *r, KqTime now)
 {
-  KqHeldCall *c = arg;
-  KqHeld *h = kq_held_call_ended (c, r);
+  KqAgentCall *c = arg;
+  KqAgentRunner *h = kq_agent_call_ended (c, r);
   KqOrderOutcome o;
   if (h == NULL)
     goto out;
-  kq_held_note_clock (h, r, now);
-  if (!start_again (h, c, r, now))
+  kq_agent_runner_update_lease (h, r, now);
+  if (!requeue_start (h, c, r, now))
     {
       if (r->result == KQ_ORDER_UNHEALTHY)
         kq_log (KQ_LOG_INFO, PART,
@@ -40,34 +41,35 @@
       o = (KqOrderOutcome){
         .kind = c->kind, .task = kq_str (c->task), .run = c->run, .result = r->result
       };
-      kq_held_tell_outcome (h, &o, now);
+      kq_agent_runner_report_outcome (h, &o, now);
     }
-  h = kq_held_of (c);
+  h = kq_agent_call_runner (c);
   if (h != NULL)
-    kq_starts_pump (h, now);
+    kq_starts_send (h, now);
 out:
-  kq_held_call_free (c);
+  kq_agent_call_free (c);
 }
 
 static void
-send_start (KqHeld *h, KqStart *st, KqTime now)
+send_start (KqAgentRunner *h, KqStart *st, KqTime now)
 {
-  KqRunnerAim to = kq_held_aim (h, KQ_CREW_CALL_MS);
-  KqHeldCall *c = kq_held_call (h, KQ_ORDER_START, kq_str (st->task), st->run);
-  int64_t end = kq_held_grant (h, now);
+  KqRunnerAim to = kq_agent_runner_aim (h, KQ_AGENT_CALL_MS);
+  KqAgentCall *c = kq_agent_call_new (h, KQ_ORDER_START, kq_str (st->task), st->run);
+  int64_t end = kq_agent_runner_grant_lease (h, now);
   c->start = st;
-  to.opened_before = h->gate.proven_at;
+  to.opened_before = h->conns.verified_at;
   kq_runner_start (h->agent->config.calls, &to, kq_str (st->task), st->run,
                    kq_str (st->text), kq_str (st->checkpoint), kq_str (st->ticket),
                    end >= 0 ? end : h->lease.end_ms,
-                   (KqRunnerCallback){ kq_held_on_outcome, c });
+                   (KqRunnerCallback){ kq_agent_runner_on_outcome, c });
 }
 
-/* None of them has left. The leader may take the runner away meanwhile. */
+/* Refuses all queued starts; none of them was sent. The leader may take the runner away
+ * from this agent as it handles a report. */
 static void
-refuse_starts (KqHeldCall *c, KqTime now)
+refuse_starts (KqAgentCall *c, KqTime now)
 {
-  KqHeld *h = kq_held_of (c);
+  KqAgentRunner *h = kq_agent_call_runner (c);
   while (h != NULL && !g_queue_is_empty (&h->starts))
     {
       KqStart *st = g_queue_pop_head (&h->starts);
@@ -77,55 +79,56 @@
                            .result = KQ_ORDER_UNHEALTHY };
       kq_log (KQ_LOG_INFO, PART, "Start has not left. task=%s run=%u runner=%s", st->task,
               st->run, h->id);
-      kq_held_tell_outcome (h, &o, now);
+      kq_agent_runner_report_outcome (h, &o, now);
       kq_start_free (st);
-      h = kq_held_of (c);
+      h = kq_agent_call_runner (c);
     }
 }
 
-/* The list isn't passed on: that of a question under way may be older and come later. */
+/* The list isn't reported: the reply to a poll in flight may be older and would replace
+ * it. */
 static void
-on_proof (void *arg, const KqRunnerReply *r, KqTime now)
+on_verification (void *arg, const KqRunnerReply *r, KqTime now)
 {
-  KqHeldCall *c = arg;
-  KqHeld *h = kq_held_call_ended (c, r);
+  KqAgentCall *c = arg;
+  KqAgentRunner *h = kq_agent_call_ended (c, r);
   if (h == NULL)
     goto out;
-  h->proving = false;
+  h->verifying = false;
   if (r->result == KQ_ORDER_OK)
     {
-      kq_held_note_clock (h, r, now);
-      kq_gate_proven (&h->gate, c->in_use, r->left_at);
-      kq_starts_pump (h, now);
+      kq_agent_runner_update_lease (h, r, now);
+      kq_conns_verified (&h->conns, c->in_use, r->left_at);
+      kq_starts_send (h, now);
     }
   else
     refuse_starts (c, now);
 out:
-  kq_held_call_free (c);
+  kq_agent_call_free (c);
 }
 
 void
-kq_starts_prove (KqHeld *h)
+kq_starts_verify_connection (KqAgentRunner *h)
 {
-  KqRunnerAim to = kq_held_aim (h, KQ_CREW_CALL_MS);
-  KqHeldCall *c = kq_held_call (h, KQ_ORDER_RENEW, KQ_STR (""), 0);
-  h->proving = true;
-  ++*h->agent->proofs;
+  KqRunnerAim to = kq_agent_runner_aim (h, KQ_AGENT_CALL_MS);
+  KqAgentCall *c = kq_agent_call_new (h, KQ_ORDER_RENEW, KQ_STR (""), 0);
+  h->verifying = true;
+  ++*h->agent->verifications;
   kq_runner_renew (h->agent->config.calls, &to, -1, 0, 0,
-                   (KqRunnerCallback){ on_proof, c });
+                   (KqRunnerCallback){ on_verification, c });
 }
 
 void
-kq_starts_pump (KqHeld *h, KqTime now)
+kq_starts_send (KqAgentRunner *h, KqTime now)
 {
-  while (!g_queue_is_empty (&h->starts) && kq_gate_open (&h->gate))
+  while (!g_queue_is_empty (&h->starts) && kq_conns_start_allowed (&h->conns))
     send_start (h, g_queue_pop_head (&h->starts), now);
-  if (!g_queue_is_empty (&h->starts) && !h->proving)
-    kq_starts_prove (h);
+  if (!g_queue_is_empty (&h->starts) && !h->verifying)
+    kq_starts_verify_connection (h);
 }
 
 void
-kq_starts_add (KqHeld *h, const KqOrder *o, KqTime now)
+kq_starts_add (KqAgentRunner *h, const KqOrder *o, KqTime now)
 {
   KqStart *st = kq_alloc (sizeof *st);
   st->task = kq_str_dup (o->u.start.task);
@@ -135,5 +138,5 @@
   st->ticket = kq_str_dup (o->u.start.ticket);
   st->ordered_at = now;
   g_queue_push_tail (&h->starts, st);
-  kq_starts_pump (h, now);
+  kq_starts_send (h, now);
 }
--- a/src/crew/state.h
+++ b/src/crew/state.h
@@ -1,7 +1,7 @@
 #ifndef KQ_CREW_STATE_H
 #define KQ_CREW_STATE_H
 
-/* state: what the agent's files share. Nobody else includes this. */
+/* state: declarations shared by the agent's own files; no other file includes this. */
 
 #include "crew/agent.h"
 #include "crew/gate.h"
@@ -11,105 +11,110 @@
 #include <glib.h>
 
 #define PART "agent"
-/* Over one call's way there and back between regions, with a queue on the link. */
-#define KQ_CREW_CALL_MS 900
+/* Longer than one round trip between regions with a queue on the link. */
+#define KQ_AGENT_CALL_MS 900
 
 /* A start that the leader has ordered. */
 typedef struct
 {
   char *task;
   uint32_t run;
-  char *text;
+  char *text; /* the task's description */
   char *checkpoint;
   char *ticket;
   KqTime ordered_at;
 } KqStart;
 
+/* A runner that is assigned to this agent. */
 typedef struct
 {
   KqCrewAgent *agent;
   char *id;
   char *address;
   uint64_t epoch;
-  uint64_t serial; /* of this taking: answers to calls of an earlier one are dropped */
-  uint64_t taking; /* the leader's number of it */
-  ev_timer next;
-  bool asking;
-  bool watched;
-  uint64_t ends_seen;
-  uint64_t ends_told;   /* the highest number listed to us */
-  uint64_t results;     /* outcomes told */
-  KqTold *told;         /* to a leader that takes changes */
-  uint64_t ends_passed; /* the highest number told to it */
+  uint64_t serial; /* of this assignment; replies to earlier ones' calls are dropped */
+  uint64_t assignment; /* the leader's number of it */
+  ev_timer poll_timer;
+  bool polling;         /* a poll is in flight */
+  bool watched;         /* polled more often, as filling tasks run beside serving ones */
+  uint64_t ends_acked;  /* the highest KqEndRow.number that the leader has acknowledged */
+  uint64_t ends_listed; /* the highest number in the runner's last list */
+  uint64_t outcomes_sent; /* outcomes of orders reported to the leader */
+  KqTold *run_delta;      /* for a leader that understands KQ_CREW_CHANGES */
+  uint64_t ends_reported; /* the highest number reported to it */
   KqLease lease;
-  KqGate gate;
-  GQueue starts;  /* KqStart, waiting for a connection */
-  bool proving;   /* a question is out just to prove one */
-  int failures;   /* questions without an answer, in a row */
-  uint64_t halt;  /* nothing is granted before the leader names this; 0: no halt */
-  KqTime told_at; /* last told to be silent */
-} KqHeld;
+  KqConns conns;
+  GQueue starts;  /* KqStart, waiting for a verified connection */
+  bool verifying; /* a call that only verifies a connection is in flight */
+  int failures;   /* polls without an answer, in a row */
+  uint64_t halt;  /* not 0: no lease is granted until an order RENEW names this number */
+  KqTime silence_reported_at; /* last reported as unreachable; 0: answered since */
+} KqAgentRunner;
 
 struct KqCrewAgent
 {
   KqCrewAgentConfig config;
-  GHashTable *held; /* id -> KqHeld */
+  GHashTable *runners; /* id -> KqAgentRunner */
   uint64_t epoch;
   uint64_t serial;
-  KqTime heard_at;
-  KqTime counted_at;  /* the leader counts us as there then, or later */
-  bool tells_changes; /* the leader takes them in place of lists */
+  KqTime heard_at;            /* last message of a leader */
+  KqTime leader_confirmed_at; /* the leader knows this node as alive then, or later */
+  bool sends_changes;         /* the leader understands KQ_CREW_CHANGES */
   uint64_t *renewals;
   uint64_t *renewals_failed;
-  uint64_t *proofs;
+  uint64_t *verifications;
 };
 
+/* A call to a runner. */
 typedef struct
 {
   KqCrewAgent *agent;
   uint64_t serial;
-  uint64_t order; /* renewals: results told when the question left */
-  int in_use;     /* calls to the runner under way when it was made */
+  uint64_t outcomes_sent; /* the runner's outcomes_sent when the call was made */
+  int in_use;             /* calls to the runner in flight then, this one included */
   KqOrderKind kind;
-  uint32_t run;
+  uint32_t run; /* polls: how long it waits at the runner, ms */
   char *runner;
   char *task;
   KqStart *start; /* of a start */
-} KqHeldCall;
+} KqAgentCall;
 
 /* held.c */
 void kq_start_free (gpointer start);
-void kq_held_free (gpointer held);
-/* A call to the runner that is about to be made. */
-KqHeldCall *kq_held_call (KqHeld *h, KqOrderKind kind, KqStr task, uint32_t run);
-void kq_held_call_free (KqHeldCall *c);
-/* The taking that a call belongs to; NULL: it is over. */
-KqHeld *kq_held_of (const KqHeldCall *c);
-/* The same at the call's end. */
-KqHeld *kq_held_call_ended (const KqHeldCall *c, const KqRunnerReply *r);
-void kq_held_note_clock (KqHeld *h, const KqRunnerReply *r, KqTime now);
-KqRunnerAim kq_held_aim (const KqHeld *h, int timeout_ms);
-/* The end of the lease that is granted now, on the runner's clock; -1: nothing may be
- * granted. */
-int64_t kq_held_grant (KqHeld *h, KqTime now);
-void kq_held_tell (KqHeld *h, KqCrewItem *i);
-void kq_held_tell_outcome (KqHeld *h, const KqOrderOutcome *o, KqTime now);
+void kq_agent_runner_free (gpointer held);
+/* A new call to the runner; counted as in flight from now on. */
+KqAgentCall *kq_agent_call_new (KqAgentRunner *h, KqOrderKind kind, KqStr task,
+                                uint32_t run);
+void kq_agent_call_free (KqAgentCall *c);
+/* The runner that a call was made to; NULL: that assignment has ended. */
+KqAgentRunner *kq_agent_call_runner (const KqAgentCall *c);
+/* The same as the call ends: it no longer counts as in flight. */
+KqAgentRunner *kq_agent_call_ended (const KqAgentCall *c, const KqRunnerReply *r);
+void kq_agent_runner_update_lease (KqAgentRunner *h, const KqRunnerReply *r, KqTime now);
+KqRunnerAim kq_agent_runner_aim (const KqAgentRunner *h, int timeout_ms);
+/* Grants a whole lease; returns its end on the runner's clock. -1: nothing may be granted
+ * now. */
+int64_t kq_agent_runner_grant_lease (KqAgentRunner *h, KqTime now);
+void kq_agent_runner_notify (KqAgentRunner *h, KqCrewItem *i);
+void kq_agent_runner_report_outcome (KqAgentRunner *h, const KqOrderOutcome *o,
+                                     KqTime now);
 
-/* renew.c: leases and lists */
-/* Unless a question is under way. The runner is let go if no leader is heard. */
-void kq_held_ask (KqHeld *h, KqTime now);
-void kq_held_ask_in (KqHeld *h, KqTime wait);
-void kq_held_on_next (struct ev_loop *ev, ev_timer *w, int events);
+/* renew.c */
+/* Polls the runner, unless a poll is in flight. Releases the runner instead if no leader
+ * has sent anything for blind_ms. */
+void kq_agent_runner_poll (KqAgentRunner *h, KqTime now);
+void kq_agent_runner_poll_in (KqAgentRunner *h, KqTime wait);
+void kq_agent_runner_on_poll_timer (struct ev_loop *ev, ev_timer *w, int events);
 
-/* starts.c: starts, and how all orders end */
-void kq_starts_add (KqHeld *h, const KqOrder *o, KqTime now);
-/* Sends the starts that may leave. */
-void kq_starts_pump (KqHeld *h, KqTime now);
-/* Asks for a list on a connection that isn't in use, so that starts may use it. */
-void kq_starts_prove (KqHeld *h);
-void kq_held_on_outcome (void *arg, const KqRunnerReply *r, KqTime now);
+/* starts.c */
+void kq_starts_add (KqAgentRunner *h, const KqOrder *o, KqTime now);
+/* Sends queued starts as far as verified connections are free. */
+void kq_starts_send (KqAgentRunner *h, KqTime now);
+/* Fetches a list on a connection that isn't in use, which verifies it for starts. */
+void kq_starts_verify_connection (KqAgentRunner *h);
+void kq_agent_runner_on_outcome (void *arg, const KqRunnerReply *r, KqTime now);
 
 /* advise.c */
-void kq_crew_agent_advise (KqCrewAgent *a, uint64_t epoch, const KqOrder *o);
+void kq_agent_ask_advice (KqCrewAgent *a, uint64_t epoch, const KqOrder *o);
 
 #endif
--- a/src/crew/told.c
+++ b/src/crew/told.c
@@ -7,7 +7,7 @@
 typedef struct
 {
   bool used;
-  bool seen;     /* in the list being noted */
+  bool listed;   /* in the list being encoded */
   uint64_t hash; /* of task and run */
   char *task;
   uint32_t run;
@@ -24,7 +24,7 @@
   GArray *gone; /* uint32_t */
 };
 
-/* More runs than a runner can hold: a damaged message. */
+/* More than any runner can have; a higher slot number means a damaged message. */
 #define SLOTS_MAX 100000
 
 KqTold *
@@ -65,7 +65,7 @@
 }
 
 uint64_t
-kq_told_serial (const KqTold *t)
+kq_run_delta_serial (const KqTold *t)
 {
   return t->serial;
 }
@@ -76,21 +76,21 @@
   return kq_hash2 (kq_str_hash (r->task), r->run);
 }
 
-/* The run's slot; the first free one if it has none yet. */
+/* The run's slot, or the first free one if it has none yet. */
 static guint
-find (const KqTold *t, const KqRunRow *r, uint64_t hash)
+find_slot (const KqTold *t, const KqRunRow *r, uint64_t hash)
 {
-  guint vacant = t->slots->len;
+  guint free_slot = t->slots->len;
   for (guint i = 0; i < t->slots->len; i++)
     {
       const Slot *s = slot (t, i);
       if (!s->used)
-        vacant = i < vacant ? i : vacant;
+        free_slot = i < free_slot ? i : free_slot;
       else if (s->hash == hash && s->run == r->run
                && kq_str_eq (kq_str (s->task), r->task))
         return i;
     }
-  return vacant;
+  return free_slot;
 }
 
 static void
@@ -101,7 +101,7 @@
 }
 
 static void
-fill (Slot *s, const KqRunRow *r)
+fill_slot (Slot *s, const KqRunRow *r)
 {
   s->used = true;
   s->hash = hash_of (r);
@@ -111,23 +111,23 @@
 }
 
 static void
-note_row (const KqTold *t, const KqRunRow *r)
+encode_row (const KqTold *t, const KqRunRow *r)
 {
   KqToldRow out = { .row = *r };
-  guint at = find (t, r, hash_of (r));
+  guint at = find_slot (t, r, hash_of (r));
   Slot *s;
   if (at == t->slots->len)
     g_array_set_size (t->slots, at + 1);
   s = slot (t, at);
   out.slot = at;
   out.whole = !s->used;
-  s->seen = true;
+  s->listed = true;
   if (out.whole)
-    fill (s, r);
+    fill_slot (s, r);
   else if (!kq_str_eq (kq_str (s->checkpoint), r->checkpoint))
     {
       set_checkpoint (s, r->checkpoint);
-      out.saved = true;
+      out.has_checkpoint = true;
     }
   else if (s->percent == r->percent && s->load == r->load)
     return;
@@ -137,17 +137,17 @@
 }
 
 void
-kq_told_note (KqTold *t, const KqRunRow *rows, size_t n, KqToldChanges *out)
+kq_run_delta_encode (KqTold *t, const KqRunRow *rows, size_t n, KqToldChanges *out)
 {
   guint before = t->slots->len;
   g_array_set_size (t->rows, 0);
   g_array_set_size (t->gone, 0);
   for (guint i = 0; i < before; i++)
-    slot (t, i)->seen = false;
+    slot (t, i)->listed = false;
   for (size_t i = 0; i < n; i++)
-    note_row (t, &rows[i]);
+    encode_row (t, &rows[i]);
   for (guint i = 0; i < before; i++)
-    if (slot (t, i)->used && !slot (t, i)->seen)
+    if (slot (t, i)->used && !slot (t, i)->listed)
       {
         clear_slot (slot (t, i));
         g_array_append_val (t->gone, i);
@@ -171,8 +171,8 @@
   if (s->used == r->whole)
     return false;
   if (r->whole)
-    fill (s, &r->row);
-  else if (r->saved)
+    fill_slot (s, &r->row);
+  else if (r->has_checkpoint)
     set_checkpoint (s, r->row.checkpoint);
   s->percent = r->row.percent;
   s->load = r->row.load;
@@ -185,7 +185,7 @@
   if (c->serial != t->serial)
     return false;
   t->serial++;
-  /* A slot that has become free is filled in a later list at the earliest. */
+  /* Rows come first: the encoder doesn't reuse a slot in the same list that frees it. */
   for (size_t i = 0; i < c->n_rows; i++)
     if (!apply_row (t, &c->rows[i]))
       return false;
--- a/src/crew/told.h
+++ b/src/crew/told.h
@@ -1,15 +1,15 @@
 #ifndef KQ_CREW_TOLD_H
 #define KQ_CREW_TOLD_H
 
-/* told: what a node has told its leader of one runner's runs, kept by both of them, so
- * that a list carries only what has changed since the one before.
+/* told: delta encoding of the lists of one runner's runs that an agent sends to its
+ * leader. Both keep the last list, so that a message carries only what has changed since.
  *
- * Load pattern: twenty runs and more on each of hundreds of runners, listed twice a
- * second. Whole lists of 540 runners took 5 Mbit/s of the leader's link; a leader on a
- * slow link couldn't renew its own lease beside them.
+ * Hundreds of runners list twenty and more runs each, twice a second. Whole lists of 540
+ * runners took 5 Mbit/s of the leader's link, and a leader on a slow link couldn't renew
+ * its own lease beside them.
  *
- * Both ends begin anew with each taking of the runner, and the connection keeps the
- * order. Pure. */
+ * Both ends start with an empty list whenever the runner is assigned to an agent, and the
+ * connection preserves the order of messages. No I/O. */
 
 #include "port/runner.h"
 
@@ -18,31 +18,32 @@
 typedef struct
 {
   uint32_t slot;
-  bool whole; /* a run that is new in its slot; otherwise task and run aren't given */
-  bool saved; /* the checkpoint is given */
+  bool whole;          /* a new run in this slot; otherwise task and run aren't given */
+  bool has_checkpoint; /* the checkpoint is given */
   KqRunRow row;
 } KqToldRow;
 
-/* From one list to the next. */
+/* The difference between two consecutive lists. */
 typedef struct
 {
-  uint64_t serial; /* lists told before in this taking */
+  uint64_t serial; /* number of lists sent before, since the runner was assigned */
   const KqToldRow *rows;
   size_t n_rows;
-  const uint32_t *gone; /* slots */
+  const uint32_t *gone; /* slots that are free now */
   size_t n_gone;
 } KqToldChanges;
 
 KqTold *kq_told_new (void);
 void kq_told_free (KqTold *t);
-/* Lists told so far. */
-uint64_t kq_told_serial (const KqTold *t);
-/* At the node: what has changed, and notes it as told. Strings point into the list; the
- * arrays are t's, until the next call. */
-void kq_told_note (KqTold *t, const KqRunRow *rows, size_t n, KqToldChanges *out);
-/* At the leader: takes changes in. False: they don't follow what was told before. */
+/* Number of lists encoded or applied so far. */
+uint64_t kq_run_delta_serial (const KqTold *t);
+/* At the agent: the changes from the last list to this one, which becomes the last.
+ * Strings point into `rows`; the arrays are owned by t and valid until the next call. */
+void kq_run_delta_encode (KqTold *t, const KqRunRow *rows, size_t n, KqToldChanges *out);
+/* At the leader: applies changes to the last list. False: they don't follow on it. */
 bool kq_told_apply (KqTold *t, const KqToldChanges *c);
-/* All runs as told last. Strings are t's, until the next call; the array is allocated. */
+/* All runs of the last list. Strings are owned by t and valid until the next call; the
+ * caller frees the array. */
 size_t kq_told_list (const KqTold *t, KqRunRow **out);
 
 #endif
--- a/src/crew/told_test.c
+++ b/src/crew/told_test.c
@@ -67,9 +67,10 @@
   free (rows);
 }
 
-/* A run is dropped, or runs twice: the leader's list isn't what the runner has listed. */
+/* A run is lost, or runs twice: the leader's copy differs from the list that the runner
+ * sent. */
 static void
-test_leader_has_each_list_as_told (void **state)
+test_leader_has_each_list_as_sent (void **state)
 {
   KqRand rand = kq_rand (5);
   KqTold *node = kq_told_new ();
@@ -80,7 +81,7 @@
     {
       KqToldChanges c;
       draw (l, &rand);
-      kq_told_note (node, l->rows, l->n, &c);
+      kq_run_delta_encode (node, l->rows, l->n, &c);
       assert_true (kq_told_apply (leader, &c));
       assert_same (l, leader);
     }
@@ -89,24 +90,24 @@
   kq_told_free (leader);
 }
 
-/* The leader's link is full of lists that say what it knows. */
+/* Unchanged rows fill the leader's link. */
 static void
-test_what_is_the_same_isnt_told_again (void **state)
+test_unchanged_rows_arent_sent_again (void **state)
 {
   KqTold *node = kq_told_new ();
   KqToldChanges c;
   KqRunRow rows[2] = { { KQ_STR ("a"), 1, KQ_STR ("x"), 10, 3 },
                        { KQ_STR ("b"), 1, KQ_STR ("y"), 10, 3 } };
   (void)state;
-  kq_told_note (node, rows, 2, &c);
+  kq_run_delta_encode (node, rows, 2, &c);
   assert_int_equal (c.n_rows, 2);
-  kq_told_note (node, rows, 2, &c);
+  kq_run_delta_encode (node, rows, 2, &c);
   assert_int_equal (c.n_rows + c.n_gone, 0);
   rows[1].percent = 20;
-  kq_told_note (node, rows, 2, &c);
+  kq_run_delta_encode (node, rows, 2, &c);
   assert_int_equal (c.n_rows, 1);
   assert_false (c.rows[0].whole);
-  assert_false (c.rows[0].saved);
+  assert_false (c.rows[0].has_checkpoint);
   kq_told_free (node);
 }
 
@@ -137,8 +138,8 @@
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (test_leader_has_each_list_as_told),
-          cmocka_unit_test (test_what_is_the_same_isnt_told_again),
+      = { cmocka_unit_test (test_leader_has_each_list_as_sent),
+          cmocka_unit_test (test_unchanged_rows_arent_sent_again),
           cmocka_unit_test (test_changes_that_dont_follow_are_refused) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/crew/versions_test.c
+++ b/src/crew/versions_test.c
@@ -9,7 +9,7 @@
 
 #include <cmocka.h>
 
-/* Items as version 1 wrote them, and as a later version may. */
+/* Items as version 1 writes them, and as a later version may. */
 
 typedef struct
 {
@@ -84,9 +84,9 @@
   return i;
 }
 
-/* A roll-out needs all nodes at once: the earlier version's words aren't understood. */
+/* Nodes can't be upgraded one by one: items of version 1 aren't understood. */
 static void
-test_words_of_version_1 (void **state)
+test_items_of_version_1 (void **state)
 {
   KqBuf b = { 0 };
   KqStr rest;
@@ -111,9 +111,9 @@
   kq_buf_free (&b);
 }
 
-/* The reader of version 1 takes the first three fields of a greeting. */
+/* Version 1 reads the first three fields of HELLO. */
 static void
-test_version_1_understands_the_greeting (void **state)
+test_version_1_understands_hello (void **state)
 {
   KqCrewItem i = { .kind = KQ_CREW_HELLO };
   KqBuf b = { 0 };
@@ -137,9 +137,9 @@
   kq_buf_free (&b);
 }
 
-/* Words of the later version aren't understood, and those behind them are lost. */
+/* An item of a later version that isn't understood also loses the items after it. */
 static void
-test_unknown_kinds_and_fields_are_passed_over (void **state)
+test_unknown_kinds_and_fields_are_skipped (void **state)
 {
   KqBuf b = { 0 };
   KqStr rest;
@@ -179,8 +179,8 @@
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (test_words_of_version_1),
-          cmocka_unit_test (test_version_1_understands_the_greeting),
-          cmocka_unit_test (test_unknown_kinds_and_fields_are_passed_over) };
+      = { cmocka_unit_test (test_items_of_version_1),
+          cmocka_unit_test (test_version_1_understands_hello),
+          cmocka_unit_test (test_unknown_kinds_and_fields_are_skipped) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
