--- a/src/lead/doubt.c
+++ b/src/lead/doubt.c
@@ -2,18 +2,18 @@
 
 #include <stdbool.h>
 
-/* A new leader waits for silent runners for about as long. */
-#define LONGEST (9 * KQ_SEC)
-/* What a peer has told counts for so long: a few of its beats. */
-#define NEWS_COUNT (2700 * KQ_MS)
-/* The store's answer takes a handshake and a call, 100 ms between regions. */
-#define ANSWER_WITHIN (300 * KQ_MS)
+/* A new leader waits about as long for runners that don't answer. */
+#define MAX_UNRENEWED (9 * KQ_SEC)
+/* How long a peer's report of the store counts: a few of its heartbeats. */
+#define PEER_REPORT_VALID (2700 * KQ_MS)
+/* A renewal takes a handshake and a call, at 100 ms between regions. */
+#define RENEWAL_TIMEOUT (300 * KQ_MS)
 
 static bool
 peer_reaches_store (const KqLeadDoubt *d, KqTime now)
 {
   return d->peer_reached_at > d->valid_until - d->length / 2
-         && now - d->peer_reached_at < NEWS_COUNT;
+         && now - d->peer_reached_at < PEER_REPORT_VALID;
 }
 
 KqDoubtNext
@@ -21,21 +21,21 @@
 {
   if (now < d->valid_until)
     {
-      d->asked_at = 0;
+      d->renewal_sent_at = 0;
       return KQ_DOUBT_NONE;
     }
-  if (now - d->valid_until > LONGEST)
+  if (now - d->valid_until > MAX_UNRENEWED)
     *why = "not renewed for too long";
   else if (d->peers == 0)
     *why = "not renewed and no other node heard";
   else if (!peer_reaches_store (d, now))
     return KQ_DOUBT_GO_ON;
-  else if (d->asked_at == 0)
+  else if (d->renewal_sent_at == 0)
     {
-      d->asked_at = now;
+      d->renewal_sent_at = now;
       return KQ_DOUBT_ASK;
     }
-  else if (now - d->asked_at < ANSWER_WITHIN)
+  else if (now - d->renewal_sent_at < RENEWAL_TIMEOUT)
     return KQ_DOUBT_GO_ON;
   else
     *why = "not renewed while other nodes reach the store";
--- a/src/lead/doubt_test.c
+++ b/src/lead/doubt_test.c
@@ -24,7 +24,7 @@
   return kq_lead_doubt (d, LAPSED_AT + after, &why);
 }
 
-/* Work stands still during an outage of the store, though nobody else can lead. */
+/* Scheduling stops during an outage of the store, though no other node can be elected. */
 static void
 test_work_goes_on_while_nobody_reaches_the_store (void **state)
 {
@@ -36,8 +36,8 @@
   assert_int_equal (next (&d, 10 * KQ_SEC), KQ_DOUBT_GIVE_UP);
 }
 
-/* The leader changes with each outage: when the store is back, another node has an answer
- * before the leader's next renewal. */
+/* The leader changes with each outage of the store: another node gets an answer before
+ * the leader's next renewal. */
 static void
 test_leader_asks_before_it_gives_up (void **state)
 {
@@ -52,7 +52,7 @@
   assert_int_equal (next (&d, 4 * KQ_SEC), KQ_DOUBT_GO_ON);
 }
 
-/* Two leaders: only this one is cut off from the store. */
+/* Two leaders: only the leader is cut off from the store, and doesn't resign. */
 static void
 test_leader_without_an_answer_gives_up (void **state)
 {
@@ -67,7 +67,7 @@
 }
 
 static void
-test_leader_that_hears_nobody_gives_up (void **state)
+test_leader_without_peers_resigns (void **state)
 {
   KqLeadDoubt d = lapsed ();
   (void)state;
@@ -75,9 +75,9 @@
   assert_int_equal (next (&d, KQ_MS), KQ_DOUBT_GIVE_UP);
 }
 
-/* What a node has told long ago says nothing about the store now. */
+/* A leader resigns by an outdated report of another node that it reaches the store. */
 static void
-test_old_news_dont_count (void **state)
+test_outdated_reports_dont_count (void **state)
 {
   KqLeadDoubt d = lapsed ();
   (void)state;
@@ -94,8 +94,8 @@
     cmocka_unit_test (test_work_goes_on_while_nobody_reaches_the_store),
     cmocka_unit_test (test_leader_asks_before_it_gives_up),
     cmocka_unit_test (test_leader_without_an_answer_gives_up),
-    cmocka_unit_test (test_leader_that_hears_nobody_gives_up),
-    cmocka_unit_test (test_old_news_dont_count),
+    cmocka_unit_test (test_leader_without_peers_resigns),
+    cmocka_unit_test (test_outdated_reports_dont_count),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/lead/lead.c
+++ b/src/lead/lead.c
@@ -11,29 +11,29 @@
 #include <stdlib.h>
 
 #define PART "lead"
-/* Renewals for each length of the lease: two may be lost. The next one doesn't wait for
- * an answer: on a link that carries other things an answer takes a second, and counts
- * from when its question was sent. */
-#define RENEWALS 4
-/* A renewal that was refused is tried again after so long. */
-#define RETRY_MS 120
-#define TIMEOUT_MS 700
-/* Nodes that see the lead vacant try within this time of each other; the first one wins,
- * the others' attempts are refused by the store. */
-#define SPREAD_MS 60
-#define AGAIN_MS 300
-#define WATCH_MS 1500
+/* Renewals within the length of a lease, so that two may be lost. They don't wait for
+ * each other's answers: on a busy link an answer takes a second, and it extends the lease
+ * only from when its renewal was sent. */
+#define RENEWALS_PER_LEASE 4
+/* Delay after a renewal that was refused. */
+#define RENEWAL_RETRY_MS 120
+#define STORE_TIMEOUT_MS 700
+/* Random delay before an election, so that not all nodes write at once. The first write
+ * wins; the store refuses the others. */
+#define ELECTION_JITTER_MS 60
+#define ELECTION_RETRY_MS 300
+#define WATCH_WAIT_MS 1500
 
 const KqStr kq_lead_key = { "kq/lead", 7 };
 static const KqStr term_key = { "kq/term", 7 };
 
 typedef enum
 {
-  FOLLOWING, /* somebody leads, or we wait before trying */
+  FOLLOWING, /* another node leads, or the next election is scheduled */
   READING_TERM,
   LEASING,
   WRITING,
-  CHECKING, /* the write had no answer: look who leads */
+  CHECKING, /* the write had no answer: reading who leads */
   LEADING
 } Phase;
 
@@ -45,17 +45,17 @@
   Phase phase;
   ev_timer timer;
   KqRand rand;
-  bool ask;
-  bool seen; /* the key has been listed once */
+  bool candidate;
+  bool synced; /* the leader key has been read once */
   uint64_t lease;
   uint64_t term_revision;
   uint32_t term;
-  uint32_t known_term;    /* by the last record seen, which was written with it */
-  uint64_t known_term_at; /* its revision; 0: not known */
-  KqTime leased_at;       /* when the lease was asked for */
+  uint32_t known_term; /* as in the last record read; the term key was written with it */
+  uint64_t known_term_at; /* revision of the term key then; 0: not known */
+  KqTime leased_at;       /* when the lease was requested */
   KqTime valid_until;
   KqTime write_sent;
-  uint64_t serial; /* of the attempt: answers of earlier ones are dropped */
+  uint64_t serial; /* of the attempt; answers to earlier ones are dropped */
   uint64_t *elections;
   uint64_t *losses;
 };
@@ -66,7 +66,7 @@
   uint64_t serial;
 } Call;
 
-static void try_now (KqLead *l);
+static void start_election (KqLead *l);
 static void renew (KqLead *l);
 
 static KqKvCallback
@@ -78,9 +78,9 @@
   return (KqKvCallback){ done, c };
 }
 
-/* The lead that an answer is for; NULL: the attempt is over. */
+/* Frees the call; returns NULL if it belongs to an earlier attempt. */
 static KqLead *
-take_call (void *arg, const KqKvReply *r, KqTime now)
+finish_call (void *arg, const KqKvReply *r, KqTime now)
 {
   Call *c = arg;
   KqLead *l = c->serial == c->lead->serial ? c->lead : NULL;
@@ -91,7 +91,7 @@
 }
 
 static void
-wake_in (KqLead *l, int ms)
+set_timer (KqLead *l, int ms)
 {
   struct ev_loop *ev = kq_loop_ev (l->config.loop);
   ev_timer_stop (ev, &l->timer);
@@ -107,33 +107,34 @@
   (void)events;
   if (l->phase == LEADING)
     renew (l);
-  else if (l->record.epoch == 0 && l->ask && l->seen)
-    try_now (l);
+  else if (l->record.epoch == 0 && l->candidate && l->synced)
+    start_election (l);
 }
 
 static void
-try_later (KqLead *l, int ms)
+schedule_election (KqLead *l, int ms)
 {
   l->phase = FOLLOWING;
   l->serial++;
-  if (l->ask)
-    wake_in (l, ms + l->config.rank_ms + (int)kq_rand_below (&l->rand, SPREAD_MS));
+  if (l->candidate)
+    set_timer (l, ms + l->config.rank_ms
+                      + (int)kq_rand_below (&l->rand, ELECTION_JITTER_MS));
 }
 
 static void
-nothing (void *arg, const KqKvReply *r, KqTime now)
+ignore_reply (void *arg, const KqKvReply *r, KqTime now)
 {
-  take_call (arg, r, now);
+  finish_call (arg, r, now);
 }
 
 static void
-lose (KqLead *l, const char *why, KqTime now)
+stop_leading (KqLead *l, const char *why, KqTime now)
 {
-  bool was = l->phase == LEADING;
+  bool was_leader = l->phase == LEADING;
   l->valid_until = 0;
   l->phase = FOLLOWING;
   l->serial++;
-  if (!was)
+  if (!was_leader)
     return;
   ++*l->losses;
   kq_log (KQ_LOG_WARN, PART, "No longer leading. epoch=%llu why=%s",
@@ -145,7 +146,7 @@
 static void
 on_renewed (void *arg, const KqKvReply *r, KqTime now)
 {
-  KqLead *l = take_call (arg, r, now);
+  KqLead *l = finish_call (arg, r, now);
   if (l == NULL)
     return;
   switch (r->result)
@@ -155,25 +156,25 @@
         l->valid_until = r->sent_at + l->config.ttl_ms * KQ_MS;
       break;
     case KQ_KV_NOT_FOUND:
-      lose (l, "the lease has ended", now);
-      try_later (l, AGAIN_MS);
+      stop_leading (l, "the lease has ended", now);
+      schedule_election (l, ELECTION_RETRY_MS);
       break;
     case KQ_KV_UNKNOWN:
-      break; /* later ones are under way */
+      break; /* later renewals are in flight */
     default:
-      wake_in (l, RETRY_MS);
+      set_timer (l, RENEWAL_RETRY_MS);
     }
 }
 
 static void
 renew (KqLead *l)
 {
-  wake_in (l, (int)(l->config.ttl_ms / RENEWALS));
+  set_timer (l, (int)(l->config.ttl_ms / RENEWALS_PER_LEASE));
   kq_kv_keep (l->config.kv, l->lease, (int)l->config.ttl_ms, callback (l, on_renewed));
 }
 
 static void
-win (KqLead *l, uint64_t epoch, KqTime now)
+become_leader (KqLead *l, uint64_t epoch, KqTime now)
 {
   l->phase = LEADING;
   l->record.node = l->config.node;
@@ -183,7 +184,7 @@
   ++*l->elections;
   kq_log (KQ_LOG_INFO, PART, "Leading. epoch=%llu term=%u lease=%llu",
           (unsigned long long)epoch, l->term, (unsigned long long)l->lease);
-  wake_in (l, (int)(l->config.ttl_ms / RENEWALS));
+  set_timer (l, (int)(l->config.ttl_ms / RENEWALS_PER_LEASE));
   l->config.elected (l->config.arg, epoch, l->term, now);
 }
 
@@ -201,70 +202,70 @@
   return b;
 }
 
-/* A record of the version before tells no term. */
+/* What a record holds besides KqLeadRecord. */
 typedef struct
 {
   uint64_t lease;
-  uint32_t term; /* 0: not told */
-} RecordRest;
+  uint32_t term; /* 0: the record of an earlier version, which has none */
+} RecordExtra;
 
 static bool
-read_record (KqStr value, KqLeadRecord *out, RecordRest *rest)
+read_record (KqStr value, KqLeadRecord *out, RecordExtra *extra)
 {
   KqUnpacked u;
   KqReader r;
-  bool good;
+  bool ok;
   if (!kq_unpacked_open (&u, value, &r))
     return false;
   out->node = kq_read_name (&r);
   out->address = kq_read_name (&r);
-  rest->lease = kq_read_u64 (&r);
-  rest->term = r.left > 0 ? (uint32_t)kq_read_u64 (&r) : 0;
-  good = !r.bad;
+  extra->lease = kq_read_u64 (&r);
+  extra->term = r.left > 0 ? (uint32_t)kq_read_u64 (&r) : 0;
+  ok = !r.bad;
   kq_unpacked_close (&u);
-  return good;
+  return ok;
 }
 
-/* After a write without an answer: the record tells by its lease whether it is ours. */
+/* After a write without an answer: this node leads if the record has its lease. */
 static void
 on_checked (void *arg, const KqKvReply *r, KqTime now)
 {
-  KqLead *l = take_call (arg, r, now);
-  KqLeadRecord found = { 0 };
-  RecordRest rest = { 0 };
+  KqLead *l = finish_call (arg, r, now);
+  KqLeadRecord record = { 0 };
+  RecordExtra extra = { 0 };
   if (l == NULL)
     return;
   if (r->result == KQ_KV_OK && r->n_items == 1
-      && read_record (r->items[0].value, &found, &rest) && rest.lease == l->lease)
-    win (l, r->items[0].revision, now);
+      && read_record (r->items[0].value, &record, &extra) && extra.lease == l->lease)
+    become_leader (l, r->items[0].revision, now);
   else
-    try_later (l, AGAIN_MS);
+    schedule_election (l, ELECTION_RETRY_MS);
 }
 
 static void
 on_written (void *arg, const KqKvReply *r, KqTime now)
 {
-  KqLead *l = take_call (arg, r, now);
+  KqLead *l = finish_call (arg, r, now);
   if (l == NULL)
     return;
   if (r->result == KQ_KV_OK)
-    win (l, r->revision, now);
+    become_leader (l, r->revision, now);
   else if (r->result == KQ_KV_UNKNOWN)
     {
       l->phase = CHECKING;
-      kq_kv_get (l->config.kv, kq_lead_key, TIMEOUT_MS, callback (l, on_checked));
+      kq_kv_get (l->config.kv, kq_lead_key, STORE_TIMEOUT_MS, callback (l, on_checked));
     }
   else
     {
-      l->known_term_at = 0; /* it may have been another term */
-      try_later (l, AGAIN_MS);
+      l->known_term_at = 0; /* the known term may be outdated */
+      schedule_election (l, ELECTION_RETRY_MS);
     }
 }
 
 static void
 on_leased (void *arg, const KqKvReply *r, KqTime now)
 {
-  KqLead *l = take_call (arg, r, now);
+  KqLead *l = finish_call (arg, r, now);
   KqBuf record;
   char term[16];
   KqKvCheck checks[2];
@@ -274,7 +275,7 @@
     return;
   if (r->result != KQ_KV_OK || r->lease == 0)
     {
-      try_later (l, AGAIN_MS);
+      schedule_election (l, ELECTION_RETRY_MS);
       return;
     }
   l->lease = r->lease;
@@ -289,21 +290,21 @@
   puts[0] = (KqKvPut){ kq_lead_key, kq_buf_str (&record), l->lease };
   puts[1] = (KqKvPut){ term_key, kq_str (term), 0 };
   l->phase = WRITING;
-  kq_kv_txn (l->config.kv, &t, TIMEOUT_MS, callback (l, on_written));
+  kq_kv_txn (l->config.kv, &t, STORE_TIMEOUT_MS, callback (l, on_written));
   kq_buf_free (&record);
 }
 
 static void
-ask_lease (KqLead *l)
+request_lease (KqLead *l)
 {
   l->phase = LEASING;
-  kq_kv_lease (l->config.kv, l->config.ttl_ms, TIMEOUT_MS, callback (l, on_leased));
+  kq_kv_lease (l->config.kv, l->config.ttl_ms, STORE_TIMEOUT_MS, callback (l, on_leased));
 }
 
 static void
 on_term (void *arg, const KqKvReply *r, KqTime now)
 {
-  KqLead *l = take_call (arg, r, now);
+  KqLead *l = finish_call (arg, r, now);
   int64_t n = 0;
   if (l == NULL)
     return;
@@ -313,100 +314,100 @@
     l->term_revision = 0;
   else
     {
-      try_later (l, AGAIN_MS);
+      schedule_election (l, ELECTION_RETRY_MS);
       return;
     }
   l->term = (uint32_t)n;
-  ask_lease (l);
+  request_lease (l);
 }
 
 static void
-try_now (KqLead *l)
+start_election (KqLead *l)
 {
   l->serial++;
   if (l->known_term_at != 0)
     {
       l->term = l->known_term;
       l->term_revision = l->known_term_at;
-      ask_lease (l);
+      request_lease (l);
       return;
     }
   l->phase = READING_TERM;
-  kq_kv_get (l->config.kv, term_key, TIMEOUT_MS, callback (l, on_term));
+  kq_kv_get (l->config.kv, term_key, STORE_TIMEOUT_MS, callback (l, on_term));
 }
 
-/* Nobody else listens at our address: whoever led there was a process before this one. */
+/* No other process uses this node's address: such a record is of an earlier process. */
 static bool
-led_before_us (const KqLead *l, const KqLeadRecord *found, uint64_t lease)
+written_by_earlier_process (const KqLead *l, const KqLeadRecord *record, uint64_t lease)
 {
-  return lease != l->lease && kq_name_eq (&found->node, &l->config.node)
-         && kq_name_eq (&found->address, &l->config.address);
+  return lease != l->lease && kq_name_eq (&record->node, &l->config.node)
+         && kq_name_eq (&record->address, &l->config.address);
 }
 
 static void
-end_old_lease (KqLead *l, uint64_t lease)
+revoke_earlier_lease (KqLead *l, uint64_t lease)
 {
   kq_log (KQ_LOG_INFO, PART, "Ending the lease of an earlier process. epoch=%llu",
           (unsigned long long)l->record.epoch);
-  kq_kv_lease_end (l->config.kv, lease, TIMEOUT_MS, callback (l, nothing));
+  kq_kv_lease_end (l->config.kv, lease, STORE_TIMEOUT_MS, callback (l, ignore_reply));
 }
 
 static void
 on_item (void *arg, const KqKvItem *i, KqTime now)
 {
   KqLead *l = arg;
-  KqLeadRecord found = { 0 };
-  RecordRest rest = { 0 };
+  KqLeadRecord record = { 0 };
+  RecordExtra extra = { 0 };
   if (!kq_str_eq (i->key, kq_lead_key))
     return;
-  if (!read_record (i->value, &found, &rest))
+  if (!read_record (i->value, &record, &extra))
     {
       kq_log (KQ_LOG_ERROR, PART, "The leader's record can't be read. revision=%llu",
               (unsigned long long)i->revision);
       return;
     }
-  found.epoch = i->revision;
-  l->known_term = rest.term;
-  l->known_term_at = rest.term > 0 ? i->revision : 0;
-  if (l->phase == WRITING && rest.lease == l->lease)
-    return; /* the answer to our write is on its way */
+  record.epoch = i->revision;
+  l->known_term = extra.term;
+  l->known_term_at = extra.term > 0 ? i->revision : 0;
+  if (l->phase == WRITING && extra.lease == l->lease)
+    return; /* the answer to our own write is still to come */
   if (l->phase == LEADING && i->revision <= l->record.epoch)
     return;
-  lose (l, "another node leads", now);
-  l->record = found;
-  if (led_before_us (l, &found, rest.lease))
+  stop_leading (l, "another node leads", now);
+  l->record = record;
+  if (written_by_earlier_process (l, &record, extra.lease))
     {
-      end_old_lease (l, rest.lease);
+      revoke_earlier_lease (l, extra.lease);
       return;
     }
   kq_log (KQ_LOG_INFO, PART, "Leader. node=%.*s address=%.*s epoch=%llu",
-          KQ_STR_ARG (kq_name_str (&found.node)),
-          KQ_STR_ARG (kq_name_str (&found.address)), (unsigned long long)found.epoch);
+          KQ_STR_ARG (kq_name_str (&record.node)),
+          KQ_STR_ARG (kq_name_str (&record.address)), (unsigned long long)record.epoch);
   l->config.changed (l->config.arg, &l->record, now);
 }
 
 static void
-on_gone (void *arg, KqStr key, uint64_t revision, KqTime now)
+on_deleted (void *arg, KqStr key, uint64_t revision, KqTime now)
 {
   KqLead *l = arg;
   if (!kq_str_eq (key, kq_lead_key))
     return;
   if (revision <= l->record.epoch)
     {
-      /* Our own write was answered before the watch told of what was there before. */
+      /* The watch reports late that the record before our own write was deleted. */
       kq_log (KQ_LOG_INFO, PART, "An earlier lead has ended. revision=%llu epoch=%llu",
               (unsigned long long)revision, (unsigned long long)l->record.epoch);
       return;
     }
   kq_log (KQ_LOG_INFO, PART, "The lead is vacant. last_epoch=%llu",
           (unsigned long long)l->record.epoch);
-  /* The store may have taken our key away although our lease lives. */
+  /* The store may have deleted our key although our lease is still good. */
   if (l->phase == LEADING)
-    lose (l, "the key is gone", now);
+    stop_leading (l, "the key is gone", now);
   l->record = (KqLeadRecord){ 0 };
   l->config.changed (l->config.arg, &l->record, now);
   if (l->phase == FOLLOWING)
-    try_later (l, 0);
+    schedule_election (l, 0);
 }
 
 static void
@@ -414,9 +415,9 @@
 {
   KqLead *l = arg;
   (void)now;
-  l->seen = true;
+  l->synced = true;
   if (l->record.epoch == 0 && l->phase == FOLLOWING)
-    try_later (l, 0);
+    schedule_election (l, 0);
 }
 
 static void
@@ -430,9 +431,9 @@
 kq_lead_new (const KqLeadConfig *c)
 {
   KqLead *l = kq_alloc (sizeof *l);
-  KqFollowOwner owner = { l, on_item, on_gone, on_synced, on_answered, NULL };
+  KqFollowOwner owner = { l, on_item, on_deleted, on_synced, on_answered, NULL };
   l->config = *c;
-  l->ask = true;
+  l->candidate = true;
   l->rand = kq_rand (kq_rand_system ());
   l->elections = kq_counter (c->counters, "kq_lead_elected_total", "",
                              "Times that this node became leader.");
@@ -440,7 +441,7 @@
                           "Times that this node stopped leading.");
   ev_timer_init (&l->timer, on_timer, 0, 0);
   l->timer.data = l;
-  l->follow = kq_follow_new (c->loop, c->kv, kq_lead_key, WATCH_MS, 0, &owner);
+  l->follow = kq_follow_new (c->loop, c->kv, kq_lead_key, WATCH_WAIT_MS, 0, &owner);
   return l;
 }
 
@@ -461,7 +462,7 @@
 }
 
 bool
-kq_lead_is_us (const KqLead *l)
+kq_election_is_leader (const KqLead *l)
 {
   return l->phase == LEADING;
 }
@@ -480,14 +481,14 @@
 }
 
 void
-kq_lead_resign (KqLead *l, const char *why, bool ask, KqTime now)
+kq_lead_resign (KqLead *l, const char *why, bool retry, KqTime now)
 {
   uint64_t lease = l->lease;
-  bool was = l->phase == LEADING;
-  l->ask = ask;
-  lose (l, why, now);
-  if (was)
-    kq_kv_lease_end (l->config.kv, lease, TIMEOUT_MS, callback (l, nothing));
-  if (was && ask)
-    try_later (l, AGAIN_MS);
+  bool was_leader = l->phase == LEADING;
+  l->candidate = retry;
+  stop_leading (l, why, now);
+  if (was_leader)
+    kq_kv_lease_end (l->config.kv, lease, STORE_TIMEOUT_MS, callback (l, ignore_reply));
+  if (was_leader && retry)
+    schedule_election (l, ELECTION_RETRY_MS);
 }
--- a/src/lead/lead.h
+++ b/src/lead/lead.h
@@ -1,24 +1,25 @@
 #ifndef KQ_LEAD_LEAD_H
 #define KQ_LEAD_LEAD_H
 
-/* lead: which node leads, by one key in the store under the leader's lease.
+/* lead: leader election. The leader is recorded in one key of the store, bound to the
+ * leader's lease.
  *
- * The revision of the write that made a node leader is its epoch; every write of a leader
+ * The revision of the write that made a node leader is its epoch. Every write of a leader
  * is conditional on that key still having that revision, so a leader that has lost it
- * can't change anything in the store. The term counts leaders; it lies in a key of its
- * own that outlives the lease. A process that finds the record of an earlier one at its
- * own address ends that one's lease, so that nobody has to wait for its end. */
+ * can't change anything in the store. The term counts leaders; it is kept in a key of its
+ * own that outlives the lease. A process that finds its address in the record of an
+ * earlier process revokes that one's lease, so that nobody waits until it expires. */
 
 #include "base/counter.h"
 #include "port/kv.h"
 
 typedef struct KqLead KqLead;
 
-/* Who leads, as far as this node knows. */
+/* The leader, as far as this node knows. */
 typedef struct
 {
   KqName node;
-  KqName address; /* "ip:port" where its agents connect; "" : nobody leads */
+  KqName address; /* "ip:port" to which agents connect; "": there is no leader */
   uint64_t epoch;
 } KqLeadRecord;
 
@@ -29,15 +30,16 @@
   KqName node;
   KqName address;
   int64_t ttl_ms;
-  int rank_ms; /* a node that is less fit waits so much longer before it tries */
+  int rank_ms; /* extra delay before an election, larger on less suitable nodes */
   KqCounters *counters;
   void *arg;
-  /* Another node leads, or nobody. */
+  /* Another node leads, or there is no leader. */
   void (*changed) (void *arg, const KqLeadRecord *r, KqTime now);
-  /* We lead, or no longer do. */
+  /* This node has become leader. */
   void (*elected) (void *arg, uint64_t epoch, uint32_t term, KqTime now);
+  /* This node is no longer leader. why: the reason, a constant string. */
   void (*lost) (void *arg, const char *why, KqTime now);
-  /* The store has answered a call that left at sent_at. */
+  /* The store has answered a call that was sent at sent_at. */
   void (*answered) (void *arg, KqTime sent_at, KqTime now);
 } KqLeadConfig;
 
@@ -45,14 +47,14 @@
 
 KqLead *kq_lead_new (const KqLeadConfig *c);
 void kq_lead_free (KqLead *l);
-/* Until when our lease is known to be good; 0: we don't lead. */
+/* Until when this node's lease is certainly good; 0: this node isn't the leader. */
 KqTime kq_lead_valid_until (const KqLead *l);
-bool kq_lead_is_us (const KqLead *l);
+bool kq_election_is_leader (const KqLead *l);
 const KqLeadRecord *kq_lead_record (const KqLead *l);
-/* Renews the lease now; only while we lead. */
+/* Renews the lease now; does nothing unless this node leads. */
 void kq_lead_renew (KqLead *l);
-/* Gives the lead up at once: a planned stop, or a reason to believe that it is lost.
- * `ask` says whether to try again later. */
-void kq_lead_resign (KqLead *l, const char *why, bool ask, KqTime now);
+/* Resigns at once, for the reason `why`. retry: whether this node may stand for election
+ * again later. */
+void kq_lead_resign (KqLead *l, const char *why, bool retry, KqTime now);
 
 #endif
--- a/src/lead/lead_test.c
+++ b/src/lead/lead_test.c
@@ -14,8 +14,7 @@
 
 #include <cmocka.h>
 
-/* A store in memory in the port's place: calls are answered from the loop, and can be
- * left without an answer. */
+/* An in-memory store behind the port kv. It answers from the loop, or not at all. */
 
 typedef enum
 {
@@ -26,17 +25,17 @@
   LEASE,
   KEEP,
   END
-} Sort;
+} CallKind;
 
 typedef struct
 {
-  Sort sort;
+  CallKind kind;
   KqKvCallback cb;
   KqTime due;
   char *key;
   uint64_t after;
   uint64_t lease;
-  KqBuf put; /* of a txn: the lead's record */
+  KqBuf put; /* of a txn: the leader's record */
   bool conditions_hold;
 } Pending;
 
@@ -45,28 +44,28 @@
   KqLoop *loop;
   GPtrArray *calls;
   uint64_t revision;
-  uint64_t lead_revision; /* 0: vacant */
+  uint64_t lead_revision; /* 0: no leader */
   KqBuf lead;
-  uint64_t changed_at; /* revision of the last change of the lead */
+  uint64_t changed_at; /* revision of the last change of the leader's key */
   uint64_t term_revision;
   char term[24];
   uint64_t next_lease;
-  bool lose_txn;    /* carried out, not answered */
-  bool lease_ended; /* renewals are told so */
-  int keeps;        /* renewals asked for */
+  bool lose_txn_answer; /* transactions are carried out, but not answered */
+  bool lease_ended;     /* renewals are answered with NOT_FOUND */
+  int renewals;         /* renewals received */
   int term_reads;
-  bool slow_keeps; /* they aren't answered for long */
-  bool silent;
-  bool hold_watch;         /* changes aren't told for now */
-  uint64_t gone_untold;    /* revision of a deletion that was held back; 0: none */
-  uint64_t lease_given_up; /* the last lease that was ended by a call; 0: none */
+  bool slow_renewals; /* renewals are answered after a minute */
+  bool unavailable;
+  bool hold_watch;             /* watches aren't answered for now */
+  uint64_t held_back_deletion; /* revision of a deletion that was held back; 0: none */
+  uint64_t revoked_lease;      /* the last lease revoked by a call; 0: none */
 } fake;
 
 static Pending *
-add (Sort sort, KqKvCallback cb, KqTime wait)
+add (CallKind kind, KqKvCallback cb, KqTime wait)
 {
   Pending *p = kq_alloc (sizeof *p);
-  p->sort = sort;
+  p->kind = kind;
   p->cb = cb;
   p->due = kq_time_now () + wait;
   g_ptr_array_add (fake.calls, p);
@@ -131,8 +130,8 @@
 {
   (void)kv;
   (void)timeout_ms;
-  fake.keeps++;
-  add (KEEP, cb, fake.slow_keeps ? 60 * KQ_SEC : KQ_MS)->lease = lease;
+  fake.renewals++;
+  add (KEEP, cb, fake.slow_renewals ? 60 * KQ_SEC : KQ_MS)->lease = lease;
 }
 
 void
@@ -141,11 +140,11 @@
   (void)kv;
   (void)timeout_ms;
   add (END, cb, KQ_MS);
-  fake.lease_given_up = lease;
+  fake.revoked_lease = lease;
   fake.lead_revision = 0;
   fake.changed_at = ++fake.revision;
   if (fake.hold_watch)
-    fake.gone_untold = fake.revision;
+    fake.held_back_deletion = fake.revision;
 }
 
 static void
@@ -157,7 +156,7 @@
   KqKvItem term
       = { KQ_STR ("kq/term"), kq_str (fake.term), fake.term_revision, 0, false };
   KqKvReply r = { .revision = fake.revision, .sent_at = kq_time_now () - KQ_MS };
-  switch (p->sort)
+  switch (p->kind)
     {
     case GET:
       if (strcmp (p->key, "kq/term") == 0)
@@ -174,20 +173,20 @@
     case WATCH:
       r.items = fake.lead_revision > 0 ? &lead : &gone;
       r.n_items = fake.changed_at > p->after;
-      if (fake.gone_untold > p->after)
+      if (fake.held_back_deletion > p->after)
         {
           both[0] = gone;
-          both[0].revision = fake.gone_untold;
+          both[0].revision = fake.held_back_deletion;
           both[1] = lead;
           r.items = both;
           r.n_items = 2;
-          fake.gone_untold = 0;
+          fake.held_back_deletion = 0;
         }
       break;
     case TXN:
-      r.result = !p->conditions_hold ? KQ_KV_CONFLICT
-                 : fake.lose_txn     ? KQ_KV_UNKNOWN
-                                     : KQ_KV_OK;
+      r.result = !p->conditions_hold    ? KQ_KV_CONFLICT
+                 : fake.lose_txn_answer ? KQ_KV_UNKNOWN
+                                        : KQ_KV_OK;
       break;
     case LEASE:
       r.lease = p->lease;
@@ -199,7 +198,7 @@
     case END:
       break;
     }
-  if (fake.silent)
+  if (fake.unavailable)
     r = (KqKvReply){ .result = KQ_KV_UNKNOWN };
   p->cb.done (p->cb.arg, &r, kq_time_now ());
 }
@@ -207,9 +206,9 @@
 static bool
 due (const Pending *p)
 {
-  if (p->sort == WATCH && fake.hold_watch)
+  if (p->kind == WATCH && fake.hold_watch)
     return false;
-  return kq_time_now () >= p->due || (p->sort == WATCH && fake.changed_at > p->after);
+  return kq_time_now () >= p->due || (p->kind == WATCH && fake.changed_at > p->after);
 }
 
 static void
@@ -336,7 +335,7 @@
     {
       Pending *p = g_ptr_array_index (fake.calls, i);
       KqKvReply gone = { .result = KQ_KV_UNKNOWN };
-      if (p->sort == RANGE || p->sort == WATCH)
+      if (p->kind == RANGE || p->kind == WATCH)
         p->cb.done (p->cb.arg, &gone, kq_time_now ()); /* the watch frees itself */
       else
         free (p->cb.arg);
@@ -352,7 +351,7 @@
 }
 
 static void
-test_vacant_lead_is_taken (void **state)
+test_vacant_leadership_is_taken (void **state)
 {
   Rig *r = *state;
   assert_true (run_until (&r->elected, 1));
@@ -361,20 +360,20 @@
   assert_true (kq_lead_valid_until (r->lead) > kq_time_now ());
 }
 
-/* The node never learns that it leads, and the others wait for a leader that does
- * nothing. Its write is carried out, the answer is lost; reading the record back tells.
- */
+/* The write that makes a node leader is carried out, but its answer is lost. The node
+ * doesn't learn that it leads, and there is no working leader. It must read the record
+ * back. */
 static void
 test_lost_answer_to_the_write (void **state)
 {
   Rig *r = *state;
-  fake.lose_txn = true;
+  fake.lose_txn_answer = true;
   assert_true (run_until (&r->elected, 1));
   assert_int_equal (r->epoch, fake.lead_revision);
 }
 
 static void
-test_lapsed_lease_ends_the_lead (void **state)
+test_expired_lease_ends_leadership (void **state)
 {
   Rig *r = *state;
   assert_true (run_until (&r->elected, 1));
@@ -383,10 +382,10 @@
   assert_int_equal (kq_lead_valid_until (r->lead), 0);
 }
 
-/* Two leaders: the store takes the key away although the lease lives, and nothing but the
- * watch shows it. */
+/* Two leaders: the store deletes the leader's key although its lease is still ok, and
+ * only the watch shows it. */
 static void
-test_key_taken_away_ends_the_lead (void **state)
+test_deleted_key_ends_leadership (void **state)
 {
   Rig *r = *state;
   assert_true (run_until (&r->elected, 1));
@@ -397,51 +396,52 @@
   assert_int_equal (r->term, 2);
 }
 
-/* A leader on a full link loses the lead: its renewals wait for each other's answers. */
+/* A leader on a busy link loses its lease: its renewals wait for each other's answers. */
 static void
 test_renewals_dont_wait_for_answers (void **state)
 {
   Rig *r = *state;
   assert_true (run_until (&r->elected, 1));
-  fake.slow_keeps = true;
-  fake.keeps = 0;
-  assert_true (run_until (&fake.keeps, 3));
+  fake.slow_renewals = true;
+  fake.renewals = 0;
+  assert_true (run_until (&fake.renewals, 3));
 }
 
-/* A store that answers nobody must not end the lead by itself: whether to go on is
- * decided by what other nodes say (fleet/fleet.c). */
+/* The leader changes whenever the store is unavailable. Whether to resign then depends on
+ * what other nodes report (fleet/fleet.c). */
 static void
-test_silent_store_leaves_the_lead_open (void **state)
+test_unavailable_store_keeps_the_leader (void **state)
 {
   Rig *r = *state;
   assert_true (run_until (&r->elected, 1));
-  fake.silent = true;
+  fake.unavailable = true;
   assert_false (run_until (&r->lost, 1));
-  assert_true (kq_lead_is_us (r->lead));
+  assert_true (kq_election_is_leader (r->lead));
   assert_true (kq_lead_valid_until (r->lead) < kq_time_now ());
 }
 
-/* Nobody leads for as long as a lease lasts: a leader takes the end of its earlier lead,
- * which its watch tells late, for the end of this one. */
+/* There is no leader for the length of a lease: a leader is elected again, its watch
+ * reports late that its earlier record was deleted, and it takes that for the current
+ * one. */
 static void
 test_late_word_of_an_earlier_end (void **state)
 {
   Rig *r = *state;
   assert_true (run_until (&r->elected, 1));
-  assert_false (run_until (&r->lost, 1)); /* the watch has told of it */
+  assert_false (run_until (&r->lost, 1)); /* the watch has reported it */
   fake.hold_watch = true;
   kq_lead_resign (r->lead, "in doubt", true, kq_time_now ());
   assert_true (run_until (&r->elected, 2));
   assert_int_equal (r->lost, 1);
   fake.hold_watch = false;
   assert_false (run_until (&r->lost, 2));
-  assert_true (kq_lead_is_us (r->lead));
+  assert_true (kq_election_is_leader (r->lead));
 }
 
-/* A leader at that address holds the lead by lease 77, which doesn't end by itself.
- * term 0: it is of the version that doesn't tell. */
+/* Records a leader at that address with lease 77, which doesn't expire. term 0: a record
+ * of the earlier version, which has no term. */
 static void
-hold_lead (const char *address, uint64_t term)
+set_leader (const char *address, uint64_t term)
 {
   KqPacker p;
   kq_buf_clear (&fake.lead);
@@ -458,21 +458,21 @@
 }
 
 static void
-vacate_lead (void)
+delete_lead (void)
 {
   fake.lead_revision = 0;
   fake.changed_at = ++fake.revision;
 }
 
-/* Nobody leads for the time of one call more: with a store that takes 0.2 s a call an
- * election takes 0.6 s. */
+/* An election takes one call more than it needs, as the term is read although the
+ * leader's record has it: with 0.2 s a call an election takes 0.6 s. */
 static void
 test_term_is_known_by_the_record (void **state)
 {
   Rig *r = *state;
-  hold_lead ("127.0.0.1:2", 4);
+  set_leader ("127.0.0.1:2", 4);
   assert_false (run_until (&r->elected, 1));
-  vacate_lead ();
+  delete_lead ();
   assert_true (run_until (&r->elected, 1));
   assert_int_equal (r->term, 5);
   assert_int_equal (fake.term_reads, 0);
@@ -482,22 +482,23 @@
 test_term_is_read_after_a_leader_of_an_earlier_version (void **state)
 {
   Rig *r = *state;
-  hold_lead ("127.0.0.1:2", 0);
+  set_leader ("127.0.0.1:2", 0);
   assert_false (run_until (&r->elected, 1));
-  vacate_lead ();
+  delete_lead ();
   assert_true (run_until (&r->elected, 1));
   assert_int_equal (r->term, 7);
   assert_int_equal (fake.term_reads, 1);
 }
 
-/* Run numbers of two leaders are the same: the term is older than it seems. */
+/* Two leaders use the same run numbers: the term of the last record is outdated, and
+ * isn't read again. */
 static void
 test_term_that_has_changed_is_read (void **state)
 {
   Rig *r = *state;
-  hold_lead ("127.0.0.1:2", 4);
+  set_leader ("127.0.0.1:2", 4);
   assert_false (run_until (&r->elected, 1));
-  vacate_lead ();
+  delete_lead ();
   fake.term_revision = ++fake.revision;
   snprintf (fake.term, sizeof fake.term, "9");
   assert_true (run_until (&r->elected, 1));
@@ -505,38 +506,39 @@
   assert_int_equal (fake.term_reads, 1);
 }
 
-/* Nobody leads for as long as a dead leader's lease lasts, though its process is back. */
+/* There is no leader until the lease of a restarted leader's earlier process expires. */
 static void
 test_restarted_leader_gives_up_its_old_lease (void **state)
 {
   Rig *r = *state;
-  hold_lead ("127.0.0.1:1", 4);
+  set_leader ("127.0.0.1:1", 4);
   assert_true (run_until (&r->elected, 1));
-  assert_int_equal (fake.lease_given_up, 77);
+  assert_int_equal (fake.revoked_lease, 77);
 }
 
-/* Two leaders: a node at another address with our name may be alive. */
+/* Two leaders: a node revokes the lease of a live node of its own name at another
+ * address. */
 static void
 test_lease_of_another_address_stands (void **state)
 {
   Rig *r = *state;
-  hold_lead ("127.0.0.1:2", 4);
+  set_leader ("127.0.0.1:2", 4);
   assert_false (run_until (&r->elected, 1));
-  assert_int_equal (fake.lease_given_up, 0);
+  assert_int_equal (fake.revoked_lease, 0);
 }
 
 int
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test_setup_teardown (test_vacant_lead_is_taken, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_vacant_leadership_is_taken, set_up, tear_down),
     cmocka_unit_test_setup_teardown (test_lost_answer_to_the_write, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_lapsed_lease_ends_the_lead, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_key_taken_away_ends_the_lead, set_up,
+    cmocka_unit_test_setup_teardown (test_expired_lease_ends_leadership, set_up,
                                      tear_down),
+    cmocka_unit_test_setup_teardown (test_deleted_key_ends_leadership, set_up, tear_down),
     cmocka_unit_test_setup_teardown (test_renewals_dont_wait_for_answers, set_up,
                                      tear_down),
-    cmocka_unit_test_setup_teardown (test_silent_store_leaves_the_lead_open, set_up,
+    cmocka_unit_test_setup_teardown (test_unavailable_store_keeps_the_leader, set_up,
                                      tear_down),
     cmocka_unit_test_setup_teardown (test_late_word_of_an_earlier_end, set_up, tear_down),
     cmocka_unit_test_setup_teardown (test_term_is_known_by_the_record, set_up, tear_down),
--- a/src/lead/yield.c
+++ b/src/lead/yield.c
@@ -1,20 +1,20 @@
 #include "lead/yield.h"
 
-/* A change of leader stops all decisions for some 0.6 s; a node that is hardly stronger
- * isn't worth that. */
-#define TIMES_STRONGER 2
-/* The other node must be able to win: the store has answered it within this time. */
-#define STORED_WITHIN (900 * KQ_MS)
-/* If the stronger node didn't win after all, the lead isn't given up for it again and
- * again. */
-#define NOT_AGAIN_FOR (20 * KQ_SEC)
+/* A change of leader stops scheduling for some 0.6 s, so a slightly stronger node doesn't
+ * justify one. */
+#define MIN_CPU_RATIO 2
+/* The other node must be able to win the election: the store has answered it within this
+ * time. */
+#define STORE_REACHED_WITHIN (900 * KQ_MS)
+/* Keeps a leader from resigning again and again for a stronger node that doesn't win. */
+#define MIN_INTERVAL (20 * KQ_SEC)
 
 bool
 kq_lead_yields (const KqYield *y, KqTime now)
 {
-  if (y->other_milli < TIMES_STRONGER * y->own_milli)
+  if (y->other_milli < MIN_CPU_RATIO * y->own_milli)
     return false;
-  if (y->other_stored == 0 || now - y->other_stored > STORED_WITHIN)
+  if (y->other_stored == 0 || now - y->other_stored > STORE_REACHED_WITHIN)
     return false;
-  return y->yielded_at == 0 || now - y->yielded_at > NOT_AGAIN_FOR;
+  return y->yielded_at == 0 || now - y->yielded_at > MIN_INTERVAL;
 }
--- a/src/lead/yield_test.c
+++ b/src/lead/yield_test.c
@@ -9,9 +9,9 @@
 
 static const KqTime now = 100 * KQ_SEC;
 
-/* Nothing starts for seconds after a loss of power, and running tasks lose their leases.
- * The first node to reach the store again is a weak one and takes the lead; when a strong
- * node that reaches the store has joined, it must get the lead. */
+/* After a power failure no task starts for seconds, and running tasks lose their leases:
+ * the first node to reach the store is a weak one and stays leader although a strong node
+ * that reaches the store has joined. */
 static void
 test_weak_leader_hands_over (void **state)
 {
@@ -30,8 +30,8 @@
   assert_false (kq_lead_yields (&y, now));
 }
 
-/* A strong node that is cut off from the store can't win: handing over to it would only
- * leave the fleet without a leader. */
+/* A leader hands over to a strong node that is cut off from the store and can't be
+ * elected, so that there is no leader for a while. */
 static void
 test_stronger_node_without_the_store (void **state)
 {
@@ -42,8 +42,7 @@
   assert_false (kq_lead_yields (&y, now));
 }
 
-/* The strong node is told of the vacancy but doesn't win, and the weak one leads again:
- * it must not give the lead up time and again. */
+/* A weak leader resigns again and again for a strong node that isn't elected. */
 static void
 test_not_twice_in_a_row (void **state)
 {
