--- a/src/request/runner_flight.c
+++ b/src/request/runner_flight.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <strings.h>
 
-/* A runner accepts within a few round trips or not at all. */
+/* A runner accepts a connection within a few round trips or not at all. */
 #define CONNECT_MS 1000
 
 void
@@ -40,7 +40,7 @@
   send_entry (t, to, &m);
 }
 
-/* Lets the entry node send as much more as the runner has taken. */
+/* Grants the entry node credit for as many more bytes as the runner has taken. */
 static void
 grant_body (KqRunnerFlight *f)
 {
@@ -171,8 +171,8 @@
   KqTime now = kq_loop_now (t->loop);
   (void)c;
   f->call = NULL;
-  /* A runner that says "not run" is there: that is an error of its, not a refused
-   * connection. */
+  /* A runner that answers "not run" is reachable: for the dispatcher this is an error,
+   * not a refused connection. */
   kq_dispatch_done (t->dispatch, f->id, f->not_run ? KQ_OUTCOME_ERROR : o, now);
   if (!f->entry_gone)
     send_end (f, o);
@@ -183,7 +183,7 @@
 static void
 fill_headers (const KqRunnerFlight *f, KqBuf *extra, KqHeader *out, size_t *n)
 {
-  /* Reserved whole first: the headers point into it. */
+  /* Reserved at full size first, because the header's value points into the buffer. */
   kq_buf_reserve (extra, 256);
   for (size_t i = 0; i < f->n_headers; i++)
     out[(*n)++] = f->headers[i];
@@ -196,7 +196,7 @@
 
 /* Sends a queued flight to the runner that the dispatcher chose. */
 static void
-start_call (KqRunnerTask *t, KqRunnerFlight *f, const KqRunnerEntry *r)
+start_call (KqRunnerTask *t, KqRunnerFlight *f, const KqRunnerRecord *r)
 {
   KqHttpCallback cb = { f, on_head, on_data, on_want, on_done };
   KqHeader *headers = kq_alloc ((f->n_headers + 1) * sizeof *headers);
@@ -232,11 +232,12 @@
   free (method);
 }
 
-/* A shard is given to another owner also without a stop, when a node joins. What is
- * queued for its runners then isn't lost, only elsewhere: as "no target" a part of it was
- * refused (18 of 120 runs of live_test, ten at a time, 1 to 4 of 8 requests each). */
+/* A shard also moves to another owner when a node joins, not only when this one drains.
+ * Requests that are queued for its runners can then be served by the new owner, so they
+ * are handed back as draining. With "no target" some were refused: 1 to 4 of 8 requests
+ * in 18 of 120 runs of live_test (ten at a time). */
 KqResult
-kq_runner_refusal (const KqRunnerTask *t, KqResult code, KqTime now)
+kq_runner_refusal_code (const KqRunnerTask *t, KqResult code, KqTime now)
 {
   bool handed_over
       = t->handed_over_at != 0 && now - t->handed_over_at < KQ_RETRY_SUCCESSOR_WAIT;
@@ -244,7 +245,6 @@
                                                                   : code;
 }
 
-/* Carries out what the dispatcher decided. */
 void
 kq_runner_run_queue (KqRunnerTask *t, KqTime now)
 {
@@ -252,14 +252,14 @@
   while (kq_dispatch_next (t->dispatch, now, &e))
     {
       KqRunnerFlight *f = g_hash_table_lookup (t->flights, &e.flight);
-      const KqRunnerEntry *r = g_hash_table_lookup (t->runners, &e.runner);
+      const KqRunnerRecord *r = g_hash_table_lookup (t->runners, &e.runner);
       assert (f != NULL);
       if (e.kind == KQ_DISPATCH_SEND && r != NULL)
         start_call (t, f, r);
       else
         {
           KqResult code = e.kind == KQ_DISPATCH_SEND ? KQ_ERR_NO_TARGET : e.code;
-          code = kq_runner_refusal (t, code, now);
+          code = kq_runner_refusal_code (t, code, now);
           if (e.kind == KQ_DISPATCH_SEND)
             kq_dispatch_done (t->dispatch, e.flight, KQ_OUTCOME_NOT_SENT, now);
           kq_runner_send_fail (t, f->entry, f->id, code, KQ_RAN_NO, e.retry_after);
@@ -285,7 +285,7 @@
   f->body_end = o->body_length == 0;
   f->body_granted = KQ_WINDOW;
   f->answer_allowed = KQ_WINDOW;
-  /* The entry side's copy of path and headers serves here too. */
+  /* The copy of path and headers is made as at the entry node; it now belongs to f. */
   kq_flight_set_request (&text, o->path, o->claim_key, o->headers, o->n_headers);
   f->text = text.text;
   f->path = text.path;
@@ -294,9 +294,8 @@
   return f;
 }
 
-/* The flight's call is ended from our side; the runner may have run it. */
 void
-kq_runner_drop_call (KqRunnerTask *t, KqRunnerFlight *f, KqTime now)
+kq_runner_cancel_call (KqRunnerTask *t, KqRunnerFlight *f, KqTime now)
 {
   kq_http_call_cancel (f->call);
   f->call = NULL;
@@ -304,9 +303,9 @@
   g_hash_table_remove (t->flights, &f->id);
 }
 
-/* Nobody waits for the flight any more. Queued: forgotten, it didn't run. At a runner:
- * an idempotent one is cancelled; another one goes on, since cutting it half-way would
- * leave its effect undefined, and is counted. */
+/* A queued flight is removed; it did not run. At a runner, an idempotent request is
+ * cancelled, and so is one whose body is incomplete. Any other goes on, because
+ * cancelling it half-way would leave its effect undefined; it is counted. */
 void
 kq_runner_abandon (KqRunnerTask *t, KqRunnerFlight *f, KqTime now)
 {
@@ -317,7 +316,7 @@
       g_hash_table_remove (t->flights, &f->id);
     }
   else if (f->idempotent || !f->body_end)
-    kq_runner_drop_call (t, f, now);
+    kq_runner_cancel_call (t, f, now);
   else
     {
       ++*t->uncancelled;
--- a/src/request/runner_flight.h
+++ b/src/request/runner_flight.h
@@ -1,9 +1,9 @@
 #ifndef KQ_REQUEST_RUNNER_FLIGHT_H
 #define KQ_REQUEST_RUNNER_FLIGHT_H
 
-/* runner_flight: a request at the owner of its runner: queued, then one call to the
- * runner. Used by runner_task.c only; the structs stand here because the two files are
- * one task. */
+/* runner_flight: a request at the owner of its runner: first queued, then one call to
+ * the runner. Used by runner_task.c only; the two files implement one task, whose struct
+ * is here. */
 
 #include "http/client.h"
 #include "port/mail.h"
@@ -14,16 +14,16 @@
 #include <ev.h>
 #include <glib.h>
 
-/* What we know of a runner besides what the dispatcher decides by. */
+/* A runner of this node's shards: what the dispatcher doesn't need to know of it. */
 typedef struct
 {
   KqRunnerId id;
   uint32_t shard;
-  bool seen; /* in the list being taken */
+  bool listed; /* in the host list that is being processed */
   char *address;
   KqName name;
   KqWorkerId worker;
-} KqRunnerEntry;
+} KqRunnerRecord;
 
 typedef struct
 {
@@ -36,23 +36,23 @@
   bool idempotent;
   int64_t silent_ms;
   KqTime deadline;
-  KqBuf text; /* path and headers, see flight.c */
+  KqBuf text; /* holds path and headers, see flight.c */
   KqStr path;
   KqHeader *headers;
   size_t n_headers;
-  KqBuf body; /* what came before the runner was chosen */
+  KqBuf body; /* what arrived before the runner was chosen */
   int64_t body_length;
   uint64_t body_received;
-  uint64_t body_granted;
+  uint64_t body_granted; /* credit: what the entry node may send in all */
   bool body_end;
   KqRunnerId runner;
   KqHttpCall *call; /* NULL while queued */
   bool head_sent;
-  bool not_run; /* the runner's own word */
-  bool entry_gone;
+  bool not_run;    /* the runner's answer says so */
+  bool entry_gone; /* the entry node waits for no answer */
   int status;
-  uint64_t answer_offset;
-  uint64_t answer_allowed;
+  uint64_t answer_offset;  /* bytes of the answer sent to the entry node */
+  uint64_t answer_allowed; /* credit: what may be sent in all */
 } KqRunnerFlight;
 
 struct KqRunnerTask
@@ -63,29 +63,29 @@
   KqDispatch *dispatch;
   KqHttpClient *http;
   KqTable *table;
-  GHashTable *flights; /* KqFlightId -> Flight */
-  GHashTable *runners; /* KqRunnerId -> Runner */
+  GHashTable *flights; /* KqFlightId -> KqRunnerFlight */
+  GHashTable *runners; /* KqRunnerId -> KqRunnerRecord */
   bool draining;
-  KqTime handed_over_at; /* when a shard's runners last went to another owner */
-  bool drained_told;
-  KqTime digest_at;
+  KqTime handed_over_at; /* when a shard last went to another owner; 0: never */
+  bool drained_sent;
+  KqTime next_digest_at;
   ev_timer tick;
   uint64_t *uncancelled;
 };
 
 KqRunnerFlight *kq_runner_flight_new (KqRunnerTask *t, KqNodeId from,
                                       const KqMsgReqOpen *o, KqTime now);
-/* Ends its call without a word to anybody. */
+/* Frees a flight and cancels its call; tells nothing to the entry node or dispatcher. */
 void kq_runner_flight_free (void *flight);
 void kq_runner_send_fail (KqRunnerTask *t, KqNodeId to, KqFlightId id, KqResult code,
                           KqRan ran, KqTime retry_after);
-/* The dispatcher's refusal as the entry node should hear it. */
-KqResult kq_runner_refusal (const KqRunnerTask *t, KqResult code, KqTime now);
-/* Carries out what the dispatcher has decided. */
+/* The code to send to the entry node for a result of the dispatcher. */
+KqResult kq_runner_refusal_code (const KqRunnerTask *t, KqResult code, KqTime now);
+/* Sends and refuses queued flights as the dispatcher decides. */
 void kq_runner_run_queue (KqRunnerTask *t, KqTime now);
-/* The flight's call is ended from our side; the runner may have run it. */
-void kq_runner_drop_call (KqRunnerTask *t, KqRunnerFlight *f, KqTime now);
-/* Nobody waits for the flight any more. */
+/* Cancels the call of a sent flight and frees the flight; the runner may have run it. */
+void kq_runner_cancel_call (KqRunnerTask *t, KqRunnerFlight *f, KqTime now);
+/* The caller or the entry node no longer waits for the flight. It may be freed. */
 void kq_runner_abandon (KqRunnerTask *t, KqRunnerFlight *f, KqTime now);
 
 #endif
--- a/src/request/runner_task.c
+++ b/src/request/runner_task.c
@@ -6,18 +6,19 @@
 #include <stdlib.h>
 
 #define PART "runner"
-/* The queue's own times (deadlines, waits) are looked over this often at least. */
+/* Deadlines and other times of the queue are checked at least this often. */
 #define TICK_S 0.01
-/* How often the digest goes to the node's task: a fifth of the heartbeat's period, so
- * that a heartbeat's lines are hardly older than the heartbeat. */
-#define DIGEST_EVERY (100 * KQ_MS)
-/* Services in a digest at most; the wire takes as many. Beyond it an owner isn't seen. */
-#define DIGEST_MAX 4096
-/* A pooled connection that was idle for longer may have been lost track of by something
- * in between; it isn't used again. */
-#define IDLE_MS 5000
-/* Connections per host: a runner has 64 in all; the dispatcher counts slots exactly and
- * stays below. */
+/* Between digests to the node's task: a fifth of the heartbeat's period, so that the
+ * lines in a heartbeat are hardly older than the heartbeat. */
+#define DIGEST_INTERVAL (100 * KQ_MS)
+/* The wire format allows as many. Entry nodes don't see an owner of the services that are
+ * left out. */
+#define DIGEST_SERVICES_MAX 4096
+/* A pooled connection that was idle for longer isn't reused: a device on the path may
+ * have dropped its state. */
+#define IDLE_MAX_MS 5000
+/* The HTTP client's limit for connections to a host. A runner accepts 64 in all; the
+ * dispatcher counts its slots exactly and stays below. */
 #define HOST_CONNECTIONS 64
 
 static guint
@@ -36,13 +37,13 @@
 static void
 free_runner (gpointer p)
 {
-  KqRunnerEntry *r = p;
+  KqRunnerRecord *r = p;
   free (r->address);
   free (r);
 }
 
 static void
-take_open (KqRunnerTask *t, KqNodeId from, const KqMsgReqOpen *o, KqTime now)
+on_open (KqRunnerTask *t, KqNodeId from, const KqMsgReqOpen *o, KqTime now)
 {
   KqDispatchRequest q = { 0 };
   const KqRow *row = NULL;
@@ -50,7 +51,7 @@
   KqRunnerFlight *f;
   KqResult r;
   if (g_hash_table_contains (t->flights, &o->flight))
-    return; /* came twice */
+    return; /* a duplicate */
   if (t->table != NULL)
     row = kq_table_find (t->table, KQ_ROW_SERVICE, o->service);
   if (row == NULL)
@@ -66,7 +67,7 @@
   q.class_id = kq_dispatch_class (o->method, o->path);
   q.key = kq_dispatch_key (o->path);
   r = kq_dispatch_offer (t->dispatch, &q, now, &retry);
-  r = kq_runner_refusal (t, r, now);
+  r = kq_runner_refusal_code (t, r, now);
   if (r != KQ_OK)
     {
       kq_runner_send_fail (t, from, o->flight, r, KQ_RAN_NO, retry);
@@ -79,19 +80,19 @@
 }
 
 static void
-take_body (KqRunnerTask *t, const KqMsgBody *b, KqTime now)
+on_body (KqRunnerTask *t, const KqMsgBody *b, KqTime now)
 {
   KqRunnerFlight *f = g_hash_table_lookup (t->flights, &b->flight);
   if (f == NULL || f->entry_gone)
     return;
   if (b->offset != f->body_received)
     {
-      /* Part of the body was lost on the way: what the runner has is not the request. */
+      /* Part of the body was lost: the runner doesn't have the whole request. */
       KqRan ran = f->call == NULL ? KQ_RAN_NO : KQ_RAN_UNKNOWN;
       kq_runner_send_fail (t, f->entry, f->id, KQ_ERR_FRAME_FORMAT, ran, 0);
       f->entry_gone = true;
       if (f->call != NULL)
-        kq_runner_drop_call (t, f, now);
+        kq_runner_cancel_call (t, f, now);
       else
         kq_runner_abandon (t, f, now);
       return;
@@ -105,7 +106,7 @@
 }
 
 static void
-take_credit (KqRunnerTask *t, const KqMsgCredit *c)
+on_credit (KqRunnerTask *t, const KqMsgCredit *c)
 {
   KqRunnerFlight *f = g_hash_table_lookup (t->flights, &c->flight);
   if (f == NULL)
@@ -126,16 +127,16 @@
 }
 
 static void
-take_message (KqRunnerTask *t, KqNodeId from, const KqMsg *m, KqTime now)
+on_message (KqRunnerTask *t, KqNodeId from, const KqMsg *m, KqTime now)
 {
   KqRunnerFlight *f;
   switch (m->kind)
     {
     case KQ_MSG_REQ_OPEN:
-      take_open (t, from, &m->u.req_open, now);
+      on_open (t, from, &m->u.req_open, now);
       break;
     case KQ_MSG_REQ_BODY:
-      take_body (t, &m->u.body, now);
+      on_body (t, &m->u.body, now);
       break;
     case KQ_MSG_REQ_CANCEL:
       f = g_hash_table_lookup (t->flights, &m->u.req_cancel.flight);
@@ -143,20 +144,20 @@
         kq_runner_abandon (t, f, now);
       break;
     case KQ_MSG_RESP_CREDIT:
-      take_credit (t, &m->u.credit);
+      on_credit (t, &m->u.credit);
       break;
     case KQ_MSG_QUERY:
       answer_queues (t, from, &m->u.query, now);
       break;
     default:
-      assert (!"a message the runners' task doesn't take");
+      assert (!"unexpected message");
       break;
     }
 }
 
-/* The entry node died or was cut off: nobody waits for its flights. */
+/* The connection to an entry node is down: it waits for none of its flights. */
 static void
-take_peer_down (KqRunnerTask *t, const KqMailPeer *p, KqTime now)
+on_peer_down (KqRunnerTask *t, const KqMailPeer *p, KqTime now)
 {
   GList *all = g_hash_table_get_values (t->flights);
   for (GList *at = all; at != NULL; at = at->next)
@@ -180,7 +181,7 @@
 {
   KqRunnerInfo info = { 0 };
   KqRunnerId id = runner_id (h->id, &hr->name);
-  KqRunnerEntry *r = g_hash_table_lookup (t->runners, &id);
+  KqRunnerRecord *r = g_hash_table_lookup (t->runners, &id);
   bool new_here = r == NULL;
   if (new_here)
     {
@@ -189,7 +190,7 @@
       g_hash_table_insert (t->runners, &r->id, r);
     }
   r->shard = shard;
-  r->seen = true;
+  r->listed = true;
   r->worker = h->id;
   free (r->address);
   r->address = kq_str_dup (hr->address);
@@ -200,15 +201,15 @@
 }
 
 static void
-drop_unseen (KqRunnerTask *t, uint32_t shard, KqTime now)
+drop_unlisted (KqRunnerTask *t, uint32_t shard, KqTime now)
 {
   GHashTableIter it;
   gpointer v;
   g_hash_table_iter_init (&it, t->runners);
   while (g_hash_table_iter_next (&it, NULL, &v))
     {
-      KqRunnerEntry *r = v;
-      if (r->shard != shard || r->seen)
+      KqRunnerRecord *r = v;
+      if (r->shard != shard || r->listed)
         continue;
       kq_dispatch_drop_runner (t->dispatch, r->id, now);
       g_hash_table_iter_remove (&it);
@@ -216,33 +217,33 @@
 }
 
 static void
-take_hosts (KqRunnerTask *t, const KqMailShardHosts *s, KqTime now)
+on_hosts (KqRunnerTask *t, const KqMailShardHosts *s, KqTime now)
 {
   GHashTableIter it;
   gpointer v;
   g_hash_table_iter_init (&it, t->runners);
   while (g_hash_table_iter_next (&it, NULL, &v))
-    ((KqRunnerEntry *)v)->seen = false;
+    ((KqRunnerRecord *)v)->listed = false;
   for (size_t i = 0; i < s->hosts.n_hosts; i++)
     {
       const KqHost *h = &s->hosts.hosts[i];
       for (size_t k = 0; k < h->n_runners && h->state != KQ_HOST_GONE; k++)
         set_runner (t, s->shard, h, &h->runners[k], s->taken_over, now);
     }
-  drop_unseen (t, s->shard, now);
+  drop_unlisted (t, s->shard, now);
   kq_runner_run_queue (t, now);
 }
 
 static void
-take_shard_gone (KqRunnerTask *t, uint32_t shard, KqTime now)
+on_shard_gone (KqRunnerTask *t, uint32_t shard, KqTime now)
 {
   KqMailShardHosts none = { .shard = shard };
   t->handed_over_at = now;
-  take_hosts (t, &none, now);
+  on_hosts (t, &none, now);
 }
 
 static void
-take_reports (KqRunnerTask *t, const KqWorkerReply *w, KqTime now)
+on_reports (KqRunnerTask *t, const KqWorkerReply *w, KqTime now)
 {
   for (size_t i = 0; i < w->n_runners; i++)
     {
@@ -260,34 +261,34 @@
 send_digest (KqRunnerTask *t, KqTime now)
 {
   KqMail *m;
-  size_t most;
-  if (now < t->digest_at)
+  size_t max;
+  if (now < t->next_digest_at)
     return;
-  t->digest_at = now + DIGEST_EVERY;
+  t->next_digest_at = now + DIGEST_INTERVAL;
   m = kq_mail_new (KQ_MAIL_SERVICES);
-  most = kq_dispatch_services (t->dispatch);
-  if (most > DIGEST_MAX)
-    most = DIGEST_MAX;
-  m->u.services.lines = kq_alloc (most * sizeof *m->u.services.lines);
-  m->u.services.n_lines = kq_dispatch_digest (t->dispatch, m->u.services.lines, most);
+  max = kq_dispatch_services (t->dispatch);
+  if (max > DIGEST_SERVICES_MAX)
+    max = DIGEST_SERVICES_MAX;
+  m->u.services.lines = kq_alloc (max * sizeof *m->u.services.lines);
+  m->u.services.n_lines = kq_dispatch_digest (t->dispatch, m->u.services.lines, max);
   kq_task_send (t->config.node, m);
 }
 
 static void
-tell_drained (KqRunnerTask *t)
+send_drained (KqRunnerTask *t)
 {
   KqMail *m;
-  if (!t->draining || t->drained_told || g_hash_table_size (t->flights) > 0
+  if (!t->draining || t->drained_sent || g_hash_table_size (t->flights) > 0
       || g_hash_table_size (t->runners) > 0)
     return;
-  t->drained_told = true;
+  t->drained_sent = true;
   m = kq_mail_new (KQ_MAIL_DRAINED);
   m->u.drained = PART;
   kq_task_send (t->config.node, m);
 }
 
 static void
-take_table (KqRunnerTask *t, KqTable *table, KqTime now)
+on_table (KqRunnerTask *t, KqTable *table, KqTime now)
 {
   if (t->table != NULL)
     kq_table_unref (t->table);
@@ -303,36 +304,36 @@
   switch (mail->kind)
     {
     case KQ_MAIL_MSG:
-      take_message (t, mail->u.msg.peer, mail->u.msg.msg, now);
+      on_message (t, mail->u.msg.peer, mail->u.msg.msg, now);
       break;
     case KQ_MAIL_PEER:
       if (!mail->u.peer.up && mail->u.peer.was_up)
-        take_peer_down (t, &mail->u.peer, now);
+        on_peer_down (t, &mail->u.peer, now);
       break;
     case KQ_MAIL_SHARD_HOSTS:
-      take_hosts (t, &mail->u.shard_hosts, now);
+      on_hosts (t, &mail->u.shard_hosts, now);
       break;
     case KQ_MAIL_SHARD_GONE:
-      take_shard_gone (t, mail->u.shard_gone, now);
+      on_shard_gone (t, mail->u.shard_gone, now);
       break;
     case KQ_MAIL_WORKER_REPLY:
-      take_reports (t, &mail->u.worker_reply, now);
+      on_reports (t, &mail->u.worker_reply, now);
       break;
     case KQ_MAIL_TABLE:
-      take_table (t, mail->u.table, now);
+      on_table (t, mail->u.table, now);
       break;
     case KQ_MAIL_DRAIN:
       t->draining = true;
       break;
     default:
-      assert (!"a mail the runners' task doesn't take");
+      assert (!"unexpected mail");
       break;
     }
   kq_mail_free (mail);
 }
 
-/* A runner that works beyond the deadline does so for nobody; its slot stays taken until
- * the call has ended. */
+/* Abandons sent flights whose deadline has passed without an answer. If the call goes on,
+ * its slot stays taken until the call ends. */
 static void
 end_overdue (KqRunnerTask *t, KqTime now)
 {
@@ -359,7 +360,7 @@
   if (kq_dispatch_wake (t->dispatch, now) <= now)
     kq_runner_run_queue (t, now);
   send_digest (t, now);
-  tell_drained (t);
+  send_drained (t);
 }
 
 KqRunnerTask *
@@ -369,7 +370,7 @@
   t->loop = loop;
   t->config = *c;
   t->dispatch = kq_dispatch_new (c->incarnation);
-  t->http = kq_http_client_new (loop, HOST_CONNECTIONS, IDLE_MS);
+  t->http = kq_http_client_new (loop, HOST_CONNECTIONS, IDLE_MAX_MS);
   t->flights
       = g_hash_table_new_full (flight_hash, flight_same, NULL, kq_runner_flight_free);
   t->runners = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, free_runner);
--- a/src/request/runner_task.h
+++ b/src/request/runner_task.h
@@ -2,12 +2,13 @@
 #define KQ_REQUEST_RUNNER_TASK_H
 
 /* runner_task: the task that owns the connections to the runners of this node's shards
- * (the owner's side of requests). The decisions are those of request/dispatch.h.
+ * (the owner's side of requests). Queueing and the choice of runners are those of
+ * request/dispatch.h.
  *
- * Takes: KQ_MAIL_MSG with REQ_OPEN, REQ_BODY, REQ_CANCEL, RESP_CREDIT and QUERY
- * ("queues"); KQ_MAIL_SHARD_HOSTS, _SHARD_GONE, _WORKER_REPLY (the runners' own word on
- * their slots), _PEER (an entry node that is gone), _TABLE, _DRAIN. Sends
- * KQ_MAIL_SERVICES to the node's task. */
+ * Receives KQ_MAIL_MSG with REQ_OPEN, REQ_BODY, REQ_CANCEL, RESP_CREDIT and QUERY
+ * ("queues"); KQ_MAIL_SHARD_HOSTS, _SHARD_GONE, _WORKER_REPLY (the runners' own reports),
+ * _PEER (an entry node that is down), _TABLE and _DRAIN. Sends KQ_MAIL_SERVICES and
+ * KQ_MAIL_DRAINED to the node's task. */
 
 #include "base/counter.h"
 #include "base/task.h"
@@ -27,7 +28,7 @@
 KqRunnerTask *kq_runner_task_new (KqLoop *loop, const KqRunnerTaskConfig *c);
 void kq_runner_task_free (KqRunnerTask *t);
 KqTask *kq_runner_task_task (KqRunnerTask *t);
-/* Flights queued here or at a runner. */
+/* Number of flights that are queued here or sent to a runner. */
 size_t kq_runner_task_open (const KqRunnerTask *t);
 
 #endif
