--- a/src/request/account.c
+++ b/src/request/account.c
@@ -3,19 +3,20 @@
 #include <assert.h>
 #include <stdlib.h>
 
-/* Services are few; names that aren't in the table are counted under "-". */
-typedef struct Line
+/* Kept in a list, because services are few: requests for names that aren't in the table
+ * are counted under "-". */
+typedef struct ServiceCounts
 {
-  struct Line *next;
+  struct ServiceCounts *next;
   KqName service;
   uint64_t taken;
   uint64_t ended[KQ_END_KINDS];
   uint64_t in_flight;
-} Line;
+} ServiceCounts;
 
 struct KqAccount
 {
-  Line *first;
+  ServiceCounts *first;
 };
 
 static const char *const end_names[] = { "answered", "refused", "unknown", "abandoned" };
@@ -31,68 +32,68 @@
 {
   if (a == NULL)
     return;
-  for (Line *l = a->first, *next = NULL; l != NULL; l = next)
+  for (ServiceCounts *c = a->first, *next = NULL; c != NULL; c = next)
     {
-      next = l->next;
-      free (l);
+      next = c->next;
+      free (c);
     }
   free (a);
 }
 
-static Line *
-get_line (KqAccount *a, KqStr service)
+static ServiceCounts *
+get_counts (KqAccount *a, KqStr service)
 {
-  for (Line *l = a->first; l != NULL; l = l->next)
+  for (ServiceCounts *c = a->first; c != NULL; c = c->next)
     {
-      if (kq_str_eq (kq_name_str (&l->service), service))
-        return l;
+      if (kq_str_eq (kq_name_str (&c->service), service))
+        return c;
     }
-  Line *l = kq_alloc (sizeof *l);
-  l->service = kq_name (service);
-  l->next = a->first;
-  a->first = l;
-  return l;
+  ServiceCounts *c = kq_alloc (sizeof *c);
+  c->service = kq_name (service);
+  c->next = a->first;
+  a->first = c;
+  return c;
 }
 
 static void
-check_line (const Line *l)
+check_sum (const ServiceCounts *c)
 {
-  uint64_t sum = l->in_flight;
+  uint64_t sum = c->in_flight;
   for (int i = 0; i < KQ_END_KINDS; i++)
-    sum += l->ended[i];
-  assert (sum == l->taken);
+    sum += c->ended[i];
+  assert (sum == c->taken);
   (void)sum;
 }
 
 void
 kq_account_taken (KqAccount *a, KqStr service)
 {
-  Line *l = get_line (a, service);
-  l->taken++;
-  l->in_flight++;
+  ServiceCounts *c = get_counts (a, service);
+  c->taken++;
+  c->in_flight++;
 }
 
 void
 kq_account_ended (KqAccount *a, KqStr service, KqRequestEnd end)
 {
-  Line *l = get_line (a, service);
-  assert (l->in_flight > 0);
-  l->in_flight--;
-  l->ended[end]++;
-  check_line (l);
+  ServiceCounts *c = get_counts (a, service);
+  assert (c->in_flight > 0);
+  c->in_flight--;
+  c->ended[end]++;
+  check_sum (c);
 }
 
 json_t *
 kq_account_json (const KqAccount *a)
 {
   json_t *o = json_object ();
-  for (const Line *l = a->first; l != NULL; l = l->next)
+  for (const ServiceCounts *c = a->first; c != NULL; c = c->next)
     {
-      json_t *s = json_pack ("{s:I, s:I}", "taken", (json_int_t)l->taken, "in_flight",
-                             (json_int_t)l->in_flight);
+      json_t *s = json_pack ("{s:I, s:I}", "taken", (json_int_t)c->taken, "in_flight",
+                             (json_int_t)c->in_flight);
       for (int i = 0; i < KQ_END_KINDS; i++)
-        json_object_set_new (s, end_names[i], json_integer ((json_int_t)l->ended[i]));
-      json_object_setn_new (o, l->service.bytes, l->service.len, s);
+        json_object_set_new (s, end_names[i], json_integer ((json_int_t)c->ended[i]));
+      json_object_setn_new (o, c->service.bytes, c->service.len, s);
     }
   return o;
 }
@@ -101,7 +102,7 @@
 kq_account_in_flight (const KqAccount *a)
 {
   uint64_t n = 0;
-  for (const Line *l = a->first; l != NULL; l = l->next)
-    n += l->in_flight;
+  for (const ServiceCounts *c = a->first; c != NULL; c = c->next)
+    n += c->in_flight;
   return n;
 }
--- a/src/request/account.h
+++ b/src/request/account.h
@@ -1,10 +1,11 @@
 #ifndef KQ_REQUEST_ACCOUNT_H
 #define KQ_REQUEST_ACCOUNT_H
 
-/* account: every request taken in is answered, refused, unknown, abandoned or in flight.
+/* account: counts the requests of each service by how they ended: answered, refused,
+ * unknown or abandoned, or still in flight.
  *
- * One line a service, kept by the entry node. The sum is an invariant, asserted at every
- * end of a request: a request that leaves without a word would break it. */
+ * Kept by the entry node. At the end of each request it is asserted that these counts add
+ * up to the requests accepted, which finds a request that ends without an outcome. */
 
 #include "base/result.h"
 #include "base/str.h"
@@ -13,9 +14,9 @@
 
 typedef enum
 {
-  KQ_END_ANSWERED,  /* the whole answer was handed over */
-  KQ_END_REFUSED,   /* told "not run" */
-  KQ_END_UNKNOWN,   /* told "outcome unknown", or the answer had to be cut */
+  KQ_END_ANSWERED,  /* the caller got the complete answer */
+  KQ_END_REFUSED,   /* the caller was told "not run" */
+  KQ_END_UNKNOWN,   /* told "outcome unknown", or its answer was cut short */
   KQ_END_ABANDONED, /* the caller left first */
   KQ_END_KINDS
 } KqRequestEnd;
@@ -24,9 +25,11 @@
 
 KqAccount *kq_account_new (void);
 void kq_account_free (KqAccount *a);
+/* A request for the service was accepted. */
 void kq_account_taken (KqAccount *a, KqStr service);
+/* A request that was counted by kq_account_taken has ended. */
 void kq_account_ended (KqAccount *a, KqStr service, KqRequestEnd end);
-/* A new JSON object: service -> counts. */
+/* Returns a new JSON object with the counts of each service, by its name. */
 json_t *kq_account_json (const KqAccount *a);
 uint64_t kq_account_in_flight (const KqAccount *a);
 
--- a/src/request/dispatch_class.c
+++ b/src/request/dispatch_class.c
@@ -4,18 +4,18 @@
 kq_dispatch_class (KqStr method, KqStr path)
 {
   uint64_t h = kq_str_hash (method);
-  int parts = 0;
+  int segments = 0;
   path = kq_str_cut (&path, '?');
-  while (path.len > 0 && parts < 2)
+  while (path.len > 0 && segments < 2)
     {
-      KqStr part = kq_str_cut (&path, '/');
-      bool id = false;
-      for (size_t i = 0; i < part.len; i++)
-        id = id || (part.ptr[i] >= '0' && part.ptr[i] <= '9');
-      if (part.len == 0 || id)
+      KqStr segment = kq_str_cut (&path, '/');
+      bool is_id = false;
+      for (size_t i = 0; i < segment.len; i++)
+        is_id = is_id || (segment.ptr[i] >= '0' && segment.ptr[i] <= '9');
+      if (segment.len == 0 || is_id)
         continue;
-      h = kq_hash2 (h, kq_str_hash (part));
-      parts++;
+      h = kq_hash2 (h, kq_str_hash (segment));
+      segments++;
     }
   return h;
 }
