--- a/src/request/decisions_test.c
+++ b/src/request/decisions_test.c
@@ -16,8 +16,8 @@
 
 #include <cmocka.h>
 
-/* Adds, moves and removes at random, against the plain rule: the top is the least key,
- * and among equal ones the first by order. */
+/* Random additions, moves and removals, checked against a scan of all nodes: the top has
+ * the lowest key, and among equal keys the lowest order. */
 static void
 test_heap (void **state)
 {
@@ -50,7 +50,7 @@
   kq_heap_free (&h);
 }
 
-/* Two keys of one hash stay two entries. */
+/* Two entries with the same hash stay separate. */
 static void
 test_map (void **state)
 {
@@ -81,7 +81,7 @@
 
 typedef struct
 {
-  KqFair fair;
+  KqFairQueue fair;
   KqFairItem items[1000];
   int n;
   int served[10];
@@ -93,14 +93,14 @@
   KqFairItem *item = &f->items[f->n++];
   *item = (KqFairItem){ .cost = cost };
   kq_fair_push (&f->fair, item, caller, weight, key, f->n);
-  item->owner = (void *)(uintptr_t)caller;
+  item->user_data = (void *)(uintptr_t)caller;
 }
 
 static uint64_t
 take (FairFixture *f)
 {
   KqFairItem *item = kq_fair_first (&f->fair);
-  uint64_t caller = (uint64_t)(uintptr_t)item->owner;
+  uint64_t caller = (uint64_t)(uintptr_t)item->user_data;
   kq_fair_take (&f->fair, item);
   f->served[caller]++;
   return caller;
@@ -114,7 +114,8 @@
   kq_fair_free (&f->fair);
 }
 
-/* Callers 1 and 2 of weight 100 and 300 both have a backlog: they are served 1 to 3. */
+/* Callers 1 and 2, with weights 100 and 300, both have a backlog: they are served in a
+ * ratio of 1 to 3. */
 static void
 test_fair_weights (void **state)
 {
@@ -134,8 +135,8 @@
   empty (&f);
 }
 
-/* A caller has five hundred requests waiting when another sends one. The newcomer is
- * served next, or after what a flow may be ahead of its share; not after the backlog. */
+/* A caller has 500 requests queued when another sends its first one. That one must be
+ * served next or after one other request, not after the backlog, with any burst. */
 static void
 test_fair_newcomer (void **state)
 {
@@ -159,7 +160,7 @@
     }
 }
 
-/* Within the burst, requests leave in order of arrival, whoever sent them. */
+/* Within the burst, requests leave in order of arrival, whatever their caller and key. */
 static void
 test_fair_order_of_arrival (void **state)
 {
@@ -179,8 +180,9 @@
   empty (&f);
 }
 
-/* A caller whose request took a hundred times its forecast pays for it also when it has
- * nothing waiting meanwhile: others that wait are served first, up to what it owes. */
+/* A caller's request took much longer than its forecast, and the caller was idle since.
+ * It must still be charged for the difference: the others are served first, up to that
+ * amount. */
 static void
 test_fair_debt_is_kept (void **state)
 {
@@ -204,7 +206,7 @@
   empty (&f);
 }
 
-/* Random pushes, takes and drops keep the sums right. */
+/* The totals stay right through random additions, takes and removals. */
 static void
 test_fair_random (void **state)
 {
@@ -225,7 +227,7 @@
       else if (kq_rand_below (&rand, 2) == 0 && kq_fair_first (&f.fair) != NULL)
         take (&f);
       else if (item != NULL && item->leaf != NULL)
-        kq_fair_drop (&f.fair, item);
+        kq_fair_remove (&f.fair, item);
       for (int i = 0; i < f.n; i++)
         if (f.items[i].leaf != NULL)
           {
@@ -238,7 +240,7 @@
   empty (&f);
 }
 
-/* A service of quick requests and one class that takes 100 times as long. */
+/* A service with short requests and one class that takes 100 times as long. */
 static void
 test_run_times (void **state)
 {
@@ -248,29 +250,30 @@
   KqRunForecast slow;
   (void)state;
   kq_run_times_init (&r);
-  assert_true (kq_run_times_overdue (&r) == KQ_TIME_NEVER);
+  assert_true (kq_run_times_long_after (&r) == KQ_TIME_NEVER);
   for (int i = 1; i <= 2000; i++)
     {
       kq_run_times_add (&r, 1000, (KqTime)kq_rand_exp (&rand, 10000), i * KQ_MS);
       if (i % 100 == 0)
         kq_run_times_add (&r, 2000, (KqTime)kq_rand_exp (&rand, 1000000), i * KQ_MS);
     }
-  quick = kq_run_times_get (&r, 1000);
-  slow = kq_run_times_get (&r, 2000);
+  quick = kq_run_times_forecast (&r, 1000);
+  slow = kq_run_times_forecast (&r, 2000);
   assert_in_range (quick.mean, 7000, 13000);
-  assert_in_range (quick.base, 8500, 11500);
+  assert_in_range (quick.baseline, 8500, 11500);
   assert_in_range (quick.high, 40000, 75000);
   assert_in_range (slow.mean, 500000, 1500000);
   assert_true (slow.is_long && !quick.is_long);
-  assert_false (kq_run_times_get (&r, 4711).is_long);
+  assert_false (kq_run_times_forecast (&r, 4711).is_long);
   assert_in_range (kq_run_times_median (&r), 5000, 9500);
   for (uint64_t id = 1; id < 100000; id += 7)
     kq_run_times_add (&r, id << 7, 10000, 3 * KQ_SEC);
-  assert_in_range (kq_run_times_get (&r, 0).mean, 9000, 11000);
+  assert_in_range (kq_run_times_forecast (&r, 0).mean, 9000, 11000);
 }
 
-/* Exponential times of a healthy runner seldom cut its limit; times that grow with the
- * number of requests bring it down to where they don't, and it comes back afterwards. */
+/* Exponential run times of a healthy runner rarely lower its limit. Run times that grow
+ * with the number of requests lower it to where they no longer grow, and it rises again
+ * afterwards. */
 static void
 test_limit (void **state)
 {
@@ -281,214 +284,217 @@
   kq_limit_init (&l, 8);
   for (int i = 0; i < 32 * 10000; i++)
     {
-      kq_limit_answer (&l, kq_rand_exp (&rand, 1), l.limit);
+      kq_limit_add_answer (&l, kq_rand_exp (&rand, 1), l.limit);
       below += i % 32 == 31 && l.limit < 8;
     }
   assert_true (below < 300);
   for (int i = 0; i < 32 * 20; i++)
-    kq_limit_answer (&l, kq_rand_exp (&rand, l.limit > 3 ? l.limit : 1), l.limit);
+    kq_limit_add_answer (&l, kq_rand_exp (&rand, l.limit > 3 ? l.limit : 1), l.limit);
   assert_in_range (l.limit, 2, 5);
   for (int i = 0; i < 32 * 10; i++)
-    kq_limit_answer (&l, kq_rand_exp (&rand, 1), l.limit);
+    kq_limit_add_answer (&l, kq_rand_exp (&rand, 1), l.limit);
   assert_in_range (l.limit, 7, 8);
-  kq_limit_set_most (&l, 4);
+  kq_limit_set_slots (&l, 4);
   assert_int_equal (l.limit, 4);
 }
 
 static void
-join (KqOutlierFleet *f, KqOutlier *o, int n)
+join (KqOutlierPeers *p, KqOutlier *o, int n)
 {
-  *f = (KqOutlierFleet){ 0 };
+  *p = (KqOutlierPeers){ 0 };
   for (int i = 0; i < n; i++)
     {
       kq_outlier_init (&o[i]);
-      kq_outlier_join (f, &o[i]);
+      kq_outlier_join (p, &o[i]);
     }
 }
 
-/* Three silent requests, or seven errors, take one runner of ten out; probes come after
- * one second and then after twice the time; three good ones bring it back in steps. */
+/* Three silent requests, or seven errors, eject one runner of ten. It is probed after one
+ * second, then after twice the time; three good probes let it return in steps. */
 static void
 test_outlier_out_and_back (void **state)
 {
-  KqOutlierFleet f;
+  KqOutlierPeers p;
   KqOutlier o[10];
   KqTime now = KQ_SEC;
   (void)state;
-  join (&f, o, 10);
+  join (&p, o, 10);
   for (int i = 0; i < 3; i++)
-    kq_outlier_trial (&o[0], &f, KQ_TRIAL_LOST, 1, 8, now);
-  assert_int_equal (o[0].state, KQ_OUTLIER_OUT);
-  assert_int_equal (kq_outlier_allowed (&o[0], &f, 8), 0);
+    kq_outlier_add_sample (&o[0], &p, KQ_SAMPLE_LOST, 1, 8, now);
+  assert_int_equal (o[0].state, KQ_OUTLIER_EJECTED);
+  assert_int_equal (kq_outlier_allowed (&o[0], &p, 8), 0);
   assert_true (o[0].probe_at == now + KQ_SEC);
-  kq_outlier_trial (&o[0], &f, KQ_TRIAL_LOST, 1, 8, now);
+  kq_outlier_add_sample (&o[0], &p, KQ_SAMPLE_LOST, 1, 8, now);
   assert_true (o[0].probe_at == now + KQ_SEC);
   o[0].probing = true;
   now = o[0].probe_at;
-  kq_outlier_trial (&o[0], &f, KQ_TRIAL_LOST, 1, 8, now);
+  kq_outlier_add_sample (&o[0], &p, KQ_SAMPLE_LOST, 1, 8, now);
   assert_true (o[0].probe_at == now + 2 * KQ_SEC);
   for (int i = 0; i < 3; i++)
-    kq_outlier_trial (&o[0], &f, KQ_TRIAL_GOOD, 1, 8, now);
+    kq_outlier_add_sample (&o[0], &p, KQ_SAMPLE_GOOD, 1, 8, now);
   for (int slots = 1; slots <= 8; slots *= 2)
     {
-      assert_int_equal (kq_outlier_allowed (&o[0], &f, 8), slots);
+      assert_int_equal (kq_outlier_allowed (&o[0], &p, 8), slots);
       for (int i = 0; i < 8; i++)
-        kq_outlier_trial (&o[0], &f, KQ_TRIAL_GOOD, 1, 8, now);
+        kq_outlier_add_sample (&o[0], &p, KQ_SAMPLE_GOOD, 1, 8, now);
     }
   assert_int_equal (o[0].state, KQ_OUTLIER_NORMAL);
   for (int i = 0; i < 7; i++)
-    kq_outlier_trial (&o[1], &f, KQ_TRIAL_ERROR, 1, 8, now);
-  assert_int_equal (o[1].state, KQ_OUTLIER_OUT);
-  assert_int_equal (f.out, 1);
+    kq_outlier_add_sample (&o[1], &p, KQ_SAMPLE_ERROR, 1, 8, now);
+  assert_int_equal (o[1].state, KQ_OUTLIER_EJECTED);
+  assert_int_equal (p.ejected, 1);
 }
 
-/* Four of ten targets are killed together. Each refused connection takes its runner out
- * at once, beyond the bound for slow or failing ones, and the probe that finds it back
- * brings it in again, or its worker's report. */
+/* Four of ten targets are killed together. Each refused connection ejects its runner at
+ * once, beyond the bound for slow or failing ones. Good probes or its worker's report let
+ * it return. */
 static void
 test_refused_connections_go_beyond_the_bound (void **state)
 {
-  KqOutlierFleet f = { 0 };
+  KqOutlierPeers p = { 0 };
   KqOutlier o[10];
   KqTime now = KQ_SEC;
   (void)state;
-  join (&f, o, 10);
+  join (&p, o, 10);
   for (int i = 0; i < 4; i++)
     {
-      kq_outlier_trial (&o[i], &f, KQ_TRIAL_REFUSED, 1, 8, now);
-      assert_int_equal (kq_outlier_allowed (&o[i], &f, 8), 0);
+      kq_outlier_add_sample (&o[i], &p, KQ_SAMPLE_REFUSED, 1, 8, now);
+      assert_int_equal (kq_outlier_allowed (&o[i], &p, 8), 0);
     }
-  assert_int_equal (f.out, 0);
+  assert_int_equal (p.ejected, 0);
   for (int i = 0; i < 3; i++)
     {
       now = o[0].probe_at;
       o[0].probing = true;
-      kq_outlier_trial (&o[0], &f, KQ_TRIAL_GOOD, 1, 8, now);
+      kq_outlier_add_sample (&o[0], &p, KQ_SAMPLE_GOOD, 1, 8, now);
     }
-  assert_int_equal (kq_outlier_allowed (&o[0], &f, 8), 1);
-  assert_int_equal (f.unreachable, 3);
-  kq_outlier_seen (&o[1], &f);
-  assert_int_equal (kq_outlier_allowed (&o[1], &f, 8), 1);
-  assert_int_equal (f.unreachable, 2);
+  assert_int_equal (kq_outlier_allowed (&o[0], &p, 8), 1);
+  assert_int_equal (p.unreachable, 3);
+  kq_outlier_reported (&o[1], &p);
+  assert_int_equal (kq_outlier_allowed (&o[1], &p, 8), 1);
+  assert_int_equal (p.unreachable, 2);
 }
 
-/* Only a tenth may be out: the second bad one still gets one request at a time. A
- * service that fails everywhere loses no runner, and the only runner is never out. */
+/* Only a tenth may be ejected: the second bad runner still gets one request at a time. A
+ * service that fails on all runners loses none of them, and the only runner of a group
+ * isn't ejected. */
 static void
 test_outlier_bounds (void **state)
 {
-  KqOutlierFleet f;
+  KqOutlierPeers p;
   KqOutlier o[10];
   (void)state;
-  join (&f, o, 10);
+  join (&p, o, 10);
   for (int i = 0; i < 10; i++)
     {
-      kq_outlier_trial (&o[0], &f, KQ_TRIAL_ERROR, 1, 8, KQ_SEC);
-      kq_outlier_trial (&o[1], &f, KQ_TRIAL_ERROR, 1, 8, KQ_SEC);
+      kq_outlier_add_sample (&o[0], &p, KQ_SAMPLE_ERROR, 1, 8, KQ_SEC);
+      kq_outlier_add_sample (&o[1], &p, KQ_SAMPLE_ERROR, 1, 8, KQ_SEC);
     }
-  assert_int_equal (f.out, 1);
-  assert_int_equal (kq_outlier_allowed (&o[0], &f, 8) + kq_outlier_allowed (&o[1], &f, 8),
+  assert_int_equal (p.ejected, 1);
+  assert_int_equal (kq_outlier_allowed (&o[0], &p, 8) + kq_outlier_allowed (&o[1], &p, 8),
                     1);
-  join (&f, o, 10);
+  join (&p, o, 10);
   for (int i = 0; i < 1000; i++)
-    kq_outlier_trial (&o[i % 10], &f, KQ_TRIAL_ERROR, 1, 8, KQ_SEC);
-  assert_int_equal (f.out, 0);
-  assert_int_equal (kq_outlier_allowed (&o[3], &f, 8), 8);
-  join (&f, o, 1);
+    kq_outlier_add_sample (&o[i % 10], &p, KQ_SAMPLE_ERROR, 1, 8, KQ_SEC);
+  assert_int_equal (p.ejected, 0);
+  assert_int_equal (kq_outlier_allowed (&o[3], &p, 8), 8);
+  join (&p, o, 1);
   for (int i = 0; i < 100; i++)
-    kq_outlier_trial (&o[0], &f, KQ_TRIAL_LOST, 9, 8, KQ_SEC);
-  assert_int_equal (kq_outlier_allowed (&o[0], &f, 8), 8);
+    kq_outlier_add_sample (&o[0], &p, KQ_SAMPLE_LOST, 9, 8, KQ_SEC);
+  assert_int_equal (kq_outlier_allowed (&o[0], &p, 8), 8);
 }
 
-/* Twice as slow: half the slots. Ten times as slow: out. Healthy exponential times: all
- * slots, nearly always. */
+/* A runner that is twice as slow gets half its slots; ten times as slow, it is ejected. A
+ * healthy one with exponential run times nearly always gets all. */
 static void
 test_outlier_slow (void **state)
 {
-  KqOutlierFleet f;
+  KqOutlierPeers p;
   KqOutlier o[10];
   KqRand rand = kq_rand (36);
   int less = 0;
   (void)state;
-  join (&f, o, 10);
+  join (&p, o, 10);
   for (int i = 0; i < 500; i++)
-    kq_outlier_trial (&o[0], &f, KQ_TRIAL_GOOD, 2, 8, KQ_SEC);
-  assert_int_equal (kq_outlier_allowed (&o[0], &f, 8), 4);
+    kq_outlier_add_sample (&o[0], &p, KQ_SAMPLE_GOOD, 2, 8, KQ_SEC);
+  assert_int_equal (kq_outlier_allowed (&o[0], &p, 8), 4);
   for (int i = 0; i < 200; i++)
-    kq_outlier_trial (&o[1], &f, KQ_TRIAL_GOOD, 10, 8, KQ_SEC);
-  assert_int_equal (o[1].state, KQ_OUTLIER_OUT);
+    kq_outlier_add_sample (&o[1], &p, KQ_SAMPLE_GOOD, 10, 8, KQ_SEC);
+  assert_int_equal (o[1].state, KQ_OUTLIER_EJECTED);
   for (int i = 0; i < 100000; i++)
     {
-      kq_outlier_trial (&o[2], &f, KQ_TRIAL_GOOD, kq_rand_exp (&rand, 1), 8, KQ_SEC);
-      less += kq_outlier_allowed (&o[2], &f, 8) < 8;
+      kq_outlier_add_sample (&o[2], &p, KQ_SAMPLE_GOOD, kq_rand_exp (&rand, 1), 8,
+                             KQ_SEC);
+      less += kq_outlier_allowed (&o[2], &p, 8) < 8;
     }
   assert_true (less < 100);
 }
 
-/* The forecast is what is queued over the slots; a caller's is at most its own backlog
- * over its share. */
+/* The forecast is the queued work over the slots; a caller's is at most its own backlog
+ * over its share. Also the bounds for the queue, the caller and the key. */
 static void
 test_admission (void **state)
 {
   KqRunForecast run = { .mean = 10 * KQ_MS, .high = 40 * KQ_MS };
-  KqAdmissionView v = { .queued = 100,
-                        .queue_max = 200,
-                        .work = 100 * 10 * KQ_MS,
-                        .slots = 10,
-                        .fair = true,
-                        .caller_queued = 10,
-                        .caller_percent = 50,
-                        .caller_work = 10 * 10 * KQ_MS,
-                        .key_work = 10 * 10 * KQ_MS,
-                        .active_keys = 1,
-                        .caller_weight = 100,
-                        .active_weight = 200 };
+  KqAdmissionInput in = { .queued = 100,
+                          .queue_max = 200,
+                          .work = 100 * 10 * KQ_MS,
+                          .slots = 10,
+                          .fair = true,
+                          .caller_queued = 10,
+                          .caller_percent = 50,
+                          .caller_work = 10 * 10 * KQ_MS,
+                          .key_work = 10 * 10 * KQ_MS,
+                          .active_keys = 1,
+                          .caller_weight = 100,
+                          .active_weight = 200 };
   (void)state;
-  assert_true (kq_admission_wait (&v, &run) == 23 * KQ_MS);
-  assert_int_equal (kq_admission_judge (&v, &run, 63 * KQ_MS, true), KQ_OK);
-  assert_int_equal (kq_admission_judge (&v, &run, 62 * KQ_MS, true),
+  assert_true (kq_admission_wait (&in, &run) == 23 * KQ_MS);
+  assert_int_equal (kq_admission_decide (&in, &run, 63 * KQ_MS, true), KQ_OK);
+  assert_int_equal (kq_admission_decide (&in, &run, 62 * KQ_MS, true),
                     KQ_ERR_DEADLINE_FORECAST);
-  assert_int_equal (kq_admission_judge (&v, &run, 1, false), KQ_OK);
-  v.fair = false;
-  assert_true (kq_admission_wait (&v, &run) == 101 * KQ_MS);
-  v.fair = true;
-  v.caller_queued = 100;
-  assert_int_equal (kq_admission_judge (&v, &run, KQ_SEC, true), KQ_ERR_CALLER_SHARE);
-  v.caller_queued = 60;
-  v.key_queued = 50;
-  assert_int_equal (kq_admission_judge (&v, &run, KQ_SEC, true), KQ_ERR_CALLER_SHARE);
-  v.queued = 200;
-  assert_int_equal (kq_admission_judge (&v, &run, KQ_SEC, true), KQ_ERR_QUEUE_FULL);
-  v.room = true;
-  assert_true (kq_admission_wait (&v, &run) == 0);
+  assert_int_equal (kq_admission_decide (&in, &run, 1, false), KQ_OK);
+  in.fair = false;
+  assert_true (kq_admission_wait (&in, &run) == 101 * KQ_MS);
+  in.fair = true;
+  in.caller_queued = 100;
+  assert_int_equal (kq_admission_decide (&in, &run, KQ_SEC, true), KQ_ERR_CALLER_SHARE);
+  in.caller_queued = 60;
+  in.key_queued = 50;
+  assert_int_equal (kq_admission_decide (&in, &run, KQ_SEC, true), KQ_ERR_CALLER_SHARE);
+  in.queued = 200;
+  assert_int_equal (kq_admission_decide (&in, &run, KQ_SEC, true), KQ_ERR_QUEUE_FULL);
+  in.slot_free = true;
+  assert_true (kq_admission_wait (&in, &run) == 0);
 }
 
-/* A thousand callers refused at one moment come back spread: in no tenth of a second more
- * than half of what the runners can take in it, until the bound; then evenly. */
+/* A thousand callers are refused at the same time. Their advised retries are spread: in
+ * no tenth of a second more than half of what the runners can serve in it, up to the
+ * maximum wait; beyond that, evenly over its second half. */
 static void
 test_comeback_spreads (void **state)
 {
-  KqComeback c = { 0 };
+  KqRetryAfter r = { 0 };
   KqRand rand = kq_rand (37);
   int buckets[101] = { 0 };
   (void)state;
   for (int i = 0; i < 1000; i++)
     {
-      KqTime at = kq_comeback_next (&c, 200 * KQ_MS, KQ_MS, KQ_SEC, &rand);
+      KqTime at = kq_retry_after_next (&r, 200 * KQ_MS, KQ_MS, KQ_SEC, &rand);
       assert_true (at >= 50 * KQ_MS && at <= 10 * KQ_SEC);
       buckets[at / (100 * KQ_MS)]++;
     }
   for (int i = 0; i < 101; i++)
     assert_true (buckets[i] <= 51);
   for (int i = 0; i < 10000; i++)
-    kq_comeback_next (&c, 200 * KQ_MS, KQ_MS, KQ_SEC, &rand);
+    kq_retry_after_next (&r, 200 * KQ_MS, KQ_MS, KQ_SEC, &rand);
   for (int i = 0; i < 1000; i++)
-    assert_in_range (kq_comeback_next (&c, 0, KQ_MS, KQ_SEC, &rand), 5 * KQ_SEC,
+    assert_in_range (kq_retry_after_next (&r, 0, KQ_MS, KQ_SEC, &rand), 5 * KQ_SEC,
                      10 * KQ_SEC);
 }
 
-/* Everything fails for a minute: retries stay at a tenth of the first tries, plus one a
- * second, and a quiet hour before gives no licence for more. */
+/* All requests fail for a minute: retries stay at a tenth of the first tries, plus one
+ * per second. An idle hour doesn't add to the budget. */
 static void
 test_retry_budget (void **state)
 {
@@ -534,7 +540,7 @@
   assert_true (differ);
 }
 
-/* Whatever is asked for, no second carries more than the budget and the bucket. */
+/* Whatever the demand, no second carries more than the rate plus the bucket. */
 static void
 test_link (void **state)
 {
@@ -567,10 +573,10 @@
   assert_false (kq_link_allows (&b, 1, now));
 }
 
-/* Callers get 503 "no runner" for requests that a stopping owner has handed back.
- * The owner gives its queue back; its successor has yet to take the shard and to list the
- * runners, so the next try finds no owner, and would be refused for good. What was handed
- * back looks again, for two seconds; nothing else does. */
+/* Callers got 503 "no runner" for requests that a draining owner had handed back, because
+ * its successor had not yet taken over the shard and listed the runners, so the next try
+ * found no owner. A request that was handed back looks for an owner again, for two
+ * seconds; others don't. */
 static void
 test_handed_back_waits_for_successor (void **state)
 {
--- a/src/request/dispatch.c
+++ b/src/request/dispatch.c
@@ -8,28 +8,28 @@
 #include <assert.h>
 #include <stdlib.h>
 
-/* Tags of services count microseconds of work at this weight (see fair.h). */
+/* The unit of a service's tag: 1/TAG_SCALE microseconds of work / weight (see fair.h). */
 #define TAG_SCALE 1000
-/* Refused without a queue to measure: come back in about a second. */
-#define NO_TARGET_WAIT KQ_SEC
+/* Advised when the service has no live runner, and so no queue to base a forecast on. */
+#define NO_TARGET_RETRY_AFTER KQ_SEC
 
 typedef struct
 {
   KqMapNode by_flight;
-  KqHeapNode by_give_up; /* while queued */
-  KqFairItem item;       /* while queued */
+  KqHeapNode by_latest_start; /* while queued */
+  KqFairItem item;            /* while queued */
   KqFlightId flight;
   KqServiceQueue *service;
   KqLane lane;
   uint64_t caller;
   uint64_t class_id;
   bool idempotent;
-  int64_t cost;     /* the forecast mean when it was offered */
+  int64_t cost;     /* forecast mean run time on arrival, microseconds */
   KqRunner *runner; /* NULL while queued */
   KqTime sent_at;
-  KqHeapNode by_overdue; /* while sent, of a class that isn't known well */
-  int busy;              /* the runner's flights when it was sent, itself included */
-} Entry;
+  KqHeapNode by_long_at; /* while sent, if its class isn't known well */
+  int busy_at_send;      /* flights at the runner when it was sent, this one included */
+} Flight;
 
 struct KqDispatch
 {
@@ -38,26 +38,26 @@
   KqPool pool;
   KqMap flights;
   KqMap services;
-  KqServiceQueue **active; /* those that have something queued */
+  KqServiceQueue **active; /* services that have something queued */
   size_t n_active;
   size_t capacity;
-  int64_t reached;   /* the service tag served last */
-  KqHeap by_give_up; /* all queued entries */
-  KqHeap by_overdue; /* sent entries that may turn out to be long */
+  int64_t virtual_time;   /* tag of the service served last */
+  KqHeap by_latest_start; /* all queued flights */
+  KqHeap by_long_at;      /* sent flights, by when they count as long */
   uint64_t order;
 };
 
 static uint64_t
-flight_hash (KqFlightId f)
+flight_hash (KqFlightId id)
 {
-  return kq_hash2 (kq_hash2 (f.node, f.incarnation), f.number);
+  return kq_hash2 (kq_hash2 (id.node, id.incarnation), id.number);
 }
 
-static Entry *
-find_entry (const KqDispatch *d, KqFlightId f)
+static Flight *
+find_flight (const KqDispatch *d, KqFlightId id)
 {
-  KqMapNode *node = kq_map_find (&d->flights, flight_hash (f));
-  while (node != NULL && !kq_flight_eq (((Entry *)node->owner)->flight, f))
+  KqMapNode *node = kq_map_find (&d->flights, flight_hash (id));
+  while (node != NULL && !kq_flight_eq (((Flight *)node->owner)->flight, id))
     node = kq_map_more (node);
   return node != NULL ? node->owner : NULL;
 }
@@ -84,17 +84,17 @@
 }
 
 static void
-set_active (KqDispatch *d, KqServiceQueue *s)
+update_active (KqDispatch *d, KqServiceQueue *s)
 {
-  bool wanted = kq_service_queued (s) > 0;
-  if (wanted == (s->active_place > 0))
+  bool has_queued = kq_service_queued (s) > 0;
+  if (has_queued == (s->active_index > 0))
     return;
-  if (!wanted)
+  if (!has_queued)
     {
       KqServiceQueue *last = d->active[--d->n_active];
-      d->active[s->active_place - 1] = last;
-      last->active_place = s->active_place;
-      s->active_place = 0;
+      d->active[s->active_index - 1] = last;
+      last->active_index = s->active_index;
+      s->active_index = 0;
       return;
     }
   if (d->n_active == d->capacity)
@@ -103,27 +103,27 @@
       d->active = kq_realloc (d->active, d->capacity * sizeof (KqServiceQueue *));
     }
   d->active[d->n_active++] = s;
-  s->active_place = d->n_active;
-  if (s->tag < d->reached)
-    s->tag = d->reached;
+  s->active_index = d->n_active;
+  if (s->tag < d->virtual_time)
+    s->tag = d->virtual_time;
 }
 
-/* Takes an entry out of its queue, unsent. */
+/* Removes a flight from its queue without sending it. */
 static void
-unqueue (KqDispatch *d, Entry *e)
+dequeue (KqDispatch *d, Flight *f)
 {
-  kq_heap_remove (&d->by_give_up, &e->by_give_up);
-  kq_service_drop (e->service, e->lane, &e->item);
-  set_active (d, e->service);
+  kq_heap_remove (&d->by_latest_start, &f->by_latest_start);
+  kq_service_remove (f->service, f->lane, &f->item);
+  update_active (d, f->service);
 }
 
 static void
-forget (KqDispatch *d, Entry *e)
+free_flight (KqDispatch *d, Flight *f)
 {
-  if (e->by_overdue.place > 0)
-    kq_heap_remove (&d->by_overdue, &e->by_overdue);
-  kq_map_remove (&d->flights, &e->by_flight);
-  free (e);
+  if (f->by_long_at.place > 0)
+    kq_heap_remove (&d->by_long_at, &f->by_long_at);
+  kq_map_remove (&d->flights, &f->by_flight);
+  free (f);
 }
 
 void
@@ -132,10 +132,10 @@
   KqMapNode *node;
   while ((node = kq_map_any (&d->flights)) != NULL)
     {
-      Entry *e = node->owner;
-      if (e->runner == NULL)
-        unqueue (d, e);
-      forget (d, e);
+      Flight *f = node->owner;
+      if (f->runner == NULL)
+        dequeue (d, f);
+      free_flight (d, f);
     }
   while ((node = kq_map_any (&d->services)) != NULL)
     {
@@ -146,8 +146,8 @@
   kq_pool_free (&d->pool);
   kq_map_free (&d->flights);
   kq_map_free (&d->services);
-  kq_heap_free (&d->by_give_up);
-  kq_heap_free (&d->by_overdue);
+  kq_heap_free (&d->by_latest_start);
+  kq_heap_free (&d->by_long_at);
   free (d->active);
   if (d->table != NULL)
     kq_table_unref (d->table);
@@ -163,7 +163,8 @@
   kq_map_add (&d->services, &s->by_name, kq_str_hash (kq_name_str (name)), s);
 }
 
-/* A service that left the table keeps its learned times; its queue is refused. */
+/* A service that was removed from the table keeps its learned run times; its queued
+ * requests are refused. */
 static void
 refresh_rows (KqDispatch *d)
 {
@@ -203,7 +204,7 @@
 {
   size_t n_groups = d->pool.n_groups;
   (void)now;
-  kq_pool_set (&d->pool, info, taken_over);
+  kq_pool_set_runner (&d->pool, info, taken_over);
   if (d->pool.n_groups == n_groups)
     return;
   for (size_t b = 0; b < d->services.n_buckets; b++)
@@ -215,7 +216,7 @@
 kq_dispatch_drop_runner (KqDispatch *d, KqRunnerId id, KqTime now)
 {
   (void)now;
-  kq_pool_drop (&d->pool, id);
+  kq_pool_drop_runner (&d->pool, id);
 }
 
 void
@@ -241,77 +242,79 @@
 caller_weight (const KqDispatch *d, KqStr caller)
 {
   const KqRow *row = kq_table_find (d->table, KQ_ROW_CALLER, caller);
-  return row != NULL ? row->u.caller.weight : KQ_CALLER_WEIGHT;
+  return row != NULL ? row->u.caller.weight : KQ_CALLER_WEIGHT_DEFAULT;
 }
 
-/* About one mean run time in the service's share of slots. */
+/* Mean time between two starts when all of the service's slots are in use. */
 static KqTime
-one_place (const KqServiceQueue *s, const KqRunForecast *run)
+start_interval (const KqServiceQueue *s, const KqRunForecast *run)
 {
   int slots = kq_service_slots (s);
   return run->mean / (slots > 0 ? slots : 1);
 }
 
 static KqTime
-comeback (KqDispatch *d, KqServiceQueue *s, KqTime wait, const KqRunForecast *run,
-          KqTime now)
+next_retry_after (KqDispatch *d, KqServiceQueue *s, KqTime wait, const KqRunForecast *run,
+                  KqTime now)
 {
-  return kq_comeback_next (&s->comeback, wait, one_place (s, run), now, &d->rand);
+  return kq_retry_after_next (&s->retry_after, wait, start_interval (s, run), now,
+                              &d->rand);
 }
 
 static void
 enqueue (KqDispatch *d, KqServiceQueue *s, const KqDispatchRequest *r,
          const KqRunForecast *run, KqLane lane, int64_t weight)
 {
-  Entry *e = kq_alloc (sizeof *e);
-  KqTime give_up = r->deadline;
-  e->flight = r->flight;
-  e->service = s;
-  e->lane = lane;
-  e->caller = s->row.fairness ? kq_str_hash (r->caller) : 0;
-  e->class_id = r->class_id;
-  e->idempotent = r->idempotent;
-  e->cost = run->mean;
-  e->item.cost = run->mean;
-  e->item.owner = e;
-  /* Sent later than this it would be answered too late, and its slot's time be lost. */
+  Flight *f = kq_alloc (sizeof *f);
+  KqTime latest_start = r->deadline;
+  f->flight = r->flight;
+  f->service = s;
+  f->lane = lane;
+  f->caller = s->row.fairness ? kq_str_hash (r->caller) : 0;
+  f->class_id = r->class_id;
+  f->idempotent = r->idempotent;
+  f->cost = run->mean;
+  f->item.cost = run->mean;
+  f->item.user_data = f;
+  /* Sent any later, it would probably miss its deadline and waste the slot's time. */
   if (s->row.admission)
-    give_up -= run->high;
-  kq_map_add (&d->flights, &e->by_flight, flight_hash (r->flight), e);
-  kq_heap_add (&d->by_give_up, &e->by_give_up, give_up, d->order++, e);
-  kq_service_push (s, lane, &e->item, e->caller, s->row.fairness ? weight : 1,
+    latest_start -= run->high;
+  kq_map_add (&d->flights, &f->by_flight, flight_hash (r->flight), f);
+  kq_heap_add (&d->by_latest_start, &f->by_latest_start, latest_start, d->order++, f);
+  kq_service_push (s, lane, &f->item, f->caller, s->row.fairness ? weight : 1,
                    s->row.fairness ? r->key : 0, r->deadline);
-  set_active (d, s);
+  update_active (d, s);
 }
 
-/* A request that runs for long teaches its class before it ends, and counts as long. */
+/* A flight that has run longer than kq_run_times_long_after counts as long from then on,
+ * and its run time so far is added to its class before it ends. */
 static void
-notice_overdue (KqDispatch *d, KqTime now)
+mark_long_running (KqDispatch *d, KqTime now)
 {
   KqHeapNode *top;
-  while ((top = kq_heap_top (&d->by_overdue)) != NULL && top->key <= now)
+  while ((top = kq_heap_top (&d->by_long_at)) != NULL && top->key <= now)
     {
-      Entry *e = top->owner;
-      KqServiceQueue *s = e->service;
-      kq_heap_remove (&d->by_overdue, top);
-      kq_run_times_add (&s->run_times, e->class_id, now - e->sent_at, now);
+      Flight *f = top->owner;
+      KqServiceQueue *s = f->service;
+      kq_heap_remove (&d->by_long_at, top);
+      kq_run_times_add (&s->run_times, f->class_id, now - f->sent_at, now);
       if (!s->row.short_slots)
         continue;
       s->in_flight[KQ_LANE_SHORT]--;
       s->in_flight[KQ_LANE_LONG]++;
-      kq_pool_turn_long (e->runner);
-      e->lane = KQ_LANE_LONG;
+      kq_pool_mark_long (f->runner);
+      f->lane = KQ_LANE_LONG;
     }
 }
 
 static void
-watch_overdue (KqDispatch *d, Entry *e, KqTime now)
+watch_run_time (KqDispatch *d, Flight *f, KqTime now)
 {
-  KqTime after = kq_run_times_overdue (&e->service->run_times);
-  if (e->lane == KQ_LANE_LONG || e->class_id == 0 || after == KQ_TIME_NEVER
-      || kq_run_times_get (&e->service->run_times, e->class_id).sure)
+  KqTime after = kq_run_times_long_after (&f->service->run_times);
+  if (f->lane == KQ_LANE_LONG || f->class_id == 0 || after == KQ_TIME_NEVER
+      || kq_run_times_forecast (&f->service->run_times, f->class_id).reliable)
     return;
-  kq_heap_add (&d->by_overdue, &e->by_overdue, now + after, d->order++, e);
+  kq_heap_add (&d->by_long_at, &f->by_long_at, now + after, d->order++, f);
 }
 
 KqResult
@@ -320,55 +323,57 @@
 {
   KqServiceQueue *s = find_service (d, r->service);
   KqRunForecast run;
-  KqAdmissionView view;
+  KqAdmissionInput input;
   KqLane lane;
   KqResult why;
   int64_t weight;
-  assert (find_entry (d, r->flight) == NULL);
+  assert (find_flight (d, r->flight) == NULL);
   *retry_after = 0;
   if (s == NULL || !s->in_table)
     return KQ_ERR_NO_SERVICE;
   if (r->deadline <= now)
     return KQ_ERR_DEADLINE_PASSED;
-  notice_overdue (d, now);
-  kq_service_note_demand (s, now);
-  run = kq_run_times_get (&s->run_times, r->class_id);
-  if (kq_service_live (s) == 0)
+  mark_long_running (d, now);
+  kq_service_update_demand (s, now);
+  run = kq_run_times_forecast (&s->run_times, r->class_id);
+  if (kq_service_live_runners (s) == 0)
     {
-      *retry_after = comeback (d, s, NO_TARGET_WAIT, &run, now);
+      *retry_after = next_retry_after (d, s, NO_TARGET_RETRY_AFTER, &run, now);
       return KQ_ERR_NO_TARGET;
     }
   lane = run.is_long && s->row.short_slots ? KQ_LANE_LONG : KQ_LANE_SHORT;
   weight = caller_weight (d, r->caller);
-  view = kq_service_view_for (s, lane, s->row.fairness ? kq_str_hash (r->caller) : 0,
-                              weight, s->row.fairness ? r->key : 0);
-  why = kq_admission_judge (&view, &run, r->deadline - now, s->row.admission);
+  input = kq_service_admission_input (s, lane,
+                                      s->row.fairness ? kq_str_hash (r->caller) : 0,
+                                      weight, s->row.fairness ? r->key : 0);
+  why = kq_admission_decide (&input, &run, r->deadline - now, s->row.admission);
   if (why == KQ_OK)
     enqueue (d, s, r, &run, lane, weight);
   else
-    *retry_after = comeback (d, s, kq_admission_wait (&view, &run), &run, now);
+    *retry_after = next_retry_after (d, s, kq_admission_wait (&input, &run), &run, now);
   return why;
 }
 
 static void
-refuse (KqDispatch *d, Entry *e, KqResult code, KqTime now, KqDispatchEvent *event)
+refuse (KqDispatch *d, Flight *f, KqResult code, KqTime now, KqDispatchEvent *event)
 {
-  KqServiceQueue *s = e->service;
-  KqRunForecast run = kq_run_times_get (&s->run_times, e->class_id);
-  KqTime wait = s->lanes[e->lane].work / (kq_service_slots (s) + 1);
+  KqServiceQueue *s = f->service;
+  KqRunForecast run = kq_run_times_forecast (&s->run_times, f->class_id);
+  KqTime wait = s->lanes[f->lane].work / (kq_service_slots (s) + 1);
   *event = (KqDispatchEvent){ .kind = KQ_DISPATCH_REFUSE,
-                              .flight = e->flight,
+                              .flight = f->flight,
                               .code = code,
-                              .retry_after = comeback (d, s, wait, &run, now) };
-  unqueue (d, e);
-  forget (d, e);
+                              .retry_after = next_retry_after (d, s, wait, &run, now) };
+  dequeue (d, f);
+  free_flight (d, f);
 }
 
-/* Something that can't be served any more: late, or its service has no runner left. */
+/* Refuses a queued flight that can't be served any more: its latest start has passed, or
+ * its service has no live runner or no row left. */
 static bool
 next_refusal (KqDispatch *d, KqTime now, KqDispatchEvent *event)
 {
-  KqHeapNode *top = kq_heap_top (&d->by_give_up);
+  KqHeapNode *top = kq_heap_top (&d->by_latest_start);
   if (top != NULL && top->key <= now)
     {
       refuse (d, top->owner, KQ_ERR_DEADLINE_PASSED, now, event);
@@ -377,59 +382,59 @@
   for (size_t i = 0; i < d->n_active; i++)
     {
       KqServiceQueue *s = d->active[i];
-      const KqFair *f
+      const KqFairQueue *queue
           = &s->lanes[s->lanes[KQ_LANE_SHORT].queued > 0 ? KQ_LANE_SHORT : KQ_LANE_LONG];
-      if (s->in_table && kq_service_live (s) > 0)
+      if (s->in_table && kq_service_live_runners (s) > 0)
         continue;
-      refuse (d, kq_fair_first (f)->owner,
+      refuse (d, kq_fair_first (queue)->user_data,
               s->in_table ? KQ_ERR_NO_TARGET : KQ_ERR_NO_SERVICE, now, event);
       return true;
     }
   return false;
 }
 
-/* The runner for the service's next item; a due probe goes first, so that a runner comes
- * back also when the others have room for everything. */
+/* Chooses the runner for the service's next flight. A due probe goes first: otherwise an
+ * ejected runner would never return while the others have free slots. */
 static KqRunner *
-choose_runner (KqDispatch *d, const KqServiceQueue *s, const Entry *e, KqTime now)
+choose_runner (KqDispatch *d, const KqServiceQueue *s, const Flight *f, KqTime now)
 {
   KqRunner *r = NULL;
   if (s->row.outlier)
-    r = kq_pool_probe (s->groups, s->n_groups, e->idempotent && e->lane == KQ_LANE_SHORT,
-                       now);
+    r = kq_pool_due_probe (s->groups, s->n_groups,
+                           f->idempotent && f->lane == KQ_LANE_SHORT, now);
   if (r != NULL)
     return r;
-  return kq_pool_choose (s->groups, s->n_groups, kq_service_view (s), s->row.choice,
-                         e->cost, &d->rand);
+  return kq_pool_choose (s->groups, s->n_groups, kq_service_checks (s), s->row.choice,
+                         f->cost, &d->rand);
 }
 
 static void
-send (KqDispatch *d, Entry *e, KqRunner *r, KqTime now, KqDispatchEvent *event)
-{
-  KqServiceQueue *s = e->service;
-  kq_heap_remove (&d->by_give_up, &e->by_give_up);
-  if (d->reached < s->tag)
-    d->reached = s->tag;
-  s->tag += e->cost * TAG_SCALE / (s->row.weight > 0 ? s->row.weight : 1);
-  kq_service_take (s, e->lane, &e->item);
-  set_active (d, s);
-  s->in_flight[e->lane]++;
-  kq_pool_take (&d->pool, r, e->cost, e->lane == KQ_LANE_LONG);
-  e->runner = r;
-  e->sent_at = now;
-  watch_overdue (d, e, now);
-  e->busy = r->ours + r->foreign;
+send (KqDispatch *d, Flight *f, KqRunner *r, KqTime now, KqDispatchEvent *event)
+{
+  KqServiceQueue *s = f->service;
+  kq_heap_remove (&d->by_latest_start, &f->by_latest_start);
+  if (d->virtual_time < s->tag)
+    d->virtual_time = s->tag;
+  s->tag += f->cost * TAG_SCALE / (s->row.weight > 0 ? s->row.weight : 1);
+  kq_service_take (s, f->lane, &f->item);
+  update_active (d, s);
+  s->in_flight[f->lane]++;
+  kq_pool_take_slot (&d->pool, r, f->cost, f->lane == KQ_LANE_LONG);
+  f->runner = r;
+  f->sent_at = now;
+  watch_run_time (d, f, now);
+  f->busy_at_send = r->ours + r->foreign;
   *event = (KqDispatchEvent){ .kind = KQ_DISPATCH_SEND,
-                              .flight = e->flight,
+                              .flight = f->flight,
                               .runner = r->info.id };
 }
 
-/* Among the services that have an item and a runner for it, the one that is furthest
- * behind its weight. */
+/* Sends the next flight of the service with the lowest tag, which is the one furthest
+ * behind its weighted share, among those that have a flight and a runner for it. */
 static bool
 next_send (KqDispatch *d, KqTime now, KqDispatchEvent *event)
 {
-  Entry *best = NULL;
+  Flight *best = NULL;
   KqRunner *runner = NULL;
   for (size_t i = 0; i < d->n_active; i++)
     {
@@ -440,10 +445,10 @@
       if (best != NULL && s->tag >= best->service->tag)
         continue;
       item = kq_service_first (s, &lane);
-      r = item != NULL ? choose_runner (d, s, item->owner, now) : NULL;
+      r = item != NULL ? choose_runner (d, s, item->user_data, now) : NULL;
       if (r == NULL)
         continue;
-      best = item->owner;
+      best = item->user_data;
       runner = r;
     }
   if (best != NULL)
@@ -462,7 +467,7 @@
 KqTime
 kq_dispatch_wake (const KqDispatch *d, KqTime now)
 {
-  KqHeapNode *top = kq_heap_top (&d->by_give_up);
+  KqHeapNode *top = kq_heap_top (&d->by_latest_start);
   KqTime wake = top != NULL ? top->key : KQ_TIME_NEVER;
   (void)now;
   for (size_t i = 0; i < d->pool.n_groups && top != NULL; i++)
@@ -474,66 +479,69 @@
   return wake;
 }
 
-static KqTrial
-trial_of (KqOutcome o)
+static KqOutlierSample
+sample_of (KqOutcome o)
 {
   switch (o)
     {
     case KQ_OUTCOME_ANSWERED:
-      return KQ_TRIAL_GOOD;
+      return KQ_SAMPLE_GOOD;
     case KQ_OUTCOME_ERROR:
-      return KQ_TRIAL_ERROR;
+      return KQ_SAMPLE_ERROR;
     case KQ_OUTCOME_NOT_SENT:
-      return KQ_TRIAL_REFUSED;
+      return KQ_SAMPLE_REFUSED;
     default:
-      return KQ_TRIAL_LOST;
+      return KQ_SAMPLE_LOST;
     }
 }
 
-/* What the end of a flight says of its class, its caller and its runner. */
+/* Updates the run times of the class, the caller's share, and the runner's limit and
+ * outlier state. */
 static void
-learn (KqDispatch *d, const Entry *e, KqOutcome o, KqTime now)
+record_outcome (KqDispatch *d, const Flight *f, KqOutcome o, KqTime now)
 {
-  KqServiceQueue *s = e->service;
-  KqTime took = now - e->sent_at;
-  KqRunForecast run = kq_run_times_get (&s->run_times, e->class_id);
+  KqServiceQueue *s = f->service;
+  KqTime took = now - f->sent_at;
+  KqRunForecast run = kq_run_times_forecast (&s->run_times, f->class_id);
   double ratio = (double)took / (double)run.mean;
   (void)d;
-  /* An end without an answer says only "at least so long". */
+  /* The time until a cancellation is only a lower bound of the run time, so it counts if
+   * it is above the mean. */
   if (o == KQ_OUTCOME_ANSWERED || (o == KQ_OUTCOME_CANCELLED && took > run.mean))
-    kq_run_times_add (&s->run_times, e->class_id, took, now);
-  kq_fair_correct (&s->lanes[e->lane], e->caller, took - e->cost);
-  if (!run.sure)
+    kq_run_times_add (&s->run_times, f->class_id, took, now);
+  kq_fair_correct (&s->lanes[f->lane], f->caller, took - f->cost);
+  if (!run.reliable)
     ratio = 1;
-  if (o == KQ_OUTCOME_ANSWERED && run.sure && s->row.limit)
-    kq_limit_answer (&e->runner->limit, (double)took / (double)run.base, e->busy);
+  if (o == KQ_OUTCOME_ANSWERED && run.reliable && s->row.limit)
+    kq_limit_add_answer (&f->runner->limit, (double)took / (double)run.baseline,
+                         f->busy_at_send);
   if (o != KQ_OUTCOME_CANCELLED)
-    kq_outlier_trial (&e->runner->outlier, &e->runner->group->fleet, trial_of (o), ratio,
-                      e->runner->info.slots, now);
+    kq_outlier_add_sample (&f->runner->outlier, &f->runner->group->peers, sample_of (o),
+                           ratio, f->runner->info.slots, now);
 }
 
 void
 kq_dispatch_done (KqDispatch *d, KqFlightId flight, KqOutcome o, KqTime now)
 {
-  Entry *e = find_entry (d, flight);
-  if (e == NULL || e->runner == NULL)
+  Flight *f = find_flight (d, flight);
+  if (f == NULL || f->runner == NULL)
     return;
-  learn (d, e, o, now);
-  kq_service_note_demand (e->service, now);
-  e->service->in_flight[e->lane]--;
-  kq_pool_give (&d->pool, e->runner, e->cost, e->lane == KQ_LANE_LONG);
-  forget (d, e);
+  record_outcome (d, f, o, now);
+  kq_service_update_demand (f->service, now);
+  f->service->in_flight[f->lane]--;
+  kq_pool_return_slot (&d->pool, f->runner, f->cost, f->lane == KQ_LANE_LONG);
+  free_flight (d, f);
 }
 
 bool
 kq_dispatch_cancel (KqDispatch *d, KqFlightId flight, KqTime now)
 {
-  Entry *e = find_entry (d, flight);
+  Flight *f = find_flight (d, flight);
   (void)now;
-  if (e == NULL || e->runner != NULL)
+  if (f == NULL || f->runner != NULL)
     return false;
-  unqueue (d, e);
-  forget (d, e);
+  dequeue (d, f);
+  free_flight (d, f);
   return true;
 }
 
@@ -545,7 +553,7 @@
     for (KqMapNode *node = d->services.buckets[b]; node != NULL; node = node->next)
       {
         const KqServiceQueue *s = node->owner;
-        if (n < max && s->in_table && kq_service_live (s) > 0)
+        if (n < max && s->in_table && kq_service_live_runners (s) > 0)
           out[n++] = kq_service_digest (s);
       }
   return n;
@@ -560,7 +568,7 @@
 size_t
 kq_dispatch_queued (const KqDispatch *d)
 {
-  return d->by_give_up.n;
+  return d->by_latest_start.n;
 }
 
 size_t
--- a/src/request/dispatch.h
+++ b/src/request/dispatch.h
@@ -1,19 +1,23 @@
 #ifndef KQ_REQUEST_DISPATCH_H
 #define KQ_REQUEST_DISPATCH_H
 
-/* dispatch: the owner's side of requests: one queue for the runners this node owns.
+/* dispatch: the queue of requests for the runners that this node owns.
  *
- * One owner per runner makes its slots and connections exact without counters shared
- * between nodes. Admission, fairness, short slots, target choice, adaptive limits and
- * outliers are modules of their own, put together here. No socket, no clock. */
+ * Each runner has one owner, and only the owner sends requests to it, so its slots and
+ * connections are counted exactly without counters shared between nodes. A flight here
+ * is one try of a request: it is queued, then sent to a runner or refused.
+ *
+ * This module combines admission, fair queueing, the lanes for short and long requests,
+ * the choice of a runner, adaptive limits and outlier ejection; each is a module of its
+ * own. It does no I/O and reads no clock: the caller passes the time. */
 
 #include "port/hosts.h"
 #include "request/dispatch_class.h"
 #include "table/table.h"
 #include "wire/msg.h"
 
-/* Weight of a caller that has no row: the row's own default. */
-#define KQ_CALLER_WEIGHT 100
+/* Weight of a caller without a row in the table; the same as a row's default. */
+#define KQ_CALLER_WEIGHT_DEFAULT 100
 
 typedef uint64_t KqRunnerId; /* hash of worker id and runner name */
 
@@ -34,16 +38,16 @@
   KqFlightId flight;
   KqStr service;
   KqStr caller;
-  KqTime deadline; /* on this node's clock */
+  KqTime deadline; /* by this node's clock */
   bool idempotent;
-  uint64_t class_id; /* kq_dispatch_class; its run times are learned. 0: unknown */
-  uint64_t key;      /* kq_dispatch_key; within a caller no key waits for another */
+  uint64_t class_id; /* from kq_dispatch_class; selects the run times. 0: unknown */
+  uint64_t key;      /* from kq_dispatch_key; a caller's keys share evenly. 0: unknown */
 } KqDispatchRequest;
 
 typedef enum
 {
   KQ_DISPATCH_SEND,  /* send the flight to the runner now; its slot is taken */
-  KQ_DISPATCH_REFUSE /* the flight left the queue unsent: "not run" */
+  KQ_DISPATCH_REFUSE /* the flight was removed from the queue unsent (not run) */
 } KqDispatchKind;
 
 typedef struct
@@ -57,11 +61,11 @@
 
 typedef enum
 {
-  KQ_OUTCOME_ANSWERED, /* whole answer, status below 500 */
-  KQ_OUTCOME_ERROR,    /* whole answer, status 500 and above */
+  KQ_OUTCOME_ANSWERED, /* complete answer, status below 500 */
+  KQ_OUTCOME_ERROR,    /* complete answer, status 500 or above */
   KQ_OUTCOME_NOT_SENT, /* no connection: provably not run */
-  KQ_OUTCOME_BROKEN,
-  KQ_OUTCOME_SILENT,
+  KQ_OUTCOME_BROKEN,   /* the connection ended before the answer was complete */
+  KQ_OUTCOME_SILENT,   /* no byte of an answer for silent_ms of the service's row */
   KQ_OUTCOME_CANCELLED /* the caller left; says nothing about the runner */
 } KqOutcome;
 
@@ -69,39 +73,47 @@
 
 KqDispatch *kq_dispatch_new (uint64_t seed);
 void kq_dispatch_free (KqDispatch *d);
-/* Reads the service and caller rows; services without a row are refused. */
+/* Takes a reference to the table and uses its service and caller rows; requests for a
+ * service without a row are refused. */
 void kq_dispatch_set_table (KqDispatch *d, KqTable *t, KqTime now);
-/* Adds or updates. `taken_over`: we don't know what runs there: every slot counts as
- * busy until the first report. */
+/* Adds or updates a runner; copies *r. taken_over: it isn't known which flights of the
+ * former owner run there, so every slot counts as busy until the first report. */
 void kq_dispatch_set_runner (KqDispatch *d, const KqRunnerInfo *r, bool taken_over,
                              KqTime now);
-/* The runner or its shard is no longer ours. Flights open there stay until _done. */
+/* This node no longer owns the runner. It gets no more flights; those that it has stay
+ * until kq_dispatch_done. */
 void kq_dispatch_drop_runner (KqDispatch *d, KqRunnerId id, KqTime now);
 void kq_dispatch_report (KqDispatch *d, KqRunnerId id, const KqRunnerReport *r,
                          KqTime now);
-/* From the host list or an operator; the first word that says so counts. */
+/* Says whether the runner is leaving according to the host list or an operator. It gets
+ * no more flights if either this or its own last report says so. */
 void kq_dispatch_set_leaving (KqDispatch *d, KqRunnerId id, bool leaving, KqTime now);
 
-/* KQ_OK: queued, an event follows. Otherwise refused without being queued ("not
- * run") with advice when to come back. */
+/* KQ_OK: queued; an event for the flight follows. Otherwise it was refused at once (not
+ * run), and *retry_after is how long the caller should wait before a retry; 0: no
+ * advice. */
 KqResult kq_dispatch_offer (KqDispatch *d, const KqDispatchRequest *r, KqTime now,
                             KqTime *retry_after);
-/* Events that are due now, one a call; false: none. */
+/* Returns the next event that is due, one per call; false: none. */
 bool kq_dispatch_next (KqDispatch *d, KqTime now, KqDispatchEvent *e);
-/* When _next may have something without any other call; KQ_TIME_NEVER: never. */
+/* When kq_dispatch_next may have an event although nothing else was called;
+ * KQ_TIME_NEVER: never. */
 KqTime kq_dispatch_wake (const KqDispatch *d, KqTime now);
-/* A sent flight ended at the runner: frees its slot and teaches the limits. */
+/* A sent flight has ended at its runner: frees the slot, and updates run times, limit and
+ * outlier state. Ignores flights that aren't known. */
 void kq_dispatch_done (KqDispatch *d, KqFlightId flight, KqOutcome o, KqTime now);
-/* The caller left. True: the flight was still queued and is forgotten (not run).
- * False: it has been sent; _done follows when its call ends. */
+/* The caller left. True: the flight was still queued and has been removed (not run).
+ * False: it has been sent; call kq_dispatch_done when it ends. */
 bool kq_dispatch_cancel (KqDispatch *d, KqFlightId flight, KqTime now);
-/* One line per service, for heartbeats and answers. Returns how many. */
+/* Writes at most max lines to `out`, one for each service that has a live runner, for
+ * heartbeats and answers. Returns the number of lines. */
 size_t kq_dispatch_digest (const KqDispatch *d, KqServiceDigest *out, size_t max);
-/* Lines that the digest has at most. */
+/* Upper bound of the lines of a digest. */
 size_t kq_dispatch_services (const KqDispatch *d);
 size_t kq_dispatch_queued (const KqDispatch *d);
 size_t kq_dispatch_running (const KqDispatch *d);
-/* Operators: queues, runners with limit, slots and state. A new JSON object. */
+/* For operators: the queues, and each runner's limit, slots and state. Returns a new JSON
+ * object. */
 json_t *kq_dispatch_state (const KqDispatch *d, KqTime now);
 
 #endif
--- a/src/request/fair.c
+++ b/src/request/fair.c
@@ -5,17 +5,18 @@
 #include <assert.h>
 #include <stdlib.h>
 
-/* Tags count microseconds of work at this weight: room below for weights up to 1000. */
+/* The unit of a tag: 1/TAG_SCALE microseconds of work / weight. It leaves whole units per
+ * microsecond for weights up to 1000. */
 #define TAG_SCALE 1000
 
 struct KqFlow
 {
   KqMapNode by_id;
-  KqHeapNode by_tag; /* in the parent's `active`, or in the root's `owing` */
+  KqHeapNode by_tag; /* in the parent's `active`, or in the root's `idle_callers` */
   KqFlow *parent;    /* NULL: the root */
   uint64_t id;
-  int64_t tag;
-  int64_t reached; /* the tag served last among the children */
+  int64_t tag;          /* finish tag */
+  int64_t virtual_time; /* start tag of the child served last */
   int64_t weight;
   size_t queued;
   int64_t work;
@@ -24,14 +25,14 @@
 };
 
 void
-kq_fair_init (KqFair *f)
+kq_fair_init (KqFairQueue *f)
 {
-  *f = (KqFair){ 0 };
+  *f = (KqFairQueue){ 0 };
   f->root = kq_alloc (sizeof (KqFlow));
 }
 
 static KqFlow *
-find_flow (const KqFair *f, const KqFlow *parent, uint64_t id)
+find_flow (const KqFairQueue *f, const KqFlow *parent, uint64_t id)
 {
   KqMapNode *n = kq_map_find (&f->flows, kq_hash2 (parent->id, id));
   for (; n != NULL; n = kq_map_more (n))
@@ -44,7 +45,7 @@
 }
 
 static KqFlow *
-need_flow (KqFair *f, KqFlow *parent, uint64_t id, int64_t weight)
+get_flow (KqFairQueue *f, KqFlow *parent, uint64_t id, int64_t weight)
 {
   KqFlow *flow = find_flow (f, parent, id);
   if (flow == NULL)
@@ -52,7 +53,7 @@
       flow = kq_alloc (sizeof *flow);
       flow->parent = parent;
       flow->id = id;
-      flow->tag = parent->reached;
+      flow->tag = parent->virtual_time;
       kq_map_add (&f->flows, &flow->by_id, kq_hash2 (parent->id, id), flow);
     }
   if (flow->queued == 0)
@@ -61,7 +62,7 @@
 }
 
 static void
-free_flow (KqFair *f, KqFlow *flow)
+free_flow (KqFairQueue *f, KqFlow *flow)
 {
   kq_map_remove (&f->flows, &flow->by_id);
   kq_heap_free (&flow->active);
@@ -70,39 +71,40 @@
 }
 
 static bool
-is_caller (const KqFair *f, const KqFlow *flow)
+is_caller (const KqFairQueue *f, const KqFlow *flow)
 {
   return flow->parent == f->root;
 }
 
-/* Idle callers that the others have caught up with; all of them when nobody waits. */
+/* Frees idle callers whose tag the virtual time has reached; all of them if nothing is
+ * queued. */
 static void
-forget_paid (KqFair *f)
+free_caught_up (KqFairQueue *f)
 {
   KqHeapNode *top;
-  while ((top = kq_heap_top (&f->owing)) != NULL
-         && (f->queued == 0 || top->key <= f->root->reached))
+  while ((top = kq_heap_top (&f->idle_callers)) != NULL
+         && (f->queued == 0 || top->key <= f->root->virtual_time))
     {
-      kq_heap_remove (&f->owing, top);
+      kq_heap_remove (&f->idle_callers, top);
       free_flow (f, top->owner);
     }
 }
 
 void
-kq_fair_free (KqFair *f)
+kq_fair_free (KqFairQueue *f)
 {
   assert (f->queued == 0);
-  forget_paid (f);
+  free_caught_up (f);
   assert (f->flows.n == 0);
   kq_map_free (&f->flows);
-  kq_heap_free (&f->owing);
+  kq_heap_free (&f->idle_callers);
   kq_heap_free (&f->root->active);
   free (f->root);
   f->root = NULL;
 }
 
 KqFairShare
-kq_fair_share (const KqFair *f, uint64_t caller, uint64_t key)
+kq_fair_share (const KqFairQueue *f, uint64_t caller, uint64_t key)
 {
   const KqFlow *flow = find_flow (f, f->root, caller);
   KqFairShare share = { 0 };
@@ -121,45 +123,45 @@
 }
 
 static const KqFairItem *
-head_of (const KqFlow *flow)
+first_item (const KqFlow *flow)
 {
   while (flow->active.n > 0)
     flow = kq_heap_top (&flow->active)->owner;
   return kq_heap_top (&flow->items)->owner;
 }
 
-/* The tag of the flow's next item. */
+/* Start tag of the flow's next item. */
 static int64_t
-tag_of (const KqFair *f, const KqFlow *flow)
+start_tag (const KqFairQueue *f, const KqFlow *flow)
 {
-  const KqFairItem *head = head_of (flow);
-  int64_t arrived = is_caller (f, flow) ? head->by_caller : head->by_key;
+  const KqFairItem *head = first_item (flow);
+  int64_t arrived = is_caller (f, flow) ? head->caller_arrival : head->key_arrival;
   int64_t ahead = flow->tag - f->burst * TAG_SCALE / flow->weight;
   return arrived > ahead ? arrived : ahead;
 }
 
-/* Among equal tags the request that came first: the virtual time stands still between
- * two requests served. */
+/* Among equal tags, the request that arrived first is served first. Equal tags are
+ * common, because the virtual time doesn't advance between two requests served. */
 static void
-place (KqFair *f, KqFlow *flow)
+update_tag (KqFairQueue *f, KqFlow *flow)
 {
-  flow->by_tag.order = head_of (flow)->by_deadline.order;
-  kq_heap_move (&flow->parent->active, &flow->by_tag, tag_of (f, flow));
+  flow->by_tag.order = first_item (flow)->by_deadline.order;
+  kq_heap_move (&flow->parent->active, &flow->by_tag, start_tag (f, flow));
 }
 
 static void
-activate (KqFair *f, KqFlow *flow)
+activate (KqFairQueue *f, KqFlow *flow)
 {
   if (flow->by_tag.place > 0)
-    kq_heap_remove (&f->owing, &flow->by_tag);
+    kq_heap_remove (&f->idle_callers, &flow->by_tag);
   kq_heap_add (&flow->parent->active, &flow->by_tag, 0, f->order++, flow);
   if (is_caller (f, flow))
     f->active_weight += flow->weight;
 }
 
-/* Keys are forgotten at once: their caller's tag is what protects the others. */
+/* Keys are freed at once: it is the caller's tag that protects other callers. */
 static void
-deactivate (KqFair *f, KqFlow *flow)
+deactivate (KqFairQueue *f, KqFlow *flow)
 {
   kq_heap_remove (&flow->parent->active, &flow->by_tag);
   if (!is_caller (f, flow))
@@ -168,11 +170,11 @@
       return;
     }
   f->active_weight -= flow->weight;
-  kq_heap_add (&f->owing, &flow->by_tag, flow->tag, f->order++, flow);
+  kq_heap_add (&f->idle_callers, &flow->by_tag, flow->tag, f->order++, flow);
 }
 
 static void
-count (KqFair *f, KqFlow *leaf, int items, int64_t work)
+add_to_totals (KqFairQueue *f, KqFlow *leaf, int items, int64_t work)
 {
   f->queued += (size_t)items;
   f->work += work;
@@ -184,81 +186,81 @@
 }
 
 void
-kq_fair_push (KqFair *f, KqFairItem *item, uint64_t caller, int64_t weight, uint64_t key,
-              KqTime deadline)
+kq_fair_push (KqFairQueue *f, KqFairItem *item, uint64_t caller, int64_t weight,
+              uint64_t key, KqTime deadline)
 {
-  KqFlow *parent = need_flow (f, f->root, caller, weight);
-  KqFlow *leaf = need_flow (f, parent, key, 1);
+  KqFlow *parent = get_flow (f, f->root, caller, weight);
+  KqFlow *leaf = get_flow (f, parent, key, 1);
   assert (item->cost > 0);
   item->leaf = leaf;
-  item->by_caller = f->root->reached;
-  item->by_key = parent->reached;
+  item->caller_arrival = f->root->virtual_time;
+  item->key_arrival = parent->virtual_time;
   kq_heap_add (&leaf->items, &item->by_deadline, deadline, f->order++, item);
   if (leaf->queued == 0)
     activate (f, leaf);
-  place (f, leaf);
+  update_tag (f, leaf);
   if (parent->queued == 0)
     activate (f, parent);
-  place (f, parent);
-  count (f, leaf, 1, item->cost);
+  update_tag (f, parent);
+  add_to_totals (f, leaf, 1, item->cost);
 }
 
 KqFairItem *
-kq_fair_first (const KqFair *f)
+kq_fair_first (const KqFairQueue *f)
 {
-  return f->queued > 0 ? (KqFairItem *)head_of (f->root) : NULL;
+  return f->queued > 0 ? (KqFairItem *)first_item (f->root) : NULL;
 }
 
 static void
-charge (KqFair *f, KqFlow *flow, int64_t cost)
+charge_flow (KqFairQueue *f, KqFlow *flow, int64_t cost)
 {
-  int64_t tag = tag_of (f, flow);
-  if (flow->parent->reached < tag)
-    flow->parent->reached = tag;
+  int64_t tag = start_tag (f, flow);
+  if (flow->parent->virtual_time < tag)
+    flow->parent->virtual_time = tag;
   if (flow->tag < tag)
     flow->tag = tag;
   flow->tag += cost * TAG_SCALE / flow->weight;
 }
 
 void
-kq_fair_take (KqFair *f, KqFairItem *item)
+kq_fair_take (KqFairQueue *f, KqFairItem *item)
 {
-  charge (f, item->leaf, item->cost);
-  charge (f, item->leaf->parent, item->cost);
-  kq_fair_drop (f, item);
+  charge_flow (f, item->leaf, item->cost);
+  charge_flow (f, item->leaf->parent, item->cost);
+  kq_fair_remove (f, item);
 }
 
 void
-kq_fair_drop (KqFair *f, KqFairItem *item)
+kq_fair_remove (KqFairQueue *f, KqFairItem *item)
 {
   KqFlow *leaf = item->leaf;
   KqFlow *caller = leaf->parent;
   kq_heap_remove (&leaf->items, &item->by_deadline);
-  count (f, leaf, -1, -item->cost);
+  add_to_totals (f, leaf, -1, -item->cost);
   item->leaf = NULL;
   if (leaf->queued == 0)
     deactivate (f, leaf);
   else
-    place (f, leaf);
+    update_tag (f, leaf);
   if (caller->queued == 0)
     deactivate (f, caller);
   else
-    place (f, caller);
-  forget_paid (f);
+    update_tag (f, caller);
+  free_caught_up (f);
 }
 
-/* At most a burst, so that one stuck request doesn't shut its caller out. */
+/* Charges at most one burst, so that one stuck request doesn't lock out its caller. */
 void
-kq_fair_correct (KqFair *f, uint64_t caller, int64_t more)
+kq_fair_correct (KqFairQueue *f, uint64_t caller, int64_t extra)
 {
   KqFlow *flow = find_flow (f, f->root, caller);
   if (flow == NULL)
     return;
-  if (more > f->burst)
-    more = f->burst;
-  flow->tag += more * TAG_SCALE / flow->weight;
+  if (extra > f->burst)
+    extra = f->burst;
+  flow->tag += extra * TAG_SCALE / flow->weight;
   if (flow->queued > 0)
-    place (f, flow);
+    update_tag (f, flow);
   else
-    kq_heap_move (&f->owing, &flow->by_tag, flow->tag);
+    kq_heap_move (&f->idle_callers, &flow->by_tag, flow->tag);
 }
--- a/src/request/fair.h
+++ b/src/request/fair.h
@@ -1,32 +1,33 @@
 #ifndef KQ_REQUEST_FAIR_H
 #define KQ_REQUEST_FAIR_H
 
-/* fair: in which order waiting requests leave: callers share by weight, and within a
- * caller its keys share evenly.
+/* fair: the order in which queued requests are sent. Callers share by weight, and the
+ * keys of a caller share evenly.
  *
- * Load pattern: one caller, or one key of a caller (a page that every browser polls),
- * sends many times what all others send. Without it everybody waits behind the backlog
- * of that one: in a first-in-first-out queue the wait of a caller with one request is
- * the whole queue.
+ * In a first-in-first-out queue, one caller that sends many times what all others send,
+ * or one key of a caller (such as a page that every browser polls), makes all others wait
+ * behind its backlog.
  *
- * Weighted fair queueing by virtual start time. The virtual time is the tag served last.
- * Each flow has a finish tag, which grows by expected run time / weight with each item
- * served; an item's tag is the virtual time of its arrival or its flow's finish tag less
- * `burst`, whichever is later, and the lowest tag is served. So requests leave in order
- * of arrival as long as no flow is more than `burst` ahead of its share; what is beyond
- * waits behind the others. The burst is one service time of all slots: that much a hot
- * flow can add to another's wait, not more. Without it (burst 0) a thousand light keys in
- * a mild overload are served in an order close to last in first out: p99 of 820 ms where
- * the backlog was 290 ms (bench-load, retry storm, seed 1).
+ * The queue uses weighted fair queueing by virtual start time. A flow is a caller or a
+ * key of a caller. The virtual time is the start tag of the item served last. Each flow
+ * has a finish tag, which grows by expected run time / weight with each item served. An
+ * item's start tag is the virtual time at its arrival, or its flow's finish tag minus
+ * `burst` if that is later. The item with the lowest start tag is served. So items leave
+ * in order of arrival as long as no flow is more than `burst` ahead of its share; items
+ * beyond that wait behind those of other flows. The burst is one service time of all
+ * slots: a busy flow can add that much to the wait of another, not more. With a burst of
+ * 0, a thousand keys with little traffic are served nearly last in, first out during a
+ * mild overload: p99 was 820 ms with a backlog of 290 ms (bench-load, retry storm, seed
+ * 1).
  *
  * Deficit round robin gives the same shares, but a new flow waits for a whole round of
- * all others' quanta, and a request that costs a hundred quanta needs as many rounds;
- * tags cost one heap step. A caller that paid for more than its share keeps its tag while
- * it is idle until the others have come as far, so that sending one at a time gives no
- * advantage.
+ * all others' quanta, and a request that costs a hundred quanta needs as many rounds. A
+ * tag costs one heap operation. A caller that got more than its share keeps its tag while
+ * it is idle, until the virtual time has reached it; so it gains nothing by sending one
+ * request at a time.
  *
- * Two levels: the root's children are callers, their children are keys, a key's items
- * leave by deadline. */
+ * Flows form two levels: the root's children are callers, and their children are keys.
+ * The items of a key leave in order of deadline. */
 
 #include "base/time.h"
 #include "request/heap.h"
@@ -36,51 +37,55 @@
 
 typedef struct KqFlow KqFlow;
 
-/* Stands inside the queued request. */
+/* Embedded in the queued request. */
 typedef struct
 {
   KqHeapNode by_deadline;
-  KqFlow *leaf;
-  int64_t cost;      /* expected run time, microseconds; at least 1 */
-  int64_t by_caller; /* virtual times of its arrival, among callers and among keys */
-  int64_t by_key;
-  void *owner;
+  KqFlow *leaf;           /* the flow of its key; NULL: not queued */
+  int64_t cost;           /* expected run time, microseconds; at least 1 */
+  int64_t caller_arrival; /* virtual time among callers when it arrived */
+  int64_t key_arrival;    /* virtual time among the caller's keys when it arrived */
+  void *user_data;        /* for the user of the queue; not read here */
 } KqFairItem;
 
 typedef struct
 {
   KqFlow *root;
-  KqMap flows;  /* by hash of parent and id */
-  KqHeap owing; /* idle callers that paid ahead, by tag */
-  uint64_t order;
+  KqMap flows;         /* by hash of parent and id */
+  KqHeap idle_callers; /* idle callers whose tag is ahead of the virtual time, by tag */
+  uint64_t order;      /* of the next item; breaks ties */
   size_t queued;
   int64_t work;          /* expected work of all items, microseconds */
   int64_t active_weight; /* of callers that have something queued */
-  int64_t burst;         /* work a flow may be ahead of its share, microseconds */
-} KqFair;
+  int64_t burst;         /* work that a flow may be ahead of its share, microseconds */
+} KqFairQueue;
 
-/* What a forecast needs to know of one caller and one key of it. */
+/* What one caller and one of its keys have queued, for admission's forecast. */
 typedef struct
 {
   size_t queued;
   int64_t work;
-  int64_t active_keys; /* keys of the caller that wait */
+  int64_t active_keys; /* keys of the caller that have something queued */
   size_t key_queued;
   int64_t key_work;
 } KqFairShare;
 
-void kq_fair_init (KqFair *f);
-void kq_fair_free (KqFair *f); /* must hold no items */
-KqFairShare kq_fair_share (const KqFair *f, uint64_t caller, uint64_t key);
-void kq_fair_push (KqFair *f, KqFairItem *item, uint64_t caller, int64_t weight,
+void kq_fair_init (KqFairQueue *f);
+void kq_fair_free (KqFairQueue *f); /* must hold no items */
+/* All zero if the caller has nothing queued. */
+KqFairShare kq_fair_share (const KqFairQueue *f, uint64_t caller, uint64_t key);
+/* Queues an item whose cost is set. weight: of the caller; applies from when it next has
+ * an empty queue. deadline: orders the items of a key. */
+void kq_fair_push (KqFairQueue *f, KqFairItem *item, uint64_t caller, int64_t weight,
                    uint64_t key, KqTime deadline);
-/* The item that is next; NULL: none. */
-KqFairItem *kq_fair_first (const KqFair *f);
-/* Takes out the item that is next and charges its flows. */
-void kq_fair_take (KqFair *f, KqFairItem *item);
-/* Takes out any item; nobody is charged. */
-void kq_fair_drop (KqFair *f, KqFairItem *item);
-/* A served item took that much longer (or shorter) than its cost said. */
-void kq_fair_correct (KqFair *f, uint64_t caller, int64_t more);
+/* Returns the next item without removing it; NULL: none. */
+KqFairItem *kq_fair_first (const KqFairQueue *f);
+/* Removes the next item and charges its cost to its flows. */
+void kq_fair_take (KqFairQueue *f, KqFairItem *item);
+/* Removes any item without charging its flows. */
+void kq_fair_remove (KqFairQueue *f, KqFairItem *item);
+/* A served item took `extra` microseconds more (or fewer, if negative) than its cost:
+ * charges the caller for the difference. */
+void kq_fair_correct (KqFairQueue *f, uint64_t caller, int64_t extra);
 
 #endif
--- a/src/request/limit.c
+++ b/src/request/limit.c
@@ -1,58 +1,59 @@
 #include "request/limit.h"
 
-#define WINDOW 32
-#define OVER 2.0
-/* One answer counts at most so much: one that hung says nothing of the others. */
+#define WINDOW_ANSWERS 32
+#define OVERLOAD_FACTOR 2.0
+/* An answer counts at most as this ratio: one that hung says nothing about the others. */
 #define RATIO_MAX 8
-#define CUT 0.75
-/* A machine that has become slow for another reason loses no more than this. */
-#define LEAST 2
-#define FLOOR_DOWN 0.25
-#define FLOOR_UP 0.01
+#define DECREASE_FACTOR 0.75
+/* A machine that is slow for another reason than load keeps this many. */
+#define LIMIT_MIN 2
+#define BASELINE_DOWN 0.25
+#define BASELINE_UP 0.01
 
 void
-kq_limit_init (KqLimit *l, int most)
+kq_limit_init (KqLimit *l, int slots)
 {
-  *l = (KqLimit){ .most = most, .limit = most };
+  *l = (KqLimit){ .slots = slots, .limit = slots };
 }
 
 void
-kq_limit_set_most (KqLimit *l, int most)
+kq_limit_set_slots (KqLimit *l, int slots)
 {
-  if (l->limit == l->most || l->limit > most)
-    l->limit = most;
-  l->most = most;
+  if (l->limit == l->slots || l->limit > slots)
+    l->limit = slots;
+  l->slots = slots;
 }
 
 static void
-move_floor (KqLimit *l, double mean)
+move_baseline (KqLimit *l, double mean)
 {
-  if (l->floor == 0)
-    l->floor = mean;
+  if (l->baseline == 0)
+    l->baseline = mean;
   else
-    l->floor += (mean - l->floor) * (mean < l->floor ? FLOOR_DOWN : FLOOR_UP);
+    l->baseline
+        += (mean - l->baseline) * (mean < l->baseline ? BASELINE_DOWN : BASELINE_UP);
 }
 
 void
-kq_limit_answer (KqLimit *l, double ratio, int busy)
+kq_limit_add_answer (KqLimit *l, double ratio, int busy)
 {
   double mean;
   l->sum += ratio < RATIO_MAX ? ratio : RATIO_MAX;
-  l->n++;
-  l->reached = l->reached || busy >= l->limit;
-  if (l->n < WINDOW)
+  l->n_answers++;
+  l->limit_reached = l->limit_reached || busy >= l->limit;
+  if (l->n_answers < WINDOW_ANSWERS)
     return;
-  mean = l->sum / l->n;
-  move_floor (l, mean);
-  if (mean > OVER * l->floor)
-    l->limit = (int)(l->limit * CUT);
-  else if (l->reached)
+  mean = l->sum / l->n_answers;
+  move_baseline (l, mean);
+  if (mean > OVERLOAD_FACTOR * l->baseline)
+    l->limit = (int)(l->limit * DECREASE_FACTOR);
+  else if (l->limit_reached)
     l->limit++;
-  if (l->limit < LEAST)
-    l->limit = LEAST;
-  if (l->limit > l->most)
-    l->limit = l->most;
+  if (l->limit < LIMIT_MIN)
+    l->limit = LIMIT_MIN;
+  if (l->limit > l->slots)
+    l->limit = l->slots;
   l->sum = 0;
-  l->n = 0;
-  l->reached = false;
+  l->n_answers = 0;
+  l->limit_reached = false;
 }
--- a/src/request/outlier.c
+++ b/src/request/outlier.c
@@ -2,197 +2,200 @@
 
 #include <math.h>
 
-#define OUT_PERCENT 10
-#define PART_ERROR (1.0 / 8)
-#define PART_LOST (1.0 / 4)
-/* The noise of exponential times is then 9%. With 1/16 (18%) healthy runners passed
- * SLOW_LESS by chance, and at 0.9 load the short ones' p99 was 471 ms in place of 192 ms
- * (bench-load's long among short, seed 1, outliers as the only safeguard). */
-#define PART_RATIO (1.0 / 64)
-/* Out: more than half fail, and twice as many as at the others. */
-#define FAIL_OUT 0.5
-#define FAIL_OTHERS 2
-#define SLOW_LESS 1.5
-#define SLOW_OUT 4.0
-/* Answers before slowness is believed. */
+#define EJECTED_MAX_PERCENT 10
+#define ERROR_WEIGHT (1.0 / 8)
+#define LOST_WEIGHT (1.0 / 4)
+/* With exponential run times this gives the average a standard deviation of 9%. With 1/16
+ * (18%), healthy runners exceeded RATIO_FEWER_SLOTS by chance, and at a load of 0.9 the
+ * p99 of short requests was 471 ms instead of 192 ms (bench-load, long among short, seed
+ * 1, outliers as the only safeguard). */
+#define RATIO_WEIGHT (1.0 / 64)
+/* A runner is failing if more than this share of its requests fail, and more than this
+ * many times the mean share of the others. */
+#define FAILURE_SHARE_EJECT 0.5
+#define FAILURE_TIMES_OTHERS 2
+#define RATIO_FEWER_SLOTS 1.5
+#define RATIO_EJECT 4.0
+/* Good answers before the latency ratio is used. */
 #define SAMPLES_MIN 32
-#define PROBE_FIRST KQ_SEC
-#define PROBE_MAX (30 * KQ_SEC)
-/* A refused connection costs a probe next to nothing, and a restarted host is wanted. */
-#define PROBE_UNREACHABLE_MAX (4 * KQ_SEC)
-/* Between good probes. */
-#define PROBE_NEXT (200 * KQ_MS)
-#define PROBES_GOOD 3
-#define PROBE_SLOW 2.5
-#define STEP_GOOD 8
+#define PROBE_WAIT_MIN KQ_SEC
+#define PROBE_WAIT_MAX (30 * KQ_SEC)
+/* A refused connection costs a probe almost nothing, and a restarted runner should be
+ * used again soon. */
+#define PROBE_WAIT_UNREACHABLE_MAX (4 * KQ_SEC)
+/* Until the next probe, after a good one. */
+#define PROBE_INTERVAL (200 * KQ_MS)
+#define PROBES_TO_RETURN 3
+#define PROBE_RATIO_MAX 2.5
+#define ANSWERS_PER_STEP 8
 
 void
 kq_outlier_init (KqOutlier *o)
 {
-  *o = (KqOutlier){ .ratio = 1, .probe_wait = PROBE_FIRST };
+  *o = (KqOutlier){ .latency_ratio = 1, .probe_wait = PROBE_WAIT_MIN };
 }
 
 void
-kq_outlier_join (KqOutlierFleet *f, const KqOutlier *o)
+kq_outlier_join (KqOutlierPeers *p, const KqOutlier *o)
 {
-  f->members++;
-  f->failures += o->failures;
-  f->out += o->state == KQ_OUTLIER_OUT && !o->unreachable;
-  f->unreachable += o->unreachable;
+  p->n_peers++;
+  p->failure_sum += o->failure_share;
+  p->ejected += o->state == KQ_OUTLIER_EJECTED && !o->unreachable;
+  p->unreachable += o->unreachable;
 }
 
 void
-kq_outlier_leave (KqOutlierFleet *f, const KqOutlier *o)
+kq_outlier_leave (KqOutlierPeers *p, const KqOutlier *o)
 {
-  f->members--;
-  f->failures -= o->failures;
-  f->out -= o->state == KQ_OUTLIER_OUT && !o->unreachable;
-  f->unreachable -= o->unreachable;
+  p->n_peers--;
+  p->failure_sum -= o->failure_share;
+  p->ejected -= o->state == KQ_OUTLIER_EJECTED && !o->unreachable;
+  p->unreachable -= o->unreachable;
 }
 
 static bool
-may_go_out (const KqOutlierFleet *f)
+may_eject (const KqOutlierPeers *p)
 {
-  int most = f->members * OUT_PERCENT / 100;
-  if (f->members < 2)
+  int max = p->n_peers * EJECTED_MAX_PERCENT / 100;
+  if (p->n_peers < 2)
     return false;
-  return f->out < (most > 1 ? most : 1);
+  return p->ejected < (max > 1 ? max : 1);
 }
 
 static void
-set_failures (KqOutlier *o, KqOutlierFleet *f, double share)
+set_failure_share (KqOutlier *o, KqOutlierPeers *p, double share)
 {
-  f->failures += share - o->failures;
-  o->failures = share;
+  p->failure_sum += share - o->failure_share;
+  o->failure_share = share;
 }
 
 static bool
-fails (const KqOutlier *o, const KqOutlierFleet *f)
+is_failing (const KqOutlier *o, const KqOutlierPeers *p)
 {
   double others;
-  if (o->failures <= FAIL_OUT || f->members < 2)
+  if (o->failure_share <= FAILURE_SHARE_EJECT || p->n_peers < 2)
     return false;
-  others = (f->failures - o->failures) / (f->members - 1);
-  return o->failures > FAIL_OTHERS * others;
+  others = (p->failure_sum - o->failure_share) / (p->n_peers - 1);
+  return o->failure_share > FAILURE_TIMES_OTHERS * others;
 }
 
 static bool
 is_slow (const KqOutlier *o)
 {
-  return o->samples >= SAMPLES_MIN && o->ratio > SLOW_OUT;
+  return o->samples >= SAMPLES_MIN && o->latency_ratio > RATIO_EJECT;
 }
 
 static void
-learn (KqOutlier *o, KqOutlierFleet *f, KqTrial t, double ratio)
+update_averages (KqOutlier *o, KqOutlierPeers *p, KqOutlierSample s, double ratio)
 {
-  double part = t == KQ_TRIAL_ERROR ? PART_ERROR : PART_LOST;
-  double bad = t != KQ_TRIAL_GOOD;
-  set_failures (o, f, o->failures + (bad - o->failures) * part);
-  if (t != KQ_TRIAL_GOOD)
+  double weight = s == KQ_SAMPLE_ERROR ? ERROR_WEIGHT : LOST_WEIGHT;
+  double bad = s != KQ_SAMPLE_GOOD;
+  set_failure_share (o, p, o->failure_share + (bad - o->failure_share) * weight);
+  if (s != KQ_SAMPLE_GOOD)
     return;
-  /* One answer counts at most as twice what takes a runner out. */
-  o->ratio += (fmin (ratio, 2 * SLOW_OUT) - o->ratio) * PART_RATIO;
+  /* A single answer counts at most as twice the ratio that ejects a runner. */
+  o->latency_ratio += (fmin (ratio, 2 * RATIO_EJECT) - o->latency_ratio) * RATIO_WEIGHT;
   o->samples++;
 }
 
 static void
-go_out (KqOutlier *o, KqOutlierFleet *f, bool unreachable, KqTime now)
+eject (KqOutlier *o, KqOutlierPeers *p, bool unreachable, KqTime now)
 {
-  o->state = KQ_OUTLIER_OUT;
+  o->state = KQ_OUTLIER_EJECTED;
   o->unreachable = unreachable;
   if (unreachable)
-    f->unreachable++;
+    p->unreachable++;
   else
-    f->out++;
-  o->good = 0;
+    p->ejected++;
+  o->good_in_row = 0;
   o->probe_at = now + o->probe_wait;
 }
 
 static void
-come_back (KqOutlier *o, KqOutlierFleet *f)
+readmit (KqOutlier *o, KqOutlierPeers *p)
 {
   if (o->unreachable)
-    f->unreachable--;
+    p->unreachable--;
   else
-    f->out--;
+    p->ejected--;
   o->unreachable = false;
   o->state = KQ_OUTLIER_RETURNING;
-  o->good = 0;
-  o->allow = 1;
-  set_failures (o, f, 0);
-  o->ratio = 1;
+  o->good_in_row = 0;
+  o->slots_allowed = 1;
+  set_failure_share (o, p, 0);
+  o->latency_ratio = 1;
   o->samples = 0;
 }
 
 static void
-judge_probe (KqOutlier *o, KqOutlierFleet *f, KqTrial t, double ratio, KqTime now)
+judge_probe (KqOutlier *o, KqOutlierPeers *p, KqOutlierSample s, double ratio, KqTime now)
 {
-  KqTime most = o->unreachable ? PROBE_UNREACHABLE_MAX : PROBE_MAX;
-  if (t != KQ_TRIAL_GOOD || ratio > PROBE_SLOW)
+  KqTime wait_max = o->unreachable ? PROBE_WAIT_UNREACHABLE_MAX : PROBE_WAIT_MAX;
+  if (s != KQ_SAMPLE_GOOD || ratio > PROBE_RATIO_MAX)
     {
-      o->good = 0;
-      o->probe_wait = o->probe_wait * 2 < most ? o->probe_wait * 2 : most;
+      o->good_in_row = 0;
+      o->probe_wait = o->probe_wait * 2 < wait_max ? o->probe_wait * 2 : wait_max;
       o->probe_at = now + o->probe_wait;
       return;
     }
-  o->probe_at = now + PROBE_NEXT;
-  if (++o->good < PROBES_GOOD)
+  o->probe_at = now + PROBE_INTERVAL;
+  if (++o->good_in_row < PROBES_TO_RETURN)
     return;
-  come_back (o, f);
+  readmit (o, p);
 }
 
 static void
-judge_step (KqOutlier *o, int slots)
+count_good_answer (KqOutlier *o, int slots)
 {
-  if (++o->good < STEP_GOOD)
+  if (++o->good_in_row < ANSWERS_PER_STEP)
     return;
-  o->good = 0;
-  o->allow *= 2;
-  if (o->allow < slots)
+  o->good_in_row = 0;
+  o->slots_allowed *= 2;
+  if (o->slots_allowed < slots)
     return;
   o->state = KQ_OUTLIER_NORMAL;
-  o->probe_wait = PROBE_FIRST;
+  o->probe_wait = PROBE_WAIT_MIN;
 }
 
 void
-kq_outlier_trial (KqOutlier *o, KqOutlierFleet *f, KqTrial t, double ratio, int slots,
-                  KqTime now)
+kq_outlier_add_sample (KqOutlier *o, KqOutlierPeers *p, KqOutlierSample s, double ratio,
+                       int slots, KqTime now)
 {
-  learn (o, f, t, ratio);
-  if (o->state == KQ_OUTLIER_OUT)
+  update_averages (o, p, s, ratio);
+  if (o->state == KQ_OUTLIER_EJECTED)
     {
-      /* What was under way when it went out says nothing new. */
+      /* Requests that were sent before the ejection say nothing new. */
       if (o->probing)
-        judge_probe (o, f, t, ratio, now);
+        judge_probe (o, p, s, ratio, now);
     }
-  else if (t == KQ_TRIAL_REFUSED)
-    go_out (o, f, true, now);
-  else if ((fails (o, f) || is_slow (o)) && may_go_out (f))
-    go_out (o, f, false, now);
-  else if (o->state == KQ_OUTLIER_RETURNING && t == KQ_TRIAL_GOOD)
-    judge_step (o, slots);
+  else if (s == KQ_SAMPLE_REFUSED)
+    eject (o, p, true, now);
+  else if ((is_failing (o, p) || is_slow (o)) && may_eject (p))
+    eject (o, p, false, now);
+  else if (o->state == KQ_OUTLIER_RETURNING && s == KQ_SAMPLE_GOOD)
+    count_good_answer (o, slots);
 }
 
 void
-kq_outlier_seen (KqOutlier *o, KqOutlierFleet *f)
+kq_outlier_reported (KqOutlier *o, KqOutlierPeers *p)
 {
-  if (o->state == KQ_OUTLIER_OUT && o->unreachable)
-    come_back (o, f);
+  if (o->state == KQ_OUTLIER_EJECTED && o->unreachable)
+    readmit (o, p);
 }
 
 int
-kq_outlier_allowed (const KqOutlier *o, const KqOutlierFleet *f, int slots)
+kq_outlier_allowed (const KqOutlier *o, const KqOutlierPeers *p, int slots)
 {
   int allowed = slots;
-  if (o->state == KQ_OUTLIER_OUT)
+  if (o->state == KQ_OUTLIER_EJECTED)
     return 0;
-  if (o->state == KQ_OUTLIER_RETURNING && o->allow < slots)
-    allowed = o->allow;
-  if (f->members < 2)
+  if (o->state == KQ_OUTLIER_RETURNING && o->slots_allowed < slots)
+    allowed = o->slots_allowed;
+  if (p->n_peers < 2)
     return slots;
-  if (fails (o, f) || is_slow (o))
+  if (is_failing (o, p) || is_slow (o))
     return 1;
-  if (o->samples >= SAMPLES_MIN && o->ratio > SLOW_LESS)
-    allowed = (int)fmax (1, fmin (allowed, slots / o->ratio));
+  if (o->samples >= SAMPLES_MIN && o->latency_ratio > RATIO_FEWER_SLOTS)
+    allowed = (int)fmax (1, fmin (allowed, slots / o->latency_ratio));
   return allowed;
 }
--- a/src/request/outlier.h
+++ b/src/request/outlier.h
@@ -1,29 +1,34 @@
 #ifndef KQ_REQUEST_OUTLIER_H
 #define KQ_REQUEST_OUTLIER_H
 
-/* outlier: a runner that is slower or fails more than the others gets less, then only
- * probes, and comes back in steps.
+/* outlier: a runner that is much slower or fails more often than the others gets fewer
+ * slots, then only probes (it is ejected), and returns in steps.
  *
- * Load pattern: one target in fifty takes ten times as long, fails every request at once
- * (and so looks idle and draws more), or has gone silent. Without it the service's p99 is
- * that target's latency, and a quick failure swallows a large part of all requests.
+ * If one target in fifty takes ten times as long, or has gone silent, the service's p99
+ * is that target's latency. If one fails every request at once, it looks idle, attracts
+ * more requests, and fails a large part of all.
  *
- * Judged against the mean of the other runners (each counts once, however many requests
- * it swallowed), so that a service whose every answer is an error takes no runner out. At
- * most a tenth of the runners, and at least one, are out at a time; beyond the bound a
- * bad one still gets one request at a time. The only runner of a group is never out.
- * Failures move an average by 1/8 (an error answer) or 1/4 (not sent, broken, silent:
- * each costs the caller more), so that three to six in a row take a runner out. A runner
- * that is 1.5 to 4 times as slow gets slots in proportion; above 4 it is out. A probe is
- * one idempotent request, first after a second, then after twice the time up to 30 s.
- * A refused connection is another matter: nobody is there, and it was no load that made
- * it so. Such a runner is out at once and beyond the bound, also the last one; it is
- * probed by any request, since a refused one provably did not run, and tried again when
- * its worker reports it. A service with none left refuses at once, so that entry nodes go
- * to other owners. Without this a third of the runners killed together kept taking
- * requests until the host list named them (faults_live, worker-killed: 146 of 585 refused
- * with TARGET_FAILED). After three good ones the runner gets 1, 2, 4... slots, eight good
- * answers a step. */
+ * A runner is compared with the mean of the other runners of its group. Each of them
+ * counts once, however many requests it got, so that no runner is ejected if every answer
+ * of the service is an error. At most a tenth of the runners, and at least one, may be
+ * ejected at a time; beyond that a bad runner still gets one request at a time. The only
+ * runner of a group isn't ejected.
+ *
+ * The share of failures is a moving average with weight 1/8 for an error answer, and 1/4
+ * for requests that were not sent, broken or silent, which cost the caller more; three to
+ * six in a row eject a runner. A runner that is 1.5 to 4 times as slow as others gets
+ * slots in proportion; above 4 it is ejected. A probe is one idempotent request: the
+ * first after a second, the next ones after twice the time each, up to 30 s. After three
+ * good probes the runner gets 1, 2, 4... slots, a step for every eight good answers.
+ *
+ * A refused connection is treated differently, because no process listens there and load
+ * isn't the cause. Such a runner is unreachable: it is ejected at once, beyond the bound,
+ * and also if it is the only one. Any request may probe it, since a refused one provably
+ * did not run, and it is tried again when its worker reports it. A service with no
+ * reachable runner refuses at once, so that entry nodes turn to other owners. Without
+ * this rule a third of the runners, killed together, kept getting requests until the host
+ * list showed them as gone (faults_live, worker-killed: 146 of 585 refused with
+ * TARGET_FAILED). */
 
 #include "base/time.h"
 
@@ -32,49 +37,52 @@
 typedef enum
 {
   KQ_OUTLIER_NORMAL,
-  KQ_OUTLIER_OUT,
+  KQ_OUTLIER_EJECTED,
   KQ_OUTLIER_RETURNING
 } KqOutlierState;
 
-/* One for each group of runners that are compared with each other. */
+/* A group of runners that are compared with each other. */
 typedef struct
 {
-  int members;
-  int out;
-  int unreachable; /* not counted in out */
-  double failures; /* sum of the members' shares */
-} KqOutlierFleet;
+  int n_peers;
+  int ejected;        /* without the unreachable ones */
+  int unreachable;    /* ejected because a connection was refused */
+  double failure_sum; /* of failure_share */
+} KqOutlierPeers;
 
 typedef struct
 {
   KqOutlierState state;
-  double failures; /* share */
-  double ratio;    /* latency in units of what the class takes over the fleet */
+  double failure_share; /* of its requests, moving average */
+  double latency_ratio; /* run time / mean of its class, moving average */
   int samples;
-  int good;         /* in a row, while OUT or RETURNING */
-  int allow;        /* slots while RETURNING */
-  bool probing;     /* while OUT: the one flight under way is a probe */
-  bool unreachable; /* while OUT: its last connection was refused */
-  KqTime probe_at;
+  int good_in_row;   /* good samples, while EJECTED or RETURNING */
+  int slots_allowed; /* while RETURNING */
+  bool probing;      /* while EJECTED: the one flight under way is a probe */
+  bool unreachable;  /* while EJECTED: its last connection was refused */
+  KqTime probe_at;   /* time of the next probe, while EJECTED */
   KqTime probe_wait;
 } KqOutlier;
 
 typedef enum
 {
-  KQ_TRIAL_GOOD,
-  KQ_TRIAL_ERROR,  /* a whole answer that says the runner failed */
-  KQ_TRIAL_LOST,   /* broken, silent */
-  KQ_TRIAL_REFUSED /* no connection: not sent */
-} KqTrial;
+  KQ_SAMPLE_GOOD,
+  KQ_SAMPLE_ERROR,  /* a complete answer that says that the runner failed */
+  KQ_SAMPLE_LOST,   /* broken or silent */
+  KQ_SAMPLE_REFUSED /* not sent: no connection */
+} KqOutlierSample;
 
 void kq_outlier_init (KqOutlier *o);
-void kq_outlier_join (KqOutlierFleet *f, const KqOutlier *o);
-void kq_outlier_leave (KqOutlierFleet *f, const KqOutlier *o);
-void kq_outlier_trial (KqOutlier *o, KqOutlierFleet *f, KqTrial t, double ratio,
-                       int slots, KqTime now);
-/* Its worker has just reported it: worth one more try. */
-void kq_outlier_seen (KqOutlier *o, KqOutlierFleet *f);
-/* Slots the runner may use of its `slots`. */
-int kq_outlier_allowed (const KqOutlier *o, const KqOutlierFleet *f, int slots);
+/* Adds the runner to the group's sums, or removes it. */
+void kq_outlier_join (KqOutlierPeers *p, const KqOutlier *o);
+void kq_outlier_leave (KqOutlierPeers *p, const KqOutlier *o);
+/* Adds the outcome of a request, or of a probe if one is under way. ratio: its run time
+ * over the mean of its class; used if the sample is good. slots: of the runner. */
+void kq_outlier_add_sample (KqOutlier *o, KqOutlierPeers *p, KqOutlierSample s,
+                            double ratio, int slots, KqTime now);
+/* The runner's worker has just reported it: an unreachable runner starts to return. */
+void kq_outlier_reported (KqOutlier *o, KqOutlierPeers *p);
+/* How many of its `slots` the runner may use. */
+int kq_outlier_allowed (const KqOutlier *o, const KqOutlierPeers *p, int slots);
 
 #endif
--- a/src/request/pool.c
+++ b/src/request/pool.c
@@ -5,10 +5,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CHANCE_MIN 0.02
+/* Keeps the estimate finite for a runner that fails every request. */
+#define SUCCESS_SHARE_MIN 0.02
 
 static int
-slots_of (const KqRunner *r)
+slot_count (const KqRunner *r)
 {
   int n = r->info.slots < r->info.connections ? r->info.slots : r->info.connections;
   return r->slots_reported > 0 && r->slots_reported < n ? r->slots_reported : n;
@@ -17,51 +18,52 @@
 static bool
 is_live (const KqRunner *r)
 {
-  return !r->dropped && !r->leaving_told && !r->leaving_reported;
+  return !r->dropped && !r->leaving_set && !r->leaving_reported;
 }
 
 static int
-allowed_in (const KqRunner *r, int view)
+slots_allowed (const KqRunner *r, int checks)
 {
-  int n = slots_of (r);
+  int n = slot_count (r);
   if (!is_live (r))
     return 0;
-  if ((view & KQ_VIEW_LIMIT) != 0 && r->limit.limit < n)
+  if ((checks & KQ_CHECK_LIMIT) != 0 && r->limit.limit < n)
     n = r->limit.limit;
-  if ((view & KQ_VIEW_OUTLIER) != 0)
+  if ((checks & KQ_CHECK_OUTLIER) != 0)
     {
-      int most = kq_outlier_allowed (&r->outlier, &r->group->fleet, slots_of (r));
-      n = most < n ? most : n;
+      int max = kq_outlier_allowed (&r->outlier, &r->group->peers, slot_count (r));
+      n = max < n ? max : n;
     }
   return n;
 }
 
 static void
-list_add (KqGroup *g, int view, KqRunner *r)
+free_list_add (KqGroup *g, int checks, KqRunner *r)
 {
-  if (g->n_free[view] == g->capacity[view])
+  if (g->n_free[checks] == g->capacity[checks])
     {
-      g->capacity[view] = g->capacity[view] > 0 ? g->capacity[view] * 2 : 16;
-      g->free[view] = kq_realloc (g->free[view], g->capacity[view] * sizeof (KqRunner *));
+      g->capacity[checks] = g->capacity[checks] > 0 ? g->capacity[checks] * 2 : 16;
+      g->free[checks]
+          = kq_realloc (g->free[checks], g->capacity[checks] * sizeof (KqRunner *));
     }
-  g->free[view][g->n_free[view]++] = r;
-  r->place[view] = g->n_free[view];
+  g->free[checks][g->n_free[checks]++] = r;
+  r->free_index[checks] = g->n_free[checks];
 }
 
 static void
-list_remove (KqGroup *g, int view, KqRunner *r)
+free_list_remove (KqGroup *g, int checks, KqRunner *r)
 {
-  KqRunner *last = g->free[view][--g->n_free[view]];
-  g->free[view][r->place[view] - 1] = last;
-  last->place[view] = r->place[view];
-  r->place[view] = 0;
+  KqRunner *last = g->free[checks][--g->n_free[checks]];
+  g->free[checks][r->free_index[checks] - 1] = last;
+  last->free_index[checks] = r->free_index[checks];
+  r->free_index[checks] = 0;
 }
 
 static void
-refresh_probe (KqRunner *r)
+update_probe (KqRunner *r)
 {
-  bool wanted = is_live (r) && r->outlier.state == KQ_OUTLIER_OUT && r->ours == 0
-                && r->foreign < slots_of (r);
+  bool wanted = is_live (r) && r->outlier.state == KQ_OUTLIER_EJECTED && r->ours == 0
+                && r->foreign < slot_count (r);
   if (r->by_probe.place > 0)
     kq_heap_remove (&r->group->probes, &r->by_probe);
   if (wanted)
@@ -69,30 +71,30 @@
 }
 
 static void
-refresh_room (KqRunner *r)
+update_free_lists (KqRunner *r)
 {
-  for (int view = 0; view < KQ_VIEWS; view++)
+  for (int checks = 0; checks < KQ_CHECK_SETS; checks++)
     {
-      bool room = r->ours + r->foreign < r->allowed[view];
-      if (room && r->place[view] == 0)
-        list_add (r->group, view, r);
-      else if (!room && r->place[view] > 0)
-        list_remove (r->group, view, r);
+      bool has_free = r->ours + r->foreign < r->allowed[checks];
+      if (has_free && r->free_index[checks] == 0)
+        free_list_add (r->group, checks, r);
+      else if (!has_free && r->free_index[checks] > 0)
+        free_list_remove (r->group, checks, r);
     }
 }
 
-/* After its limit or outlier state has learned. */
+/* To be called when its slots, limit, outlier state or is_live may have changed. */
 static void
-refresh (KqRunner *r)
+update_allowed (KqRunner *r)
 {
-  for (int view = 0; view < KQ_VIEWS; view++)
+  for (int checks = 0; checks < KQ_CHECK_SETS; checks++)
     {
-      int allowed = allowed_in (r, view);
-      r->group->slots[view] += allowed - r->allowed[view];
-      r->allowed[view] = allowed;
+      int allowed = slots_allowed (r, checks);
+      r->group->slots[checks] += allowed - r->allowed[checks];
+      r->allowed[checks] = allowed;
     }
-  refresh_room (r);
-  refresh_probe (r);
+  update_free_lists (r);
+  update_probe (r);
 }
 
 static int
@@ -122,7 +124,7 @@
 }
 
 static KqGroup *
-need_group (KqPool *p, const KqRunner *r)
+get_group (KqPool *p, const KqRunner *r)
 {
   KqGroup *g;
   for (size_t i = 0; i < p->n_groups; i++)
@@ -144,9 +146,10 @@
   return bsearch (service, g->services, g->n_services, sizeof *service, cmp_name) != NULL;
 }
 
-/* What a runner adds to its group besides its room. */
+/* Adds the runner to the totals of its group (sign 1) or subtracts it (-1). The usable
+ * slots are counted by update_allowed. */
 static void
-count_in_group (KqRunner *r, int sign)
+add_to_totals (KqRunner *r, int sign)
 {
   r->group->live += is_live (r) ? sign : 0;
   r->group->busy += sign * (r->ours + r->foreign);
@@ -157,25 +160,25 @@
 static void
 join_group (KqPool *p, KqRunner *r)
 {
-  r->group = need_group (p, r);
-  kq_outlier_join (&r->group->fleet, &r->outlier);
-  count_in_group (r, 1);
-  refresh (r);
+  r->group = get_group (p, r);
+  kq_outlier_join (&r->group->peers, &r->outlier);
+  add_to_totals (r, 1);
+  update_allowed (r);
 }
 
 static void
 leave_group (KqRunner *r)
 {
-  kq_outlier_leave (&r->group->fleet, &r->outlier);
-  count_in_group (r, -1);
+  kq_outlier_leave (&r->group->peers, &r->outlier);
+  add_to_totals (r, -1);
   if (r->by_probe.place > 0)
     kq_heap_remove (&r->group->probes, &r->by_probe);
-  for (int view = 0; view < KQ_VIEWS; view++)
+  for (int checks = 0; checks < KQ_CHECK_SETS; checks++)
     {
-      if (r->place[view] > 0)
-        list_remove (r->group, view, r);
-      r->group->slots[view] -= r->allowed[view];
-      r->allowed[view] = 0;
+      if (r->free_index[checks] > 0)
+        free_list_remove (r->group, checks, r);
+      r->group->slots[checks] -= r->allowed[checks];
+      r->allowed[checks] = 0;
     }
   r->group = NULL;
 }
@@ -198,8 +201,8 @@
   for (size_t i = 0; i < p->n_groups; i++)
     {
       KqGroup *g = p->groups[i];
-      for (int view = 0; view < KQ_VIEWS; view++)
-        free (g->free[view]);
+      for (int checks = 0; checks < KQ_CHECK_SETS; checks++)
+        free (g->free[checks]);
       kq_heap_free (&g->probes);
       free (g->services);
       free (g);
@@ -216,7 +219,7 @@
 }
 
 void
-kq_pool_set (KqPool *p, const KqRunnerInfo *info, bool taken_over)
+kq_pool_set_runner (KqPool *p, const KqRunnerInfo *info, bool taken_over)
 {
   KqRunner *r = kq_pool_find (p, info->id);
   KqName *services = copy_names (info->services, info->n_services);
@@ -236,10 +239,10 @@
   r->info = *info;
   r->info.services = services;
   r->dropped = false;
-  kq_limit_set_most (&r->limit, slots_of (r));
+  kq_limit_set_slots (&r->limit, slot_count (r));
   if (taken_over)
     {
-      r->foreign = slots_of (r) > r->ours ? slots_of (r) - r->ours : 0;
+      r->foreign = slot_count (r) > r->ours ? slot_count (r) - r->ours : 0;
       r->ours_min = r->ours;
     }
   join_group (p, r);
@@ -253,14 +256,14 @@
 }
 
 void
-kq_pool_drop (KqPool *p, KqRunnerId id)
+kq_pool_drop_runner (KqPool *p, KqRunnerId id)
 {
   KqRunner *r = kq_pool_find (p, id);
   if (r == NULL || r->dropped)
     return;
   r->group->live -= is_live (r);
   r->dropped = true;
-  refresh (r);
+  update_allowed (r);
   drop_if_idle (p, r);
 }
 
@@ -268,106 +271,107 @@
 kq_pool_report (KqRunner *r, const KqRunnerReport *report)
 {
   int foreign = report->slots_busy - r->ours_min;
-  count_in_group (r, -1);
+  add_to_totals (r, -1);
   if (foreign < 0)
     foreign = 0;
   if (foreign < r->foreign)
     r->foreign = foreign;
   r->ours_min = r->ours;
   r->slots_reported = report->slots;
-  kq_limit_set_most (&r->limit, slots_of (r));
+  kq_limit_set_slots (&r->limit, slot_count (r));
   r->leaving_reported = report->leaving;
-  kq_outlier_seen (&r->outlier, &r->group->fleet);
-  count_in_group (r, 1);
-  refresh (r);
+  kq_outlier_reported (&r->outlier, &r->group->peers);
+  add_to_totals (r, 1);
+  update_allowed (r);
 }
 
 void
 kq_pool_set_leaving (KqRunner *r, bool leaving)
 {
-  count_in_group (r, -1);
-  r->leaving_told = leaving;
-  count_in_group (r, 1);
-  refresh (r);
+  add_to_totals (r, -1);
+  r->leaving_set = leaving;
+  add_to_totals (r, 1);
+  update_allowed (r);
 }
 
-/* When the request would be done there: its own time at this runner's pace, and what is
- * under way there, of which it takes its part of the machine; over the chance that it
- * succeeds. A runner that fails at once looks idle, and without that part draws most
- * requests. */
+/* Estimated time until the runner would answer the request, in microseconds: the expected
+ * run time plus the work under way per slot, times the runner's latency ratio, over the
+ * share of requests that succeed there. Without this divisor a runner that fails at once
+ * would look idle and attract most requests. */
 static double
-score (const KqRunner *r, int64_t cost)
+completion_time (const KqRunner *r, int64_t cost)
 {
-  double time = r->outlier.ratio * ((double)cost + (double)r->work / slots_of (r));
-  double chance = 1 - r->outlier.failures;
-  return time / (chance > CHANCE_MIN ? chance : CHANCE_MIN);
+  double time
+      = r->outlier.latency_ratio * ((double)cost + (double)r->work / slot_count (r));
+  double success = 1 - r->outlier.failure_share;
+  return time / (success > SUCCESS_SHARE_MIN ? success : SUCCESS_SHARE_MIN);
 }
 
 static KqRunner *
-draw (KqGroup *const *groups, size_t n, int view, size_t total, KqRand *rand)
+random_free (KqGroup *const *groups, size_t n, int checks, size_t total, KqRand *rand)
 {
   size_t at = kq_rand_below (rand, total);
   for (size_t i = 0; i < n; i++)
     {
-      if (at < groups[i]->n_free[view])
-        return groups[i]->free[view][at];
-      at -= groups[i]->n_free[view];
+      if (at < groups[i]->n_free[checks])
+        return groups[i]->free[checks][at];
+      at -= groups[i]->n_free[checks];
     }
   return NULL;
 }
 
 KqRunner *
-kq_pool_choose (KqGroup *const *groups, size_t n, int view, bool better, int64_t cost,
-                KqRand *rand)
+kq_pool_choose (KqGroup *const *groups, size_t n, int checks, bool two_choices,
+                int64_t cost, KqRand *rand)
 {
   size_t total = 0;
   KqRunner *a;
   KqRunner *b;
   for (size_t i = 0; i < n; i++)
-    total += groups[i]->n_free[view];
+    total += groups[i]->n_free[checks];
   if (total == 0)
     return NULL;
-  a = draw (groups, n, view, total, rand);
-  if (!better || total == 1)
+  a = random_free (groups, n, checks, total, rand);
+  if (!two_choices || total == 1)
     return a;
-  b = draw (groups, n, view, total, rand);
-  return score (b, cost) < score (a, cost) ? b : a;
+  b = random_free (groups, n, checks, total, rand);
+  return completion_time (b, cost) < completion_time (a, cost) ? b : a;
 }
 
 KqRunner *
-kq_pool_probe (KqGroup *const *groups, size_t n, bool any, KqTime now)
+kq_pool_due_probe (KqGroup *const *groups, size_t n, bool may_lose, KqTime now)
 {
   for (size_t i = 0; i < n; i++)
     {
       KqHeapNode *top = kq_heap_top (&groups[i]->probes);
       KqRunner *r = top != NULL && top->key <= now ? top->owner : NULL;
-      if (r != NULL && (any || r->outlier.unreachable))
+      if (r != NULL && (may_lose || r->outlier.unreachable))
         return r;
     }
   return NULL;
 }
 
 void
-kq_pool_take (KqPool *p, KqRunner *r, int64_t cost, bool is_long)
+kq_pool_take_slot (KqPool *p, KqRunner *r, int64_t cost, bool is_long)
 {
   assert (is_live (r));
-  assert (r->ours + r->foreign < slots_of (r));
+  assert (r->ours + r->foreign < slot_count (r));
   r->ours++;
   r->work += cost;
   r->group->busy++;
   r->group->work += cost;
   r->group->long_busy += is_long;
   r->long_ours += is_long;
-  r->outlier.probing = r->outlier.state == KQ_OUTLIER_OUT;
+  r->outlier.probing = r->outlier.state == KQ_OUTLIER_EJECTED;
   p->n_running++;
-  refresh_room (r);
-  /* One probe at a time. */
+  update_free_lists (r);
+  /* Only one probe at a time. */
   if (r->by_probe.place > 0)
     kq_heap_remove (&r->group->probes, &r->by_probe);
 }
 
 void
-kq_pool_give (KqPool *p, KqRunner *r, int64_t cost, bool is_long)
+kq_pool_return_slot (KqPool *p, KqRunner *r, int64_t cost, bool is_long)
 {
   assert (r->ours > 0);
   r->ours--;
@@ -380,12 +384,12 @@
   r->long_ours -= is_long;
   r->outlier.probing = false;
   p->n_running--;
-  refresh (r);
+  update_allowed (r);
   drop_if_idle (p, r);
 }
 
 void
-kq_pool_turn_long (KqRunner *r)
+kq_pool_mark_long (KqRunner *r)
 {
   r->long_ours++;
   r->group->long_busy++;
@@ -397,10 +401,10 @@
   static const char *const names[] = { "normal", "out", "returning" };
   char id[24];
   snprintf (id, sizeof id, "%016llx", (unsigned long long)r->info.id);
-  return json_pack ("{s:s,s:i,s:i,s:i,s:i,s:i,s:s,s:f,s:f,s:b}", "runner", id, "slots",
-                    r->info.slots, "ours", r->ours, "foreign", r->foreign, "limit",
-                    r->limit.limit, "allowed",
-                    r->allowed[KQ_VIEW_LIMIT | KQ_VIEW_OUTLIER], "state",
-                    names[r->outlier.state], "failures", r->outlier.failures, "slowness",
-                    r->outlier.ratio, "leaving", r->leaving_told || r->leaving_reported);
+  return json_pack (
+      "{s:s,s:i,s:i,s:i,s:i,s:i,s:s,s:f,s:f,s:b}", "runner", id, "slots", r->info.slots,
+      "ours", r->ours, "foreign", r->foreign, "limit", r->limit.limit, "allowed",
+      r->allowed[KQ_CHECK_LIMIT | KQ_CHECK_OUTLIER], "state", names[r->outlier.state],
+      "failures", r->outlier.failure_share, "slowness", r->outlier.latency_ratio,
+      "leaving", r->leaving_set || r->leaving_reported);
 }
--- a/src/request/pool.h
+++ b/src/request/pool.h
@@ -1,24 +1,26 @@
 #ifndef KQ_REQUEST_POOL_H
 #define KQ_REQUEST_POOL_H
 
-/* pool: the runners this node owns, their slots, and which of them may take one more.
+/* pool: the runners that this node owns, their slots, and which of them have a free one.
  *
- * Slots and connections are exact: a runner's own flights and what a former owner may
- * still have there are counted here and nowhere else, and a send beyond them is an
- * assertion. Runners that serve the same services form a group; each group keeps the
- * list of runners with room, so that a choice draws two of them and never scans.
+ * A runner's slots and connections are counted only here, exactly: they are taken by this
+ * node's own flights and by those that a former owner may still have there. Sending to a
+ * runner without a free slot is an assertion failure. Runners that serve the same
+ * services form a group. Each group keeps a list of its runners with a free slot, so that
+ * choosing one means drawing two from the list instead of scanning all.
  *
- * A service can switch off the adaptive limit and the outliers. So a group has one list
- * for each combination (a view); a runner stands in those views in which it has room.
+ * The adaptive limit and outlier ejection reduce the slots that a runner may use, and a
+ * service can switch either off. So a group has a list for each set of checks (KQ_CHECK_
+ * flags); a runner is in those lists in which it has a free slot.
  *
- * The host list and the runner's own report may differ in the number of slots: the
- * smaller one counts.
+ * If the host list and the runner's own report differ in the number of slots, the smaller
+ * number is used.
  *
- * After a takeover every slot counts as busy until the first report. Reports lag: one may
- * lack a flight of ours that began after it was made, or still show one that has ended.
- * It was made after the report before it arrived, so that the fewest flights we had open
- * since then were certainly among its busy slots; what remains is the bound on foreign
- * ones, and it only falls. */
+ * After a takeover every slot counts as busy until the first report. Reports are delayed:
+ * one may lack a flight that was sent after it was made, or still contain one that has
+ * ended. But each report is made after the previous one arrived. So the minimum of this
+ * node's open flights since then is certainly among its busy slots; the rest is an upper
+ * bound for the former owner's flights. That bound never rises. */
 
 #include "base/rand.h"
 #include "request/dispatch.h"
@@ -27,48 +29,49 @@
 #include "request/map.h"
 #include "request/outlier.h"
 
-#define KQ_VIEW_LIMIT 1   /* the adaptive limit counts */
-#define KQ_VIEW_OUTLIER 2 /* outliers count */
-#define KQ_VIEWS 4
+/* What bounds the slots that a runner may use; a set of checks is a sum of these. */
+#define KQ_CHECK_LIMIT 1   /* the adaptive limit */
+#define KQ_CHECK_OUTLIER 2 /* outlier ejection */
+#define KQ_CHECK_SETS 4    /* number of possible sets */
 
 typedef struct KqGroup KqGroup;
 
 typedef struct
 {
   KqMapNode by_id;
-  KqHeapNode by_probe; /* while out and no probe is under way */
+  KqHeapNode by_probe; /* while ejected and no probe is under way */
   KqRunnerInfo info;
   KqName *services; /* owned, sorted */
   KqGroup *group;
-  int foreign;  /* slots a former owner's flights may hold */
-  int ours;     /* flights sent and not done */
-  int ours_min; /* fewest since the last report */
-  int long_ours;
-  int slots_reported; /* what the runner itself says; 0: nothing yet */
-  bool leaving_told;
+  int foreign;        /* slots that a former owner's flights may still hold */
+  int ours;           /* this node's flights there */
+  int ours_min;       /* minimum of `ours` since the last report */
+  int long_ours;      /* of `ours`, those of long requests */
+  int slots_reported; /* 0: no report yet */
+  bool leaving_set;   /* by the host list or an operator */
   bool leaving_reported;
-  bool dropped; /* no longer ours; stays until its flights are done */
-  int64_t work; /* expected work of our flights there, microseconds */
+  bool dropped; /* no longer owned; freed when its flights are done */
+  int64_t work; /* expected work of `ours`, microseconds */
   KqLimit limit;
   KqOutlier outlier;
-  int allowed[KQ_VIEWS];
-  size_t place[KQ_VIEWS]; /* in the group's list, from 1; 0: no room */
+  int allowed[KQ_CHECK_SETS];       /* slots that it may use */
+  size_t free_index[KQ_CHECK_SETS]; /* in the group's list, from 1; 0: not in it */
 } KqRunner;
 
 struct KqGroup
 {
   KqName *services; /* sorted; none: every service */
   size_t n_services;
-  KqOutlierFleet fleet;
-  int live; /* runners that aren't leaving nor dropped */
+  KqOutlierPeers peers;
+  int live; /* runners that are neither leaving nor dropped */
   int busy;
   int long_busy;
   int64_t work;
-  int slots[KQ_VIEWS]; /* sum of what is allowed */
-  KqRunner **free[KQ_VIEWS];
-  size_t n_free[KQ_VIEWS];
-  size_t capacity[KQ_VIEWS];
-  KqHeap probes;
+  int slots[KQ_CHECK_SETS];       /* sum of `allowed` */
+  KqRunner **free[KQ_CHECK_SETS]; /* runners with a free slot */
+  size_t n_free[KQ_CHECK_SETS];
+  size_t capacity[KQ_CHECK_SETS];
+  KqHeap probes; /* ejected runners, by the time of the next probe */
 };
 
 typedef struct
@@ -81,26 +84,29 @@
 
 void kq_pool_free (KqPool *p);
 KqRunner *kq_pool_find (const KqPool *p, KqRunnerId id);
-void kq_pool_set (KqPool *p, const KqRunnerInfo *info, bool taken_over);
-void kq_pool_drop (KqPool *p, KqRunnerId id);
+/* The kq_dispatch functions of the same purpose describe these. */
+void kq_pool_set_runner (KqPool *p, const KqRunnerInfo *info, bool taken_over);
+void kq_pool_drop_runner (KqPool *p, KqRunnerId id);
 void kq_pool_report (KqRunner *r, const KqRunnerReport *report);
 void kq_pool_set_leaving (KqRunner *r, bool leaving);
 bool kq_group_serves (const KqGroup *g, const KqName *service);
 
-/* Two runners with room in the view are drawn, and the one that is expected to be done
- * with the request first is taken (the first one drawn when !better). NULL: no room. */
-KqRunner *kq_pool_choose (KqGroup *const *groups, size_t n, int view, bool better,
+/* Draws two runners with a free slot at random and returns the one that is expected to
+ * answer a request of this cost (microseconds) first. Draws only one if !two_choices.
+ * NULL: no free slot. */
+KqRunner *kq_pool_choose (KqGroup *const *groups, size_t n, int checks, bool two_choices,
                           int64_t cost, KqRand *rand);
-/* A runner that is out and whose probe is due. Unless the probe may be lost (`any`), only
- * one whose last connection was refused. */
-KqRunner *kq_pool_probe (KqGroup *const *groups, size_t n, bool any, KqTime now);
+/* An ejected runner whose probe is due; NULL: none. Unless the request may be lost
+ * (may_lose), only a runner that refused its last connection, which would
+ * provably not run the request. */
+KqRunner *kq_pool_due_probe (KqGroup *const *groups, size_t n, bool may_lose, KqTime now);
 
-/* A flight's slot is taken, and given back. A runner that is dropped goes with its last
- * flight. */
-void kq_pool_take (KqPool *p, KqRunner *r, int64_t cost, bool is_long);
-void kq_pool_give (KqPool *p, KqRunner *r, int64_t cost, bool is_long);
-/* A flight there turned out to be long. */
-void kq_pool_turn_long (KqRunner *r);
-json_t *kq_runner_state (const KqRunner *r); /* for operators */
+/* Takes a slot for a flight, and returns it when the flight is done. cost: expected work,
+ * microseconds. A dropped runner is freed with its last flight. */
+void kq_pool_take_slot (KqPool *p, KqRunner *r, int64_t cost, bool is_long);
+void kq_pool_return_slot (KqPool *p, KqRunner *r, int64_t cost, bool is_long);
+/* A flight that was sent as short counts as long from now on. */
+void kq_pool_mark_long (KqRunner *r);
+json_t *kq_runner_state (const KqRunner *r); /* for operators; a new JSON object */
 
 #endif
--- a/src/request/run_times.c
+++ b/src/request/run_times.c
@@ -2,23 +2,25 @@
 
 #include <math.h>
 
-/* Before anything is known. */
-#define MEAN_FIRST (10.0 * KQ_MS)
-#define SAMPLES_MAX 64
-/* The base follows the mean with this time constant: most waves of batch work on all
- * machines are over before they count as usual. */
-#define BASE_TIME (300 * KQ_SEC)
-#define DEVIATIONS 6
-/* Long: eight times the median. Exponential times pass it once in 250 requests, so a
- * class of short ones never has such a mean. */
+/* Mean run time before the first sample, microseconds. */
+#define MEAN_DEFAULT (10.0 * KQ_MS)
+#define MEAN_SAMPLES_MAX 64
+/* Time constant with which the baseline follows the mean: most waves of batch work on all
+ * machines end before they count as normal. */
+#define BASELINE_TIME (300 * KQ_SEC)
+#define HIGH_DEVIATIONS 6
+/* A class is long if its mean exceeds this multiple of the median. With exponential run
+ * times one request in 250 does, so the mean of a class of short requests never does. */
 #define LONG_FACTOR 8
-#define LONG_SAMPLES 2
-#define SURE_SAMPLES 16
-/* A step of the median, up or down a sample: coarse at first, then with a noise of some
- * percent, because owners are weighed by it. */
-#define MEDIAN_STEP_FIRST 1.05
+#define LONG_SAMPLES_MIN 2
+#define RELIABLE_SAMPLES_MIN 16
+/* Each sample moves the median up or down by this factor: coarse steps for the first
+ * samples, then fine ones, which leave a noise of some percent. Entry nodes compare
+ * owners by the median. */
+#define MEDIAN_COARSE_STEP 1.05
 #define MEDIAN_STEP 1.01
-#define MEDIAN_FIRST 200
+#define MEDIAN_COARSE_SAMPLES 200
+/* Places of a class in `classes`. */
 #define WAYS 4
 
 void
@@ -28,32 +30,32 @@
 }
 
 static size_t
-first_place (uint64_t id)
+set_start (uint64_t id)
 {
   return (id >> 7) % (KQ_RUN_CLASSES / WAYS) * WAYS;
 }
 
 static const KqRunClass *
-find (const KqRunTimes *r, uint64_t id)
+find_class (const KqRunTimes *r, uint64_t id)
 {
-  size_t at = first_place (id);
+  size_t at = set_start (id);
   for (size_t i = at; id != 0 && i < at + WAYS; i++)
     if (r->classes[i].id == id)
       return &r->classes[i];
   return NULL;
 }
 
-/* The place of a class; a new one takes that of the one used least recently. */
+/* A new class replaces the least recently used one of its set. */
 static KqRunClass *
-need (KqRunTimes *r, uint64_t id)
+get_class (KqRunTimes *r, uint64_t id)
 {
-  size_t at = first_place (id);
+  size_t at = set_start (id);
   KqRunClass *oldest = &r->classes[at];
   for (size_t i = at; i < at + WAYS; i++)
     {
       if (r->classes[i].id == id)
         return &r->classes[i];
-      if (r->classes[i].used < oldest->used)
+      if (r->classes[i].last_used < oldest->last_used)
         oldest = &r->classes[i];
     }
   *oldest = (KqRunClass){ .id = id };
@@ -61,67 +63,69 @@
 }
 
 static void
-learn (KqRunClass *c, double took, KqTime now)
+add_sample (KqRunClass *c, double run_time, KqTime now)
 {
-  double part;
-  KqTime known = now - c->first_at < BASE_TIME ? now - c->first_at : BASE_TIME;
-  if (c->samples < SAMPLES_MAX)
+  double weight;
+  KqTime known = now - c->first_at < BASELINE_TIME ? now - c->first_at : BASELINE_TIME;
+  if (c->samples < MEAN_SAMPLES_MAX)
     c->samples++;
-  part = 1.0 / c->samples;
+  weight = 1.0 / c->samples;
   if (c->samples == 1)
-    c->deviation = took / 2;
+    c->deviation = run_time / 2;
   else
-    c->deviation += (fabs (took - c->mean) - c->deviation) * part;
-  c->mean += (took - c->mean) * part;
+    c->deviation += (fabs (run_time - c->mean) - c->deviation) * weight;
+  c->mean += (run_time - c->mean) * weight;
   if (c->first_at == 0)
     c->first_at = now;
-  /* The first answers to come are those of the shortest requests: the base forgets them
-   * as fast as it learns. */
-  if (c->samples < SAMPLES_MAX || known <= 0)
-    c->base = c->mean;
+  /* The first answers to arrive are those of the shortest requests. So that they don't
+   * weigh for long, the time constant is at most the age of the class. */
+  if (c->samples < MEAN_SAMPLES_MAX || known <= 0)
+    c->baseline = c->mean;
   else
-    c->base += (c->mean - c->base) * (double)(now - c->based_at) / (double)known;
-  c->based_at = now;
+    c->baseline
+        += (c->mean - c->baseline) * (double)(now - c->baseline_at) / (double)known;
+  c->baseline_at = now;
 }
 
 void
-kq_run_times_add (KqRunTimes *r, uint64_t class_id, KqTime took, KqTime now)
+kq_run_times_add (KqRunTimes *r, uint64_t class_id, KqTime run_time, KqTime now)
 {
-  double us = took > 1 ? (double)took : 1;
-  learn (&r->all, us, now);
+  double us = run_time > 1 ? (double)run_time : 1;
+  add_sample (&r->all, us, now);
   if (r->median == 0)
     r->median = us;
   else
     {
-      double step = r->seen < MEDIAN_FIRST ? MEDIAN_STEP_FIRST : MEDIAN_STEP;
+      double step
+          = r->median_samples < MEDIAN_COARSE_SAMPLES ? MEDIAN_COARSE_STEP : MEDIAN_STEP;
       r->median = us > r->median ? r->median * step : r->median / step;
     }
-  if (r->seen < MEDIAN_FIRST)
-    r->seen++;
+  if (r->median_samples < MEDIAN_COARSE_SAMPLES)
+    r->median_samples++;
   if (class_id != 0)
     {
-      KqRunClass *c = need (r, class_id);
-      c->used = ++r->clock;
-      learn (c, us, now);
+      KqRunClass *c = get_class (r, class_id);
+      c->last_used = ++r->use_count;
+      add_sample (c, us, now);
     }
 }
 
 KqRunForecast
-kq_run_times_get (const KqRunTimes *r, uint64_t class_id)
+kq_run_times_forecast (const KqRunTimes *r, uint64_t class_id)
 {
-  const KqRunClass *c = find (r, class_id);
-  KqRunForecast f
-      = { (KqTime)MEAN_FIRST, (KqTime)MEAN_FIRST, (KqTime)MEAN_FIRST, false, false };
+  const KqRunClass *c = find_class (r, class_id);
+  KqRunForecast f = { (KqTime)MEAN_DEFAULT, (KqTime)MEAN_DEFAULT, (KqTime)MEAN_DEFAULT,
+                      false, false };
   if (c == NULL)
     c = &r->all;
   if (c->samples == 0)
     return f;
   f.mean = (KqTime)fmax (1, c->mean);
-  f.high = f.mean + (KqTime)(DEVIATIONS * c->deviation);
-  f.sure = c != &r->all && c->samples >= SURE_SAMPLES;
-  f.base = (KqTime)fmax (1, c->base);
-  f.is_long
-      = c != &r->all && c->samples >= LONG_SAMPLES && c->mean > LONG_FACTOR * r->median;
+  f.high = f.mean + (KqTime)(HIGH_DEVIATIONS * c->deviation);
+  f.reliable = c != &r->all && c->samples >= RELIABLE_SAMPLES_MIN;
+  f.baseline = (KqTime)fmax (1, c->baseline);
+  f.is_long = c != &r->all && c->samples >= LONG_SAMPLES_MIN
+              && c->mean > LONG_FACTOR * r->median;
   return f;
 }
 
@@ -132,9 +136,9 @@
 }
 
 KqTime
-kq_run_times_overdue (const KqRunTimes *r)
+kq_run_times_long_after (const KqRunTimes *r)
 {
-  if (r->all.samples < SURE_SAMPLES)
+  if (r->all.samples < RELIABLE_SAMPLES_MIN)
     return KQ_TIME_NEVER;
   return (KqTime)(LONG_FACTOR * r->median);
 }
--- a/src/request/service_queue.c
+++ b/src/request/service_queue.c
@@ -2,9 +2,11 @@
 
 #include <stdlib.h>
 
+/* Time constant of the mean demand. */
 #define DEMAND_TIME KQ_SEC
-#define DEMAND_ROOM 1.15
-#define KEPT_MOST 0.75
+#define DEMAND_MARGIN 1.15
+/* Of the slots, that are kept free of long requests. */
+#define KEPT_MAX_SHARE 0.75
 
 void
 kq_service_init (KqServiceQueue *s, const KqName *name)
@@ -34,9 +36,9 @@
 }
 
 int
-kq_service_view (const KqServiceQueue *s)
+kq_service_checks (const KqServiceQueue *s)
 {
-  return (s->row.limit ? KQ_VIEW_LIMIT : 0) | (s->row.outlier ? KQ_VIEW_OUTLIER : 0);
+  return (s->row.limit ? KQ_CHECK_LIMIT : 0) | (s->row.outlier ? KQ_CHECK_OUTLIER : 0);
 }
 
 size_t
@@ -46,12 +48,12 @@
 }
 
 int
-kq_service_live (const KqServiceQueue *s)
+kq_service_live_runners (const KqServiceQueue *s)
 {
   int n = 0;
   for (size_t i = 0; i < s->n_groups; i++)
-    n += s->groups[i]->live - s->groups[i]->fleet.unreachable;
-  return n > 0 ? n : 0; /* one that is leaving may be unreachable too */
+    n += s->groups[i]->live - s->groups[i]->peers.unreachable;
+  return n > 0 ? n : 0; /* a leaving runner may also be unreachable */
 }
 
 int
@@ -59,7 +61,7 @@
 {
   int n = 0;
   for (size_t i = 0; i < s->n_groups; i++)
-    n += s->groups[i]->slots[kq_service_view (s)];
+    n += s->groups[i]->slots[kq_service_checks (s)];
   return n;
 }
 
@@ -73,7 +75,7 @@
 }
 
 void
-kq_service_note_demand (KqServiceQueue *s, KqTime now)
+kq_service_update_demand (KqServiceQueue *s, KqTime now)
 {
   double used = s->in_flight[KQ_LANE_SHORT] + (double)s->lanes[KQ_LANE_SHORT].queued;
   double part = (double)(now - s->demand_at) / DEMAND_TIME;
@@ -81,16 +83,17 @@
   s->demand_at = now;
 }
 
-/* Slots that long requests may hold: never the last one, unless there is only one. */
+/* Slots that long requests may hold: at least one, and not the last one unless it is the
+ * only one. */
 static int
 long_slots (const KqServiceQueue *s)
 {
   double slots = kq_service_slots (s);
   double kept = slots * (double)s->row.short_percent / 100;
-  if (kept < s->short_demand * DEMAND_ROOM)
-    kept = s->short_demand * DEMAND_ROOM;
-  if (kept > slots * KEPT_MOST)
-    kept = slots * KEPT_MOST;
+  if (kept < s->short_demand * DEMAND_MARGIN)
+    kept = s->short_demand * DEMAND_MARGIN;
+  if (kept > slots * KEPT_MAX_SHARE)
+    kept = slots * KEPT_MAX_SHARE;
   if (kept < 1)
     kept = 1;
   return slots - kept > 1 ? (int)(slots - kept) : 1;
@@ -110,13 +113,13 @@
 KqFairItem *
 kq_service_first (const KqServiceQueue *s, KqLane *lane)
 {
-  bool quick = may_send (s, KQ_LANE_SHORT);
-  bool slow = may_send (s, KQ_LANE_LONG);
-  if (!quick && !slow)
+  bool send_short = may_send (s, KQ_LANE_SHORT);
+  bool send_long = may_send (s, KQ_LANE_LONG);
+  if (!send_short && !send_long)
     return NULL;
-  if (quick && slow)
-    slow = s->lane_tag[KQ_LANE_LONG] < s->lane_tag[KQ_LANE_SHORT];
-  *lane = slow ? KQ_LANE_LONG : KQ_LANE_SHORT;
+  if (send_short && send_long)
+    send_long = s->lane_tag[KQ_LANE_LONG] < s->lane_tag[KQ_LANE_SHORT];
+  *lane = send_long ? KQ_LANE_LONG : KQ_LANE_SHORT;
   return kq_fair_first (&s->lanes[*lane]);
 }
 
@@ -124,9 +127,9 @@
 kq_service_push (KqServiceQueue *s, KqLane lane, KqFairItem *item, uint64_t caller,
                  int64_t weight, uint64_t key, KqTime deadline)
 {
-  if (s->lanes[lane].queued == 0 && s->lane_tag[lane] < s->lane_reached)
-    s->lane_tag[lane] = s->lane_reached;
-  /* One service time of all slots. */
+  if (s->lanes[lane].queued == 0 && s->lane_tag[lane] < s->lane_virtual_time)
+    s->lane_tag[lane] = s->lane_virtual_time;
+  /* The service time of all slots, see fair.h. */
   s->lanes[lane].burst = item->cost * kq_service_slots (s);
   kq_fair_push (&s->lanes[lane], item, caller, weight, key, deadline);
 }
@@ -134,19 +137,20 @@
 void
 kq_service_take (KqServiceQueue *s, KqLane lane, KqFairItem *item)
 {
-  if (s->lane_reached < s->lane_tag[lane])
-    s->lane_reached = s->lane_tag[lane];
+  if (s->lane_virtual_time < s->lane_tag[lane])
+    s->lane_virtual_time = s->lane_tag[lane];
   s->lane_tag[lane] += item->cost;
   kq_fair_take (&s->lanes[lane], item);
 }
 
 void
-kq_service_drop (KqServiceQueue *s, KqLane lane, KqFairItem *item)
+kq_service_remove (KqServiceQueue *s, KqLane lane, KqFairItem *item)
 {
-  kq_fair_drop (&s->lanes[lane], item);
+  kq_fair_remove (&s->lanes[lane], item);
 }
 
-/* While the lane has a queue, the slots its requests hold are its share. */
+/* Slots available for the lane's work. While the lane has a queue, that is what its
+ * requests hold. */
 static double
 lane_slots (const KqServiceQueue *s, KqLane lane)
 {
@@ -159,41 +163,42 @@
 }
 
 static bool
-has_room (const KqServiceQueue *s, KqLane lane)
+has_free_slot (const KqServiceQueue *s, KqLane lane)
 {
-  int view = kq_service_view (s);
+  int checks = kq_service_checks (s);
   if (s->lanes[lane].queued > 0)
     return false;
   if (lane == KQ_LANE_LONG && s->row.short_slots && long_busy (s) >= long_slots (s))
     return false;
   for (size_t i = 0; i < s->n_groups; i++)
-    if (s->groups[i]->n_free[view] > 0)
+    if (s->groups[i]->n_free[checks] > 0)
       return true;
   return false;
 }
 
-KqAdmissionView
-kq_service_view_for (const KqServiceQueue *s, KqLane lane, uint64_t caller,
-                     int64_t weight, uint64_t key)
+KqAdmissionInput
+kq_service_admission_input (const KqServiceQueue *s, KqLane lane, uint64_t caller,
+                            int64_t weight, uint64_t key)
 {
-  const KqFair *f = &s->lanes[lane];
+  const KqFairQueue *f = &s->lanes[lane];
   KqFairShare share = kq_fair_share (f, caller, key);
   KqFairShare other = kq_fair_share (&s->lanes[1 - lane], caller, key);
-  KqAdmissionView v = { .queued = kq_service_queued (s),
-                        .queue_max = s->row.queue_max,
-                        .work = f->work,
-                        .slots = lane_slots (s, lane),
-                        .room = has_room (s, lane),
-                        .fair = s->row.fairness,
-                        .caller_queued = share.queued + other.queued,
-                        .caller_percent = s->row.caller_percent,
-                        .caller_work = share.work,
-                        .key_queued = key != 0 ? share.key_queued + other.key_queued : 0,
-                        .key_work = share.key_work,
-                        .caller_weight = weight };
-  v.active_weight = f->active_weight + (share.queued > 0 ? 0 : weight);
-  v.active_keys = share.active_keys + (share.key_queued > 0 ? 0 : 1);
-  return v;
+  KqAdmissionInput in
+      = { .queued = kq_service_queued (s),
+          .queue_max = s->row.queue_max,
+          .work = f->work,
+          .slots = lane_slots (s, lane),
+          .slot_free = has_free_slot (s, lane),
+          .fair = s->row.fairness,
+          .caller_queued = share.queued + other.queued,
+          .caller_percent = s->row.caller_percent,
+          .caller_work = share.work,
+          .key_queued = key != 0 ? share.key_queued + other.key_queued : 0,
+          .key_work = share.key_work,
+          .caller_weight = weight };
+  in.active_weight = f->active_weight + (share.queued > 0 ? 0 : weight);
+  in.active_keys = share.active_keys + (share.key_queued > 0 ? 0 : 1);
+  return in;
 }
 
 KqServiceDigest
@@ -220,7 +225,7 @@
                     (size_t)s->name.len, "queued", (json_int_t)kq_service_queued (s),
                     "queued_long", (json_int_t)s->lanes[KQ_LANE_LONG].queued, "in_flight",
                     s->in_flight[KQ_LANE_SHORT] + s->in_flight[KQ_LANE_LONG], "slots",
-                    kq_service_slots (s), "runners", kq_service_live (s), "p50_us",
-                    (json_int_t)kq_run_times_median (&s->run_times), "mean_us",
-                    (json_int_t)kq_run_times_get (&s->run_times, 0).mean);
+                    kq_service_slots (s), "runners", kq_service_live_runners (s),
+                    "p50_us", (json_int_t)kq_run_times_median (&s->run_times), "mean_us",
+                    (json_int_t)kq_run_times_forecast (&s->run_times, 0).mean);
 }
--- a/src/request/service_queue.h
+++ b/src/request/service_queue.h
@@ -1,23 +1,23 @@
 #ifndef KQ_REQUEST_SERVICE_QUEUE_H
 #define KQ_REQUEST_SERVICE_QUEUE_H
 
-/* service_queue: the waiting requests of one service, in two lanes.
+/* service_queue: the queued requests of one service, in two lanes: short and long.
  *
- * Load pattern: one request in a hundred takes a hundred times as long (a report among
- * status calls). Without lanes the long ones come to hold every slot of every runner: a
- * quick request waits for a long one to end, and the quick ones' p99 is the long ones'
- * run time.
+ * If one request in a hundred takes a hundred times as long (a report among status
+ * calls), the long ones come to hold every slot of every runner. Short requests then wait
+ * for a long one to end, and their p99 is the run time of the long ones.
  *
- * Requests of classes that are known to be long (run_times.h) wait in a lane of their
- * own. Kept free of them is the larger of short_percent of the slots and what short
- * requests used of late (mean over a second, queue included) with 15% on top, but never
- * more than three quarters: long ones always get on. The lanes share by expected work,
- * evenly; the long lane is passed over while it holds its part.
+ * So requests of classes known to be long (run_times.h) wait in a lane of their own, and
+ * some slots are kept free of them: short_percent of the slots, or the recent demand of
+ * short requests (mean over a second, queued ones included) plus 15% if that is more, but
+ * at most three quarters, so that long requests always make progress. The lanes share
+ * evenly by expected work; the long lane is skipped while it holds all slots that it may
+ * hold.
  *
- * A class not seen before counts as short. So a request of such a class that has run for
- * eight times the service's median is counted as long from then on, and teaches its
- * class: a wave of new long requests is known after a few of them, not after the first
- * have ended. */
+ * A class that is new counts as short. A request of such a class that has run for eight
+ * times the service's median counts as long from then on, and its run time so far is
+ * added to its class. So a wave of new long requests is recognized after a few of them,
+ * before any of them has ended. */
 
 #include "request/admission.h"
 #include "request/fair.h"
@@ -37,42 +37,44 @@
   KqMapNode by_name;
   KqName name;
   KqServiceRow row;
-  bool in_table;
+  bool in_table; /* false: its row was removed */
   KqRunTimes run_times;
-  KqFair lanes[KQ_LANES];
-  int64_t lane_tag[KQ_LANES]; /* work taken from the lane, as in fair.h */
-  int64_t lane_reached;
-  int64_t tag;         /* against other services, by weight */
-  size_t active_place; /* in the dispatcher's list of services that wait, from 1 */
+  KqFairQueue lanes[KQ_LANES];
+  int64_t lane_tag[KQ_LANES]; /* finish tags, as in fair.h, in microseconds */
+  int64_t lane_virtual_time;  /* tag of the lane served last */
+  int64_t tag;                /* finish tag among the services, by weight */
+  size_t active_index;        /* in the dispatcher's `active`, from 1; 0: not in it */
   int in_flight[KQ_LANES];
-  double short_demand; /* slots that short requests used or waited for, of late */
-  KqTime demand_at;
-  KqComeback comeback;
-  KqGroup **groups; /* that serve it */
+  double short_demand; /* mean number of short requests, sent and queued */
+  KqTime demand_at;    /* when short_demand was last updated */
+  KqRetryAfter retry_after;
+  KqGroup **groups; /* those that serve it */
   size_t n_groups;
 } KqServiceQueue;
 
 void kq_service_init (KqServiceQueue *s, const KqName *name);
 void kq_service_clear (KqServiceQueue *s); /* must hold no items */
-/* Finds the groups that serve it. */
+/* Finds the groups that serve it; to be called when the pool has a new group. */
 void kq_service_set_groups (KqServiceQueue *s, const KqPool *p);
-/* Takes the present use into the mean; called before it changes. */
-void kq_service_note_demand (KqServiceQueue *s, KqTime now);
-int kq_service_view (const KqServiceQueue *s);
+/* Adds the present demand to the mean; to be called before it changes. */
+void kq_service_update_demand (KqServiceQueue *s, KqTime now);
+/* The set of checks (pool.h) that its row switches on. */
+int kq_service_checks (const KqServiceQueue *s);
 size_t kq_service_queued (const KqServiceQueue *s);
-/* Runners that are there: neither leaving nor refusing connections. */
-int kq_service_live (const KqServiceQueue *s);
-int kq_service_slots (const KqServiceQueue *s); /* usable now */
-/* The item to send next, of a lane that may send; NULL: none. */
+/* Number of runners that are neither leaving nor refusing connections. */
+int kq_service_live_runners (const KqServiceQueue *s);
+int kq_service_slots (const KqServiceQueue *s); /* that its requests may use now */
+/* Returns the item to send next, and its lane; NULL: no lane may send. */
 KqFairItem *kq_service_first (const KqServiceQueue *s, KqLane *lane);
 void kq_service_push (KqServiceQueue *s, KqLane lane, KqFairItem *item, uint64_t caller,
                       int64_t weight, uint64_t key, KqTime deadline);
 void kq_service_take (KqServiceQueue *s, KqLane lane, KqFairItem *item);
-void kq_service_drop (KqServiceQueue *s, KqLane lane, KqFairItem *item);
-/* What admission needs to know; weight: of the caller. */
-KqAdmissionView kq_service_view_for (const KqServiceQueue *s, KqLane lane,
-                                     uint64_t caller, int64_t weight, uint64_t key);
+void kq_service_remove (KqServiceQueue *s, KqLane lane, KqFairItem *item);
+/* The input of kq_admission_decide for a request; weight: of the caller. */
+KqAdmissionInput kq_service_admission_input (const KqServiceQueue *s, KqLane lane,
+                                             uint64_t caller, int64_t weight,
+                                             uint64_t key);
 KqServiceDigest kq_service_digest (const KqServiceQueue *s);
-json_t *kq_service_state (const KqServiceQueue *s); /* for operators */
+json_t *kq_service_state (const KqServiceQueue *s); /* for operators; a new JSON object */
 
 #endif
