--- a/src/request/decisions_test.c
+++ b/src/request/decisions_test.c
@@ -138,7 +138,7 @@
 /* A caller has 500 requests queued when another sends its first one. That one must be
  * served next or after one other request, not after the backlog, with any burst. */
 static void
-test_fair_newcomer (void **state)
+test_fair_new_caller (void **state)
 {
   static FairFixture f;
   (void)state;
@@ -180,11 +180,11 @@
   empty (&f);
 }
 
-/* A caller's request took much longer than its forecast, and the caller was idle since.
- * It must still be charged for the difference: the others are served first, up to that
- * amount. */
+/* A caller's request took much longer than its forecast, and the caller has been idle
+ * since. It must still be charged for the difference: the others are served first, up to
+ * that amount. */
 static void
-test_fair_debt_is_kept (void **state)
+test_fair_idle_caller_is_charged (void **state)
 {
   static FairFixture f;
   (void)state;
@@ -472,7 +472,7 @@
  * no tenth of a second more than half of what the runners can serve in it, up to the
  * maximum wait; beyond that, evenly over its second half. */
 static void
-test_comeback_spreads (void **state)
+test_retry_after_spreads (void **state)
 {
   KqRetryAfter r = { 0 };
   KqRand rand = kq_rand (37);
@@ -526,14 +526,14 @@
   (void)state;
   for (int n = 1; n < 12; n++)
     {
-      KqTime most = n < 7 ? (20 * KQ_MS) << (n - 1) : KQ_SEC;
+      KqTime max_wait = n < 7 ? (20 * KQ_MS) << (n - 1) : KQ_SEC;
       KqTime first = kq_retry_backoff (&rand, n);
-      if (most > KQ_SEC)
-        most = KQ_SEC;
+      if (max_wait > KQ_SEC)
+        max_wait = KQ_SEC;
       for (int i = 0; i < 100; i++)
         {
           KqTime t = kq_retry_backoff (&rand, n);
-          assert_in_range (t, most / 2, most);
+          assert_in_range (t, max_wait / 2, max_wait);
           differ = differ || t != first;
         }
     }
@@ -602,9 +602,9 @@
     cmocka_unit_test (test_heap),
     cmocka_unit_test (test_map),
     cmocka_unit_test (test_fair_weights),
-    cmocka_unit_test (test_fair_newcomer),
+    cmocka_unit_test (test_fair_new_caller),
     cmocka_unit_test (test_fair_order_of_arrival),
-    cmocka_unit_test (test_fair_debt_is_kept),
+    cmocka_unit_test (test_fair_idle_caller_is_charged),
     cmocka_unit_test (test_fair_random),
     cmocka_unit_test (test_run_times),
     cmocka_unit_test (test_limit),
@@ -613,7 +613,7 @@
     cmocka_unit_test (test_outlier_bounds),
     cmocka_unit_test (test_outlier_slow),
     cmocka_unit_test (test_admission),
-    cmocka_unit_test (test_comeback_spreads),
+    cmocka_unit_test (test_retry_after_spreads),
     cmocka_unit_test (test_retry_budget),
     cmocka_unit_test (test_handed_back_waits_for_successor),
     cmocka_unit_test (test_backoff),
--- a/src/request/dispatch_test.c
+++ b/src/request/dispatch_test.c
@@ -104,7 +104,8 @@
   return offer_for (f, 5 * SECOND);
 }
 
-/* Sends everything that has room; returns how many, and the last one's runner. */
+/* Sends all requests that have a free slot; returns how many, and the runner of the last
+ * one. */
 static int
 send_all (Fixture *f, KqRunnerId *last)
 {
@@ -137,7 +138,7 @@
   kq_dispatch_done (f->d, flight (number), o, f->now);
 }
 
-/* The host list says eight slots, the runner itself four. */
+/* The host list says eight slots, the runner's report four: the lower number counts. */
 static void
 test_fewer_slots_reported (void **state)
 {
@@ -179,9 +180,9 @@
   stop (&f);
 }
 
-/* The owner of a runner has died. Its successor knows nothing of the flights there: no
- * slot is given out before the runner's first report, and then only those that are free.
- * Our own flights in later reports aren't taken for the former owner's. */
+/* The owner of a runner has died, and its successor doesn't know of the flights there. It
+ * must use no slot before the runner's first report, and then only those that are free.
+ * Its own flights in later reports don't count as the former owner's. */
 static void
 test_takeover (void **state)
 {
@@ -206,9 +207,9 @@
   stop (&f);
 }
 
-/* The same runner is named again by the host list between two reports. What we know of
- * our own flights since the last report stays: else a report made while two of them were
- * just ending would make two of the former owner's slots look free. */
+/* The host list names the same runner again between two reports. The minimum of the
+ * node's own flights since the last report must be kept: otherwise a report made while
+ * two of them were ending would make two of the former owner's slots look free. */
 static void
 test_takeover_and_host_list (void **state)
 {
@@ -230,9 +231,9 @@
   stop (&f);
 }
 
-/* Whoever says first that a runner leaves, the report or the host list, it gets nothing
- * new from that word on; what is under way there ends as it ends. When it was the last
- * one, what waits is refused at once, not at its deadline. */
+/* A runner gets no new requests as soon as either its report or the host list says that
+ * it is leaving; those under way there go on. If it was the last runner, queued requests
+ * are refused at once, not at their deadline. */
 static void
 test_leaving (void **state)
 {
@@ -260,8 +261,9 @@
   stop (&f);
 }
 
-/* A shard goes to another node while requests run there: the runner gets nothing new,
- * its flights end here, and a second life of it starts with the right count. */
+/* A shard moves to another node while requests run on its runner. The runner gets no new
+ * ones, its flights end here, and when the shard comes back the count of slots in use is
+ * right. */
 static void
 test_drop_and_return (void **state)
 {
@@ -288,8 +290,8 @@
   stop (&f);
 }
 
-/* What can't be answered in time any more leaves the queue unsent, when that becomes
- * certain enough, and the caller is told so at once. */
+/* A request that can no longer be answered in time is removed from the queue unsent, and
+ * the caller is told at once. */
 static void
 test_deadline (void **state)
 {
@@ -332,9 +334,9 @@
   stop (&f);
 }
 
-/* The table's bounds and switches count from the moment the table is set. */
+/* The bounds and switches of a new table apply from the moment it is set. */
 static void
-test_rows_count_at_once (void **state)
+test_rows_apply_at_once (void **state)
 {
   Fixture f;
   KqServiceRow row = default_row ();
@@ -377,8 +379,8 @@
   stop (&f);
 }
 
-/* A runner that fails everything gets one request a probe, and only idempotent ones; the
- * same runner with the switch off goes on getting its part. */
+/* A runner that fails every request gets only probes. With the outlier check switched off
+ * it gets its part of the requests. */
 static void
 test_outlier_switch (void **state)
 {
@@ -413,7 +415,7 @@
   stop (&f);
 }
 
-/* Two services of weights 100 and 300 share the same runners with a backlog each. */
+/* Two services with weights 100 and 300 share the same runner; both have a backlog. */
 static void
 test_services_share_by_weight (void **state)
 {
@@ -456,9 +458,9 @@
   kq_table_unref (empty);
 }
 
-/* Runners come, leave, report and go, flights end in every way, rows change: no slot is
- * ever given out twice (asserted inside), every flight gets exactly one event, and in the
- * end nothing is left. */
+/* Runners are added, report, leave and are dropped, flights end in every way, and rows
+ * change, all at random: no slot is used twice (asserted by the pool), every flight gets
+ * exactly one event, and nothing is left at the end. */
 static void
 test_random (void **state)
 {
@@ -466,18 +468,18 @@
   {
     FLIGHTS = 20000
   };
-  static char fate[FLIGHTS + 1]; /* 1 queued, 2 sent, 3 ended */
+  static char state_of[FLIGHTS + 1]; /* 1 queued, 2 sent, 3 ended */
   Fixture f;
   KqRand rand = kq_rand (41);
   KqServiceRow row = default_row ();
   KqDispatchEvent e;
   (void)state;
   start (&f);
-  memset (fate, 0, sizeof fate);
+  memset (state_of, 0, sizeof state_of);
   while (f.next < FLIGHTS)
     {
       KqRunnerId id = 1 + kq_rand_below (&rand, 6);
-      uint64_t some = 1 + kq_rand_below (&rand, f.next);
+      uint64_t number = 1 + kq_rand_below (&rand, f.next);
       uint64_t offered = f.next;
       switch (kq_rand_below (&rand, 12))
         {
@@ -496,10 +498,10 @@
           kq_dispatch_set_leaving (f.d, id, kq_rand_below (&rand, 3) == 0, f.now);
           break;
         case 4:
-          if (kq_dispatch_cancel (f.d, flight (some), f.now))
+          if (kq_dispatch_cancel (f.d, flight (number), f.now))
             {
-              assert_int_equal (fate[some], 1);
-              fate[some] = 3;
+              assert_int_equal (state_of[number], 1);
+              state_of[number] = 3;
             }
           break;
         case 5:
@@ -512,26 +514,26 @@
           break;
         default:
           if (offer_for (&f, (KqTime)kq_rand_below (&rand, SECOND)) == KQ_OK)
-            fate[offered] = 1;
+            state_of[offered] = 1;
         }
       while (kq_dispatch_next (f.d, f.now, &e))
         {
-          assert_int_equal (fate[e.flight.number], 1);
-          fate[e.flight.number] = e.kind == KQ_DISPATCH_SEND ? 2 : 3;
+          assert_int_equal (state_of[e.flight.number], 1);
+          state_of[e.flight.number] = e.kind == KQ_DISPATCH_SEND ? 2 : 3;
         }
       for (int i = 0; i < 20; i++)
         {
-          some = 1 + kq_rand_below (&rand, f.next);
-          if (fate[some] != 2)
+          number = 1 + kq_rand_below (&rand, f.next);
+          if (state_of[number] != 2)
             continue;
-          end (&f, some, (KqOutcome)kq_rand_below (&rand, 6));
-          fate[some] = 3;
+          end (&f, number, (KqOutcome)kq_rand_below (&rand, 6));
+          state_of[number] = 3;
           break;
         }
       f.now += (KqTime)kq_rand_below (&rand, 5 * KQ_MS);
     }
   for (uint64_t i = 1; i <= FLIGHTS; i++)
-    if (fate[i] == 2)
+    if (state_of[i] == 2)
       end (&f, i, KQ_OUTCOME_ANSWERED);
   for (KqRunnerId id = 1; id <= 6; id++)
     kq_dispatch_drop_runner (f.d, id, f.now);
@@ -543,7 +545,7 @@
   stop (&f);
 }
 
-/* Paths that differ by ids are one class; other methods and other paths aren't. */
+/* Paths that differ only in ids are one class; other methods and other paths aren't. */
 static void
 test_class (void **state)
 {
@@ -571,7 +573,7 @@
     cmocka_unit_test (test_drop_and_return),
     cmocka_unit_test (test_deadline),
     cmocka_unit_test (test_cancel),
-    cmocka_unit_test (test_rows_count_at_once),
+    cmocka_unit_test (test_rows_apply_at_once),
     cmocka_unit_test (test_outlier_switch),
     cmocka_unit_test (test_services_share_by_weight),
     cmocka_unit_test (test_random),
--- a/src/request/load_test.c
+++ b/src/request/load_test.c
@@ -7,7 +7,7 @@
 
 #include <cmocka.h>
 
-/* Ten runners of four slots and 10 ms a request: 4,000 answers a second. */
+/* Ten runners with four slots each and 10 ms per request: 4,000 answers a second. */
 #define RUNNERS 10
 #define SLOTS 4
 #define MEAN (10 * KQ_MS)
@@ -62,9 +62,9 @@
   return (double)r->groups[SIM_QUICK].late / (double)r->groups[SIM_QUICK].offered;
 }
 
-/* Six times the capacity arrives for 200 ms. Callers see an answer within their deadline
- * or a refusal at once; nobody's answer comes late. Without admission the queue holds
- * more than can be answered in time, and what is sent from it is late. */
+/* Six times the capacity arrives for 200 ms. Each request must be answered within its
+ * deadline or refused at once. Without admission the queue holds more than can be
+ * answered in time, and the answers are late. */
 static void
 test_burst (void **state)
 {
@@ -91,8 +91,8 @@
 }
 
 /* One caller, or one key of one caller, sends three times the capacity. The other callers
- * and keys see what they saw without it: it waits behind itself and is refused. In a
- * first-in-first-out queue half of the others' requests are lost. */
+ * and keys must see hardly any difference: the excess waits behind its own backlog and is
+ * refused. In a first-in-first-out queue half of the others' requests are lost. */
 static void
 check_hot (SimArrival like)
 {
@@ -131,9 +131,9 @@
   check_hot ((SimArrival){ .caller = 3, .key = 999 });
 }
 
-/* One of ten targets takes ten times as long from the first second on. Callers of the
- * service notice little: it gets less, then only probes. With the safeguards off its
- * slots go on being filled, and its latency is the service's p99.9. */
+/* One of ten targets takes ten times as long from the first second on. It must get fewer
+ * requests, then only probes, so that callers notice little. With the safeguards off its
+ * slots are kept full, and its latency is the service's p99.9. */
 static void
 test_slow_target (void **state)
 {
@@ -159,8 +159,8 @@
   free (a.items);
 }
 
-/* One of ten targets answers every request at once by an error, so that it always has
- * room and draws more than its part. Callers see few errors: it goes out after a few. */
+/* One of ten targets answers every request at once with an error, so that it always has
+ * free slots and attracts more than its part. It must be ejected after a few errors. */
 static void
 test_failing_target (void **state)
 {
@@ -183,10 +183,10 @@
   free (a.items);
 }
 
-/* Requests that take 100 times as long arrive at twice what the runners can do. The quick
- * ones go on as before, because slots are kept free of the long ones as soon as their
- * class is known; the long ones still get on. Without that the long ones come to hold
- * every slot and a quick request waits for one of them to end. */
+/* Requests that take 100 times as long arrive at twice the capacity. Short ones must be
+ * served as before, because slots are kept free of long ones once their class is known;
+ * long ones must still all be served. Without that, the long ones hold every slot and a
+ * short request waits for one of them to end. */
 static void
 test_long_among_short (void **state)
 {
@@ -216,9 +216,9 @@
   free (a.items);
 }
 
-/* Five times the capacity for all of the run. The runners' time goes into answers that
- * come in time, and the rest is refused. First in first out without admission answers
- * nearly everything too late. */
+/* Five times the capacity during the whole run. The runners must spend their time on
+ * answers that are in time; the rest is refused. A first-in-first-out queue without
+ * admission gives nearly every answer too late. */
 static void
 test_overload (void **state)
 {
@@ -241,8 +241,9 @@
   free (a.items);
 }
 
-/* Batch work takes half of every machine's cores, and eight requests at once get less
- * done than four. The limit finds that; without it a part of the callers is refused. */
+/* Batch work takes half of the cores of every machine, so that eight requests at once
+ * make less progress than four. The adaptive limit must lower the number; without it more
+ * requests fail. */
 static void
 test_batch_wave (void **state)
 {
@@ -267,7 +268,7 @@
   free (a.items);
 }
 
-/* The same seed gives the same run: a fault seen once can be looked at again. */
+/* The same seed gives the same run, so that a fault can be reproduced. */
 static void
 test_repeatable (void **state)
 {
