--- a/src/job/job.c
+++ b/src/job/job.c
@@ -126,10 +126,10 @@
     case KQ_JOB_EVENT_MOVED:
       return job->state == KQ_JOB_STATE_MOVING;
     case KQ_JOB_EVENT_ARRIVED:
-      return job->state == KQ_JOB_STATE_MOVED && e->whole.moves > job->moves
+      return job->state == KQ_JOB_STATE_MOVED && e->full_state.moves > job->moves
              && e->number > job->number;
     case KQ_JOB_EVENT_ACCEPTED:
-    case KQ_JOB_EVENT_WHOLE:
+    case KQ_JOB_EVENT_FULL_STATE:
       return false;
     }
   return false;
@@ -143,7 +143,7 @@
     return job == NULL && e->number > s->last_number;
   if (e->kind == KQ_JOB_EVENT_ARRIVED && job == NULL)
     return e->number > s->last_number;
-  if (e->kind == KQ_JOB_EVENT_WHOLE)
+  if (e->kind == KQ_JOB_EVENT_FULL_STATE)
     return job == NULL;
   return job != NULL && event_state_fits (job, e);
 }
@@ -162,10 +162,10 @@
   return job;
 }
 
-/* Remembers an end, and forgets the one that is KQ_JOB_ENDED_MAX ends older. Without a
- * bound the memory and the snapshot would grow for ever. */
+/* Counts the ended job, and frees the one that ended KQ_JOB_ENDED_MAX ends before.
+ * Without a bound the memory and the snapshot would grow for ever. */
 static void
-remember_end (KqJobSet *s, KqJob *job)
+retain_ended_job (KqJobSet *s, KqJob *job)
 {
   KqJob **slot = &s->ended[s->n_ended++ % KQ_JOB_ENDED_MAX];
   KqJob *old = *slot;
@@ -205,7 +205,7 @@
 static KqJob *
 apply_new (KqJobSet *s, const KqJobEvent *e)
 {
-  KqJob job = e->whole;
+  KqJob job = e->full_state;
   if (e->kind == KQ_JOB_EVENT_ACCEPTED)
     job = (KqJob){
       .id = e->job, .number = e->number, .spec = e->spec, .state = KQ_JOB_STATE_QUEUED
@@ -213,9 +213,10 @@
   return add_job (s, &job);
 }
 
-/* A job that had left comes back: what forwarded its calls is the job again. */
+/* A job that had moved to another shard comes back: the entry that forwarded its calls
+ * holds the job again. */
 static void
-return_job (KqJobSet *s, KqJob *job, const KqJob *whole)
+restore_moved_job (KqJobSet *s, KqJob *job, const KqJob *full_state)
 {
   for (int i = 0; i < KQ_JOB_ENDED_MAX; i++)
     {
@@ -223,14 +224,14 @@
         s->ended[i] = NULL;
     }
   s->moved--;
-  job->attempt = whole->attempt;
-  job->failures = whole->failures;
-  job->evictions = whole->evictions;
-  job->losses = whole->losses;
-  job->excused = whole->excused;
-  job->checkpoint = whole->checkpoint;
-  job->why = whole->why;
-  job->moves = whole->moves;
+  job->attempt = full_state->attempt;
+  job->failures = full_state->failures;
+  job->evictions = full_state->evictions;
+  job->losses = full_state->losses;
+  job->excused = full_state->excused;
+  job->checkpoint = full_state->checkpoint;
+  job->why = full_state->why;
+  job->moves = full_state->moves;
 }
 
 static KqJob *
@@ -238,12 +239,12 @@
 {
   if (job == NULL)
     {
-      KqJob fresh = e->whole;
-      fresh.number = e->number;
-      fresh.state = KQ_JOB_STATE_QUEUED;
-      return add_job (s, &fresh);
+      KqJob new_job = e->full_state;
+      new_job.number = e->number;
+      new_job.state = KQ_JOB_STATE_QUEUED;
+      return add_job (s, &new_job);
     }
-  return_job (s, job, &e->whole);
+  restore_moved_job (s, job, &e->full_state);
   job->number = e->number;
   job->state = KQ_JOB_STATE_QUEUED;
   s->last_number = MAX (s->last_number, job->number);
@@ -258,7 +259,7 @@
   switch (e->kind)
     {
     case KQ_JOB_EVENT_ACCEPTED:
-    case KQ_JOB_EVENT_WHOLE:
+    case KQ_JOB_EVENT_FULL_STATE:
       job = apply_new (s, e);
       break;
     case KQ_JOB_EVENT_ASSIGNED:
@@ -294,6 +295,6 @@
       break;
     }
   if (kq_job_ended (job))
-    remember_end (s, job);
+    retain_ended_job (s, job);
   return job;
 }
--- a/src/job/job.h
+++ b/src/job/job.h
@@ -1,29 +1,29 @@
 #ifndef KQ_JOB_JOB_H
 #define KQ_JOB_JOB_H
 
-/* job: the life of a job, and the records that prove it.
+/* job: the states of a job, and the journal records that change them.
  *
- * Every change of a job's lasting state is an event. The event is appended to the
+ * Every change of a job's recorded state is an event. The event is appended to the
  * journal as a record and applied to memory by kq_job_set_apply, the same function that
- * replays records after a takeover; nothing else writes the lasting fields. An event
- * that doesn't fit the present state is refused, so that replaying any prefix twice
- * gives the same state, and of a completion, an eviction and a cancellation that race
+ * replays records after a takeover; nothing else writes the recorded fields. An event
+ * that doesn't fit the current state is ignored. So replaying any prefix of the journal
+ * twice gives the same state, and if a completion, an eviction and a cancellation race,
  * the first record wins:
  *
  *   ACCEPTED   (unknown)  -> QUEUED
  *   ASSIGNED n QUEUED     -> ASSIGNED, when n is the attempt after the last one
- *   REQUEUED n ASSIGNED   -> QUEUED, when n is the present attempt
- *   ENDED n    ASSIGNED   -> FINISHED, FAILED or CANCELLED, when n is the present
+ *   REQUEUED n ASSIGNED   -> QUEUED, when n is the current attempt
+ *   ENDED n    ASSIGNED   -> FINISHED, FAILED or CANCELLED, when n is the current attempt
  *              QUEUED     -> the same
- *   CANCEL     ASSIGNED   -> ASSIGNED, to be stopped; its end will be CANCELLED
- *   MOVING     QUEUED     -> MOVING, to another shard; it isn't started any more
- *   MOVED      MOVING     -> MOVED: that shard has it; what stays here forwards calls
+ *   CANCEL     ASSIGNED   -> ASSIGNED, with cancel_wanted set; it will end as CANCELLED
+ *   MOVING     QUEUED     -> MOVING, to another shard; it is no longer started here
+ *   MOVED      MOVING     -> MOVED: the other shard has it; calls are forwarded there
  *   ARRIVED    (unknown)  -> QUEUED, from another shard
- *              MOVED      -> the same, when it has moved on since
- *   WHOLE      (unknown)  -> any; only in snapshots
+ *              MOVED      -> the same, when the job comes back
+ *   FULL_STATE (unknown)  -> any; only in snapshots
  *
- * "Running" and "being evicted" are what we believe of an ASSIGNED job's task; the truth
- * of that is the worker, so they aren't recorded (KqJobPhase). */
+ * Whether an ASSIGNED job's task is running or being evicted is known for certain only
+ * by its worker, so it isn't recorded; KqJobPhase holds what the owner last learned. */
 
 #include "shard/journal.h"
 #include "wire/msg.h"
@@ -41,19 +41,21 @@
   KQ_JOB_STATE_MOVED
 } KqJobState;
 
-/* What we believe of an ASSIGNED job's task. */
+/* What the owner knows about an ASSIGNED job's task. */
 typedef enum
 {
   KQ_JOB_PHASE_NONE,
-  KQ_JOB_PHASE_STARTING, /* START decided or sent, no answer yet */
-  KQ_JOB_PHASE_UNKNOWN,  /* START's outcome is unknown; a STOP will settle it */
-  KQ_JOB_PHASE_ADOPTING, /* assigned under an older epoch; the next list settles it */
+  KQ_JOB_PHASE_STARTING, /* START decided or sent, not answered yet */
+  KQ_JOB_PHASE_UNKNOWN,  /* START's outcome is unknown; a STOP resolves it */
+  /* Assigned under an older epoch, or START was unknown and a STOP has been answered: the
+   * worker's next list shows whether the task runs. */
+  KQ_JOB_PHASE_ADOPTING,
   KQ_JOB_PHASE_RUNNING,
   KQ_JOB_PHASE_EVICTING, /* CHECKPOINT sent */
   KQ_JOB_PHASE_STOPPING  /* STOP sent for a cancellation */
 } KqJobPhase;
 
-/* The numbers are record types. */
+/* The values are the record types in the journal. */
 typedef enum
 {
   KQ_JOB_EVENT_ACCEPTED = 200,
@@ -61,7 +63,7 @@
   KQ_JOB_EVENT_REQUEUED = 202,
   KQ_JOB_EVENT_ENDED = 203,
   KQ_JOB_EVENT_CANCEL = 204,
-  KQ_JOB_EVENT_WHOLE = 205,
+  KQ_JOB_EVENT_FULL_STATE = 205,
   KQ_JOB_EVENT_MOVING = 206,
   KQ_JOB_EVENT_MOVED = 207,
   KQ_JOB_EVENT_ARRIVED = 208,
@@ -69,8 +71,8 @@
 } KqJobEventKind;
 
 #define KQ_JOB_RECORD_VERSION 1
-/* Ended jobs that a shard remembers, for questions and for repeated keys. At the target
- * (21,000 jobs a day over 64 shards) that is three days. */
+/* Ended jobs that a shard keeps, to answer queries and to recognise repeated idempotency
+ * keys. At 21,000 jobs a day over 64 shards this covers three days. */
 #define KQ_JOB_ENDED_MAX 1024
 
 typedef struct KqJob KqJob;
@@ -78,54 +80,54 @@
 
 struct KqJob
 {
-  /* Lasting, written by kq_job_set_apply only. */
+  /* Recorded in the journal; written only by kq_job_set_apply. */
   KqJobId id;
-  uint64_t number; /* order of acceptance; the age of a job */
+  uint64_t number; /* order of acceptance; a smaller number is an older job */
   KqJobSpec spec;
   KqJobState state;
-  uint32_t attempt; /* the last one assigned */
+  uint32_t attempt; /* number of the last attempt assigned; 0: none */
   uint32_t failures;
   uint32_t evictions;
-  uint32_t losses;
-  uint32_t excused; /* failures put down to the worker */
+  uint32_t losses;  /* attempts ended by the loss of their worker */
+  uint32_t excused; /* failures attributed to the worker, not to the job */
   bool cancel_wanted;
-  KqWorkerId worker; /* of the present or last attempt */
-  KqSize size;       /* with which the attempt was started */
+  KqWorkerId worker; /* of the current or last attempt */
+  KqSize size;       /* size with which the attempt was started */
   KqName checkpoint;
-  KqResult why; /* of the last requeue or end */
+  KqResult why; /* reason of the last requeue or end */
   int64_t run_us;
-  uint32_t moves;    /* between shards, this far */
-  uint32_t to_shard; /* MOVING, MOVED */
+  uint32_t moves;    /* number of moves between shards so far */
+  uint32_t to_shard; /* MOVING, MOVED: the destination */
 
-  /* Not lasting. */
+  /* Not recorded. */
   KqSeq seq; /* the last record about this job */
   KqJobPhase phase;
   uint16_t team;        /* index in KqQuota */
   uint16_t class_index; /* index in KqClasses */
   bool in_queue;
   bool delayed;
-  KqResult blocked; /* why it isn't started; KQ_OK: its turn hasn't come */
-  KqSize want;      /* declared, or the class's size; what the queue counts */
-  KqSize charged;   /* what the worker's room is charged: the size, or the use above it */
+  KqResult blocked; /* why it wasn't started; KQ_OK: it wasn't tried yet */
+  KqSize want;      /* declared size, completed from the class; the queue sums it */
+  KqSize charged;   /* taken from the worker's room: the size, or more if it uses more */
   KqTime queued_at;
-  KqTime not_before; /* backoff */
+  KqTime not_before; /* end of the backoff after a failure */
   KqTime assigned_at;
-  KqTime command_at; /* when the last command or its answer was */
+  KqTime command_at; /* time of the last command or of its answer */
   int throttle_percent;
   KqTime throttle_at;
-  bool service;          /* latency-critical, by its own word or its class's */
-  bool movable;          /* of its class */
-  int64_t checkpoint_us; /* of its class; 0: never */
+  bool service;          /* latency-critical, as declared by the job or its class */
+  bool movable;          /* may be evicted for others, from the class's row */
+  int64_t checkpoint_us; /* checkpoint period, from the class's row; 0: none */
   double slow;           /* smoothed slowdown since the last remedy on its worker */
   int slow_reports;
-  KqWorkerId avoid; /* from which it was moved away */
+  KqWorkerId avoid; /* the worker from which a remedy moved it */
   KqTime avoid_until;
-  struct KqWorker *promised; /* where room is being made for it */
-  uint64_t listed;           /* number of the worker's list in which it stood */
-  struct KqWorker *on;
-  KqJob *next_on;
+  struct KqWorker *promised; /* worker on which room is reserved for it */
+  uint64_t seen_in_list;     /* number of the worker's last list that named it */
+  struct KqWorker *on;       /* worker to which it is assigned */
+  KqJob *next_on;            /* list of the jobs on that worker */
   KqJob *prev_on;
-  KqJob *next;
+  KqJob *next; /* list of the queue */
   KqJob *prev;
 };
 
@@ -135,16 +137,16 @@
   KqJobId job;
   uint32_t attempt;
   uint64_t number;   /* ACCEPTED, ARRIVED */
-  uint32_t shard;    /* MOVING: where to */
+  uint32_t shard;    /* MOVING: the destination */
   KqJobSpec spec;    /* ACCEPTED */
   KqWorkerId worker; /* ASSIGNED */
   KqSize size;       /* ASSIGNED */
   KqJobState state;  /* ENDED */
   KqResult why;      /* REQUEUED, ENDED */
   KqName checkpoint; /* REQUEUED */
-  bool blame;        /* REQUEUED: counts as a failure of the job itself */
+  bool blame;        /* REQUEUED: counts as a failure of the job */
   int64_t run_us;    /* ENDED */
-  KqJob whole;       /* WHOLE, ARRIVED: the lasting fields */
+  KqJob full_state;  /* FULL_STATE, ARRIVED: all recorded fields */
 } KqJobEvent;
 
 /* All jobs of a shard, by id and by idempotency key. */
@@ -153,7 +155,7 @@
   GHashTable *by_id;
   GHashTable *by_key;
   uint64_t last_number;
-  KqJob *ended[KQ_JOB_ENDED_MAX]; /* a ring in order of their ends */
+  KqJob *ended[KQ_JOB_ENDED_MAX]; /* a ring, in order of their ends */
   uint64_t n_ended;
   uint64_t accepted;
   uint64_t finished;
@@ -161,9 +163,9 @@
   uint64_t cancelled;
   uint64_t moving;
   uint64_t moved;
-  uint64_t evicted;
-  uint64_t resumed;
-  uint64_t lost;
+  uint64_t evicted; /* number of evictions */
+  uint64_t resumed; /* number of starts after an eviction */
+  uint64_t lost;    /* attempts ended by the loss of their worker */
 } KqJobSet;
 
 void kq_job_set_init (KqJobSet *s);
@@ -172,15 +174,17 @@
 KqJob *kq_job_find_key (const KqJobSet *s, const KqName *team, const KqName *key);
 bool kq_job_ended (const KqJob *job);
 bool kq_job_spec_eq (const KqJobSpec *a, const KqJobSpec *b);
-/* Whether the event fits the present state. */
+/* Whether the event fits the job's current state. */
 bool kq_job_event_fits (const KqJobSet *s, const KqJobEvent *e);
-/* Applies an event that fits; the job it changed. An ended job may be forgotten when
- * others end: the host must not keep pointers to ended jobs. */
+/* Applies an event, for which kq_job_event_fits must hold, and returns the changed job.
+ * An ended job is freed once KQ_JOB_ENDED_MAX others have ended, so the caller must not
+ * keep pointers to ended jobs. */
 KqJob *kq_job_set_apply (KqJobSet *s, const KqJobEvent *e);
 
-/* Packs the event as a record; the body points into `b`. */
+/* Packs the event as a record; its body points into `b`. */
 KqRecord kq_job_event_pack (const KqJobEvent *e, KqBuf *b);
-/* KQ_OK, KQ_ERR_JOURNAL_VERSION (a newer program's record) or KQ_ERR_JOURNAL_DAMAGED. */
+/* KQ_OK, KQ_ERR_JOURNAL_VERSION (unknown type or version, as of a newer program) or
+ * KQ_ERR_JOURNAL_DAMAGED. */
 KqResult kq_job_event_unpack (const KqRecord *r, KqJobEvent *e);
 
 bool kq_size_fits (const KqSize *need, const KqSize *room);
--- a/src/job/job_record.c
+++ b/src/job/job_record.c
@@ -22,7 +22,7 @@
   return s;
 }
 
-#define SPEC_FIELDS 9
+#define N_SPEC_FIELDS 9
 
 static void
 pack_spec (KqPacker *p, const KqJobSpec *s)
@@ -51,9 +51,9 @@
 }
 
 static void
-pack_whole (KqPacker *p, const KqJob *j)
+pack_full_state (KqPacker *p, const KqJob *j)
 {
-  kq_pack_array (p, 18 + SPEC_FIELDS);
+  kq_pack_array (p, 18 + N_SPEC_FIELDS);
   kq_pack_u64 (p, j->id);
   kq_pack_u64 (p, j->number);
   kq_pack_u64 (p, j->state);
@@ -74,9 +74,9 @@
 }
 
 static void
-read_whole (KqReader *r, KqJobEvent *e)
+read_full_state (KqReader *r, KqJobEvent *e)
 {
-  KqJob *j = &e->whole;
+  KqJob *j = &e->full_state;
   j->id = e->job;
   j->number = kq_read_u64 (r);
   j->state = (KqJobState)kq_read_u64 (r);
@@ -105,7 +105,7 @@
   switch (e->kind)
     {
     case KQ_JOB_EVENT_ACCEPTED:
-      kq_pack_array (&p, 2 + SPEC_FIELDS);
+      kq_pack_array (&p, 2 + N_SPEC_FIELDS);
       kq_pack_u64 (&p, e->job);
       kq_pack_u64 (&p, e->number);
       pack_spec (&p, &e->spec);
@@ -143,9 +143,9 @@
       kq_pack_u64 (&p, e->job);
       kq_pack_u64 (&p, e->shard);
       break;
-    case KQ_JOB_EVENT_ARRIVED: /* its number here is the whole's */
-    case KQ_JOB_EVENT_WHOLE:
-      pack_whole (&p, &e->whole);
+    case KQ_JOB_EVENT_ARRIVED: /* its number is in full_state */
+    case KQ_JOB_EVENT_FULL_STATE:
+      pack_full_state (&p, &e->full_state);
       break;
     }
   return (KqRecord){ (uint16_t)e->kind, KQ_JOB_RECORD_VERSION, kq_buf_str (b) };
@@ -184,9 +184,9 @@
       e->shard = (uint32_t)kq_read_u64 (r);
       break;
     case KQ_JOB_EVENT_ARRIVED:
-    case KQ_JOB_EVENT_WHOLE:
-      read_whole (r, e);
-      e->number = e->whole.number;
+    case KQ_JOB_EVENT_FULL_STATE:
+      read_full_state (r, e);
+      e->number = e->full_state.number;
       break;
     }
 }
--- a/src/job/jobs.c
+++ b/src/job/jobs.c
@@ -44,17 +44,17 @@
 const KqPolicyRow *
 kq_jobs_policy (const KqJobs *j)
 {
-  static const KqPolicyRow everything = { .urgent_percent = 5,
-                                          .evictions_max = 3,
-                                          .held_percent = 10,
-                                          .learned_sizes = true,
-                                          .interference = true,
-                                          .throttle = true,
-                                          .quotas = true,
-                                          .eviction = true,
-                                          .bad_workers = true,
-                                          .spread = true };
-  return j->policy != NULL ? j->policy : &everything;
+  static const KqPolicyRow all_enabled = { .urgent_percent = 5,
+                                           .evictions_max = 3,
+                                           .held_percent = 10,
+                                           .learned_sizes = true,
+                                           .interference = true,
+                                           .throttle = true,
+                                           .quotas = true,
+                                           .eviction = true,
+                                           .bad_workers = true,
+                                           .spread = true };
+  return j->policy != NULL ? j->policy : &all_enabled;
 }
 
 KqClassRow
@@ -110,20 +110,21 @@
   return code;
 }
 
-/* After a takeover every worker starts as unknown, with the lease that the predecessor
- * may have given it. */
+/* After a takeover every worker starts in state UNKNOWN; a lease that the predecessor
+ * granted may still be live. */
 KqSeq
 kq_jobs_opened (KqJobs *j, uint64_t epoch, KqTime now, KqOutbox *out)
 {
   (void)out;
-  j->after = 0;
+  j->send_after = 0;
   j->epoch = epoch;
   j->open = true;
   j->store_ok = j->renewing = true;
   j->store_lost_at = now;
   j->dirty = true;
-  /* Not all shards at once. */
-  j->next_learned = now + 60 * KQ_SEC + (KqTime)kq_rand_below (&j->rand, 540 * KQ_SEC);
+  /* A random delay spreads the shards' records over time. */
+  j->next_learned_record
+      = now + 60 * KQ_SEC + (KqTime)kq_rand_below (&j->rand, 540 * KQ_SEC);
   for (uint32_t i = 0; i < j->workers.n; i++)
     {
       KqWorker *w = j->workers.all[i];
@@ -136,14 +137,15 @@
 }
 
 static void
-add_whole (const KqJob *job, void (*add) (void *, const KqRecord *), void *arg, KqBuf *b)
+add_full_state (const KqJob *job, void (*add) (void *, const KqRecord *), void *arg,
+                KqBuf *b)
 {
-  KqJobEvent e = { .kind = KQ_JOB_EVENT_WHOLE, .job = job->id, .whole = *job };
+  KqJobEvent e = { .kind = KQ_JOB_EVENT_FULL_STATE, .job = job->id, .full_state = *job };
   KqRecord r = kq_job_event_pack (&e, b);
   add (arg, &r);
 }
 
-/* Ended jobs first, in the order of their ends: that is the order of forgetting. */
+/* Ended jobs come first, in the order of their ends, in which they are freed later. */
 void
 kq_jobs_snapshot (const KqJobs *j, void (*add) (void *arg, const KqRecord *r), void *arg)
 {
@@ -153,12 +155,12 @@
   uint64_t n = j->set.n_ended;
   kq_buf_init (&b);
   for (uint64_t i = n > KQ_JOB_ENDED_MAX ? n - KQ_JOB_ENDED_MAX : 0; i < n; i++)
-    if (j->set.ended[i % KQ_JOB_ENDED_MAX] != NULL) /* else it came back */
-      add_whole (j->set.ended[i % KQ_JOB_ENDED_MAX], add, arg, &b);
+    if (j->set.ended[i % KQ_JOB_ENDED_MAX] != NULL) /* NULL: moved back here */
+      add_full_state (j->set.ended[i % KQ_JOB_ENDED_MAX], add, arg, &b);
   g_hash_table_iter_init (&it, j->set.by_id);
   while (g_hash_table_iter_next (&it, NULL, &value))
     if (!kq_job_ended (value))
-      add_whole (value, add, arg, &b);
+      add_full_state (value, add, arg, &b);
   for (uint16_t i = 0; i < j->classes.n; i++)
     if (j->sizes.classes[i].reports > 0)
       {
@@ -168,9 +170,9 @@
   kq_buf_free (&b);
 }
 
-/* What the queued jobs want may have changed with their classes' rows. */
+/* Computes the job's declared size again, after its class's row may have changed. */
 static void
-declare_again (KqJobs *j, KqJob *job, KqTime now)
+update_declared_size (KqJobs *j, KqJob *job, KqTime now)
 {
   KqTeam *team = &j->quota.teams[job->team];
   KqSize want = kq_jobs_declared (j, &job->spec);
@@ -181,9 +183,10 @@
   kq_queue_add (&j->queue, job, now);
 }
 
-/* A change of table or hosts: what the jobs want, and whether any worker has it. */
+/* After a change of the table or the hosts: updates all jobs' traits, and the queued
+ * jobs' sizes and whether any worker can hold them. */
 static void
-look_again (KqJobs *j, KqTime now)
+recheck_jobs (KqJobs *j, KqTime now)
 {
   GHashTableIter it;
   gpointer value;
@@ -191,10 +194,10 @@
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       KqJob *job = value;
-      kq_jobs_traits (j, job);
+      kq_jobs_update_traits (j, job);
       if (!job->in_queue)
         continue;
-      declare_again (j, job, now);
+      update_declared_size (j, job, now);
       kq_jobs_check_possible (j, job, now);
     }
 }
@@ -215,16 +218,17 @@
       if (j->table != NULL)
         row = kq_table_find (j->table, KQ_ROW_WORKER, kq_name_str (&w->name));
       w->row = row != NULL ? row->u.worker : (KqWorkerRow){ 0 };
-      kq_jobs_refresh (j, w, now);
+      kq_jobs_refresh_worker (j, w, now);
     }
-  kq_jobs_keep_for_urgent (j, now);
-  look_again (j, now);
+  kq_jobs_select_urgent_workers (j, now);
+  recheck_jobs (j, now);
   j->dirty = true;
 }
 
-/* Services running there count in the worker's rack and depot. */
+/* Sets the worker's rack and depot, and counts its services there instead of in the old
+ * ones. */
 static void
-locate (KqJobs *j, KqWorker *w, const KqHost *h)
+set_location (KqJobs *j, KqWorker *w, const KqHost *h)
 {
   for (KqJob *job = w->jobs; job != NULL; job = job->next_on)
     if (job->service)
@@ -241,19 +245,19 @@
 set_host (KqJobs *j, const KqHost *h, KqTime now)
 {
   KqWorker *w = kq_workers_get (&j->workers, h->id);
-  bool fresh = w->name.len == 0;
-  bool back = w->host == KQ_HOST_GONE && h->state != KQ_HOST_GONE;
+  bool is_new = w->name.len == 0;
+  bool returned = w->host == KQ_HOST_GONE && h->state != KQ_HOST_GONE;
   const KqRow *row = NULL;
   if (j->table != NULL)
     row = kq_table_find (j->table, KQ_ROW_WORKER, kq_name_str (&h->name));
   w->row = row != NULL ? row->u.worker : (KqWorkerRow){ 0 };
   w->name = h->name;
-  locate (j, w, h);
+  set_location (j, w, h);
   w->host = h->state;
   w->in_hosts = true;
   if (!w->answered)
     w->whole = h->whole;
-  if (j->open && ((fresh && w->lease.next == 0) || back))
+  if (j->open && ((is_new && w->lease.next == 0) || returned))
     {
       kq_lease_open (&w->lease, &j->times, now);
       kq_workers_schedule (&j->workers, w);
@@ -271,25 +275,25 @@
 kq_jobs_set_hosts (KqJobs *j, const KqHost *hosts, size_t n, KqTime now, KqOutbox *out)
 {
   (void)out;
-  j->after = 0;
+  j->send_after = 0;
   for (uint32_t i = 0; i < j->workers.n; i++)
     j->workers.all[i]->in_hosts = false;
   for (size_t i = 0; i < n; i++)
     set_host (j, &hosts[i], now);
   for (uint32_t i = 0; i < j->workers.n; i++)
-    kq_jobs_refresh (j, j->workers.all[i], now);
-  kq_jobs_sum_fleet (j);
-  kq_jobs_keep_for_urgent (j, now);
-  look_again (j, now);
+    kq_jobs_refresh_worker (j, j->workers.all[i], now);
+  kq_jobs_sum_workers (j);
+  kq_jobs_select_urgent_workers (j, now);
+  recheck_jobs (j, now);
   j->dirty = true;
-  return j->after;
+  return j->send_after;
 }
 
-/* What quotas take as the whole. */
+/* The sum is the fleet's size, of which the quotas compute shares. */
 void
-kq_jobs_sum_fleet (KqJobs *j)
+kq_jobs_sum_workers (KqJobs *j)
 {
-  KqSize s = j->others_whole;
+  KqSize s = j->others_capacity;
   j->n_live = 0;
   j->largest = (KqSize){ 0 };
   for (uint32_t i = 0; i < j->workers.n; i++)
@@ -308,19 +312,19 @@
 kq_jobs_set_others (KqJobs *j, const KqShardDigest *d, size_t n, KqTime now)
 {
   (void)now;
-  j->others_largest = j->others_whole = (KqSize){ 0 };
+  j->others_largest = j->others_capacity = (KqSize){ 0 };
   for (size_t i = 0; i < n; i++)
     {
       if (d[i].shard == j->c.shard)
         continue;
       j->others_largest = kq_size_max (j->others_largest, d[i].largest_whole);
-      j->others_whole = kq_size_add (j->others_whole, d[i].free);
+      j->others_capacity = kq_size_add (j->others_capacity, d[i].free);
       for (size_t k = 0; k < d[i].n_teams; k++)
-        j->others_whole = kq_size_add (j->others_whole, d[i].teams[k].used);
+        j->others_capacity = kq_size_add (j->others_capacity, d[i].teams[k].used);
     }
   kq_quota_set_others (&j->quota, d, n, j->c.shard);
-  kq_jobs_keep_others (j, d, n);
-  kq_jobs_sum_fleet (j);
+  kq_jobs_set_region_digests (j, d, n);
+  kq_jobs_sum_workers (j);
 }
 
 static void
--- a/src/job/jobs.h
+++ b/src/job/jobs.h
@@ -3,10 +3,12 @@
 
 /* jobs: the jobs and workers of one shard: queue, placement, attempts, evictions.
  *
- * A job lives in the shard in which it was accepted, and runs on that shard's workers;
- * its id carries the shard (docs/design/jobs.md). Functions append to `out` and return
- * the record after which those items may leave (0: at once); the host holds them back
- * (shard/hold.h). The host asks "am I still owner" before each call. */
+ * A job belongs to the shard that accepted it, unless it is moved to another one, and
+ * runs on the workers of its shard; its id holds the shard that accepted it
+ * (docs/design/jobs.md). Functions append items to `out` and return the sequence number
+ * of the journal record that must be committed before these items are sent (0: they may
+ * be sent at once); the caller holds them back until then (shard/hold.h). The caller
+ * checks that it still owns the shard before each call. */
 
 #include "base/counter.h"
 #include "port/hosts.h"
@@ -22,15 +24,15 @@
 {
   uint32_t shard;
   KqNodeId self;
-  KqTime lease; /* of a worker; 9 s by default */
-  KqTime renew; /* between renewals; 3 s by default */
-  KqTime blind; /* bound of renewal while the store is away */
-  /* The region's shards: where queued jobs may move to. 0 of them: nowhere. */
+  KqTime lease; /* length of a worker's lease; 0: 9 s */
+  KqTime renew; /* time between renewals; 0: 3 s */
+  KqTime blind; /* how long leases are renewed while the store is unreachable */
+  /* The region's shards, to which queued jobs may move. n_shards 0: jobs don't move. */
   uint32_t first_shard;
   uint32_t n_shards;
   uint64_t seed;
   KqCounters *counters; /* refusals and retries by reason; NULL: not counted */
-  int place_rule;       /* KqPlaceRule of job/place.h; not 0 only in bench-place */
+  int place_rule;       /* KqPlaceRule of job/place.h; other than 0 only in bench-place */
 } KqJobsConfig;
 
 typedef struct
@@ -42,49 +44,60 @@
   uint64_t failed;
   uint64_t cancelled;
   uint64_t unplaceable;
-  uint64_t moving;  /* on the way to another shard */
-  uint64_t moved;   /* now in another shard */
-  uint64_t evicted; /* evictions, not jobs */
-  uint64_t resumed;
+  uint64_t moving;        /* being moved to another shard */
+  uint64_t moved;         /* now belong to another shard */
+  uint64_t evicted;       /* number of evictions, not of jobs */
+  uint64_t resumed;       /* starts after an eviction */
   uint64_t lost_attempts; /* attempts ended by the loss of their worker */
 } KqJobsAccount;
 
 KqJobs *kq_jobs_new (const KqJobsConfig *c, KqLogPort log);
 void kq_jobs_free (KqJobs *j);
 
-/* A record of types 200-299, in order, while recovering. KQ_OK, or why it can't be read:
- * the host must not go on without it, or a task could run twice or a job be lost. */
+/* Applies the next record of types 200-299 while recovering. Returns KQ_OK, or why the
+ * record can't be read: KQ_ERR_JOURNAL_VERSION or KQ_ERR_JOURNAL_DAMAGED. Recovery must
+ * not go on without the record, because a task could run twice or a job be lost. */
 KqResult kq_jobs_apply (KqJobs *j, const KqRecord *r, KqTime now);
-/* Recovery is over: workers are contacted under `epoch`; nothing is placed on a worker
- * until it has answered. */
+/* Ends recovery. Workers are contacted under `epoch`; nothing is placed on a worker until
+ * it has answered. */
 KqSeq kq_jobs_opened (KqJobs *j, uint64_t epoch, KqTime now, KqOutbox *out);
+/* Passes the records that rebuild the present state to `add`; each is valid during the
+ * call only. */
 void kq_jobs_snapshot (const KqJobs *j, void (*add) (void *arg, const KqRecord *r),
                        void *arg);
 
+/* Takes a reference to `t`; NULL: there is no table, and no job is accepted. */
 void kq_jobs_set_table (KqJobs *j, KqTable *t, KqTime now);
-/* The platform's hosts of this shard; a host that is GONE is proof. */
+/* Sets the platform's hosts of this shard. A host in state GONE proves that its tasks
+ * have stopped. */
 KqSeq kq_jobs_set_hosts (KqJobs *j, const KqHost *hosts, size_t n, KqTime now,
                          KqOutbox *out);
-/* What the other shards' digests say: usage by team, largest worker of the fleet. */
+/* Sets the digests of the other shards: their usage by team, free room and workers. */
 void kq_jobs_set_others (KqJobs *j, const KqShardDigest *d, size_t n, KqTime now);
 
+/* The answer, with the job as JSON or the error, is sent to the message's asker. */
 KqSeq kq_jobs_submit (KqJobs *j, const KqMsgJobSubmit *m, KqTime now, KqOutbox *out);
 KqSeq kq_jobs_call (KqJobs *j, const KqMsgJobCall *m, KqTime now, KqOutbox *out);
-/* A job comes from another shard; it is answered once it is committed here. */
+/* Takes over a job that another shard moves here. The confirmation (JOB_MOVED) is sent
+ * once the job is committed here. */
 KqSeq kq_jobs_arrive (KqJobs *j, const KqMsgJobMove *m, KqTime now, KqOutbox *out);
-/* The other shard has the job. */
+/* The other shard confirms that it has the job. */
 KqSeq kq_jobs_moved (KqJobs *j, const KqMsgJobMoved *m, KqTime now);
 KqSeq kq_jobs_worker_reply (KqJobs *j, const KqWorkerReply *r, KqTime now, KqOutbox *out);
-/* Renewals, placements, remedies, retries that are due. store_ok false: nothing can be
- * committed at present; leases are still renewed. */
+/* Does the renewals, placements, evacuations, moves and retries that are due. store_ok
+ * false: nothing can be committed at present; leases are still renewed until the
+ * store has been unreachable for KqJobsConfig.blind. */
 KqSeq kq_jobs_tick (KqJobs *j, bool store_ok, KqTime now, KqOutbox *out);
-/* The next time at which _tick has something to do. */
+/* The next time at which kq_jobs_tick has something to do. */
 KqTime kq_jobs_wake (const KqJobs *j, KqTime now);
 
-/* Fills the digest's job and worker fields; its arrays point into the KqJobs. */
+/* Fills the digest's job and worker fields. Its array of teams belongs to the KqJobs and
+ * is valid until the next call of this function. */
 void kq_jobs_digest (KqJobs *j, KqTime now, KqShardDigest *out);
+/* The jobs by state. Asserts that the counts add up to the accepted ones. */
 KqJobsAccount kq_jobs_account (const KqJobs *j);
-/* Operators: a new JSON array of workers with sizes, free room, state, lease. */
+/* For operators: a new JSON array of the workers with their sizes, free room, states and
+ * leases; the caller owns it. */
 json_t *kq_jobs_workers (const KqJobs *j, KqTime now);
 
 #endif
--- a/src/job/jobs_call.c
+++ b/src/job/jobs_call.c
@@ -2,34 +2,34 @@
 
 #include <stdlib.h>
 
-/* A list's answer must stay one frame; a job is about 600 bytes of JSON. */
+/* Jobs in one list. The answer must fit into one frame; a job takes about 600 bytes. */
 #define LIST_MAX 1000
-/* With few jobs waiting a new one is tried at once, so that `accepted` and `assigned`
- * share a commit; else it waits its turn until the next tick. */
-#define AT_ONCE_MAX 16
+/* If at most so many jobs are queued, a new one is scheduled at once, so that its
+ * ACCEPTED and ASSIGNED records share a commit; otherwise it waits for the next tick. */
+#define IMMEDIATE_START_QUEUE_MAX 16
 
-/* A journal that is behind by more takes no new job. The store counts as away only after
- * seconds without an answer; what is taken in until then waits for its commit, and its
- * caller for an answer that may never come, where "not run" could be said at once. Twice
- * what group commit takes with a store that answers in 100 ms, and the rate bound's
- * wait. */
-#define LAG_MAX KQ_SEC
+/* New jobs are refused while the journal lags behind by more. The store counts as
+ * unreachable only after seconds without an answer; jobs accepted until then would wait
+ * for their commit, and their callers for an answer that may never come, although they
+ * could be told at once that the job isn't run. The bound is twice what a group commit
+ * takes if the store answers in 100 ms, including the wait for the commit rate limit. */
+#define JOURNAL_LAG_MAX KQ_SEC
 
 static bool
-spec_sane (const KqJobSpec *s)
+spec_is_valid (const KqJobSpec *s)
 {
   return s->size.cpu_milli >= 0 && s->size.memory_mb >= 0 && s->size.accelerators >= 0
          && s->run_ms >= 0 && s->priority >= KQ_PRIORITY_LOW
          && s->priority <= KQ_PRIORITY_URGENT && s->class_name.len > 0;
 }
 
-/* Whether a new job is taken. A repeated submission is found before this is asked. */
+/* Whether a new job is accepted. Repeated submissions are found before. */
 static KqResult
-admit (const KqJobs *j, const KqMsgJobSubmit *m, KqTime now)
+check_submission (const KqJobs *j, const KqMsgJobSubmit *m, KqTime now)
 {
   KqSize size;
   if (m->shard != j->c.shard || KQ_JOB_SHARD (m->job) != j->c.shard
-      || !spec_sane (&m->spec))
+      || !spec_is_valid (&m->spec))
     return KQ_ERR_JOB_BAD;
   if (j->table == NULL)
     return KQ_ERR_TABLE_NONE;
@@ -38,15 +38,15 @@
   size = kq_jobs_declared (j, &m->spec);
   if (size.cpu_milli <= 0 || size.memory_mb <= 0)
     return KQ_ERR_JOB_BAD;
-  if (!j->store_ok || kq_log_port_lag (j->log, now) > LAG_MAX)
+  if (!j->store_ok || kq_log_port_lag (j->log, now) > JOURNAL_LAG_MAX)
     return KQ_ERR_NOT_COMMITTED;
   return j->queue.n >= KQ_JOBS_QUEUE_MAX ? KQ_ERR_JOB_QUEUE_FULL : KQ_OK;
 }
 
-/* The job that this submission repeats, or NULL. The asker may have lost our answer and
- * ask again with the same id, or a caller with the same key. */
+/* The job that this submission repeats, or NULL. If the answer was lost, the asking node
+ * repeats the submission with the same id, and a caller with the same idempotency key. */
 static KqJob *
-earlier (const KqJobs *j, const KqMsgJobSubmit *m)
+find_repeated (const KqJobs *j, const KqMsgJobSubmit *m)
 {
   KqJob *job = kq_job_find (&j->set, m->job);
   if (job == NULL && m->spec.key.len > 0)
@@ -60,35 +60,35 @@
   KqJob *job = NULL;
   KqResult code = KQ_ERR_NOT_OWNER;
   json_t *json = NULL;
-  j->after = 0;
+  j->send_after = 0;
   if (!j->open)
     goto answer;
-  job = earlier (j, m);
+  job = find_repeated (j, m);
   if (job != NULL)
     {
       code = kq_job_spec_eq (&job->spec, &m->spec) ? KQ_OK : KQ_ERR_JOB_KEY_MISMATCH;
-      kq_jobs_need (j, job->seq);
+      kq_jobs_send_after (j, job->seq);
       goto answer;
     }
-  code = admit (j, m, now);
+  code = check_submission (j, m, now);
   if (code != KQ_OK)
     goto answer;
   job = kq_jobs_accept (j, m->job, &m->spec, now);
-  if (!kq_jobs_check_possible (j, job, now) && j->queue.n <= AT_ONCE_MAX)
+  if (!kq_jobs_check_possible (j, job, now) && j->queue.n <= IMMEDIATE_START_QUEUE_MAX)
     kq_jobs_schedule (j, 1, now, out);
 
 answer:
   if (code == KQ_OK)
     json = kq_jobs_job_json (j, job, now);
   kq_jobs_answer (j, m->asker, m->call, code, json, out);
-  return j->after;
+  return j->send_after;
 }
 
 static KqResult
 cancel (KqJobs *j, KqJob *job, KqTime now, KqOutbox *out)
 {
-  kq_jobs_need (j, job->seq);
-  /* Neither here nor there for the moment: the caller asks again. */
+  kq_jobs_send_after (j, job->seq);
+  /* Not yet in the other shard: the caller has to try again. */
   if (job->state == KQ_JOB_STATE_MOVING)
     return KQ_ERR_NO_OWNER;
   if (kq_job_ended (job))
@@ -100,7 +100,7 @@
       kq_jobs_end (j, job, KQ_JOB_STATE_CANCELLED, KQ_OK, 0, now);
       return KQ_OK;
     }
-  kq_jobs_want_cancel (j, job, now);
+  kq_jobs_request_cancel (j, job, now);
   kq_jobs_stop (j, job, now, out);
   return KQ_OK;
 }
@@ -117,7 +117,7 @@
 list (KqJobs *j, const KqMsgJobCall *m, KqTime now)
 {
   size_t n = 0;
-  size_t most = m->limit > 0 ? MIN (m->limit, LIST_MAX) : LIST_MAX;
+  size_t count_max = m->limit > 0 ? MIN (m->limit, LIST_MAX) : LIST_MAX;
   size_t size = g_hash_table_size (j->set.by_id) + 1;
   const KqJob **jobs = kq_alloc (size * sizeof (KqJob *));
   json_t *json = json_array ();
@@ -129,17 +129,17 @@
         && ((const KqJob *)value)->state != KQ_JOB_STATE_MOVED)
       jobs[n++] = value;
   qsort ((void *)jobs, n, sizeof (KqJob *), by_id);
-  for (size_t i = 0; i < n && i < most; i++)
+  for (size_t i = 0; i < n && i < count_max; i++)
     {
-      kq_jobs_need (j, jobs[i]->seq);
+      kq_jobs_send_after (j, jobs[i]->seq);
       json_array_append_new (json, kq_jobs_job_json (j, jobs[i], now));
     }
   free ((void *)jobs);
   return json;
 }
 
-/* The job lives in another shard now: our node's task passes the call on to its owner,
- * who answers the asker. */
+/* The job belongs to another shard now: this node passes the call on to that shard's
+ * owner, which answers the asker. */
 static void
 forward (const KqJobs *j, const KqMsgJobCall *m, const KqJob *job, KqOutbox *out)
 {
@@ -154,7 +154,7 @@
   KqJob *job = kq_job_find (&j->set, m->job);
   KqResult code = KQ_OK;
   json_t *json = NULL;
-  j->after = 0;
+  j->send_after = 0;
   if (!j->open)
     code = KQ_ERR_NOT_OWNER;
   else if (job == NULL && m->kind != KQ_JOB_LIST)
@@ -166,14 +166,14 @@
     }
   if (job != NULL && m->kind != KQ_JOB_LIST && job->state == KQ_JOB_STATE_MOVED)
     {
-      kq_jobs_need (j, job->seq);
+      kq_jobs_send_after (j, job->seq);
       forward (j, m, job, out);
-      return j->after;
+      return j->send_after;
     }
   switch (m->kind)
     {
     case KQ_JOB_GET:
-      kq_jobs_need (j, job->seq);
+      kq_jobs_send_after (j, job->seq);
       json = kq_jobs_job_json (j, job, now);
       break;
     case KQ_JOB_CANCEL:
@@ -184,10 +184,10 @@
       json = list (j, m, now);
       break;
     case KQ_JOB_EXPLAIN:
-      kq_jobs_need (j, job->seq);
+      kq_jobs_send_after (j, job->seq);
       json = kq_jobs_explain_json (j, job, now);
       break;
     }
   kq_jobs_answer (j, m->asker, m->call, code, json, out);
-  return j->after;
+  return j->send_after;
 }
--- a/src/job/jobs_change.c
+++ b/src/job/jobs_change.c
@@ -2,15 +2,15 @@
 
 #include <assert.h>
 
-/* First retry after a second, doubled up to a minute: a job that fails because
- * something it needs is away gets it back, and one that always fails costs little. */
+/* Exponential backoff after failures. A job that fails because something it depends on is
+ * unavailable is retried for a while, and a job that always fails costs little. */
 #define BACKOFF_FIRST KQ_SEC
 #define BACKOFF_MAX (60 * KQ_SEC)
 
 void
-kq_jobs_need (KqJobs *j, KqSeq seq)
+kq_jobs_send_after (KqJobs *j, KqSeq seq)
 {
-  j->after = MAX (j->after, seq);
+  j->send_after = MAX (j->send_after, seq);
 }
 
 void
@@ -22,13 +22,13 @@
   job->command_at = now;
 }
 
-/* Takes the job out of whatever list its present state put it into. */
+/* Removes the job from the queue or its worker, from sums and from its reservation. */
 static void
 detach (KqJobs *j, KqJob *job, KqTime now)
 {
   KqWorker *w = job->on;
   if (job->promised != NULL)
-    kq_jobs_unpromise (j, job, now);
+    kq_jobs_cancel_reservation (j, job, now);
   if (job->in_queue)
     {
       kq_queue_remove (&j->queue, job);
@@ -47,9 +47,10 @@
   job->phase = KQ_JOB_PHASE_NONE;
   j->n_running--;
   j->dirty = true;
-  kq_jobs_refresh (j, w, now);
+  kq_jobs_refresh_worker (j, w, now);
 }
 
+/* Puts the job into the queue or onto its worker, by its state. */
 static void
 attach (KqJobs *j, KqJob *job, KqTime now)
 {
@@ -73,34 +74,34 @@
     kq_spread_change (&j->spread, w, job->class_index, 1);
   kq_quota_charge (&j->quota, job->team, job->charged);
   j->n_running++;
-  kq_jobs_refresh (j, w, now);
+  kq_jobs_refresh_worker (j, w, now);
 }
 
-/* A new job's place in the other modules. */
+/* Sets the fields of a new job that aren't recorded. */
 static void
-introduce (KqJobs *j, KqJob *job, KqTime now)
+init_new_job (KqJobs *j, KqJob *job, KqTime now)
 {
   job->team = (uint16_t)kq_quota_team (&j->quota, &job->spec.team);
   job->queued_at = now;
   job->throttle_percent = 100;
   job->class_index = kq_classes_index (&j->classes, &job->spec.class_name);
   job->want = kq_jobs_declared (j, &job->spec);
-  kq_jobs_traits (j, job);
+  kq_jobs_update_traits (j, job);
 }
 
 static KqJob *
-change (KqJobs *j, const KqJobEvent *e, KqTime now)
+apply_event (KqJobs *j, const KqJobEvent *e, KqTime now)
 {
   KqJob *job = kq_job_find (&j->set, e->job);
-  bool moves = e->kind != KQ_JOB_EVENT_CANCEL;
-  bool fresh = e->kind == KQ_JOB_EVENT_ACCEPTED || e->kind == KQ_JOB_EVENT_WHOLE
-               || e->kind == KQ_JOB_EVENT_ARRIVED;
-  if (job != NULL && moves)
+  bool changes_list = e->kind != KQ_JOB_EVENT_CANCEL;
+  bool is_new = e->kind == KQ_JOB_EVENT_ACCEPTED || e->kind == KQ_JOB_EVENT_FULL_STATE
+                || e->kind == KQ_JOB_EVENT_ARRIVED;
+  if (job != NULL && changes_list)
     detach (j, job, now);
   job = kq_job_set_apply (&j->set, e);
-  if (fresh)
-    introduce (j, job, now);
-  if (moves)
+  if (is_new)
+    init_new_job (j, job, now);
+  if (changes_list)
     attach (j, job, now);
   return job;
 }
@@ -111,13 +112,13 @@
   KqJob *job;
   if (!kq_job_event_fits (&j->set, e))
     return;
-  job = change (j, e, now);
+  job = apply_event (j, e, now);
   if (job->state == KQ_JOB_STATE_ASSIGNED)
     job->phase = KQ_JOB_PHASE_ADOPTING;
 }
 
 static KqJob *
-commit (KqJobs *j, const KqJobEvent *e, KqPriority priority, KqTime now)
+append_event (KqJobs *j, const KqJobEvent *e, KqPriority priority, KqTime now)
 {
   KqRecord r = kq_job_event_pack (e, &j->buf);
   KqCommitClass c = priority == KQ_PRIORITY_URGENT ? KQ_COMMIT_URGENT : KQ_COMMIT_NORMAL;
@@ -125,9 +126,9 @@
   KqJob *job;
   assert (j->open && kq_job_event_fits (&j->set, e));
   seq = kq_log_port_append (j->log, &r, c, now);
-  job = change (j, e, now);
+  job = apply_event (j, e, now);
   job->seq = seq;
-  kq_jobs_need (j, seq);
+  kq_jobs_send_after (j, seq);
   return job;
 }
 
@@ -138,7 +139,7 @@
                    .job = id,
                    .number = j->set.last_number + 1,
                    .spec = *spec };
-  return commit (j, &e, spec->priority, now);
+  return append_event (j, &e, spec->priority, now);
 }
 
 void
@@ -151,10 +152,10 @@
                    .worker = w->id,
                    .size = size };
   KqSize room = kq_worker_free (w);
-  /* A worker given more than it holds breaks the first promise of the product. */
+  /* A worker must never be assigned more than it has free. */
   assert (kq_size_fits (&size, &room));
   assert (kq_worker_may_start (w, &j->times, now));
-  commit (j, &e, job->spec.priority, now);
+  append_event (j, &e, job->spec.priority, now);
   j->quota.teams[job->team].last_number = job->number;
   j->quota.teams[job->team].last_size = size;
   job->phase = KQ_JOB_PHASE_STARTING;
@@ -189,7 +190,7 @@
   job->queued_at = now;
   if (j->c.counters != NULL)
     kq_counter_result (j->c.counters, why);
-  commit (j, &e, job->spec.priority, now);
+  append_event (j, &e, job->spec.priority, now);
 }
 
 void
@@ -202,21 +203,21 @@
                    .state = state,
                    .why = why,
                    .run_us = run_us };
-  commit (j, &e, job->spec.priority, now);
+  append_event (j, &e, job->spec.priority, now);
 }
 
 void
-kq_jobs_want_cancel (KqJobs *j, KqJob *job, KqTime now)
+kq_jobs_request_cancel (KqJobs *j, KqJob *job, KqTime now)
 {
   KqJobEvent e = { .kind = KQ_JOB_EVENT_CANCEL, .job = job->id };
-  commit (j, &e, job->spec.priority, now);
+  append_event (j, &e, job->spec.priority, now);
 }
 
 void
 kq_jobs_start_move (KqJobs *j, KqJob *job, uint32_t shard, KqTime now)
 {
   KqJobEvent e = { .kind = KQ_JOB_EVENT_MOVING, .job = job->id, .shard = shard };
-  commit (j, &e, job->spec.priority, now);
+  append_event (j, &e, job->spec.priority, now);
   job->blocked = KQ_OK;
 }
 
@@ -224,23 +225,23 @@
 kq_jobs_end_move (KqJobs *j, KqJob *job, KqTime now)
 {
   KqJobEvent e = { .kind = KQ_JOB_EVENT_MOVED, .job = job->id };
-  commit (j, &e, job->spec.priority, now);
+  append_event (j, &e, job->spec.priority, now);
 }
 
 KqJob *
-kq_jobs_accept_moved (KqJobs *j, const KqJob *whole, KqTime now)
+kq_jobs_accept_moved (KqJobs *j, const KqJob *full_state, KqTime now)
 {
   KqJobEvent e = { .kind = KQ_JOB_EVENT_ARRIVED,
-                   .job = whole->id,
+                   .job = full_state->id,
                    .number = j->set.last_number + 1,
-                   .whole = *whole };
-  e.whole.number = e.number;
-  return commit (j, &e, whole->spec.priority, now);
+                   .full_state = *full_state };
+  e.full_state.number = e.number;
+  return append_event (j, &e, full_state->spec.priority, now);
 }
 
 void
-kq_jobs_stopped (KqJobs *j, KqJob *job, KqResult why, const KqName *checkpoint,
-                 KqTime now)
+kq_jobs_attempt_stopped (KqJobs *j, KqJob *job, KqResult why, const KqName *checkpoint,
+                         KqTime now)
 {
   if (job->cancel_wanted)
     kq_jobs_end (j, job, KQ_JOB_STATE_CANCELLED, KQ_OK, 0, now);
@@ -251,9 +252,9 @@
 void
 kq_jobs_set_blocked (KqJobs *j, KqJob *job, KqResult why, KqTime now)
 {
-  bool parks = why == KQ_ERR_JOB_UNPLACEABLE;
+  bool park = why == KQ_ERR_JOB_UNPLACEABLE;
   bool parked = job->blocked == KQ_ERR_JOB_UNPLACEABLE;
-  if (parks == parked || !job->in_queue)
+  if (park == parked || !job->in_queue)
     {
       job->blocked = why;
       return;
--- a/src/job/jobs_impl.h
+++ b/src/job/jobs_impl.h
@@ -1,16 +1,16 @@
 #ifndef KQ_JOB_JOBS_IMPL_H
 #define KQ_JOB_JOBS_IMPL_H
 
-/* jobs_impl: what the files that make up `jobs` share; nobody else includes it.
+/* jobs_impl: shared by the source files of `jobs`; not included elsewhere.
  *
  *   jobs.c        opening, recovery, table, hosts, digest
- *   jobs_change.c the lasting changes: append, apply, and what hangs on them in memory
- *   jobs_call.c   callers: submit, get, cancel, list, explain
+ *   jobs_change.c recorded changes of jobs: append the record, apply it, update indexes
+ *   jobs_call.c   callers' requests: submit, get, cancel, list, explain
  *   jobs_reply.c  workers' answers
- *   jobs_tick.c   what is due: renewals, lapses, placements, commands
- *   jobs_move.c   queued jobs that go to another shard of the region, and come from there
- *   jobs_policy.c what reports say, remedies, making room, evacuation
- *   jobs_json.c   how all of it is shown */
+ *   jobs_tick.c   periodic work: lease renewals and lapses, placements; commands
+ *   jobs_move.c   moves of queued jobs to and from other shards of the region
+ *   jobs_policy.c usage reports, remedies, making room, evacuation
+ *   jobs_json.c   JSON of jobs and workers */
 
 #include "job/evict.h"
 #include "job/jobs.h"
@@ -22,8 +22,8 @@
 
 #include "base/rand.h"
 
-/* Jobs that a shard holds at most. With more, the snapshot alone would take several
- * values of the store; a caller is better told to come back. */
+/* Largest number of queued jobs of a shard; further submissions are refused. With more,
+ * the snapshot alone would take several values of the store. */
 #define KQ_JOBS_QUEUE_MAX 25000
 
 struct KqJobs
@@ -34,15 +34,15 @@
   KqBuf buf;
   KqRand rand;
   KqTable *table;
-  const KqPolicyRow *policy; /* of the table */
-  bool open;
+  const KqPolicyRow *policy; /* points into the table; NULL: defaults */
+  bool open;                 /* recovery has ended */
   bool store_ok;
-  bool renewing; /* false: the blind time is over */
-  KqTime store_lost_at;
-  bool dirty; /* something changed that may let a queued job start */
+  bool renewing; /* false: the store is unreachable for longer than limits.blind_ms */
+  KqTime store_lost_at; /* last time at which the store was known to be reachable */
+  bool dirty;           /* something changed that may let a queued job start */
   uint64_t epoch;
-  uint64_t tokens;
-  KqSeq after; /* the record after which this call's items may leave */
+  uint64_t last_token; /* of calls to workers */
+  KqSeq send_after; /* record that must be committed before this call's items are sent */
   KqJobSet set;
   KqWorkers workers;
   KqQueue queue;
@@ -52,24 +52,24 @@
   KqInterference interference;
   KqFleetHealth health;
   KqSpread spread;
-  uint64_t draws;
-  uint32_t n_live; /* workers that the host list names and that aren't gone */
-  KqSize largest;  /* of them, by component */
-  uint32_t n_promises;
+  uint64_t draws;          /* random state of placement */
+  uint32_t n_live;         /* workers that the host list names and that aren't gone */
+  KqSize largest;          /* maximum over these workers, for each resource */
+  uint32_t n_reservations; /* workers with room reserved for one job */
   uint32_t n_evicting;
   KqTime next_reclaim;
-  KqJobId collecting; /* the job for which room is kept over time */
+  KqJobId large_job; /* job for which a worker is kept until enough tasks end there */
   KqTime next_evacuation;
   uint64_t throttles;
   size_t n_running;
-  KqSize others_largest; /* worker, over the other shards */
-  KqSize others_whole;
+  KqSize others_largest;  /* largest worker of the other shards, for each resource */
+  KqSize others_capacity; /* sum over the other shards' workers */
   KqTeamDigest *digest_teams;
-  KqJob **cursors; /* of a scheduling round, by team */
+  KqJob **cursors; /* next job to try in a scheduling round, by team */
   size_t n_cursors;
   KqTime next_scan;
-  KqTime next_learned;
-  KqShardDigest *others; /* of the region's other shards; no teams or services */
+  KqTime next_learned_record;
+  KqShardDigest *others; /* digests of the region's other shards, without arrays */
   size_t n_others;
   KqTime next_move;
 };
@@ -77,75 +77,89 @@
 const KqPolicyRow *kq_jobs_policy (const KqJobs *j);
 KqClassRow kq_jobs_class (const KqJobs *j, const KqName *name);
 KqPlacer kq_jobs_placer (KqJobs *j, KqTime now);
-/* The declared size, with the class's in place of what isn't declared. */
+/* The declared size; a resource that isn't declared is taken from the class's row. */
 KqSize kq_jobs_declared (const KqJobs *j, const KqJobSpec *spec);
 
-/* jobs_change.c: each appends its record, applies it and settles the memory. */
+/* jobs_change.c: the functions that change a job's recorded state append the record,
+ * apply it and update the indexes. kq_jobs_replay only applies one. */
 void kq_jobs_replay (KqJobs *j, const KqJobEvent *e, KqTime now);
 KqJob *kq_jobs_accept (KqJobs *j, KqJobId id, const KqJobSpec *spec, KqTime now);
 void kq_jobs_assign (KqJobs *j, KqJob *job, KqWorker *w, KqSize size, KqTime now,
                      KqOutbox *out);
-/* `blame`: the failure counts against the job. */
+/* `blame`: counts as a failure of the job. checkpoint: NULL if there is no new one. */
 void kq_jobs_requeue (KqJobs *j, KqJob *job, KqResult why, bool blame,
                       const KqName *checkpoint, KqTime now);
 void kq_jobs_end (KqJobs *j, KqJob *job, KqJobState state, KqResult why, int64_t run_us,
                   KqTime now);
-void kq_jobs_want_cancel (KqJobs *j, KqJob *job, KqTime now);
-/* The attempt's task has stopped without a result. */
-void kq_jobs_stopped (KqJobs *j, KqJob *job, KqResult why, const KqName *checkpoint,
-                      KqTime now);
-/* Parks the queued job, or puts it back into its list. */
+void kq_jobs_request_cancel (KqJobs *j, KqJob *job, KqTime now);
+/* The attempt's task has stopped without a result: requeues the job, or ends it if its
+ * cancellation was requested. */
+void kq_jobs_attempt_stopped (KqJobs *j, KqJob *job, KqResult why,
+                              const KqName *checkpoint, KqTime now);
+/* Sets the reason why the queued job isn't started. KQ_ERR_JOB_UNPLACEABLE parks the job,
+ * any other value puts a parked one back into its list. */
 void kq_jobs_set_blocked (KqJobs *j, KqJob *job, KqResult why, KqTime now);
-/* A record that this call's items must wait for. */
-void kq_jobs_need (KqJobs *j, KqSeq seq);
+/* Has this call's items wait for the commit of record `seq`. */
+void kq_jobs_send_after (KqJobs *j, KqSeq seq);
+/* Sets the phase, and command_at to `now`. */
 void kq_jobs_set_phase (KqJobs *j, KqJob *job, KqJobPhase phase, KqTime now);
 
 void kq_jobs_start_move (KqJobs *j, KqJob *job, uint32_t shard, KqTime now);
 void kq_jobs_end_move (KqJobs *j, KqJob *job, KqTime now);
-KqJob *kq_jobs_accept_moved (KqJobs *j, const KqJob *whole, KqTime now);
+KqJob *kq_jobs_accept_moved (KqJobs *j, const KqJob *full_state, KqTime now);
 
 /* jobs_move.c */
-void kq_jobs_keep_others (KqJobs *j, const KqShardDigest *d, size_t n);
-/* Sends jobs that can't run here to shards where they can, and repeats what wasn't
- * answered. */
+/* Keeps the digests of the region's other shards, to which jobs may move. */
+void kq_jobs_set_region_digests (KqJobs *j, const KqShardDigest *d, size_t n);
+/* Moves jobs that can't run here to shards where they can, and repeats unconfirmed
+ * moves. */
 void kq_jobs_move_away (KqJobs *j, KqTime now, KqOutbox *out);
 
 /* jobs_policy.c */
-void kq_jobs_usage (KqJobs *j, KqWorker *w, const KqUsageReport *u, KqTime now);
-void kq_jobs_outcome (KqJobs *j, KqWorker *w, const KqJob *job, bool failed, KqTime now);
-/* Throttles, lets go or moves something on the worker, if that is due. */
-void kq_jobs_review (KqJobs *j, KqWorker *w, KqTime now, KqOutbox *out);
-/* Evicts what must go so that `need` fits somewhere, and promises that room. */
+void kq_jobs_record_usage (KqJobs *j, KqWorker *w, const KqUsageReport *u, KqTime now);
+void kq_jobs_record_outcome (KqJobs *j, KqWorker *w, const KqJob *job, bool failed,
+                             KqTime now);
+/* Throttles a task on the worker, relaxes a throttle or moves a task away, if needed. */
+void kq_jobs_apply_remedy (KqJobs *j, KqWorker *w, KqTime now, KqOutbox *out);
+/* Evicts tasks of one worker so that `need` fits there, and reserves that room for the
+ * job. False: the policy allows none, or no worker can make the room. */
 bool kq_jobs_make_room (KqJobs *j, KqJob *job, const KqSize *need, KqTime now,
                         KqOutbox *out);
-/* Keeps a worker's room for a large job that smaller ones of its team overtake. */
-void kq_jobs_collect_room (KqJobs *j, KqJob *job, const KqSize *need, KqTime now);
-void kq_jobs_unpromise (KqJobs *j, KqJob *job, KqTime now);
+/* Reserves a worker for a large job that smaller jobs of its team overtake. */
+void kq_jobs_reserve_for_large (KqJobs *j, KqJob *job, const KqSize *need, KqTime now);
+void kq_jobs_cancel_reservation (KqJobs *j, KqJob *job, KqTime now);
+/* Evicts tasks from workers that are about to leave or that operators evacuate. */
 void kq_jobs_evacuate (KqJobs *j, KqTime now, KqOutbox *out);
-void kq_jobs_keep_for_urgent (KqJobs *j, KqTime now);
-void kq_jobs_limit_tasks (KqJobs *j, KqWorker *w, KqTime now);
-/* What the tables say about the job beyond its lasting fields. */
-void kq_jobs_traits (KqJobs *j, KqJob *job);
+/* Chooses the workers that are kept free for urgent jobs. */
+void kq_jobs_select_urgent_workers (KqJobs *j, KqTime now);
+/* Sets how many tasks the worker may run, by its health. */
+void kq_jobs_update_task_limit (KqJobs *j, KqWorker *w, KqTime now);
+/* Sets the job's fields that come from its class's row. */
+void kq_jobs_update_traits (KqJobs *j, KqJob *job);
 
-/* Records what was learned, seldom. */
+/* Appends the learned sizes and interference to the journal once every ten minutes. */
 void kq_jobs_record_learned (KqJobs *j, KqTime now);
 
 /* jobs_tick.c */
 void kq_jobs_command (KqJobs *j, KqWorkerCallKind kind, KqWorker *w, KqTaskKey task,
                       KqOutbox *out);
-/* Sends STOP or CHECKPOINT to the job's task. */
+/* Sends STOP to the job's task. */
 void kq_jobs_stop (KqJobs *j, KqJob *job, KqTime now, KqOutbox *out);
+/* Sends CHECKPOINT, which also stops the task. */
 void kq_jobs_evict (KqJobs *j, KqJob *job, KqTime now, KqOutbox *out);
-/* Starts queued jobs where there is room, at most `max`. */
+/* Starts queued jobs where there is room, at most `max`; returns how many. */
 int kq_jobs_schedule (KqJobs *j, int max, KqTime now, KqOutbox *out);
-/* Parks the job when no worker can ever hold it. */
+/* Parks the job if no worker can ever hold it; returns whether it did. */
 bool kq_jobs_check_possible (KqJobs *j, KqJob *job, KqTime now);
-KqSize kq_jobs_need_of (const KqJobs *j, const KqJob *job);
-void kq_jobs_refresh (KqJobs *j, KqWorker *w, KqTime now);
+/* The learned size of the job's class, or the declared one. */
+KqSize kq_jobs_required_size (const KqJobs *j, const KqJob *job);
+/* Updates the index of free room after a change of the worker. */
+void kq_jobs_refresh_worker (KqJobs *j, KqWorker *w, KqTime now);
 
-/* All attempts on the worker have provably stopped. */
+/* Requeues all jobs of the worker, whose attempts have certainly stopped. */
 void kq_jobs_count_out (KqJobs *j, KqWorker *w, KqTime now);
-void kq_jobs_sum_fleet (KqJobs *j);
+/* Counts the live workers, finds the largest, and sums up the fleet's size. */
+void kq_jobs_sum_workers (KqJobs *j);
 
 /* jobs_json.c */
 json_t *kq_jobs_job_json (const KqJobs *j, const KqJob *job, KqTime now);
--- a/src/job/jobs_json.c
+++ b/src/job/jobs_json.c
@@ -91,7 +91,7 @@
 kq_jobs_explain_json (KqJobs *j, const KqJob *job, KqTime now)
 {
   json_t *json = kq_jobs_job_json (j, job, now);
-  KqSize need = kq_jobs_need_of (j, job);
+  KqSize need = kq_jobs_required_size (j, job);
   KqPlacer p = kq_jobs_placer (j, now);
   char reason[96];
   json_object_set_new (json, "needs", size_json (need));
--- a/src/job/jobs_move.c
+++ b/src/job/jobs_move.c
@@ -3,32 +3,33 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Queued jobs go to another shard of the region when they can't run in this one.
+/* Moves queued jobs that can't run in this shard to another shard of the region.
  *
- * Load pattern: a rack or all workers of a shard are lost, or a shard's queue is full
- * while another one idles. Without it such jobs would wait here for workers that may
- * never return. Every step is committed first: MOVING here, ARRIVED there, MOVED here.
- * Until the other shard's word has come the message is repeated, so that a lost one
- * loses nothing, and from MOVING on the job isn't started here, so that it never runs in
- * both. The other shard never refuses: a refusal that crossed a repeated message could
- * leave the job in both. */
+ * Without moves, jobs would wait for workers that may never return when a rack or all
+ * workers of a shard are lost, or behind a full queue while another shard is idle.
+ *
+ * The steps are records: MOVING here, ARRIVED there, MOVED here. Each message is sent
+ * only after its step is committed. The message JOB_MOVE is repeated until the other
+ * shard confirms it, so that a lost message loses no job. From MOVING on the job isn't
+ * started here, so that it never runs in both shards. The other shard never refuses a
+ * job: a refusal that crossed a repeated JOB_MOVE could leave the job in both. */
 
-/* Looked over once a second: digests come twice a second. */
-#define MOVE_EVERY KQ_SEC
-/* Moves begun at a time. More could all go to the one shard that the last digests show
- * as the emptiest. */
+/* Period of moves. Digests arrive twice a second. */
+#define MOVE_PERIOD KQ_SEC
+/* Moves begun in one period. More could all go to the shard that is the emptiest by the
+ * last digests. */
 #define MOVE_BATCH 16
-/* Parked jobs looked at for them. */
-#define MOVE_LOOKS 128
-/* A job that waits for room moves after this: several digests old, and long against the
- * time that finishing tasks take to make room under a normal load. */
+/* Parked jobs tried in one period. */
+#define MOVE_PARKED_BATCH 128
+/* Wait for room after which a job moves: the time of several digests, and longer than it
+ * takes under normal load until ending tasks free enough room. */
 #define MOVE_WAIT (5 * KQ_SEC)
-/* A job is moved so often at most: it would otherwise wander among shards of which none
- * can hold it for long. */
+/* Moves of one job at most. Otherwise it could move for ever between shards none of which
+ * has room for long. */
 #define MOVES_MAX 8
 
 void
-kq_jobs_keep_others (KqJobs *j, const KqShardDigest *d, size_t n)
+kq_jobs_set_region_digests (KqJobs *j, const KqShardDigest *d, size_t n)
 {
   j->others = kq_realloc (j->others, (n + 1) * sizeof *j->others);
   j->n_others = 0;
@@ -47,14 +48,15 @@
     }
 }
 
-/* The shard that can start the job now with the shortest queue; without one, and if
- * `ever`, one whose largest worker can hold it. NULL: none. Its digest is charged, so
- * that a batch doesn't all go there. */
+/* The shard with the shortest queue among those that can start the job now; if there is
+ * none and `allow_waiting` is set, among those whose largest worker can hold it. NULL:
+ * none. The job is added to the shard's digest, so that the moves of one period aren't
+ * all directed there. */
 static KqShardDigest *
-choose (KqJobs *j, const KqSize *need, bool ever)
+choose_shard (KqJobs *j, const KqSize *need, bool allow_waiting)
 {
   KqShardDigest *best = NULL;
-  bool best_now = false;
+  bool best_fits_now = false;
   for (size_t i = 0; i < j->n_others; i++)
     {
       KqShardDigest *d = &j->others[i];
@@ -62,12 +64,13 @@
           = kq_size_fits (need, &d->largest_free) && kq_size_fits (need, &d->free);
       if (d->workers == 0 || !kq_size_fits (need, &d->largest_whole))
         continue;
-      if (!fits_now && (!ever || best_now))
+      if (!fits_now && (!allow_waiting || best_fits_now))
         continue;
-      if (best != NULL && best_now == fits_now && d->queued_jobs >= best->queued_jobs)
+      if (best != NULL && best_fits_now == fits_now
+          && d->queued_jobs >= best->queued_jobs)
         continue;
       best = d;
-      best_now = fits_now;
+      best_fits_now = fits_now;
     }
   if (best != NULL)
     {
@@ -80,19 +83,19 @@
 static void
 send_move (KqJobs *j, const KqJob *job, KqOutbox *out)
 {
-  KqJobEvent e = { .kind = KQ_JOB_EVENT_WHOLE, .job = job->id, .whole = *job };
+  KqJobEvent e = { .kind = KQ_JOB_EVENT_FULL_STATE, .job = job->id, .full_state = *job };
   KqMsg m = { .kind = KQ_MSG_JOB_MOVE };
   KqRecord r = kq_job_event_pack (&e, &j->buf);
   m.u.job_move.shard = job->to_shard;
   m.u.job_move.from = j->c.shard;
   m.u.job_move.job = job->id;
   m.u.job_move.record = r.body;
-  kq_jobs_need (j, job->seq);
+  kq_jobs_send_after (j, job->seq);
   kq_outbox_send (out, j->c.self, &m);
 }
 
 static void
-send_again (KqJobs *j, KqOutbox *out)
+resend_moves (KqJobs *j, KqOutbox *out)
 {
   GHashTableIter it;
   gpointer value;
@@ -107,13 +110,13 @@
 }
 
 static bool
-try_move (KqJobs *j, KqJob *job, bool ever, KqTime now)
+try_move (KqJobs *j, KqJob *job, bool allow_waiting, KqTime now)
 {
-  KqSize need = kq_jobs_need_of (j, job);
+  KqSize need = kq_jobs_required_size (j, job);
   KqShardDigest *d;
   if (job->moves >= MOVES_MAX || job->promised != NULL)
     return false;
-  d = choose (j, &need, ever);
+  d = choose_shard (j, &need, allow_waiting);
   if (d == NULL)
     return false;
   kq_jobs_start_move (j, job, d->shard, now);
@@ -121,29 +124,29 @@
 }
 
 static int
-move_parked (KqJobs *j, int most, KqTime now)
+move_parked (KqJobs *j, int count_max, KqTime now)
 {
   KqJob *next;
   int n = 0;
-  int looks = MOVE_LOOKS;
-  for (KqJob *job = j->queue.parked.first; job != NULL && n < most && looks > 0;
+  int tries_left = MOVE_PARKED_BATCH;
+  for (KqJob *job = j->queue.parked.first; job != NULL && n < count_max && tries_left > 0;
        job = next)
     {
       next = job->next;
-      looks--;
+      tries_left--;
       n += try_move (j, job, true, now);
     }
   return n;
 }
 
-/* The oldest of each list that has waited long for room. */
+/* Moves the oldest job of each list that has waited for room longer than MOVE_WAIT. */
 static int
-move_waiting (KqJobs *j, int most, KqTime now)
+move_waiting (KqJobs *j, int count_max, KqTime now)
 {
   int n = 0;
   for (size_t team = 0; team < j->quota.n; team++)
     {
-      for (int p = KQ_PRIORITY_URGENT; p >= KQ_PRIORITY_LOW && n < most; p--)
+      for (int p = KQ_PRIORITY_URGENT; p >= KQ_PRIORITY_LOW && n < count_max; p--)
         {
           KqJob *job = kq_queue_list (&j->queue, team, (KqPriority)p)->first;
           if (job != NULL && job->blocked == KQ_ERR_NO_ROOM
@@ -160,56 +163,56 @@
   int n;
   if (now < j->next_move || j->n_others == 0)
     return;
-  j->next_move = now + MOVE_EVERY;
+  j->next_move = now + MOVE_PERIOD;
   n = move_parked (j, MOVE_BATCH, now);
   move_waiting (j, MOVE_BATCH - n, now);
-  send_again (j, out);
+  resend_moves (j, out);
 }
 
 static void
-tell_moved (KqJobs *j, const KqMsgJobMove *m, const KqJob *whole, KqSeq seq,
+send_moved (KqJobs *j, const KqMsgJobMove *m, const KqJob *full_state, KqSeq seq,
             KqOutbox *out)
 {
   KqMsg r = { .kind = KQ_MSG_JOB_MOVED };
   r.u.job_moved.shard = m->from;
   r.u.job_moved.from = j->c.shard;
   r.u.job_moved.job = m->job;
-  r.u.job_moved.moves = whole->moves;
-  kq_jobs_need (j, seq);
+  r.u.job_moved.moves = full_state->moves;
+  kq_jobs_send_after (j, seq);
   kq_outbox_send (out, j->c.self, &r);
 }
 
 KqSeq
 kq_jobs_arrive (KqJobs *j, const KqMsgJobMove *m, KqTime now, KqOutbox *out)
 {
-  KqRecord r = { KQ_JOB_EVENT_WHOLE, KQ_JOB_RECORD_VERSION, m->record };
+  KqRecord r = { KQ_JOB_EVENT_FULL_STATE, KQ_JOB_RECORD_VERSION, m->record };
   KqJobEvent e;
   KqJob *job;
-  j->after = 0;
+  j->send_after = 0;
   if (!j->open || kq_job_event_unpack (&r, &e) != KQ_OK || e.job != m->job)
     return 0;
   job = kq_job_find (&j->set, m->job);
-  /* Came before: it is here, or has been here and gone on. */
-  if (job != NULL && job->moves >= e.whole.moves)
+  /* A repeated message: the job is here, or has moved on since. */
+  if (job != NULL && job->moves >= e.full_state.moves)
     {
-      tell_moved (j, m, &e.whole, job->seq, out);
-      return j->after;
+      send_moved (j, m, &e.full_state, job->seq, out);
+      return j->send_after;
     }
   if (!j->store_ok || (job != NULL && job->state != KQ_JOB_STATE_MOVED))
     return 0;
-  job = kq_jobs_accept_moved (j, &e.whole, now);
-  tell_moved (j, m, &e.whole, job->seq, out);
+  job = kq_jobs_accept_moved (j, &e.full_state, now);
+  send_moved (j, m, &e.full_state, job->seq, out);
   kq_jobs_check_possible (j, job, now);
-  return j->after;
+  return j->send_after;
 }
 
 KqSeq
 kq_jobs_moved (KqJobs *j, const KqMsgJobMoved *m, KqTime now)
 {
   KqJob *job = kq_job_find (&j->set, m->job);
-  j->after = 0;
+  j->send_after = 0;
   if (j->open && job != NULL && job->state == KQ_JOB_STATE_MOVING
       && job->to_shard == m->from && job->moves == m->moves)
     kq_jobs_end_move (j, job, now);
-  return j->after;
+  return j->send_after;
 }
--- a/src/job/jobs_policy.c
+++ b/src/job/jobs_policy.c
@@ -3,33 +3,35 @@
 #include <limits.h>
 #include <stdlib.h>
 
-/* Workers looked at when room is made for an urgent job; a shard of the target has
- * fewer, so it looks at all of its own. */
-#define ROOM_LOOKS 64
-/* A victim checkpoints and its worker tells within this, or the room goes to others. */
-#define PROMISE_TIME (10 * KQ_SEC)
-#define PROMISES_MAX 16
-/* Borrowed work is taken back one job at a time, so that a team that comes back doesn't
- * evict a whole queue's worth at once. */
+/* Workers examined when room is made for a job. A shard normally has fewer, so that all
+ * are examined. */
+#define ROOM_WORKERS_MAX 64
+/* Evicted tasks must have stopped within this time, or the reserved room is given up. */
+#define RESERVATION_TIME (10 * KQ_SEC)
+#define RESERVATIONS_MAX 16
+/* Time between evictions for a team's guarantee: one job at a time, so that a team whose
+ * demand returns doesn't evict as many tasks as it has jobs queued at once. */
 #define RECLAIM_PERIOD (2 * KQ_SEC)
-/* Evictions under way at a time while workers are evacuated: tasks start again at the
- * pace at which there is room, and their checkpoints don't flood the network. */
+/* Concurrent evictions while workers are evacuated. Bounds the network load of
+ * checkpoints, and lets tasks restart elsewhere before more are evicted. */
 #define EVACUATING_MAX 8
-/* A reserve of a whole worker costs a shard of 8 an eighth of its work; below this many
- * workers urgent jobs rely on evictions alone. */
-#define KEPT_LEAST 10
-/* A large job for which no worker has room at one time waits for ever while small ones
- * keep coming. After a minute of being overtaken one worker takes nothing else until the
- * job fits, one such job a shard at a time; longer than the second bound the tasks there
- * are not going to end soon, and another job or worker is tried. */
+/* With fewer workers none is kept for urgent jobs, which then rely on evictions alone:
+ * one worker would be too large a part of the shard, an eighth with 8 workers. */
+#define URGENT_RESERVE_WORKERS_MIN 10
+/* Without a reservation a large job would wait for ever while small jobs fill all room
+ * that becomes free. After OVERTAKEN_TIME a worker is reserved, which starts nothing else
+ * until the job fits; one such job per shard at a time. After LARGE_JOB_RESERVATION_TIME
+ * the tasks there are unlikely to end soon, and another job or worker is tried. */
 #define OVERTAKEN_TIME (60 * KQ_SEC)
-#define COLLECT_TIME (600 * KQ_SEC)
-/* 16 classes of 1 KB by 64 shards in ten minutes: under 2 KB/s for the whole fleet. */
+#define LARGE_JOB_RESERVATION_TIME (600 * KQ_SEC)
+/* Period of recording what was learned. 16 classes of 1 KB in 64 shards every ten minutes
+ * are less than 2 KB/s for the whole fleet. */
 #define LEARNED_PERIOD (600 * KQ_SEC)
+/* How long a job that a remedy moved isn't placed on the same worker again. */
 #define AVOID_TIME (600 * KQ_SEC)
 
 void
-kq_jobs_traits (KqJobs *j, KqJob *job)
+kq_jobs_update_traits (KqJobs *j, KqJob *job)
 {
   KqClassRow row = kq_jobs_class (j, &job->spec.class_name);
   job->movable = row.movable;
@@ -41,20 +43,20 @@
         = j->interference.quiet[job->class_index] = true;
 }
 
-/* Memory used beyond the size is charged to the worker's room, whatever was declared. */
+/* Charges memory used beyond the task's size to the worker and to the team's quota. */
 static void
 charge_growth (KqJobs *j, KqWorker *w, KqJob *job, const KqUsageReport *u)
 {
-  KqSize grown = job->charged;
-  grown.memory_mb = MAX (grown.memory_mb, u->memory_mb);
+  KqSize charged = job->charged;
+  charged.memory_mb = MAX (charged.memory_mb, u->memory_mb);
   kq_quota_release (&j->quota, job->team, job->charged);
-  w->used = kq_size_add (kq_size_sub (w->used, job->charged), grown);
-  job->charged = grown;
-  kq_quota_charge (&j->quota, job->team, grown);
+  w->used = kq_size_add (kq_size_sub (w->used, job->charged), charged);
+  job->charged = charged;
+  kq_quota_charge (&j->quota, job->team, charged);
 }
 
 void
-kq_jobs_usage (KqJobs *j, KqWorker *w, const KqUsageReport *u, KqTime now)
+kq_jobs_record_usage (KqJobs *j, KqWorker *w, const KqUsageReport *u, KqTime now)
 {
   KqJob *job = kq_job_find (&j->set, u->task.job);
   KqTime at = now - u->age_us;
@@ -79,21 +81,21 @@
 void
 kq_jobs_record_learned (KqJobs *j, KqTime now)
 {
-  if (now < j->next_learned)
+  if (now < j->next_learned_record)
     return;
-  j->next_learned = now + LEARNED_PERIOD;
+  j->next_learned_record = now + LEARNED_PERIOD;
   for (uint16_t i = 0; i < j->classes.n; i++)
     {
       KqRecord r;
       if (j->sizes.classes[i].reports == 0)
         continue;
       r = kq_learned_pack (&j->classes, &j->sizes, &j->interference, i, &j->buf);
-      kq_jobs_need (j, kq_log_port_append (j->log, &r, KQ_COMMIT_NORMAL, now));
+      kq_jobs_send_after (j, kq_log_port_append (j->log, &r, KQ_COMMIT_NORMAL, now));
     }
 }
 
 void
-kq_jobs_limit_tasks (KqJobs *j, KqWorker *w, KqTime now)
+kq_jobs_update_task_limit (KqJobs *j, KqWorker *w, KqTime now)
 {
   w->task_limit = INT_MAX;
   if (kq_jobs_policy (j)->bad_workers)
@@ -101,14 +103,14 @@
 }
 
 void
-kq_jobs_outcome (KqJobs *j, KqWorker *w, const KqJob *job, bool failed, KqTime now)
+kq_jobs_record_outcome (KqJobs *j, KqWorker *w, const KqJob *job, bool failed, KqTime now)
 {
   const KqPolicyRow *p = kq_jobs_policy (j);
   if (!p->bad_workers)
     return;
   kq_health_outcome (&j->health, &w->health, job->class_index, job->id, failed, j->n_live,
                      p->held_percent, now);
-  kq_jobs_limit_tasks (j, w, now);
+  kq_jobs_update_task_limit (j, w, now);
 }
 
 static void
@@ -124,7 +126,7 @@
 }
 
 void
-kq_jobs_review (KqJobs *j, KqWorker *w, KqTime now, KqOutbox *out)
+kq_jobs_apply_remedy (KqJobs *j, KqWorker *w, KqTime now, KqOutbox *out)
 {
   KqRemedy r = kq_remedy_choose (w, &j->interference, kq_jobs_policy (j), now);
   switch (r.kind)
@@ -146,15 +148,16 @@
 }
 
 void
-kq_jobs_unpromise (KqJobs *j, KqJob *job, KqTime now)
+kq_jobs_cancel_reservation (KqJobs *j, KqJob *job, KqTime now)
 {
   KqWorker *w = job->promised;
   kq_worker_unpromise (w, job);
-  j->n_promises--;
-  kq_jobs_refresh (j, w, now);
+  j->n_reservations--;
+  kq_jobs_refresh_worker (j, w, now);
 }
 
-/* The cheapest plan among some workers, from a random one on. */
+/* The worker with the cheapest plan, among up to ROOM_WORKERS_MAX from a random one on.
+ * NULL: none can make room. */
 static KqWorker *
 plan_room (KqJobs *j, const KqSize *need, const KqEvictRule *rule, KqTime now,
            KqEviction *best)
@@ -162,7 +165,7 @@
   KqWorker *found = NULL;
   uint32_t n = j->workers.n;
   uint32_t at = n > 0 ? (uint32_t)kq_rand_below (&j->rand, n) : 0;
-  for (uint32_t i = 0; i < n && i < ROOM_LOOKS; i++)
+  for (uint32_t i = 0; i < n && i < ROOM_WORKERS_MAX; i++)
     {
       KqWorker *w = j->workers.all[(at + i) % n];
       KqEviction e;
@@ -185,7 +188,7 @@
   KqEvictRule rule = { .below = job->spec.priority, .evictions_max = p->evictions_max };
   KqEviction e;
   KqWorker *w;
-  if (!p->eviction || j->n_promises >= PROMISES_MAX)
+  if (!p->eviction || j->n_reservations >= RESERVATIONS_MAX)
     return false;
   if (job->spec.priority != KQ_PRIORITY_URGENT)
     {
@@ -200,15 +203,16 @@
   w = plan_room (j, need, &rule, now, &e);
   if (w == NULL)
     return false;
-  kq_worker_promise (w, job, *need, now + PROMISE_TIME);
-  j->n_promises++;
-  kq_jobs_refresh (j, w, now);
+  kq_worker_promise (w, job, *need, now + RESERVATION_TIME);
+  j->n_reservations++;
+  kq_jobs_refresh_worker (j, w, now);
   for (int i = 0; i < e.n; i++)
     kq_jobs_evict (j, e.victims[i], now, out);
   j->dirty |= e.n == 0;
   return true;
 }
 
+/* Whether the job has waited long while its team started a younger, smaller one. */
 static bool
 overtaken (const KqJobs *j, const KqJob *job, const KqSize *need, KqTime now)
 {
@@ -218,50 +222,50 @@
 }
 
 static double
-part_free (int64_t room, int64_t need)
+free_fraction (int64_t room, int64_t need)
 {
   return need > 0 ? (double)room / (double)need : 1;
 }
 
-/* How near the worker is to having room, 1 at most. */
+/* The part of `need` for which there is room, by the scarcest resource; at most 1. */
 static double
-nearness (const KqWorker *w, const KqSize *need)
+fit_fraction (const KqWorker *w, const KqSize *need)
 {
   KqSize room = kq_worker_free (w);
-  double cpu = part_free (room.cpu_milli, need->cpu_milli);
-  double memory = part_free (room.memory_mb, need->memory_mb);
-  double accelerators = part_free (room.accelerators, need->accelerators);
+  double cpu = free_fraction (room.cpu_milli, need->cpu_milli);
+  double memory = free_fraction (room.memory_mb, need->memory_mb);
+  double accelerators = free_fraction (room.accelerators, need->accelerators);
   return MIN (MIN (cpu, memory), MIN (accelerators, 1));
 }
 
 void
-kq_jobs_collect_room (KqJobs *j, KqJob *job, const KqSize *need, KqTime now)
+kq_jobs_reserve_for_large (KqJobs *j, KqJob *job, const KqSize *need, KqTime now)
 {
-  const KqJob *other = kq_job_find (&j->set, j->collecting);
+  const KqJob *other = kq_job_find (&j->set, j->large_job);
   KqWorker *best = NULL;
   uint32_t n = j->workers.n;
   uint32_t at = n > 0 ? (uint32_t)kq_rand_below (&j->rand, n) : 0;
   if ((other != NULL && other->promised != NULL) || !overtaken (j, job, need, now))
     return;
-  for (uint32_t i = 0; i < n && i < ROOM_LOOKS; i++)
+  for (uint32_t i = 0; i < n && i < ROOM_WORKERS_MAX; i++)
     {
       KqWorker *w = j->workers.all[(at + i) % n];
       KqSize whole = kq_size_sub (w->whole, w->row.reserved);
       if (w->promise == 0 && !w->kept && kq_worker_may_start (w, &j->times, now)
           && kq_size_fits (need, &whole)
-          && (best == NULL || nearness (w, need) > nearness (best, need)))
+          && (best == NULL || fit_fraction (w, need) > fit_fraction (best, need)))
         best = w;
     }
   if (best == NULL)
     return;
-  kq_worker_promise (best, job, *need, now + COLLECT_TIME);
-  j->n_promises++;
-  j->collecting = job->id;
-  kq_jobs_refresh (j, best, now);
+  kq_worker_promise (best, job, *need, now + LARGE_JOB_RESERVATION_TIME);
+  j->n_reservations++;
+  j->large_job = job->id;
+  kq_jobs_refresh_worker (j, best, now);
 }
 
 static bool
-must_leave (const KqWorker *w)
+must_evacuate (const KqWorker *w)
 {
   return w->n_jobs > 0
          && (w->leaving || w->host == KQ_HOST_LEAVING
@@ -269,9 +273,10 @@
          && w->lease.state == KQ_LEASE_LIVE;
 }
 
-/* Services first, then by priority, then by age: what is missed most starts first. */
+/* Services first, then by priority, then by age, so that the most important tasks restart
+ * first. */
 static bool
-leaves_before (const KqJob *a, const KqJob *b)
+evacuates_before (const KqJob *a, const KqJob *b)
 {
   if (a->service != b->service)
     return a->service;
@@ -281,12 +286,12 @@
 }
 
 static KqJob *
-next_to_leave (KqJobs *j, const KqWorker *w)
+next_to_evacuate (KqJobs *j, const KqWorker *w)
 {
   KqJob *best = NULL;
   for (KqJob *job = w->jobs; job != NULL; job = job->next_on)
     if (job->phase == KQ_JOB_PHASE_RUNNING && !job->cancel_wanted
-        && (best == NULL || leaves_before (job, best))
+        && (best == NULL || evacuates_before (job, best))
         && kq_fit_tree_find (&j->workers.room, 0, &job->size) != KQ_FIT_NONE)
       best = job;
   return best;
@@ -301,19 +306,19 @@
   for (uint32_t i = 0; i < j->workers.n && j->n_evicting < EVACUATING_MAX; i++)
     {
       KqWorker *w = j->workers.all[i];
-      KqJob *job = must_leave (w) ? next_to_leave (j, w) : NULL;
+      KqJob *job = must_evacuate (w) ? next_to_evacuate (j, w) : NULL;
       if (job != NULL)
         kq_jobs_evict (j, job, now, out);
     }
 }
 
-/* The workers kept for urgent jobs: a part by the policy, the same ones for every owner,
- * because they are chosen by hash. */
+/* Keeps the part of the workers that the policy sets. They are chosen by a hash of their
+ * ids, so that a new owner of the shard chooses the same ones. */
 void
-kq_jobs_keep_for_urgent (KqJobs *j, KqTime now)
+kq_jobs_select_urgent_workers (KqJobs *j, KqTime now)
 {
   const KqPolicyRow *p = kq_jobs_policy (j);
-  uint32_t n = j->n_live >= KEPT_LEAST ? j->n_live : 0;
+  uint32_t n = j->n_live >= URGENT_RESERVE_WORKERS_MIN ? j->n_live : 0;
   uint32_t keep = (uint32_t)(n * p->urgent_percent / 100);
   for (uint32_t i = 0; i < j->workers.n; i++)
     j->workers.all[i]->kept = false;
@@ -333,5 +338,5 @@
       best->kept = true;
     }
   for (uint32_t i = 0; i < j->workers.n; i++)
-    kq_jobs_refresh (j, j->workers.all[i], now);
+    kq_jobs_refresh_worker (j, j->workers.all[i], now);
 }
--- a/src/job/jobs_reply.c
+++ b/src/job/jobs_reply.c
@@ -4,16 +4,18 @@
 
 #include <stdlib.h>
 
-/* A worker that refuses a start knows something that we learn with its next list; until
- * then the same start would be refused again and again. */
+/* Time without further starts on a worker that refused one. The reason becomes known with
+ * the worker's next list; until then other starts would be refused as well. */
 #define REFUSED_PAUSE (4 * KQ_SEC)
-/* A STOP whose answer is missing is sent again with a list at least so much later. */
-#define STOP_AGAIN (2 * KQ_SEC)
-#define EXCUSED 2
+/* A STOP without an answer is repeated when a list arrives after at least this time. */
+#define STOP_RETRY_TIME (2 * KQ_SEC)
+/* Failures attributed to workers count against the job once there are this many times
+ * attempts_max of them. */
+#define EXCUSED_FACTOR 2
 
-/* The job, if the key is its present attempt on this worker; else NULL. */
+/* The job, if the key names its current attempt on this worker; otherwise NULL. */
 static KqJob *
-present (const KqJobs *j, const KqWorker *w, KqTaskKey key)
+current_attempt (const KqJobs *j, const KqWorker *w, KqTaskKey key)
 {
   KqJob *job = kq_job_find (&j->set, key.job);
   if (job == NULL || job->state != KQ_JOB_STATE_ASSIGNED || job->attempt != key.attempt
@@ -26,28 +28,29 @@
 task_failed (KqJobs *j, KqJob *job, const KqTaskReport *t, KqTime now)
 {
   KqClassRow row = kq_jobs_class (j, &job->spec.class_name);
-  uint32_t most = (uint32_t)row.attempts_max;
+  uint32_t attempts_max = (uint32_t)row.attempts_max;
   bool blame;
-  kq_jobs_outcome (j, job->on, job, true, now);
-  /* Failures on a bad worker don't use up the job's attempts, but not without end. */
-  blame = kq_health_blames_job (&job->on->health) || job->excused >= EXCUSED * most;
+  kq_jobs_record_outcome (j, job->on, job, true, now);
+  /* A limited number of failures on bad workers doesn't use up the job's attempts. */
+  blame = kq_health_blames_job (&job->on->health)
+          || job->excused >= EXCUSED_FACTOR * attempts_max;
   if (job->cancel_wanted)
     kq_jobs_end (j, job, KQ_JOB_STATE_CANCELLED, KQ_OK, t->run_us, now);
-  else if (blame && job->failures + 1 >= most)
+  else if (blame && job->failures + 1 >= attempts_max)
     kq_jobs_end (j, job, KQ_JOB_STATE_FAILED, KQ_RETRY_JOB_FAILED, t->run_us, now);
   else
     kq_jobs_requeue (j, job, KQ_RETRY_JOB_FAILED, blame, NULL, now);
 }
 
 static void
-task_ended (KqJobs *j, KqJob *job, const KqTaskReport *t, KqTime now)
+handle_ended_task (KqJobs *j, KqJob *job, const KqTaskReport *t, KqTime now)
 {
   switch (t->state)
     {
     case KQ_TASK_RUNNING:
       break;
     case KQ_TASK_FINISHED:
-      kq_jobs_outcome (j, job->on, job, false, now);
+      kq_jobs_record_outcome (j, job->on, job, false, now);
       if (job->cancel_wanted)
         kq_jobs_end (j, job, KQ_JOB_STATE_CANCELLED, KQ_OK, t->run_us, now);
       else
@@ -57,24 +60,25 @@
       task_failed (j, job, t, now);
       break;
     case KQ_TASK_CHECKPOINTED:
-      kq_jobs_stopped (j, job, KQ_RETRY_EVICTED, &t->checkpoint, now);
+      kq_jobs_attempt_stopped (j, job, KQ_RETRY_EVICTED, &t->checkpoint, now);
       break;
     case KQ_TASK_STOPPED:
-      kq_jobs_stopped (j, job, KQ_RETRY_WORKER_LOST, NULL, now);
+      kq_jobs_attempt_stopped (j, job, KQ_RETRY_WORKER_LOST, NULL, now);
       break;
     }
 }
 
 static void
-task_runs (KqJobs *j, KqJob *job, KqTime now, KqOutbox *out)
+handle_running_task (KqJobs *j, KqJob *job, KqTime now, KqOutbox *out)
 {
-  bool settled = job->phase == KQ_JOB_PHASE_RUNNING || job->phase == KQ_JOB_PHASE_EVICTING
-                 || job->phase == KQ_JOB_PHASE_STOPPING;
-  if (!settled)
+  bool phase_is_known = job->phase == KQ_JOB_PHASE_RUNNING
+                        || job->phase == KQ_JOB_PHASE_EVICTING
+                        || job->phase == KQ_JOB_PHASE_STOPPING;
+  if (!phase_is_known)
     kq_jobs_set_phase (j, job, KQ_JOB_PHASE_RUNNING, now);
   if (!job->cancel_wanted)
     return;
-  if (job->phase != KQ_JOB_PHASE_STOPPING || now - job->command_at > STOP_AGAIN)
+  if (job->phase != KQ_JOB_PHASE_STOPPING || now - job->command_at > STOP_RETRY_TIME)
     kq_jobs_stop (j, job, now, out);
 }
 
@@ -88,29 +92,29 @@
 static void
 reconcile_task (KqJobs *j, KqWorker *w, const KqTaskReport *t, KqTime now, KqOutbox *out)
 {
-  KqJob *job = present (j, w, t->task);
+  KqJob *job = current_attempt (j, w, t->task);
   if (job != NULL)
-    job->listed = w->list_number;
+    job->seen_in_list = w->list_number;
   if (t->state != KQ_TASK_RUNNING)
     {
       if (job != NULL)
-        task_ended (j, job, t, now);
+        handle_ended_task (j, job, t, now);
       job = kq_job_find (&j->set, t->task.job);
       add_ack (w, t->task, job != NULL ? job->seq : 0);
       return;
     }
   if (job != NULL)
     {
-      task_runs (j, job, now, out);
+      handle_running_task (j, job, now, out);
       return;
     }
-  /* An attempt that is closed, or a job that isn't ours: its successor may be running
-   * elsewhere, so it must not go on here. */
+  /* A closed attempt, or a job that this shard doesn't have: a later attempt may be
+   * running elsewhere, so this task must stop. */
   w->foreign = kq_size_add (w->foreign, t->size);
   kq_jobs_command (j, KQ_WORKER_STOP, w, t->task, out);
 }
 
-/* The worker's list, asked for at `sent_at`, doesn't name the job's task. */
+/* The worker's list, requested at `sent_at`, doesn't name the job's task. */
 static void
 reconcile_missing (KqJobs *j, KqWorker *w, KqJob *job, KqTime sent_at, KqTime now,
                    KqOutbox *out)
@@ -121,20 +125,20 @@
     case KQ_JOB_PHASE_STARTING:
       break;
     case KQ_JOB_PHASE_UNKNOWN:
-      /* The START may still be on its way. Once the worker has answered a STOP for the
-       * attempt it refuses the START, and the list after that is proof. */
+      /* The START may still arrive. Once the worker has answered a STOP for the attempt
+       * it refuses the START, and its next list proves whether the task runs. */
       kq_jobs_command (j, KQ_WORKER_STOP, w, (KqTaskKey){ job->id, job->attempt }, out);
       break;
     case KQ_JOB_PHASE_STOPPING:
-      /* It may not even have started when the STOP was lost. */
-      if (now - job->command_at > STOP_AGAIN)
+      /* The STOP may have been lost, and the START may still arrive. */
+      if (now - job->command_at > STOP_RETRY_TIME)
         kq_jobs_stop (j, job, now, out);
       break;
     case KQ_JOB_PHASE_ADOPTING:
     case KQ_JOB_PHASE_RUNNING:
     case KQ_JOB_PHASE_EVICTING:
       if (sent_at >= job->command_at)
-        kq_jobs_stopped (j, job, KQ_RETRY_WORKER_LOST, NULL, now);
+        kq_jobs_attempt_stopped (j, job, KQ_RETRY_WORKER_LOST, NULL, now);
       break;
     }
 }
@@ -142,7 +146,7 @@
 static void
 lease_answer (KqJobs *j, KqWorker *w, const KqWorkerReply *r, KqTime now, KqOutbox *out)
 {
-  bool took = kq_worker_may_start (w, &j->times, now);
+  bool could_start = kq_worker_may_start (w, &j->times, now);
   if (!kq_lease_reply (&w->lease, &j->times, r, now))
     {
       if (w->lease.state == KQ_LEASE_SHUT_OUT)
@@ -151,9 +155,10 @@
       return;
     }
   w->answered = true;
-  /* The second step waits for the STOPs; asking at once again would be a busy loop. */
+  /* The second step of the handshake waits for the answers to the STOPs. Repeating the
+   * first at once would be a busy loop. */
   if (w->n_fences > 0 && w->lease.state == KQ_LEASE_ASKED)
-    w->lease.next = now + STOP_AGAIN / 4;
+    w->lease.next = now + STOP_RETRY_TIME / 4;
   w->leaving = r->leaving;
   w->whole = r->whole;
   w->foreign = (KqSize){ 0 };
@@ -164,21 +169,21 @@
   for (KqJob *job = w->jobs, *next; job != NULL; job = next)
     {
       next = job->next_on;
-      if (job->listed != w->list_number)
+      if (job->seen_in_list != w->list_number)
         reconcile_missing (j, w, job, r->sent_at, now, out);
     }
   for (size_t i = 0; i < r->n_usage; i++)
-    kq_jobs_usage (j, w, &r->usage[i], now);
+    kq_jobs_record_usage (j, w, &r->usage[i], now);
   if (r->n_usage > 0 && j->store_ok)
-    kq_jobs_review (j, w, now, out);
-  if (!took && kq_worker_may_start (w, &j->times, now))
+    kq_jobs_apply_remedy (j, w, now, out);
+  if (!could_start && kq_worker_may_start (w, &j->times, now))
     j->dirty = true;
 }
 
 static void
 start_answer (KqJobs *j, KqWorker *w, const KqWorkerReply *r, KqTime now)
 {
-  KqJob *job = present (j, w, r->task);
+  KqJob *job = current_attempt (j, w, r->task);
   if (job == NULL)
     return;
   switch (r->result)
@@ -195,11 +200,11 @@
         break;
       w->not_before = now + REFUSED_PAUSE;
       if (r->result == KQ_ERR_WORKER_REFUSED)
-        kq_jobs_outcome (j, w, job, true, now);
-      kq_jobs_stopped (j, job, KQ_RETRY_NOT_RUN, NULL, now);
+        kq_jobs_record_outcome (j, w, job, true, now);
+      kq_jobs_attempt_stopped (j, job, KQ_RETRY_NOT_RUN, NULL, now);
       break;
     case KQ_ERR_OLD_EPOCH:
-      break; /* a successor has it; our next commit will fail */
+      break; /* the shard has a new owner; this one's next commit will fail */
     default:
       if (job->phase == KQ_JOB_PHASE_STARTING)
         job->phase = KQ_JOB_PHASE_UNKNOWN;
@@ -210,7 +215,7 @@
 static void
 stop_answer (KqJobs *j, KqWorker *w, const KqWorkerReply *r, KqTime now)
 {
-  KqJob *job = present (j, w, r->task);
+  KqJob *job = current_attempt (j, w, r->task);
   if (r->result != KQ_OK)
     return;
   kq_worker_unfence (w, r->task);
@@ -219,7 +224,7 @@
   if (job == NULL)
     return;
   if (job->cancel_wanted)
-    kq_jobs_stopped (j, job, KQ_OK, NULL, now);
+    kq_jobs_attempt_stopped (j, job, KQ_OK, NULL, now);
   else if (job->phase == KQ_JOB_PHASE_UNKNOWN)
     {
       kq_jobs_set_phase (j, job, KQ_JOB_PHASE_ADOPTING, now);
@@ -229,12 +234,12 @@
 static void
 checkpoint_answer (KqJobs *j, KqWorker *w, const KqWorkerReply *r, KqTime now)
 {
-  KqJob *job = present (j, w, r->task);
+  KqJob *job = current_attempt (j, w, r->task);
   if (job == NULL || job->phase != KQ_JOB_PHASE_EVICTING)
     return;
   if (r->result == KQ_OK)
-    kq_jobs_stopped (j, job, KQ_RETRY_EVICTED, &r->checkpoint, now);
-  else /* the next list tells, if it was carried out all the same */
+    kq_jobs_attempt_stopped (j, job, KQ_RETRY_EVICTED, &r->checkpoint, now);
+  else /* if the CHECKPOINT was carried out after all, the next list shows it */
     kq_jobs_set_phase (j, job, KQ_JOB_PHASE_RUNNING, now);
 }
 
@@ -242,7 +247,7 @@
 kq_jobs_worker_reply (KqJobs *j, const KqWorkerReply *r, KqTime now, KqOutbox *out)
 {
   KqWorker *w = kq_workers_find (&j->workers, r->worker);
-  j->after = 0;
+  j->send_after = 0;
   if (w == NULL || !j->open || r->epoch != j->epoch || r->shard != j->c.shard)
     return 0;
   switch (r->kind)
@@ -263,6 +268,6 @@
       break;
     }
   kq_workers_schedule (&j->workers, w);
-  kq_jobs_refresh (j, w, now);
-  return j->after;
+  kq_jobs_refresh_worker (j, w, now);
+  return j->send_after;
 }
--- a/src/job/jobs_tick.c
+++ b/src/job/jobs_tick.c
@@ -4,20 +4,22 @@
 
 #include <stdlib.h>
 
-/* Workers renewed in one tick: a node's share of the target is under 100 of them; more
- * at once would only make the socket buffers fill in bursts. */
+/* Leases renewed in one tick. A node has fewer than 100 workers at the intended load;
+ * larger batches would fill the socket buffers in bursts. */
 #define RENEW_BATCH 64
-/* Starts decided in one tick, and jobs looked at; the rest goes on at the next one, so
- * that a long queue doesn't hold up renewals and answers. */
+/* Starts in one tick, and jobs tried for them. The rest follows in the next tick, so that
+ * a long queue doesn't delay renewals and answers. */
 #define START_BATCH 64
-#define LOOK_BATCH 4096
-/* How often lapsed leases are looked for. */
+#define TRY_BATCH 4096
+/* Period of scan_workers. */
 #define SCAN_PERIOD (250 * KQ_MS)
-#define FAILED_SIZES 8
+/* Sizes that found no room, remembered during one scheduling round. */
+#define FAILED_SIZES_MAX 8
+/* Parked jobs checked in one scan. */
 #define PARKED_BATCH 64
 
 void
-kq_jobs_refresh (KqJobs *j, KqWorker *w, KqTime now)
+kq_jobs_refresh_worker (KqJobs *j, KqWorker *w, KqTime now)
 {
   kq_workers_refresh (&j->workers, w, &j->times, now);
 }
@@ -29,7 +31,7 @@
                          .worker = w->id,
                          .shard = j->c.shard,
                          .epoch = j->epoch,
-                         .token = ++j->tokens,
+                         .token = ++j->last_token,
                          .throttle_percent = 100 };
 }
 
@@ -40,8 +42,8 @@
   KqWorkerCall call = new_call (j, kind, w);
   const KqJob *job = kq_job_find (&j->set, task.job);
   call.task = task;
-  /* A START that is held up for longer than the lease must find it gone, so it names
-   * the stamp on which it relies. */
+  /* Names the lease on which the command relies, so that the worker refuses a START that
+   * arrives after this lease has ended. */
   call.echo_stamp = w->lease.stamp;
   if (job != NULL && job->attempt == task.attempt)
     {
@@ -51,7 +53,7 @@
       call.latency_critical = job->service;
       call.run_ms = job->spec.run_ms;
       call.throttle_percent = job->throttle_percent;
-      kq_jobs_need (j, job->seq);
+      kq_jobs_send_after (j, job->seq);
     }
   kq_outbox_worker (out, &call);
 }
@@ -71,8 +73,9 @@
                    out);
 }
 
-/* The acknowledgements whose records are in the store; the others wait for the next
- * call. An end that is acknowledged before it is committed is lost when we die. */
+/* Collects the acknowledgements whose records are committed; the others wait for the next
+ * call. An end that is acknowledged before its commit would be lost if this process
+ * died. */
 static size_t
 committed_acks (const KqJobs *j, const KqWorker *w, KqTaskKey *keys)
 {
@@ -97,9 +100,9 @@
 renew_one (KqJobs *j, KqWorker *w, KqTime now, KqOutbox *out)
 {
   KqWorkerCall call = new_call (j, KQ_WORKER_LEASE, w);
-  /* Before a worker that was counted out gets a lease again it must know the attempts
-   * whose START may still be on its way; else that START would find a live lease, and
-   * the task ran twice. */
+  /* Before a worker whose lease has lapsed gets a new one, it must be told to refuse the
+   * attempts whose START may still arrive. Otherwise such a START would find a live lease
+   * and the task would run twice. */
   if (w->n_fences > 0 && w->lease.state != KQ_LEASE_LIVE)
     {
       w->lease.stamp = 0;
@@ -145,11 +148,11 @@
           = job->phase == KQ_JOB_PHASE_RUNNING || job->phase == KQ_JOB_PHASE_EVICTING;
       if (!started)
         kq_worker_fence (w, (KqTaskKey){ job->id, job->attempt }, job->seq);
-      kq_jobs_stopped (j, job, KQ_RETRY_WORKER_LOST, NULL, now);
+      kq_jobs_attempt_stopped (j, job, KQ_RETRY_WORKER_LOST, NULL, now);
     }
 }
 
-/* What is learned about sizes may let a parked job start. */
+/* A parked job may become placeable as the sizes of its class are learned. */
 static void
 check_parked (KqJobs *j, KqTime now)
 {
@@ -163,7 +166,7 @@
 }
 
 static void
-scan (KqJobs *j, KqTime now)
+scan_workers (KqJobs *j, KqTime now)
 {
   for (uint32_t i = 0; i < j->workers.n; i++)
     {
@@ -171,19 +174,20 @@
       if (kq_lease_lapse (&w->lease, now))
         kq_jobs_count_out (j, w, now);
       if (w->promise != 0 && now >= w->promise_until)
-        kq_jobs_unpromise (j, kq_job_find (&j->set, w->promise), now);
-      kq_jobs_limit_tasks (j, w, now);
-      kq_jobs_refresh (j, w, now);
+        kq_jobs_cancel_reservation (j, kq_job_find (&j->set, w->promise), now);
+      kq_jobs_update_task_limit (j, w, now);
+      kq_jobs_refresh_worker (j, w, now);
     }
   check_parked (j, now);
-  kq_jobs_account (j); /* asserts that no job is lost */
-  /* What was learned since may let a job start that would have disturbed a service. */
+  kq_jobs_account (j); /* asserts that every accepted job is counted */
+  /* A job that was held back because it would disturb a service may start once its
+   * interference has been learned anew. */
   j->dirty = true;
   j->next_scan = now + SCAN_PERIOD;
 }
 
 KqSize
-kq_jobs_need_of (const KqJobs *j, const KqJob *job)
+kq_jobs_required_size (const KqJobs *j, const KqJob *job)
 {
   if (!kq_jobs_policy (j)->learned_sizes)
     return job->want;
@@ -194,12 +198,12 @@
 kq_jobs_check_possible (KqJobs *j, KqJob *job, KqTime now)
 {
   KqPlacer p = kq_jobs_placer (j, now);
-  KqSize need = kq_jobs_need_of (j, job);
+  KqSize need = kq_jobs_required_size (j, job);
   char reason[96];
-  bool known = false;
-  for (uint32_t i = 0; i < j->workers.n && !known; i++)
-    known = j->workers.all[i]->in_hosts;
-  if (!known || kq_place_possible (&p, &need, (KqSize){ 0 }, reason, sizeof reason))
+  bool hosts_known = false;
+  for (uint32_t i = 0; i < j->workers.n && !hosts_known; i++)
+    hosts_known = j->workers.all[i]->in_hosts;
+  if (!hosts_known || kq_place_possible (&p, &need, (KqSize){ 0 }, reason, sizeof reason))
     {
       if (job->blocked == KQ_ERR_JOB_UNPLACEABLE)
         kq_jobs_set_blocked (j, job, KQ_OK, now);
@@ -209,21 +213,23 @@
   return true;
 }
 
-/* One scheduling round: what it may still do, and sizes for which there is no room. */
+/* State of one scheduling round. */
 typedef struct
 {
   KqJobs *j;
   KqTime now;
   KqOutbox *out;
-  int starts;
-  int looks;
-  KqSize failed[FAILED_SIZES];
+  int starts_left;
+  int tries_left;
+  KqSize failed[FAILED_SIZES_MAX]; /* sizes for which no worker has room */
   int n_failed;
-  uint64_t disturbs; /* classes that would slow down services wherever there is room */
-} Round;
+  /* Bit set of class indexes: classes that would slow down services on every worker with
+   * room. */
+  uint64_t disturbing_classes;
+} SchedulingRound;
 
 static bool
-known_to_fail (const Round *r, const KqSize *need)
+known_not_to_fit (const SchedulingRound *r, const KqSize *need)
 {
   for (int i = 0; i < r->n_failed; i++)
     if (kq_size_fits (&r->failed[i], need))
@@ -231,9 +237,9 @@
   return false;
 }
 
-/* Room is being made for the job; it starts once the last victim has gone. */
+/* Starts a job for which room is reserved, once enough tasks there have stopped. */
 static bool
-try_promised (Round *r, KqJob *job)
+start_reserved (SchedulingRound *r, KqJob *job)
 {
   KqJobs *j = r->j;
   KqWorker *w = job->promised;
@@ -241,27 +247,27 @@
   KqSize room = kq_size_add (kq_worker_free (w), need);
   if (!kq_size_fits (&need, &room) || !kq_worker_may_start (w, &j->times, r->now))
     return false;
-  kq_jobs_unpromise (j, job, r->now);
+  kq_jobs_cancel_reservation (j, job, r->now);
   kq_jobs_assign (j, job, w, need, r->now, r->out);
-  r->starts--;
+  r->starts_left--;
   return true;
 }
 
 static void
-no_room (Round *r, KqJob *job, const KqSize *need)
+make_or_reserve_room (SchedulingRound *r, KqJob *job, const KqSize *need)
 {
   if (!kq_jobs_make_room (r->j, job, need, r->now, r->out))
-    kq_jobs_collect_room (r->j, job, need, r->now);
+    kq_jobs_reserve_for_large (r->j, job, need, r->now);
 }
 
 static bool
-try_start (Round *r, KqJob *job)
+try_start (SchedulingRound *r, KqJob *job)
 {
   KqJobs *j = r->j;
-  KqSize need = kq_jobs_need_of (j, job);
+  KqSize need = kq_jobs_required_size (j, job);
   KqPlacer p = kq_jobs_placer (j, r->now);
   KqWorker *w;
-  r->looks--;
+  r->tries_left--;
   if (p.policy->quotas && !kq_quota_allows (&j->quota, job->team, need))
     {
       job->blocked = KQ_ERR_JOB_QUOTA;
@@ -269,13 +275,14 @@
     }
   job->blocked = KQ_ERR_NO_ROOM;
   if (job->promised != NULL)
-    return try_promised (r, job);
-  if (known_to_fail (r, &need))
+    return start_reserved (r, job);
+  if (known_not_to_fit (r, &need))
     {
-      no_room (r, job, &need);
+      make_or_reserve_room (r, job, &need);
       return false;
     }
-  if (job->spec.priority != KQ_PRIORITY_URGENT && r->disturbs >> job->class_index & 1)
+  if (job->spec.priority != KQ_PRIORITY_URGENT
+      && r->disturbing_classes >> job->class_index & 1)
     {
       job->blocked = KQ_ERR_JOB_DISTURBS;
       return false;
@@ -283,22 +290,24 @@
   w = kq_place_choose (&p, job, &need);
   if (w == NULL && p.disturbs && job->spec.priority != KQ_PRIORITY_URGENT)
     {
-      r->disturbs |= (uint64_t)1 << job->class_index;
+      r->disturbing_classes |= (uint64_t)1 << job->class_index;
       job->blocked = KQ_ERR_JOB_DISTURBS;
       return false;
     }
   if (w == NULL)
     {
-      r->failed[r->n_failed < FAILED_SIZES ? r->n_failed++ : FAILED_SIZES - 1] = need;
-      no_room (r, job, &need);
+      r->failed[r->n_failed < FAILED_SIZES_MAX ? r->n_failed++ : FAILED_SIZES_MAX - 1]
+          = need;
+      make_or_reserve_room (r, job, &need);
       return false;
     }
   kq_jobs_assign (j, job, w, need, r->now, r->out);
-  r->starts--;
+  r->starts_left--;
   return true;
 }
 
-/* The team whose turn it is among those with jobs left in this round. */
+/* The team whose turn it is, among those with jobs left to try in this round; SIZE_MAX:
+ * none. */
 static size_t
 next_team (const KqJobs *j)
 {
@@ -323,16 +332,16 @@
 }
 
 static void
-schedule_priority (Round *r, KqPriority p)
+schedule_priority (SchedulingRound *r, KqPriority p)
 {
   KqJobs *j = r->j;
   size_t team;
   for (size_t i = 0; i < j->n_cursors; i++)
     j->cursors[i] = kq_queue_list (&j->queue, i, p)->first;
-  while (r->starts > 0 && r->looks > 0 && (team = next_team (j)) != SIZE_MAX)
+  while (r->starts_left > 0 && r->tries_left > 0 && (team = next_team (j)) != SIZE_MAX)
     {
       bool started = false;
-      while (!started && j->cursors[team] != NULL && r->looks > 0)
+      while (!started && j->cursors[team] != NULL && r->tries_left > 0)
         {
           KqJob *job = j->cursors[team];
           j->cursors[team] = job->next;
@@ -344,7 +353,8 @@
 int
 kq_jobs_schedule (KqJobs *j, int max, KqTime now, KqOutbox *out)
 {
-  Round r = { .j = j, .now = now, .out = out, .starts = max, .looks = LOOK_BATCH };
+  SchedulingRound r
+      = { .j = j, .now = now, .out = out, .starts_left = max, .tries_left = TRY_BATCH };
   if (j->n_cursors < j->quota.n)
     {
       j->cursors = kq_realloc ((void *)j->cursors, j->quota.n * sizeof (KqJob *));
@@ -352,14 +362,15 @@
     }
   for (int p = KQ_PRIORITY_URGENT; p >= KQ_PRIORITY_LOW; p--)
     schedule_priority (&r, (KqPriority)p);
-  j->dirty = r.starts == 0;
-  return max - r.starts;
+  j->dirty = r.starts_left == 0;
+  return max - r.starts_left;
 }
 
-/* Renewals go on without the store for the blind time and no longer: a successor counts
- * on that bound for workers that it can't reach, and starts their tasks again. */
+/* While the store is unreachable, leases are renewed for limits.blind_ms and no longer.
+ * A successor relies on that bound for workers that it can't reach: once it has passed,
+ * it starts their tasks again. */
 static void
-note_store (KqJobs *j, bool store_ok, KqTime now)
+update_store_state (KqJobs *j, bool store_ok, KqTime now)
 {
   if (store_ok || j->store_ok)
     j->store_lost_at = now;
@@ -370,27 +381,27 @@
 KqSeq
 kq_jobs_tick (KqJobs *j, bool store_ok, KqTime now, KqOutbox *out)
 {
-  j->after = 0;
+  j->send_after = 0;
   if (!j->open)
     return 0;
-  note_store (j, store_ok, now);
-  /* Renewals leave in a tick of their own, which returns 0: behind starts that wait for
-   * a slow store they would come too late, and every task would be lost. */
+  update_store_state (j, store_ok, now);
+  /* Renewals are sent by a tick of their own, which returns 0. Behind starts that wait
+   * for a slow store they would be sent too late, and all leases would lapse. */
   if (j->renewing && renew (j, now, out) > 0)
     return 0;
   if (now >= j->next_scan)
-    scan (j, now);
+    scan_workers (j, now);
   if (store_ok)
     kq_jobs_record_learned (j, now);
   if (kq_queue_wake (&j->queue, now))
     j->dirty = true;
   if (!store_ok)
-    return j->after;
+    return j->send_after;
   if (j->dirty)
     kq_jobs_schedule (j, START_BATCH, now, out);
   kq_jobs_evacuate (j, now, out);
   kq_jobs_move_away (j, now, out);
-  return j->after;
+  return j->send_after;
 }
 
 KqTime
