--- a/src/job/jobs_move_test.c
+++ b/src/job/jobs_move_test.c
@@ -8,8 +8,8 @@
 
 #include <cmocka.h>
 
-/* Two shards of one region, each with a worker that is too small for the job; which of
- * them the other believes to have a large one is up to the test. */
+/* Two shards of one region, each with one worker, which is too small for the job. Each
+ * test sets whether a shard's digest of the other one shows a large worker. */
 typedef struct
 {
   KqJobs *jobs;
@@ -66,7 +66,7 @@
   kq_jobs_set_hosts (s->jobs, &h, 1, r->now, &s->out);
 }
 
-/* What shard i hears of the other one. */
+/* Sets shard i's digest of the other shard. */
 static void
 other_is_large (Rig *r, int i, bool large)
 {
@@ -114,7 +114,8 @@
   kq_jobs_submit (r->shards[0].jobs, &m, r->now, &r->shards[0].out);
 }
 
-/* Lets shard i tick for two seconds; the first message of that kind it sends, or NULL. */
+/* Runs shard i for two seconds. Returns the first message of that kind that it sends, or
+ * NULL, and in *after the record that must be committed before. */
 static KqMsg *
 tick (Rig *r, int i, KqMsgKind kind, KqSeq *after)
 {
@@ -138,7 +139,7 @@
   return found;
 }
 
-/* Gives a JOB_MOVE to a shard; its JOB_MOVED, or NULL. */
+/* Delivers a JOB_MOVE to shard i; returns its JOB_MOVED, or NULL. */
 static KqMsg *
 arrive (Rig *r, int i, const KqMsg *m)
 {
@@ -154,9 +155,10 @@
   return found;
 }
 
-/* The job fits nowhere in its shard, and the other one has room. The first message is
- * lost, the next comes twice, and so does its answer: the other shard has the job once,
- * this one forwards calls, and each leaves only after its record. */
+/* The job fits nowhere in its shard, and the other shard has room. The first message is
+ * lost, the next one and its answer arrive twice. The job must neither be lost nor exist
+ * in both shards: the other shard has it once and this one forwards calls. JOB_MOVE must
+ * not be sent before its record is committed. */
 static void
 test_move_with_lost_and_repeated_messages (void **state)
 {
@@ -192,8 +194,8 @@
   kq_msg_free (moved[1]);
 }
 
-/* The owner of the source dies at each step of the move: its successor replays the
- * journal and goes on from there; the job is in exactly one place at the end. */
+/* The owner of the source shard dies at each step of the move. Its successor replays the
+ * journal and continues the move; at the end the job must be in exactly one shard. */
 static void
 test_source_dies_at_each_step (void **state)
 {
@@ -207,7 +209,8 @@
   kq_jobs_free (r->shards[0].jobs);
   open_shard (r, 0, 2);
   assert_int_equal (kq_jobs_account (r->shards[0].jobs).moving, 1);
-  other_is_large (r, 0, false); /* the intent stands, whatever the digests say now */
+  other_is_large (r, 0,
+                  false); /* the recorded move goes on, even if the digest has changed */
   move = tick (r, 0, KQ_MSG_JOB_MOVE, &after);
   assert_non_null (move);
   moved = arrive (r, 1, move);
@@ -224,8 +227,8 @@
   kq_msg_free (moved);
 }
 
-/* The job moves on, back to where it came from, and a repeat of the first message comes
- * late: the shard it has left doesn't take it again. */
+/* The job moves to the other shard and back, and then a repeat of the first JOB_MOVE
+ * arrives late. The shard that the job has left must not take it again. */
 static void
 test_return_and_late_repeat (void **state)
 {
@@ -233,21 +236,21 @@
   KqSeq after;
   KqMsg *there;
   KqMsg *back;
-  KqMsg *word;
+  KqMsg *reply;
   submit (r);
   other_is_large (r, 0, true);
   there = tick (r, 0, KQ_MSG_JOB_MOVE, &after);
-  word = arrive (r, 1, there);
-  kq_jobs_moved (r->shards[0].jobs, &word->u.job_moved, r->now);
-  kq_msg_free (word);
+  reply = arrive (r, 1, there);
+  kq_jobs_moved (r->shards[0].jobs, &reply->u.job_moved, r->now);
+  kq_msg_free (reply);
   other_is_large (r, 0, false);
   other_is_large (r, 1, true);
   back = tick (r, 1, KQ_MSG_JOB_MOVE, &after);
   assert_non_null (back);
-  word = arrive (r, 0, back);
-  assert_non_null (word);
-  kq_jobs_moved (r->shards[1].jobs, &word->u.job_moved, r->now);
-  kq_msg_free (word);
+  reply = arrive (r, 0, back);
+  assert_non_null (reply);
+  kq_jobs_moved (r->shards[1].jobs, &reply->u.job_moved, r->now);
+  kq_msg_free (reply);
   kq_msg_free (arrive (r, 1, there));
   assert_int_equal (kq_jobs_account (r->shards[1].jobs).moved, 1);
   assert_int_equal (kq_jobs_account (r->shards[1].jobs).queued, 0);
--- a/src/job/jobs_policy_test.c
+++ b/src/job/jobs_policy_test.c
@@ -9,7 +9,7 @@
 
 #include <cmocka.h>
 
-/* The decisions as callers see them: through KqJobs, with fake workers. */
+/* Tests the policies through the interface of KqJobs, with fake workers. */
 
 #define CORE ((KqSize){ 1000, 1024, 0 })
 
@@ -34,7 +34,7 @@
 }
 
 static void
-drop_rig (KqRig *r)
+free_rig (KqRig *r)
 {
   kq_jobs_account (r->jobs);
   kq_rig_clear (r);
@@ -57,9 +57,9 @@
   kq_rig_run (r, KQ_SEC);
 }
 
-/* Every worker is full of batch work when urgent jobs come, one after another. Each
- * starts within 1.6 s in the room of a checkpointed task, the tasks resume once from
- * their checkpoints when there is room again, and none is evicted beyond the limit. */
+/* Urgent jobs arrive one after another while every worker is full of batch tasks. Each
+ * must start within 1.6 s in the room of an evicted task. Evicted tasks resume from their
+ * checkpoints when there is room again, and none is evicted more often than the limit. */
 static void
 test_urgent_job_evicts (void **state)
 {
@@ -74,7 +74,7 @@
       submit (r, id, "plan", "seal", KQ_PRIORITY_URGENT);
       kq_rig_run (r, 1600 * KQ_MS);
       w = kq_rig_worker_of (r, key (id, 1));
-      if (w == NULL) /* only when no task may be evicted any more */
+      if (w == NULL) /* allowed only if no task may be evicted any more */
         {
           assert_true (kq_jobs_account (r->jobs).evicted >= 24);
           break;
@@ -90,11 +90,11 @@
       assert_true (kq_rig_said (r, "queued\"") || kq_rig_said (r, "\"running\""));
       assert_false (kq_rig_said (r, "\"evictions\":4"));
     }
-  drop_rig (r);
+  free_rig (r);
 }
 
-/* A team's queue has taken the whole fleet. Another team comes back for what it is
- * guaranteed: it gets that, a job every two seconds, and no more than that. */
+/* One team's jobs fill the fleet when another team claims its guarantee. The other team
+ * must get its guarantee and no more, by one eviction every two seconds. */
 static void
 test_guarantee_is_taken_back_gently (void **state)
 {
@@ -111,11 +111,11 @@
   assert_int_equal (kq_jobs_account (r->jobs).evicted, 4);
   for (KqJobId id = 101; id <= 104; id++)
     assert_non_null (kq_rig_worker_of (r, key (id, 1)));
-  drop_rig (r);
+  free_rig (r);
 }
 
-/* A host is leaving: it gets no new work, and its tasks move to where there is room, each
- * once, from its checkpoint. What doesn't fit elsewhere goes on until the host is gone.*/
+/* A leaving host must get no new work. Its tasks move to workers with room, each once and
+ * from its checkpoint; a task that fits nowhere else goes on until the host is gone. */
 static void
 test_leaving_host (void **state)
 {
@@ -137,7 +137,7 @@
   kq_rig_hosts (r);
   kq_rig_run (r, 10 * KQ_SEC);
   assert_int_equal (kq_jobs_account (r->jobs).running, 8);
-  drop_rig (r);
+  free_rig (r);
 }
 
 static bool
@@ -154,8 +154,9 @@
       w->tasks[i].report.state = KQ_TASK_FINISHED;
 }
 
-/* A rack is lost with all its tasks, and the other one has room for four of them. They
- * start again by priority, then by age; the others wait, and none starts twice. */
+/* A rack is lost with all its tasks, and the other rack has room for four of them. The
+ * tasks must start again by priority, then by age; the others wait, and none may start
+ * twice. */
 static void
 test_rack_loss (void **state)
 {
@@ -187,11 +188,12 @@
   for (KqJobId id = 1; id <= 16; id++)
     if (lost[id] && id != 7 && id != 8)
       assert_int_equal (runs (r, id, 2), room-- > 0);
-  drop_rig (r);
+  free_rig (r);
 }
 
-/* Four replicas of a service and four racks: none shares a rack. With the switch off
- * they pile up, which shows that the test can fail. */
+/* Four replicas of a service must be placed in four different racks, so that the loss of
+ * a rack doesn't stop the service. With `spread` off some share a rack, which shows that
+ * the test can fail. */
 static void
 test_spread (void **state)
 {
@@ -210,7 +212,7 @@
         most
             = MAX (most, r->workers[2 * rack].n_tasks + r->workers[2 * rack + 1].n_tasks);
       assert_true (on ? most == 1 : most > 1);
-      drop_rig (r);
+      free_rig (r);
     }
 }
 
@@ -227,9 +229,9 @@
   kq_rig_run (r, 10 * KQ_SEC);
 }
 
-/* A service and a batch task share a worker, and reports say that the service is slowed
- * down. The task is throttled, not moved; when it still hurts at the last step it is
- * moved, and doesn't come back to the same worker. */
+/* A service and a batch task share a worker, and reports show that the service is slowed
+ * down. The task must be throttled before it is moved. If the service is still slowed
+ * down at the last step, the task is moved and must not return to the same worker. */
 static void
 test_throttle_before_move (void **state)
 {
@@ -253,11 +255,11 @@
   kq_rig_run (r, 10 * KQ_SEC);
   assert_non_null (kq_rig_worker_of (r, key (2, 2)));
   assert_ptr_not_equal (kq_rig_worker_of (r, key (2, 2)), w);
-  drop_rig (r);
+  free_rig (r);
 }
 
-/* One worker of three fails all it starts, and as it is always empty it would draw the
- * whole queue. Jobs finish elsewhere, none fails for good, and it gets few of them. */
+/* One worker of three fails every task. Because it always has room, it would get the
+ * whole queue. It must get few jobs, and all jobs must finish on the others. */
 static void
 test_bad_worker_does_not_fail_jobs (void **state)
 {
@@ -283,11 +285,11 @@
   assert_int_equal (kq_jobs_account (r->jobs).finished, 60);
   assert_int_equal (kq_jobs_account (r->jobs).failed, 0);
   assert_in_range (failures, 3, 12);
-  drop_rig (r);
+  free_rig (r);
 }
 
-/* The owner dies. Its successor knows from the journal what tasks of a class really need;
- * from the declared sizes alone it would find the job too large for every worker. */
+/* The owner dies. Its successor must know the learned sizes from the journal; by its
+ * declared size the job would be too large for every worker. */
 static void
 test_learned_sizes_survive_takeover (void **state)
 {
@@ -304,12 +306,12 @@
   kq_rig_submit (r, 2, &s);
   kq_rig_run (r, KQ_SEC);
   assert_non_null (kq_rig_worker_of (r, key (2, 1)));
-  drop_rig (r);
+  free_rig (r);
 }
 
-/* Small tasks keep coming and end at different times, so that no worker is ever empty. A
- * job as large as a worker must start all the same, within minutes; without room kept for
- * it, it waits for ever. */
+/* Small tasks keep arriving and end at different times, so that no worker is ever empty.
+ * A job as large as a worker would wait for ever unless a worker is reserved for it; it
+ * must start within minutes. */
 static void
 test_large_job_among_small (void **state)
 {
@@ -329,7 +331,7 @@
     }
   assert_in_range (second, 20, 100);
   assert_true (kq_jobs_account (r->jobs).finished > 20); /* others went on */
-  drop_rig (r);
+  free_rig (r);
 }
 
 int
--- a/src/job/jobs_random_test.c
+++ b/src/job/jobs_random_test.c
@@ -11,15 +11,15 @@
 #include <cmocka.h>
 
 /* Random runs: callers submit and cancel, tasks end in every way, workers are cut off,
- * restart and come back, calls and answers are lost or late, the store goes away, the
- * owner is replaced. At every start the callers' two promises are checked against what
- * really runs: no task in two places, and nothing that finished runs again. In the end
- * the faults stop, and every job that was accepted must have ended. */
+ * restart and return, calls and answers are lost or late, the store fails, the owner is
+ * replaced. Every start is checked against the tasks that the fake workers really run: no
+ * job may run in two places, and no job whose end is committed may start again. At the
+ * end the faults stop, and no accepted job may still be queued or running. */
 
 #define WORKERS 6
 #define SEEDS 120
-/* Found: a START waited for the store longer than its worker's lease; the STOP overtook
- * it, the worker restarted, and the START ran the task a second time. */
+/* A START waited for the store longer than its worker's lease; the STOP overtook it, the
+ * worker restarted and forgot the STOP, and the START ran the task a second time. */
 #define SEED_START_HELD 449
 #define STEPS 400
 
@@ -28,7 +28,7 @@
   KqRig rig;
   KqJobId next_id;
   GHashTable *ended; /* jobs whose end is in the store */
-  size_t seen;       /* records looked at for that */
+  size_t n_read;     /* records read for that */
   uint64_t accepted;
   uint64_t starts;
 } Run;
@@ -36,9 +36,9 @@
 static void
 read_ends (Run *run)
 {
-  for (; run->seen < run->rig.log.committed; run->seen++)
+  for (; run->n_read < run->rig.log.committed; run->n_read++)
     {
-      const KqRecord *r = &run->rig.log.records[run->seen];
+      const KqRecord *r = &run->rig.log.records[run->n_read];
       KqJobEvent e;
       int64_t *id;
       if (r->type != KQ_JOB_EVENT_ENDED)
@@ -118,7 +118,7 @@
                       : 0;
 }
 
-/* Slowdowns and sizes out of the blue make throttles, moves and growth. */
+/* Random slowdowns and sizes, to cause throttles, moves and growth. */
 static void
 report_usage (Run *run)
 {
@@ -134,7 +134,7 @@
     }
 }
 
-/* A host is named as leaving, as gone (then its processes are), or as live. */
+/* Sets a host's state in the host list; with a host that is gone its processes end. */
 static void
 change_host (Run *run)
 {
@@ -203,7 +203,7 @@
 }
 
 static void
-heal (Run *run)
+end_faults_and_finish (Run *run)
 {
   KqRig *r = &run->rig;
   memset (r->cut, 0, WORKERS * sizeof *r->cut);
@@ -238,7 +238,7 @@
   run.ended = g_hash_table_new_full (g_int64_hash, g_int64_equal, free, NULL);
   for (int i = 0; i < STEPS; i++)
     step (&run);
-  heal (&run);
+  end_faults_and_finish (&run);
   a = kq_jobs_account (run.rig.jobs);
   if (a.running + a.queued > 0)
     fail_msg ("seed %llu: %llu running, %llu queued", (unsigned long long)seed,
@@ -257,7 +257,7 @@
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
     starts += random_run (seed);
   random_run (SEED_START_HELD);
-  assert_true (starts > 50 * SEEDS); /* else it tests little */
+  assert_true (starts > 50 * SEEDS); /* otherwise the runs test too little */
 }
 
 int
--- a/src/job/jobs_test.c
+++ b/src/job/jobs_test.c
@@ -27,7 +27,7 @@
 }
 
 static void
-drop_rig (KqRig *r)
+free_rig (KqRig *r)
 {
   kq_jobs_account (r->jobs);
   kq_rig_clear (r);
@@ -42,7 +42,7 @@
 }
 
 static bool
-says (KqRig *r, KqJobId id, const char *text)
+job_shows (KqRig *r, KqJobId id, const char *text)
 {
   kq_rig_call (r, KQ_JOB_GET, id);
   kq_rig_run (r, r->commit_delay * 2);
@@ -57,7 +57,7 @@
   r->commit_delay = 100 * KQ_MS;
   submit (r, 1);
   kq_rig_run (r, 50 * KQ_MS);
-  assert_int_equal (r->answers, 0); /* nothing leaves before the commit */
+  assert_int_equal (r->answers, 0); /* nothing is sent before the commit */
   assert_int_equal (r->calls[KQ_WORKER_START], 0);
   kq_rig_run (r, 60 * KQ_MS);
   assert_int_equal (r->answers, 1);
@@ -65,13 +65,14 @@
   assert_int_equal (r->log.n_records, 2); /* accepted and assigned, one commit */
   kq_fake_worker_end (kq_rig_worker_of (r, key (1, 1)), key (1, 1), KQ_TASK_FINISHED);
   kq_rig_run (r, 10 * KQ_SEC);
-  assert_true (says (r, 1, "\"finished\""));
+  assert_true (job_shows (r, 1, "\"finished\""));
   assert_int_equal (r->workers[0].n_tasks + r->workers[1].n_tasks, 0); /* acknowledged */
-  drop_rig (r);
+  free_rig (r);
 }
 
-/* The caller lost the answer and submits again, also after a takeover: it gets the same
- * job. The same key with another content is a mistake of the caller's and is refused. */
+/* The answer to a submission is lost and the caller submits again, also after a takeover:
+ * no second job may be created. The same key with another spec is a mistake of the caller
+ * and is refused. */
 static void
 test_submit_again (void **state)
 {
@@ -94,14 +95,14 @@
   kq_rig_run (r, 0);
   assert_int_equal (r->code, KQ_ERR_JOB_KEY_MISMATCH);
   assert_int_equal (kq_jobs_account (r->jobs).accepted, 1);
-  drop_rig (r);
+  free_rig (r);
 }
 
-/* The store has just gone away; nobody has noticed, but commits are behind. A job taken
- * in now would leave its caller without a sure answer: it is refused as not run, and
- * taken once the journal has caught up. */
+/* The store has become unreachable, which isn't detected yet, and commits lag behind. The
+ * caller of a job accepted now might never learn the outcome, so the job is refused with
+ * NOT_COMMITTED; it is accepted once the journal has caught up. */
 static void
-test_lagging_journal_takes_nothing (void **state)
+test_lagging_journal_refuses_jobs (void **state)
 {
   KqRig *r = new_rig (1);
   (void)state;
@@ -114,11 +115,11 @@
   submit (r, 1);
   kq_rig_run (r, 0);
   assert_int_equal (r->code, KQ_OK);
-  drop_rig (r);
+  free_rig (r);
 }
 
-/* The answer to START is lost. The worker runs the task: its next list says so and the
- * attempt goes on. A second attempt then would have run the task twice. */
+/* The answer to START is lost, but the worker runs the task and its next list shows it. A
+ * second attempt would run the task twice, so the first one must go on. */
 static void
 test_start_answer_lost (void **state)
 {
@@ -129,14 +130,15 @@
   kq_rig_run (r, 10 * KQ_MS);
   r->lose_reply = 0;
   kq_rig_run (r, 8 * KQ_SEC);
-  assert_true (says (r, 1, "\"attempt\":1"));
-  assert_true (says (r, 1, "\"running\""));
+  assert_true (job_shows (r, 1, "\"attempt\":1"));
+  assert_true (job_shows (r, 1, "\"running\""));
   assert_int_equal (r->calls[KQ_WORKER_START], 1);
-  drop_rig (r);
+  free_rig (r);
 }
 
-/* START is lost on the way. The list doesn't name the task, which is no proof: START
- * may still arrive. A STOP makes the worker refuse it; then attempt 2 starts. */
+/* START is delayed in the network. A list without the task doesn't prove that it won't
+ * run, because START may still arrive. A STOP makes the worker refuse it; only then
+ * attempt 2 may start. */
 static void
 test_start_lost (void **state)
 {
@@ -148,11 +150,11 @@
   r->late_start = 0;
   kq_rig_run (r, 11 * KQ_SEC);
   assert_int_equal (r->calls[KQ_WORKER_STOP], 1);
-  assert_true (says (r, 1, "\"attempt\":2"));
+  assert_true (job_shows (r, 1, "\"attempt\":2"));
   kq_rig_run (r, 5 * KQ_SEC); /* the late START arrives and is refused */
   assert_null (kq_fake_worker_task (&r->workers[0], key (1, 1)));
   assert_non_null (kq_fake_worker_task (&r->workers[0], key (1, 2)));
-  drop_rig (r);
+  free_rig (r);
 }
 
 static void
@@ -162,9 +164,9 @@
   ++*(int *)arg;
 }
 
-/* A worker is cut off and its lease lapses, while a START to it is still on its way. The
- * job starts elsewhere. When the worker is back, it must know that attempt 1 is refused
- * before it has a lease again; else the late START would run the task twice. */
+/* A worker is cut off and its lease lapses while a START to it is still in the network.
+ * The job starts elsewhere. When the worker is reachable again, it must be told to refuse
+ * attempt 1 before it gets a lease; otherwise the late START would run the task twice. */
 static void
 test_late_start_after_lapse (void **state)
 {
@@ -184,32 +186,33 @@
   i = kq_rig_said (r, "\"worker\":\"w0\"") ? 0 : 1;
   r->cut[i] = true;
   kq_rig_run (r, 7 * KQ_SEC);
-  assert_true (says (r, 1, "\"attempt\":1")); /* silence proves nothing yet */
+  assert_true (job_shows (r, 1, "\"attempt\":1")); /* the lease may be live */
   kq_rig_run (r, 8 * KQ_SEC);
-  assert_true (says (r, 1, "\"attempt\":2"));
+  assert_true (job_shows (r, 1, "\"attempt\":2"));
   r->cut[i] = false;
   kq_rig_run (r, 60 * KQ_SEC);
   assert_int_equal (started, 1);
   assert_non_null (kq_rig_worker_of (r, key (1, 2)));
-  drop_rig (r);
+  free_rig (r);
 }
 
-/* The owner dies with three tasks running. Its successor knows them from the journal,
- * asks the workers under the higher epoch, places nothing before they answered, adopts
- * what runs and stops what it has never heard of. */
+/* The owner dies while three tasks run. Its successor reads them from the journal and
+ * must place nothing before the workers have answered under its epoch, keep the tasks
+ * that run and stop a task that the journal doesn't know. */
 static void
 test_takeover (void **state)
 {
   KqRig *r = new_rig (2);
-  KqWorkerCall alien = { .kind = KQ_WORKER_START, .worker = 1, .shard = 1, .epoch = 1 };
+  KqWorkerCall unknown_start
+      = { .kind = KQ_WORKER_START, .worker = 1, .shard = 1, .epoch = 1 };
   KqWorkerReply reply;
   (void)state;
   for (KqJobId id = 1; id <= 3; id++)
     submit (r, id);
   kq_rig_run (r, KQ_SEC);
-  alien.task = key (99, 1);
-  alien.size = CORE;
-  kq_fake_worker_call (&r->workers[0], &alien, r->now, &reply);
+  unknown_start.task = key (99, 1);
+  unknown_start.size = CORE;
+  kq_fake_worker_call (&r->workers[0], &unknown_start, r->now, &reply);
   assert_int_equal (reply.result, KQ_OK);
   r->cut[0] = r->cut[1] = true;
   kq_rig_open (r);
@@ -222,12 +225,13 @@
     assert_non_null (kq_rig_worker_of (r, key (id, 1)));
   assert_null (kq_rig_worker_of (r, key (99, 1)));
   assert_int_equal (r->calls[KQ_WORKER_START], 4);
-  drop_rig (r);
+  free_rig (r);
 }
 
-/* After a takeover a worker never answers: the predecessor may have renewed its lease
- * until its blind time was over, so only lease + blind + margin prove the end. A host
- * that the list calls gone is proof at once. */
+/* A worker doesn't answer after a takeover. The predecessor may have renewed its lease
+ * without the store for limits.blind_ms, so that the lease has ended for certain only
+ * after this time plus the lease and a margin; starting the task earlier could run it
+ * twice. A host that the host list calls gone is proof at once. */
 static void
 test_takeover_silent_worker (void **state)
 {
@@ -238,18 +242,18 @@
   r->cut[0] = r->cut[1] = true;
   kq_rig_open (r);
   kq_rig_run (r, 28 * KQ_SEC);
-  assert_true (says (r, 1, "\"attempt\":1"));
-  assert_true (says (r, 1, "\"assigned\""));
+  assert_true (job_shows (r, 1, "\"attempt\":1"));
+  assert_true (job_shows (r, 1, "\"assigned\""));
   kq_rig_run (r, 3 * KQ_SEC);
-  assert_true (says (r, 1, "\"requeued\""));
+  assert_true (job_shows (r, 1, "\"requeued\""));
   r->cut[0] = r->cut[1] = false;
   kq_rig_run (r, 10 * KQ_SEC);
-  assert_true (says (r, 1, "\"attempt\":2"));
+  assert_true (job_shows (r, 1, "\"attempt\":2"));
   r->hosts[kq_rig_worker_of (r, key (1, 2))->id - 1].state = KQ_HOST_GONE;
   kq_rig_hosts (r);
   kq_rig_run (r, KQ_SEC);
-  assert_true (says (r, 1, "\"attempt\":3"));
-  drop_rig (r);
+  assert_true (job_shows (r, 1, "\"attempt\":3"));
+  free_rig (r);
 }
 
 static KqWorkerReply
@@ -263,7 +267,7 @@
 }
 
 static void
-give (KqRig *r, const KqWorkerReply *reply)
+deliver_reply (KqRig *r, const KqWorkerReply *reply)
 {
   KqOutbox out;
   kq_outbox_init (&out);
@@ -272,8 +276,8 @@
   kq_rig_run (r, 0);
 }
 
-/* A task finishes while its cancellation is on its way, and the other way round: the
- * first record decides, and the caller is told the same as the journal. */
+/* A task finishes while its cancellation is in the network, and the other way round. The
+ * first record decides, and the caller's answer must agree with the journal. */
 static void
 test_cancel_and_finish (void **state)
 {
@@ -293,12 +297,13 @@
   kq_rig_call (r, KQ_JOB_CANCEL, 2);
   kq_rig_run (r, 0);
   assert_int_equal (r->code, KQ_ERR_JOB_ENDED);
-  assert_true (says (r, 1, "\"cancelled\""));
-  assert_true (says (r, 2, "\"finished\""));
-  drop_rig (r);
+  assert_true (job_shows (r, 1, "\"cancelled\""));
+  assert_true (job_shows (r, 2, "\"finished\""));
+  free_rig (r);
 }
 
-/* A late or repeated CHECKPOINT answer for an attempt that is closed changes nothing. */
+/* An unrequested, late or repeated answer to CHECKPOINT, or one of an older epoch, must
+ * change nothing. */
 static void
 test_stale_answers (void **state)
 {
@@ -308,20 +313,20 @@
   submit (r, 1);
   kq_rig_run (r, KQ_SEC);
   reply = checkpointed (r, 1, key (1, 1));
-  give (r, &reply); /* nobody asked for it: the list decides */
-  assert_true (says (r, 1, "\"running\""));
+  deliver_reply (r, &reply); /* unrequested: only the list counts */
+  assert_true (job_shows (r, 1, "\"running\""));
   kq_fake_worker_end (&r->workers[0], key (1, 1), KQ_TASK_FINISHED);
   kq_rig_run (r, 4 * KQ_SEC);
-  give (r, &reply);
+  deliver_reply (r, &reply);
   reply.epoch--;
-  give (r, &reply);
-  assert_true (says (r, 1, "\"finished\""));
+  deliver_reply (r, &reply);
+  assert_true (job_shows (r, 1, "\"finished\""));
   assert_int_equal (kq_jobs_account (r->jobs).evicted, 0);
-  drop_rig (r);
+  free_rig (r);
 }
 
-/* An end is acknowledged only once it is in the store. If the owner dies before, the
- * worker still lists the task and the successor learns of its end. */
+/* The end of a task is acknowledged only once it is committed. If the owner dies before,
+ * the worker still lists the task, so that the successor learns of the end. */
 static void
 test_end_is_kept_until_committed (void **state)
 {
@@ -336,14 +341,14 @@
   r->store_down = false;
   kq_rig_open (r);
   kq_rig_run (r, 10 * KQ_SEC);
-  assert_true (says (r, 1, "\"finished\""));
+  assert_true (job_shows (r, 1, "\"finished\""));
   assert_int_equal (r->workers[0].n_tasks, 0);
-  drop_rig (r);
+  free_rig (r);
 }
 
-/* The store is away. Within the blind time tasks run on under renewed leases, and new
- * jobs are refused as not run. After it renewals stop, because a successor may count on
- * that: the worker stops its task, and it starts again, once, when the store is back. */
+/* The store is unreachable. For limits.blind_ms leases are renewed, tasks go on and new
+ * jobs are refused. Then renewals must stop, because a successor relies on that: the
+ * worker stops its task, which starts again, once, when the store is back. */
 static void
 test_store_outage (void **state)
 {
@@ -367,11 +372,11 @@
   submit (r, 2);
   kq_rig_run (r, 0);
   assert_int_equal (r->code, KQ_OK);
-  drop_rig (r);
+  free_rig (r);
 }
 
-/* A worker's process restarts and forgets its tasks. Its list without them is its word
- * that they don't run, and they start again. */
+/* A worker's process restarts and loses its tasks. Its list without them proves that they
+ * don't run, and they must start again. */
 static void
 test_worker_restart (void **state)
 {
@@ -383,11 +388,11 @@
   kq_rig_run (r, 8 * KQ_SEC);
   assert_non_null (kq_rig_worker_of (r, key (1, 2)));
   assert_int_equal (kq_jobs_account (r->jobs).lost_attempts, 1);
-  drop_rig (r);
+  free_rig (r);
 }
 
-/* A job that no worker can hold is told so in the answer to its submission, and jobs
- * behind it start; a larger worker lets it start. */
+/* A job that no worker can hold must not block the jobs behind it. The answer to its
+ * submission says that it is unplaceable; it starts once there is a larger worker. */
 static void
 test_unplaceable (void **state)
 {
@@ -408,10 +413,11 @@
   kq_rig_hosts (r);
   kq_rig_run (r, KQ_SEC);
   assert_non_null (kq_rig_worker_of (r, key (1, 1)));
-  drop_rig (r);
+  free_rig (r);
 }
 
-/* A task that fails is tried again after a growing pause, and at last the job fails. */
+/* A task that fails is retried after a growing backoff, and the job fails after its last
+ * attempt. */
 static void
 test_retries (void **state)
 {
@@ -425,13 +431,13 @@
       kq_fake_worker_end (&r->workers[0], key (1, attempt), KQ_TASK_FAILED);
     }
   kq_rig_run (r, 10 * KQ_SEC);
-  assert_true (says (r, 1, "\"failed\""));
+  assert_true (job_shows (r, 1, "\"failed\""));
   assert_int_equal (kq_counter_of_result (r->config.counters, KQ_RETRY_JOB_FAILED), 2);
-  drop_rig (r);
+  free_rig (r);
 }
 
-/* 20,000 cancellations come at once. Each is answered in order and none scans the
- * queue; a job submitted behind them starts within the same second. */
+/* 20,000 cancellations arrive at once. If each scanned the queue, they would delay all
+ * else: every one is answered, and a job submitted behind them starts within seconds. */
 static void
 test_cancel_wave (void **state)
 {
@@ -447,7 +453,7 @@
   assert_int_equal (r->answers, 40001);
   assert_int_equal (kq_jobs_account (r->jobs).cancelled, 20000);
   assert_non_null (kq_rig_worker_of (r, key (20001, 1)));
-  drop_rig (r);
+  free_rig (r);
 }
 
 static void
@@ -468,9 +474,9 @@
   kq_jobs_free (j);
 }
 
-/* A successor may read records that the snapshot already holds. Replaying any prefix
- * twice must give the state of replaying it once, or a job would be counted, evicted or
- * ended twice. */
+/* A successor may read records that are already part of the snapshot. Replaying any
+ * prefix twice must give the same state as replaying it once; otherwise a job would be
+ * counted, evicted or ended twice. */
 static void
 test_replay_twice (void **state)
 {
@@ -501,7 +507,7 @@
       kq_buf_free (&once);
       kq_buf_free (&twice);
     }
-  drop_rig (r);
+  free_rig (r);
 }
 
 int
@@ -510,7 +516,7 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_one_job),
     cmocka_unit_test (test_submit_again),
-    cmocka_unit_test (test_lagging_journal_takes_nothing),
+    cmocka_unit_test (test_lagging_journal_refuses_jobs),
     cmocka_unit_test (test_start_answer_lost),
     cmocka_unit_test (test_start_lost),
     cmocka_unit_test (test_late_start_after_lapse),
