--- a/src/shard/backoff.h
+++ b/src/shard/backoff.h
@@ -1,18 +1,20 @@
 #ifndef KQ_SHARD_BACKOFF_H
 #define KQ_SHARD_BACKOFF_H
 
-/* backoff: when to call the store again after a failure.
+/* backoff: the time of the next store call after a failed one.
  *
- * Doubled from first to last, half of it random: without the random half the shards of a
- * fleet would return to a recovering store together and bring it down again. */
+ * The delay doubles from KQ_BACKOFF_MIN to KQ_BACKOFF_MAX and its second half is random.
+ * Without the random half all shards of a fleet would call a recovering store at the
+ * same time and overload it again. */
 
 #include "base/rand.h"
 #include "base/time.h"
 
-#define KQ_BACKOFF_FIRST (20 * KQ_MS)
-#define KQ_BACKOFF_LAST (2 * KQ_SEC)
+#define KQ_BACKOFF_MIN (20 * KQ_MS)
+#define KQ_BACKOFF_MAX (2 * KQ_SEC)
 
-/* *wait is the last wait, 0 after a success; returns the time of the next call. */
+/* *wait: the previous delay, 0 after a success; set to the new delay before the random
+ * part is applied. Returns the time of the next call. */
 KqTime kq_backoff_next (KqTime *wait, KqRand *rand, KqTime now);
 
 #endif
--- a/src/shard/hold.c
+++ b/src/shard/hold.c
@@ -18,8 +18,8 @@
   *h = (KqHold){ 0 };
 }
 
-/* Under steady load something is always held, so the space of what has left must be used
- * again: without it the array grows for as long as the process runs. */
+/* Reuses the space of released items. Under steady load the queue is never empty, so
+ * without this the array would grow for as long as the process runs. */
 static void
 make_room (KqHold *h)
 {
@@ -43,7 +43,7 @@
   while (kq_outbox_take (from, &item))
     {
       make_room (h);
-      h->items[h->len++] = (KqHeld){ after, item };
+      h->items[h->len++] = (KqHeldItem){ after, item };
     }
 }
 
--- a/src/shard/hold_test.c
+++ b/src/shard/hold_test.c
@@ -18,7 +18,7 @@
   kq_outbox_free (&box);
 }
 
-/* Takes what the outbox has; its tokens must be first..last in order. */
+/* Empties the outbox; the tokens must be first..last in order. */
 static void
 expect (KqOutbox *out, uint64_t first, uint64_t last)
 {
@@ -33,8 +33,9 @@
   assert_int_equal (next, last + 1);
 }
 
-/* An item that needs no record must not overtake one that waits for its own: the caller
- * would see a later answer before an earlier one. */
+/* Guards against reordering: an item that needs no record must not leave before an
+ * earlier item whose record isn't committed, or the caller would get a later answer
+ * first. */
 static void
 test_order (void **state)
 {
@@ -54,9 +55,9 @@
   kq_outbox_free (&out);
 }
 
-/* Steady load: there is always one item held. The memory must stay bounded. */
+/* Under steady load one item is always held. The memory must stay bounded. */
 static void
-test_space_is_used_again (void **state)
+test_space_is_reused (void **state)
 {
   KqHold h;
   KqOutbox out;
@@ -80,7 +81,7 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_order),
-    cmocka_unit_test (test_space_is_used_again),
+    cmocka_unit_test (test_space_is_reused),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/shard/journal.c
+++ b/src/shard/journal.c
@@ -9,7 +9,8 @@
 
 #define PART "journal"
 #define DEFAULT_SHARDS 64
-#define NUMBER_LIMIT 0x80000000U /* numbers from here up belong to the owner module */
+/* Call numbers from here up belong to shard/owner.c. */
+#define CALL_NUMBER_LIMIT 0x80000000U
 
 KqJournal *
 kq_journal_new (uint32_t shard, KqNodeId self, uint64_t seed)
@@ -18,8 +19,9 @@
   j->shard = shard;
   j->self = self;
   j->rand = kq_rand (seed);
-  /* Replies to an earlier journal of the shard must not look like ours. */
-  j->next_number = (uint32_t)(kq_rand_next (&j->rand) % NUMBER_LIMIT);
+  /* A random start, so that a late reply to an earlier journal of this shard doesn't
+   * match one of our calls. */
+  j->next_call_number = (uint32_t)(kq_rand_next (&j->rand) % CALL_NUMBER_LIMIT);
   kq_journal_set_share (j, DEFAULT_SHARDS);
   return j;
 }
@@ -30,8 +32,8 @@
   if (j == NULL)
     return;
   kq_journal_close (j);
-  free (j->waiting);
-  kq_buf_free (&j->flight.value);
+  free (j->pending);
+  kq_buf_free (&j->slot_write.value);
   free (j);
 }
 
@@ -39,27 +41,27 @@
 kq_journal_set_share (KqJournal *j, uint32_t n_shards)
 {
   assert (n_shards > 0);
-  j->interval = KQ_SEC * n_shards / KQ_JOURNAL_COMMITS_FLEET;
+  j->commit_interval = KQ_SEC * n_shards / KQ_JOURNAL_FLEET_COMMITS_PER_S;
 }
 
-/* Nothing of the present ownership is left, and no lane sends any more. */
+/* Discards all state of the present ownership and stops both lanes. */
 static void
-drop (KqJournal *j)
+drop_state (KqJournal *j)
 {
-  j->log = (KqLane){ 0 };
-  j->snap = (KqLane){ 0 };
+  j->log = (KqStoreLane){ 0 };
+  j->snap = (KqStoreLane){ 0 };
   kq_journal_commit_drop (j);
   kq_journal_recover_drop (j);
   kq_journal_snapshot_drop (j);
   kq_part_keys_free (&j->parts);
-  kq_part_keys_free (&j->garbage);
+  kq_part_keys_free (&j->obsolete_parts);
 }
 
 void
 kq_journal_open (KqJournal *j, uint64_t epoch, KqTime now, KqOutbox *out)
 {
   assert (epoch > 0);
-  drop (j);
+  drop_state (j);
   j->epoch = epoch;
   j->rereads = 0;
   j->damage = (KqJournalDamage){ 0 };
@@ -70,7 +72,7 @@
 void
 kq_journal_close (KqJournal *j)
 {
-  drop (j);
+  drop_state (j);
   j->state = KQ_JOURNAL_CLOSED;
 }
 
@@ -93,14 +95,14 @@
 }
 
 void
-kq_journal_fail (KqJournal *j, KqResult code, KqStr key, const char *what)
+kq_journal_set_damaged (KqJournal *j, KqResult code, KqStr key, const char *what)
 {
   j->damage.code = code;
   j->damage.what = what;
   snprintf (j->damage.key, sizeof j->damage.key, "%.*s", KQ_STR_ARG (key));
   kq_log (KQ_LOG_ERROR, PART, "Journal refused. shard=%u result=%s key=%s cause=\"%s\"",
           j->shard, kq_result_name (code), j->damage.key, what);
-  drop (j);
+  drop_state (j);
   j->state = KQ_JOURNAL_DAMAGED;
 }
 
@@ -109,15 +111,16 @@
 {
   char what[64];
   snprintf (what, sizeof what, "type=%u version=%u", r->type, r->version);
-  kq_journal_fail (j, why, kq_str (what), "A record can't be read by its module.");
+  kq_journal_set_damaged (j, why, kq_str (what),
+                          "The module that owns a record's type can't read it.");
 }
 
 void
 kq_journal_fenced_by (KqJournal *j, uint64_t epoch)
 {
-  kq_log (KQ_LOG_WARN, PART, "A successor wrote. shard=%u epoch=%llu successor=%llu",
+  kq_log (KQ_LOG_WARN, PART, "Fenced by a successor. shard=%u epoch=%llu successor=%llu",
           j->shard, (unsigned long long)j->epoch, (unsigned long long)epoch);
-  drop (j);
+  drop_state (j);
   j->state = KQ_JOURNAL_FENCED;
 }
 
@@ -151,27 +154,28 @@
 }
 
 void
-kq_journal_send (KqJournal *j, KqLane *lane, KqStoreOp *op, KqTime now, KqOutbox *out)
+kq_journal_send (KqJournal *j, KqStoreLane *lane, KqStoreOp *op, KqTime now,
+                 KqOutbox *out)
 {
-  assert (lane->number == 0);
-  j->next_number = (j->next_number + 1) % NUMBER_LIMIT;
-  if (j->next_number == 0)
-    j->next_number = 1;
-  lane->number = j->next_number;
+  assert (lane->call_number == 0);
+  j->next_call_number = (j->next_call_number + 1) % CALL_NUMBER_LIMIT;
+  if (j->next_call_number == 0)
+    j->next_call_number = 1;
+  lane->call_number = j->next_call_number;
   lane->sent_at = now;
   op->part = KQ_PART_SHARD;
-  op->token = (uint64_t)j->shard << 32 | lane->number;
+  op->token = (uint64_t)j->shard << 32 | lane->call_number;
   kq_outbox_store (out, op);
 }
 
 void
-kq_journal_back_off (KqJournal *j, KqLane *lane, KqTime now)
+kq_journal_back_off (KqJournal *j, KqStoreLane *lane, KqTime now)
 {
   lane->wait_until = kq_backoff_next (&lane->backoff, &j->rand, now);
 }
 
 void
-kq_journal_lane_next (KqLane *lane, KqStep step)
+kq_journal_set_step (KqStoreLane *lane, KqStep step)
 {
   lane->step = step;
   lane->backoff = 0;
@@ -181,7 +185,7 @@
 static void
 log_reply (KqJournal *j, const KqStoreReply *r, KqTime now)
 {
-  j->log.number = 0;
+  j->log.call_number = 0;
   switch (j->log.step)
     {
     case KQ_STEP_READ_LOG:
@@ -189,7 +193,7 @@
       kq_journal_recover_reply (j, r, now);
       break;
     case KQ_STEP_WRITE:
-    case KQ_STEP_CHECK:
+    case KQ_STEP_READ_BACK:
       kq_journal_commit_reply (j, r, now);
       break;
     default:
@@ -200,18 +204,18 @@
 static void
 snap_reply (KqJournal *j, const KqStoreReply *r, KqTime now)
 {
-  j->snap.number = 0;
+  j->snap.call_number = 0;
   kq_journal_snapshot_reply (j, r, now);
 }
 
-/* A call that nobody answered: the same as an unreachable store. */
+/* Calls without a reply are handled as if the store were unreachable. */
 static void
 expire_calls (KqJournal *j, KqTime now)
 {
   KqStoreReply lost = { .result = KQ_ERR_STORE_UNREACHABLE };
-  if (j->log.number != 0 && now - j->log.sent_at > KQ_JOURNAL_REPLY_MAX)
+  if (j->log.call_number != 0 && now - j->log.sent_at > KQ_JOURNAL_REPLY_TIMEOUT)
     log_reply (j, &lost, now);
-  if (j->snap.number != 0 && now - j->snap.sent_at > KQ_JOURNAL_REPLY_MAX)
+  if (j->snap.call_number != 0 && now - j->snap.sent_at > KQ_JOURNAL_REPLY_TIMEOUT)
     snap_reply (j, &lost, now);
 }
 
@@ -219,14 +223,15 @@
 kq_journal_tick (KqJournal *j, KqTime now, KqOutbox *out)
 {
   expire_calls (j, now);
-  if (j->log.number == 0 && now >= j->log.wait_until)
+  if (j->log.call_number == 0 && now >= j->log.wait_until)
     {
       if (j->state == KQ_JOURNAL_RECOVERING)
         kq_journal_recover_send (j, now, out);
       else if (j->state == KQ_JOURNAL_FENCING || j->state == KQ_JOURNAL_OPEN)
         kq_journal_commit_send (j, now, out);
     }
-  if (j->state == KQ_JOURNAL_OPEN && j->snap.number == 0 && now >= j->snap.wait_until)
+  if (j->state == KQ_JOURNAL_OPEN && j->snap.call_number == 0
+      && now >= j->snap.wait_until)
     kq_journal_snapshot_send (j, now, out);
 }
 
@@ -234,11 +239,12 @@
 kq_journal_due (const KqJournal *j)
 {
   KqTime due = KQ_TIME_NEVER;
-  if (j->log.number == 0 && j->log.step != KQ_STEP_IDLE)
+  if (j->log.call_number == 0 && j->log.step != KQ_STEP_IDLE)
     due = j->log.wait_until;
-  else if (j->log.number == 0 && j->state == KQ_JOURNAL_OPEN)
+  else if (j->log.call_number == 0 && j->state == KQ_JOURNAL_OPEN)
     due = kq_journal_commit_due (j);
-  if (j->snap.number == 0 && j->snap.step != KQ_STEP_IDLE && j->snap.wait_until < due)
+  if (j->snap.call_number == 0 && j->snap.step != KQ_STEP_IDLE
+      && j->snap.wait_until < due)
     due = j->snap.wait_until;
   return due;
 }
@@ -246,14 +252,15 @@
 bool
 kq_journal_reply (KqJournal *j, const KqStoreReply *r, KqTime now, KqOutbox *out)
 {
-  uint32_t number = (uint32_t)r->token;
-  if (r->part != KQ_PART_SHARD || r->token >> 32 != j->shard || number >= NUMBER_LIMIT)
+  uint32_t call_number = (uint32_t)r->token;
+  if (r->part != KQ_PART_SHARD || r->token >> 32 != j->shard
+      || call_number >= CALL_NUMBER_LIMIT)
     return false;
-  /* A late or repeated answer matches neither lane: what it says was settled by a
-   * read-back already. */
-  if (number != 0 && number == j->log.number)
+  /* A late or repeated reply matches neither lane. Its call was handled before, by the
+   * first reply or as unanswered, and then the outcome is read from the store. */
+  if (call_number != 0 && call_number == j->log.call_number)
     log_reply (j, r, now);
-  else if (number != 0 && number == j->snap.number)
+  else if (call_number != 0 && call_number == j->snap.call_number)
     snap_reply (j, r, now);
   else
     return true;
--- a/src/shard/journal_block.c
+++ b/src/shard/journal_block.c
@@ -27,7 +27,7 @@
   return v;
 }
 
-/* Over version and payload: a wrong byte anywhere behind the magic shows. */
+/* Covers version and payload, so that any corrupted byte after the magic is detected. */
 static uint64_t
 digest_of (uint8_t version, KqStr payload)
 {
--- a/src/shard/journal_commit.c
+++ b/src/shard/journal_commit.c
@@ -7,22 +7,22 @@
 KqSeq
 kq_journal_append (KqJournal *j, const KqRecord *r, KqCommitClass c, KqTime now)
 {
-  assert (j->state == KQ_JOURNAL_OPEN && !j->draining);
+  assert (j->state == KQ_JOURNAL_OPEN && !j->replaying);
   assert (r->type >= 100 && r->body.len < KQ_JOURNAL_BLOCK_BYTES);
   if (j->len == j->capacity && j->first > j->capacity / 2)
     {
-      memmove (j->waiting, j->waiting + j->first,
-               (j->len - j->first) * sizeof *j->waiting);
+      memmove (j->pending, j->pending + j->first,
+               (j->len - j->first) * sizeof *j->pending);
       j->len -= j->first;
       j->first = 0;
     }
   if (j->len == j->capacity)
     {
       j->capacity = j->capacity > 0 ? j->capacity * 2 : 64;
-      j->waiting = kq_realloc (j->waiting, j->capacity * sizeof *j->waiting);
+      j->pending = kq_realloc (j->pending, j->capacity * sizeof *j->pending);
     }
-  KqWaiting *w = &j->waiting[j->len++];
-  *w = (KqWaiting){ *r, now, c };
+  KqPendingRecord *w = &j->pending[j->len++];
+  *w = (KqPendingRecord){ *r, now, c };
   w->record.body = kq_str_own (r->body);
   j->n_urgent += c == KQ_COMMIT_URGENT;
   j->last++;
@@ -41,36 +41,37 @@
 {
   if (seq <= j->sent)
     return KQ_ERR_COMMIT_UNKNOWN;
-  /* Not yet in any block. The number stays taken; an empty record stands for it. */
+  /* Not in a block yet. An empty record takes its place, so that
+   * sequence numbers have no gaps. */
   size_t i = j->first + (size_t)(seq - j->sent - 1);
   if (i < j->len)
     {
-      KqRecord *r = &j->waiting[i].record;
+      KqRecord *r = &j->pending[i].record;
       free ((char *)r->body.ptr);
       *r = (KqRecord){ .type = KQ_RECORD_VOID, .version = 1 };
-      j->n_urgent -= j->waiting[i].commit_class == KQ_COMMIT_URGENT;
-      j->waiting[i].commit_class = KQ_COMMIT_NORMAL;
+      j->n_urgent -= j->pending[i].commit_class == KQ_COMMIT_URGENT;
+      j->pending[i].commit_class = KQ_COMMIT_NORMAL;
     }
   kq_journal_snapshot_withdrawn (j, seq);
   return KQ_OK;
 }
 
-/* A record that came just now has waited too: 0 would say that there is none, and a
- * hand-over would drop it. */
+/* At least 1, also for a record appended just now: 0 means that no record is pending, and
+ * a handover would then discard it. */
 static KqTime
-since (KqTime at, KqTime now)
+record_age (KqTime appended_at, KqTime now)
 {
-  return now > at ? now - at : 1;
+  return now > appended_at ? now - appended_at : 1;
 }
 
 KqTime
 kq_journal_lag (const KqJournal *j, KqTime now)
 {
-  if (j->flying && j->state == KQ_JOURNAL_OPEN)
-    return since (j->flight.oldest, now);
+  if (j->write_pending && j->state == KQ_JOURNAL_OPEN)
+    return record_age (j->slot_write.oldest_at, now);
   for (size_t i = j->first; i < j->len; i++)
-    if (j->waiting[i].record.type != KQ_RECORD_VOID)
-      return since (j->waiting[i].at, now);
+    if (j->pending[i].record.type != KQ_RECORD_VOID)
+      return record_age (j->pending[i].appended_at, now);
   return 0;
 }
 
@@ -78,18 +79,18 @@
 kq_journal_commit_drop (KqJournal *j)
 {
   for (size_t i = j->first; i < j->len; i++)
-    free ((char *)j->waiting[i].record.body.ptr);
+    free ((char *)j->pending[i].record.body.ptr);
   j->first = j->len = 0;
   j->n_urgent = 0;
-  j->flying = false;
+  j->write_pending = false;
 }
 
-/* Makes the block that goes to the next position; its bytes are final from here on. */
+/* Encodes the block for the next position. Its bytes are final from here on. */
 static void
-take_off (KqJournal *j, KqBlock *b)
+prepare_write (KqJournal *j, KqBlock *b)
 {
-  KqFlight *f = &j->flight;
-  assert (!j->flying);
+  KqSlotWrite *w = &j->slot_write;
+  assert (!j->write_pending);
   b->kind = KQ_BLOCK_SLOT;
   b->shard = j->shard;
   b->epoch = j->epoch;
@@ -97,15 +98,15 @@
   b->write_id = kq_journal_write_id (j);
   b->index = j->next_index;
   b->seq = j->sent + 1;
-  kq_buf_clear (&f->value);
-  kq_block_encode (b, &f->value);
-  f->index = b->index;
-  f->write_id = b->write_id;
-  f->expect = j->slot_revision[b->index % KQ_JOURNAL_SLOTS];
-  f->last = j->sent + b->n_records;
-  j->sent = f->last;
-  j->flying = true;
-  kq_journal_lane_next (&j->log, KQ_STEP_WRITE);
+  kq_buf_clear (&w->value);
+  kq_block_encode (b, &w->value);
+  w->index = b->index;
+  w->write_id = b->write_id;
+  w->expect = j->slot_revision[b->index % KQ_JOURNAL_SLOTS];
+  w->last = j->sent + b->n_records;
+  j->sent = w->last;
+  j->write_pending = true;
+  kq_journal_set_step (&j->log, KQ_STEP_WRITE);
 }
 
 void
@@ -116,64 +117,65 @@
     {
       char key[KQ_JOURNAL_KEY_MAX];
       kq_journal_slot_key (j, j->next_index, key);
-      kq_journal_fail (j, KQ_ERR_JOURNAL_FULL, kq_str (key),
-                       "No slot is left for a fence.");
+      kq_journal_set_damaged (j, KQ_ERR_JOURNAL_FULL, kq_str (key),
+                              "No slot is left for a fence.");
       return;
     }
   j->state = KQ_JOURNAL_FENCING;
-  take_off (j, &b);
-  j->flight.oldest = now;
-  j->flight.commit_class = KQ_COMMIT_URGENT;
+  prepare_write (j, &b);
+  j->slot_write.oldest_at = now;
+  j->slot_write.commit_class = KQ_COMMIT_URGENT;
 }
 
 static bool
 ring_full (const KqJournal *j)
 {
-  return j->next_index > j->covered_index + KQ_JOURNAL_SLOTS - KQ_JOURNAL_SLOTS_FENCE;
+  return j->next_index > j->covered_index + KQ_JOURNAL_SLOTS - KQ_JOURNAL_FENCE_SLOTS;
 }
 
-/* When the rate allows the next commit (a token bucket kept as one time: `paid_until`
- * moves on by one interval a commit and may run ahead of `now` by the burst). */
+/* When the rate limit allows the next commit. The limit is a token bucket kept as one
+ * time: each commit moves rate_used_until forward by one interval, and it may be ahead of
+ * `now` by the burst. */
 static KqTime
-allowed_at (const KqJournal *j)
+rate_allows_at (const KqJournal *j)
 {
   int burst = KQ_JOURNAL_BURST;
   if (j->n_urgent > 0)
     burst += KQ_JOURNAL_URGENT_BURST;
-  return j->paid_until - (burst - 1) * j->interval;
+  return j->rate_used_until - (burst - 1) * j->commit_interval;
 }
 
 KqTime
 kq_journal_commit_due (const KqJournal *j)
 {
-  if (j->draining || ring_full (j) || j->first == j->len)
+  if (j->replaying || ring_full (j) || j->first == j->len)
     return KQ_TIME_NEVER;
-  return allowed_at (j);
+  return rate_allows_at (j);
 }
 
-/* Packs the records that wait into a block, as many as fit. */
+/* Packs as many pending records as fit into a block. */
 static void
-pack_waiting (KqJournal *j)
+pack_pending (KqJournal *j)
 {
   KqCommitClass c = j->n_urgent > 0 ? KQ_COMMIT_URGENT : KQ_COMMIT_NORMAL;
   KqBlock b = { 0 };
   size_t bytes = 0;
   size_t n = 0;
-  KqTime oldest = j->waiting[j->first].at;
+  KqTime oldest_at = j->pending[j->first].appended_at;
   b.records = kq_alloc ((j->len - j->first) * sizeof *b.records);
   for (; j->first + n < j->len; n++)
     {
-      const KqRecord *r = &j->waiting[j->first + n].record;
+      const KqRecord *r = &j->pending[j->first + n].record;
       bytes += r->body.len + 16;
       if (n > 0 && bytes > KQ_JOURNAL_BLOCK_BYTES)
         break;
       b.records[n] = *r;
-      j->n_urgent -= j->waiting[j->first + n].commit_class == KQ_COMMIT_URGENT;
+      j->n_urgent -= j->pending[j->first + n].commit_class == KQ_COMMIT_URGENT;
     }
   b.n_records = n;
-  take_off (j, &b);
-  j->flight.oldest = oldest;
-  j->flight.commit_class = c;
+  prepare_write (j, &b);
+  j->slot_write.oldest_at = oldest_at;
+  j->slot_write.commit_class = c;
   for (size_t i = 0; i < n; i++)
     free ((char *)b.records[i].body.ptr);
   free (b.records);
@@ -186,92 +188,95 @@
 send_write (KqJournal *j, KqTime now, KqOutbox *out)
 {
   char key[KQ_JOURNAL_KEY_MAX];
-  const KqFlight *f = &j->flight;
-  kq_journal_slot_key (j, f->index, key);
+  const KqSlotWrite *w = &j->slot_write;
+  kq_journal_slot_key (j, w->index, key);
   KqStoreOp op = { .kind = KQ_STORE_PUT,
-                   .call_class = f->commit_class == KQ_COMMIT_URGENT ? KQ_STORE_URGENT
+                   .call_class = w->commit_class == KQ_COMMIT_URGENT ? KQ_STORE_URGENT
                                                                      : KQ_STORE_NORMAL,
                    .key = kq_str (key),
-                   .value = kq_buf_str (&f->value),
-                   .expect = f->expect };
-  j->paid_until = (j->paid_until > now ? j->paid_until : now) + j->interval;
+                   .value = kq_buf_str (&w->value),
+                   .expect = w->expect };
+  j->rate_used_until
+      = (j->rate_used_until > now ? j->rate_used_until : now) + j->commit_interval;
   kq_journal_send (j, &j->log, &op, now, out);
 }
 
 static void
-send_check (KqJournal *j, KqTime now, KqOutbox *out)
+send_read_back (KqJournal *j, KqTime now, KqOutbox *out)
 {
   char key[KQ_JOURNAL_KEY_MAX];
-  kq_journal_slot_key (j, j->flight.index, key);
+  kq_journal_slot_key (j, j->slot_write.index, key);
   KqStoreOp op
       = { .kind = KQ_STORE_GET,
-          .call_class = j->flight.commit_class == KQ_COMMIT_URGENT ? KQ_STORE_URGENT
-                                                                   : KQ_STORE_NORMAL,
+          .call_class = j->slot_write.commit_class == KQ_COMMIT_URGENT ? KQ_STORE_URGENT
+                                                                       : KQ_STORE_NORMAL,
           .key = kq_str (key) };
-  j->count.checks++;
+  j->count.read_backs++;
   kq_journal_send (j, &j->log, &op, now, out);
 }
 
 void
 kq_journal_commit_send (KqJournal *j, KqTime now, KqOutbox *out)
 {
-  if (j->log.step == KQ_STEP_CHECK)
+  if (j->log.step == KQ_STEP_READ_BACK)
     {
-      send_check (j, now, out);
+      send_read_back (j, now, out);
       return;
     }
-  if (!j->flying)
+  if (!j->write_pending)
     {
       if (now < kq_journal_commit_due (j))
         return;
-      pack_waiting (j);
+      pack_pending (j);
     }
   send_write (j, now, out);
 }
 
-/* The block in flight is in the store. */
+/* The prepared block is in the store. */
 static void
-landed (KqJournal *j, uint64_t revision)
+slot_committed (KqJournal *j, uint64_t revision)
 {
-  const KqFlight *f = &j->flight;
-  size_t slot = f->index % KQ_JOURNAL_SLOTS;
-  assert (f->index == j->next_index && f->last >= j->committed);
+  const KqSlotWrite *w = &j->slot_write;
+  size_t slot = w->index % KQ_JOURNAL_SLOTS;
+  assert (w->index == j->next_index && w->last >= j->committed);
   j->slot_revision[slot] = revision;
-  j->slot_last[slot] = f->last;
-  j->log_bytes += f->value.len;
+  j->slot_last[slot] = w->last;
+  j->log_bytes += w->value.len;
   j->next_index++;
-  j->count.committed_records += f->last - j->committed;
+  j->count.committed_records += w->last - j->committed;
   j->count.commits++;
-  j->count.commit_bytes += f->value.len;
-  j->committed = f->last;
-  j->flying = false;
+  j->count.commit_bytes += w->value.len;
+  j->committed = w->last;
+  j->write_pending = false;
   j->state = KQ_JOURNAL_OPEN;
-  kq_journal_lane_next (&j->log, KQ_STEP_IDLE);
+  kq_journal_set_step (&j->log, KQ_STEP_IDLE);
 }
 
-/* The slot holds `value` at `revision`, which isn't what we expected there. */
+/* The slot's revision isn't the expected one. `value` (revision 0: none) is our own write
+ * whose answer was lost, a block of another owner, or damage. */
 static void
-slot_taken (KqJournal *j, KqStr value, uint64_t revision, KqTime now)
+slot_conflict (KqJournal *j, KqStr value, uint64_t revision, KqTime now)
 {
   KqBlock b;
   char key[KQ_JOURNAL_KEY_MAX];
   KqResult result = revision != 0 ? kq_block_decode (value, &b) : KQ_ERR_JOURNAL_DAMAGED;
   if (result != KQ_OK)
     {
-      kq_journal_slot_key (j, j->flight.index, key);
-      kq_journal_fail (j, result, kq_str (key), "The next slot lost its content.");
+      kq_journal_slot_key (j, j->slot_write.index, key);
+      kq_journal_set_damaged (j, result, kq_str (key),
+                              "The next log slot is missing or can't be read.");
       return;
     }
   uint64_t epoch = b.epoch;
-  bool ours = b.write_id == j->flight.write_id && epoch == j->epoch && b.writer == j->self
-              && b.index == j->flight.index;
+  bool ours = b.write_id == j->slot_write.write_id && epoch == j->epoch
+              && b.writer == j->self && b.index == j->slot_write.index;
   kq_block_free (&b);
   if (ours)
-    landed (j, revision);
+    slot_committed (j, revision);
   else if (j->state == KQ_JOURNAL_FENCING && epoch <= j->epoch)
     {
-      /* The predecessor committed between our reading and our fence. */
-      j->flying = false;
+      /* The previous owner committed between our read and our fence: read again. */
+      j->write_pending = false;
       kq_journal_recover_start (j);
       kq_journal_back_off (j, &j->log, now);
     }
@@ -279,9 +284,10 @@
     kq_journal_fenced_by (j, epoch);
 }
 
-/* After a lost answer: the slot's content decides. */
+/* The slot was read because its write got no answer: an unchanged revision means that the
+ * write must be repeated. */
 static void
-checked (KqJournal *j, const KqStoreReply *r, KqTime now)
+read_back_reply (KqJournal *j, const KqStoreReply *r, KqTime now)
 {
   bool absent = r->result == KQ_ERR_STORE_NOT_FOUND;
   if (r->result != KQ_OK && !absent)
@@ -290,34 +296,34 @@
       return;
     }
   uint64_t revision = absent ? 0 : r->revision;
-  if (revision == j->flight.expect)
-    kq_journal_lane_next (&j->log, KQ_STEP_WRITE);
+  if (revision == j->slot_write.expect)
+    kq_journal_set_step (&j->log, KQ_STEP_WRITE);
   else
-    slot_taken (j, r->value, revision, now);
+    slot_conflict (j, r->value, revision, now);
 }
 
 void
 kq_journal_commit_reply (KqJournal *j, const KqStoreReply *r, KqTime now)
 {
-  assert (j->flying);
-  if (j->log.step == KQ_STEP_CHECK)
+  assert (j->write_pending);
+  if (j->log.step == KQ_STEP_READ_BACK)
     {
-      checked (j, r, now);
+      read_back_reply (j, r, now);
       return;
     }
   switch (r->result)
     {
     case KQ_OK:
-      landed (j, r->revision);
+      slot_committed (j, r->revision);
       break;
     case KQ_ERR_STORE_CONFLICT:
-      slot_taken (j, r->value, r->revision, now);
+      slot_conflict (j, r->value, r->revision, now);
       break;
-    case KQ_ERR_STORE_BUSY: /* our own budget: not sent */
+    case KQ_ERR_STORE_BUSY: /* rejected by this node's call limit, so not sent */
       kq_journal_back_off (j, &j->log, now);
       break;
     default:
-      j->log.step = KQ_STEP_CHECK;
+      j->log.step = KQ_STEP_READ_BACK;
       kq_journal_back_off (j, &j->log, now);
     }
 }
--- a/src/shard/journal_recover.c
+++ b/src/shard/journal_recover.c
@@ -5,9 +5,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Order of reading: first the log, then the snapshot. A predecessor that still writes
- * can only make the snapshot newer than the log that was read, and then it has also
- * written the slot where our fence goes: the fence fails and all is read again. */
+/* The log is read first, then the snapshot. If the previous owner still writes in
+ * between, the snapshot can only be newer than the log that was read. In that case the
+ * slot for our fence has been written too, so the fence fails and everything is read
+ * again. */
 
 static void
 free_blocks (KqBlock **blocks, size_t *n)
@@ -25,8 +26,8 @@
   free_blocks (&j->blocks, &j->n_blocks);
   free_blocks (&j->snapshot_blocks, &j->n_snapshot_blocks);
   kq_block_free (&j->head);
-  j->draining = false;
-  j->read_block = j->read_record = 0;
+  j->replaying = false;
+  j->replay_block = j->replay_record = 0;
 }
 
 void
@@ -36,12 +37,12 @@
   memset (j->slot_revision, 0, sizeof j->slot_revision);
   memset (j->slot_last, 0, sizeof j->slot_last);
   kq_part_keys_free (&j->parts);
-  kq_part_keys_free (&j->garbage);
+  kq_part_keys_free (&j->obsolete_parts);
   j->head_revision = 0;
   j->covered = j->covered_index = 0;
   j->log_bytes = j->snapshot_bytes = 0;
   j->state = KQ_JOURNAL_RECOVERING;
-  kq_journal_lane_next (&j->log, KQ_STEP_READ_LOG);
+  kq_journal_set_step (&j->log, KQ_STEP_READ_LOG);
 }
 
 void
@@ -62,9 +63,9 @@
   return x->index < y->index ? -1 : x->index > y->index;
 }
 
-/* The number behind the last '/' of a slot's key; false when there is none. */
+/* Parses the slot number at the end of log/<shard>/<i>; false: not a valid slot. */
 static bool
-slot_of_key (KqStr key, uint64_t *slot)
+parse_slot (KqStr key, uint64_t *slot)
 {
   KqStr rest = key;
   kq_str_cut (&rest, '/');
@@ -72,25 +73,25 @@
   return kq_str_to_u64 (rest, slot) && *slot < KQ_JOURNAL_SLOTS;
 }
 
-/* A value that can't be read ends the recovery: it may be the newest record, and what
- * was acknowledged must not be dropped in silence. */
+/* A value that can't be read ends the recovery: it may hold the newest records, which may
+ * have been acknowledged. */
 static bool
-take_slot (KqJournal *j, const KqStoreItem *item)
+load_slot (KqJournal *j, const KqStoreItem *item)
 {
   uint64_t slot = 0;
   KqBlock *b = &j->blocks[j->n_blocks];
   KqResult result = kq_block_decode (item->value, b);
   if (result != KQ_OK)
     {
-      kq_journal_fail (j, result, item->key, "A log slot can't be read.");
+      kq_journal_set_damaged (j, result, item->key, "A log slot can't be read.");
       return false;
     }
   j->n_blocks++;
-  if (!slot_of_key (item->key, &slot) || b->kind != KQ_BLOCK_SLOT || b->shard != j->shard
+  if (!parse_slot (item->key, &slot) || b->kind != KQ_BLOCK_SLOT || b->shard != j->shard
       || b->index == 0 || b->index % KQ_JOURNAL_SLOTS != slot)
     {
-      kq_journal_fail (j, KQ_ERR_JOURNAL_DAMAGED, item->key,
-                       "A log slot holds the block of another place.");
+      kq_journal_set_damaged (j, KQ_ERR_JOURNAL_DAMAGED, item->key,
+                              "A log slot holds a block of another slot or shard.");
       return false;
     }
   j->slot_revision[slot] = item->revision;
@@ -99,15 +100,15 @@
 }
 
 static void
-take_log (KqJournal *j, const KqStoreReply *r)
+load_log (KqJournal *j, const KqStoreReply *r)
 {
   j->blocks = kq_alloc ((r->n_items + 1) * sizeof *j->blocks);
   for (size_t i = 0; i < r->n_items; i++)
-    if (!take_slot (j, &r->items[i]))
+    if (!load_slot (j, &r->items[i]))
       return;
   if (j->n_blocks > 0)
     qsort (j->blocks, j->n_blocks, sizeof *j->blocks, by_index);
-  kq_journal_lane_next (&j->log, KQ_STEP_READ_SNAPSHOT);
+  kq_journal_set_step (&j->log, KQ_STEP_READ_SNAPSHOT);
 }
 
 static const KqStoreItem *
@@ -127,9 +128,9 @@
   return v;
 }
 
-/* Part k of the snapshot whose head was read. */
+/* Loads part k of the snapshot that j->head describes. */
 static bool
-take_part (KqJournal *j, const KqStoreReply *r, size_t k)
+load_part (KqJournal *j, const KqStoreReply *r, size_t k)
 {
   char key[KQ_JOURNAL_KEY_MAX];
   snprintf (key, sizeof key, "snap/%u/%016llx-%zu", j->shard,
@@ -140,7 +141,7 @@
       = item != NULL ? kq_block_decode (item->value, b) : KQ_ERR_JOURNAL_DAMAGED;
   if (result != KQ_OK)
     {
-      kq_journal_fail (j, result, kq_str (key), "A snapshot part can't be read.");
+      kq_journal_set_damaged (j, result, kq_str (key), "A snapshot part can't be read.");
       return false;
     }
   j->n_snapshot_blocks++;
@@ -148,15 +149,15 @@
   if (b->kind != KQ_BLOCK_PART || b->shard != j->shard || b->index != k
       || b->digest != digest_at (j->head.parts, k))
     {
-      kq_journal_fail (j, KQ_ERR_JOURNAL_DAMAGED, kq_str (key),
-                       "A snapshot part isn't the one its head names.");
+      kq_journal_set_damaged (j, KQ_ERR_JOURNAL_DAMAGED, kq_str (key),
+                              "A snapshot part doesn't match the snapshot's head.");
       return false;
     }
   return true;
 }
 
 static bool
-take_head (KqJournal *j, const KqStoreReply *r)
+load_head (KqJournal *j, const KqStoreReply *r)
 {
   char key[KQ_JOURNAL_KEY_MAX];
   snprintf (key, sizeof key, "snap/%u/head", j->shard);
@@ -164,12 +165,12 @@
   if (item == NULL)
     return true;
   KqResult result = kq_block_decode (item->value, &j->head);
-  bool right = result == KQ_OK && j->head.kind == KQ_BLOCK_SNAPSHOT
+  bool valid = result == KQ_OK && j->head.kind == KQ_BLOCK_SNAPSHOT
                && j->head.shard == j->shard && j->head.parts.len % 8 == 0;
-  if (!right)
+  if (!valid)
     {
-      kq_journal_fail (j, result != KQ_OK ? result : KQ_ERR_JOURNAL_DAMAGED, item->key,
-                       "The snapshot's head can't be read.");
+      kq_journal_set_damaged (j, result != KQ_OK ? result : KQ_ERR_JOURNAL_DAMAGED,
+                              item->key, "The snapshot's head can't be read.");
       return false;
     }
   j->head_revision = item->revision;
@@ -179,7 +180,7 @@
   size_t n = j->head.parts.len / 8;
   j->snapshot_blocks = kq_alloc ((n + 1) * sizeof *j->snapshot_blocks);
   for (size_t k = 0; k < n; k++)
-    if (!take_part (j, r, k))
+    if (!load_part (j, r, k))
       return false;
   if (n == 0)
     {
@@ -189,9 +190,10 @@
   return true;
 }
 
-/* Everything under snap/ but the head may be deleted once a head of ours stands. */
+/* Remembers all keys under snap/ but the head. They may be deleted once we have written a
+ * head of our own. */
 static void
-note_parts (KqJournal *j, const KqStoreReply *r)
+remember_part_keys (KqJournal *j, const KqStoreReply *r)
 {
   for (size_t i = 0; i < r->n_items; i++)
     if (!kq_str_has_suffix (r->items[i].key, KQ_STR ("/head"))
@@ -203,9 +205,9 @@
       }
 }
 
-/* Log slots that the snapshot replaces are not replayed. */
+/* Discards the log blocks that the snapshot covers. */
 static void
-drop_covered (KqJournal *j)
+discard_covered (KqJournal *j)
 {
   size_t n = 0;
   while (n < j->n_blocks && j->blocks[n].index <= j->covered_index)
@@ -214,9 +216,9 @@
   j->n_blocks -= n;
 }
 
-/* Positions and sequence numbers must follow each other without a gap. */
+/* Positions and sequence numbers must be without gaps, and epochs must not decrease. */
 static bool
-check_chain (KqJournal *j, uint64_t top)
+check_continuity (KqJournal *j, uint64_t last_index)
 {
   uint64_t index = j->covered_index;
   KqSeq last = j->covered;
@@ -229,8 +231,8 @@
         {
           char key[KQ_JOURNAL_KEY_MAX];
           kq_journal_slot_key (j, index + 1, key);
-          kq_journal_fail (j, KQ_ERR_JOURNAL_DAMAGED, kq_str (key),
-                           "A log slot is missing or out of order.");
+          kq_journal_set_damaged (j, KQ_ERR_JOURNAL_DAMAGED, kq_str (key),
+                                  "A log slot is missing or out of order.");
           return false;
         }
       index = b->index;
@@ -238,27 +240,27 @@
       epoch = b->epoch;
       j->log_bytes += b->n_bytes;
     }
-  assert (index == top);
+  assert (index == last_index);
   j->last = last > j->covered ? last : j->covered;
   return true;
 }
 
-/* All is read: checks that it fits together, then fences. */
+/* Log and snapshot are read: checks that they are consistent, then prepares the fence. */
 static void
-link_up (KqJournal *j, KqTime now)
+finish_read (KqJournal *j, KqTime now)
 {
-  uint64_t top = j->n_blocks > 0 ? j->blocks[j->n_blocks - 1].index : 0;
+  uint64_t last_index = j->n_blocks > 0 ? j->blocks[j->n_blocks - 1].index : 0;
   uint64_t epoch = j->n_blocks > 0 ? j->blocks[j->n_blocks - 1].epoch : 0;
   if (epoch > j->epoch)
     {
       kq_journal_fenced_by (j, epoch);
       return;
     }
-  if (top < j->covered_index)
+  if (last_index < j->covered_index)
     {
-      if (++j->rereads > KQ_JOURNAL_REREADS)
-        kq_journal_fail (j, KQ_ERR_JOURNAL_DAMAGED, KQ_STR (""),
-                         "The snapshot is newer than the whole log.");
+      if (++j->rereads > KQ_JOURNAL_REREADS_MAX)
+        kq_journal_set_damaged (j, KQ_ERR_JOURNAL_DAMAGED, KQ_STR (""),
+                                "The snapshot covers more positions than the log has.");
       else
         {
           kq_journal_recover_start (j);
@@ -266,12 +268,12 @@
         }
       return;
     }
-  drop_covered (j);
-  if (!check_chain (j, top))
+  discard_covered (j);
+  if (!check_continuity (j, last_index))
     return;
-  j->next_index = top + 1;
+  j->next_index = last_index + 1;
   j->committed = j->sent = j->last;
-  j->draining = true;
+  j->replaying = true;
   kq_journal_fence (j, now);
 }
 
@@ -284,53 +286,54 @@
       return;
     }
   if (j->log.step == KQ_STEP_READ_LOG)
-    take_log (j, r);
-  else if (take_head (j, r))
+    load_log (j, r);
+  else if (load_head (j, r))
     {
-      note_parts (j, r);
-      link_up (j, now);
+      remember_part_keys (j, r);
+      finish_read (j, now);
     }
 }
 
-/* The block that next_record reads; NULL: all were read. */
+/* The block at the replay position; NULL: all were replayed. */
 static const KqBlock *
-reading (const KqJournal *j)
+replayed_block (const KqJournal *j)
 {
-  if (j->read_block < j->n_snapshot_blocks)
-    return &j->snapshot_blocks[j->read_block];
-  size_t i = j->read_block - j->n_snapshot_blocks;
+  if (j->replay_block < j->n_snapshot_blocks)
+    return &j->snapshot_blocks[j->replay_block];
+  size_t i = j->replay_block - j->n_snapshot_blocks;
   return i < j->n_blocks ? &j->blocks[i] : NULL;
 }
 
-/* Whether the record at the reading position is to be applied. */
+/* Whether the record at the replay position has to be applied: it isn't covered by the
+ * snapshot and wasn't withdrawn. */
 static bool
-wanted (const KqJournal *j, const KqBlock *b)
+must_apply (const KqJournal *j, const KqBlock *b)
 {
-  const KqRecord *r = &b->records[j->read_record];
-  bool replaced = b->kind == KQ_BLOCK_SLOT && b->seq + j->read_record <= j->covered;
+  const KqRecord *r = &b->records[j->replay_record];
+  bool replaced = b->kind == KQ_BLOCK_SLOT && b->seq + j->replay_record <= j->covered;
   return !replaced && r->type != KQ_RECORD_VOID;
 }
 
 bool
 kq_journal_next_record (KqJournal *j, KqRecord *out)
 {
-  if (j->state != KQ_JOURNAL_OPEN || !j->draining)
+  if (j->state != KQ_JOURNAL_OPEN || !j->replaying)
     return false;
   const KqBlock *b;
-  while ((b = reading (j)) != NULL)
+  while ((b = replayed_block (j)) != NULL)
     {
-      if (j->read_record == b->n_records)
+      if (j->replay_record == b->n_records)
         {
-          j->read_block++;
-          j->read_record = 0;
+          j->replay_block++;
+          j->replay_record = 0;
           continue;
         }
-      if (!wanted (j, b))
+      if (!must_apply (j, b))
         {
-          j->read_record++;
+          j->replay_record++;
           continue;
         }
-      *out = b->records[j->read_record++];
+      *out = b->records[j->replay_record++];
       if (out->type >= 100)
         return true;
       kq_journal_refuse (j, out, KQ_ERR_JOURNAL_VERSION);
--- a/src/shard/journal_snapshot.c
+++ b/src/shard/journal_snapshot.c
@@ -5,29 +5,30 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A snapshot may hold the effect of records that are not in the store yet. It is
- * written only once they are; a withdrawn one among them throws it away. Parts have
- * names of their own (by write id), so that no writer ever touches a part that another
- * head names; the head alone is swapped. */
+/* A snapshot may include the effect of records that aren't committed yet. It is written
+ * only after they are, and is discarded if one of them is withdrawn. The keys of parts
+ * contain the snapshot's write id, so no writer ever changes a part that another head
+ * refers to; only the head is replaced, by compare-and-swap. */
 
 bool
 kq_journal_snapshot_due (const KqJournal *j)
 {
-  if (j->state != KQ_JOURNAL_OPEN || j->draining || j->snapshot.building
+  if (j->state != KQ_JOURNAL_OPEN || j->replaying || j->snapshot.building
       || j->snapshot.ready || j->snap.step != KQ_STEP_IDLE)
     return false;
-  size_t bytes = j->snapshot_bytes > KQ_JOURNAL_BYTES_DUE ? j->snapshot_bytes
-                                                          : KQ_JOURNAL_BYTES_DUE;
+  size_t bytes = j->snapshot_bytes > KQ_JOURNAL_SNAPSHOT_BYTES
+                     ? j->snapshot_bytes
+                     : KQ_JOURNAL_SNAPSHOT_BYTES;
   uint64_t slots = j->next_index - 1 - j->covered_index;
-  return slots >= KQ_JOURNAL_SLOTS_DUE || j->log_bytes >= bytes;
+  return slots >= KQ_JOURNAL_SNAPSHOT_SLOTS || j->log_bytes >= bytes;
 }
 
 static void
-free_open (KqSnapshot *s)
+free_open_part (KqSnapshot *s)
 {
-  for (size_t i = 0; i < s->open.n_records; i++)
-    free ((char *)s->open.records[i].body.ptr);
-  s->open.n_records = 0;
+  for (size_t i = 0; i < s->open_part.n_records; i++)
+    free ((char *)s->open_part.records[i].body.ptr);
+  s->open_part.n_records = 0;
   s->open_bytes = 0;
 }
 
@@ -35,8 +36,8 @@
 kq_journal_snapshot_drop (KqJournal *j)
 {
   KqSnapshot *s = &j->snapshot;
-  free_open (s);
-  free (s->open.records);
+  free_open_part (s);
+  free (s->open_part.records);
   for (size_t i = 0; i < s->n_parts; i++)
     kq_buf_free (&s->parts[i]);
   free (s->parts);
@@ -44,7 +45,7 @@
   kq_buf_free (&s->head);
   kq_part_keys_free (&s->written);
   *s = (KqSnapshot){ 0 };
-  j->snap = (KqLane){ 0 };
+  j->snap = (KqStoreLane){ 0 };
 }
 
 void
@@ -53,7 +54,7 @@
   KqSnapshot *s = &j->snapshot;
   if ((!s->building && !s->ready) || seq > s->covers)
     return;
-  assert (j->snap.number == 0 && s->next_part == 0);
+  assert (j->snap.call_number == 0 && s->next_part == 0);
   kq_journal_snapshot_drop (j);
 }
 
@@ -61,16 +62,16 @@
 kq_journal_snapshot_begin (KqJournal *j)
 {
   KqSnapshot *s = &j->snapshot;
-  assert (j->state == KQ_JOURNAL_OPEN && !j->draining && !s->building && !s->ready);
+  assert (j->state == KQ_JOURNAL_OPEN && !j->replaying && !s->building && !s->ready);
   assert (j->snap.step == KQ_STEP_IDLE);
   s->building = true;
   s->covers = j->last;
   s->write_id = kq_journal_write_id (j);
 }
 
-/* The fields that head and parts share. */
+/* Sets the fields that the head and the parts have in common. */
 static void
-stamp (const KqJournal *j, KqBlock *b, KqBlockKind kind)
+set_origin (const KqJournal *j, KqBlock *b, KqBlockKind kind)
 {
   b->kind = kind;
   b->shard = j->shard;
@@ -79,20 +80,20 @@
   b->write_id = j->snapshot.write_id;
 }
 
-/* Ends the part that is being filled. */
+/* Encodes the part being filled and begins a new one. */
 static void
-close_part (KqJournal *j)
+finish_part (KqJournal *j)
 {
   KqSnapshot *s = &j->snapshot;
-  stamp (j, &s->open, KQ_BLOCK_PART);
-  s->open.index = s->n_parts;
+  set_origin (j, &s->open_part, KQ_BLOCK_PART);
+  s->open_part.index = s->n_parts;
   s->parts = kq_realloc (s->parts, (s->n_parts + 1) * sizeof *s->parts);
   kq_buf_init (&s->parts[s->n_parts]);
-  kq_block_encode (&s->open, &s->parts[s->n_parts]);
-  kq_buf_add (&s->digests, &s->open.digest, sizeof s->open.digest);
+  kq_block_encode (&s->open_part, &s->parts[s->n_parts]);
+  kq_buf_add (&s->digests, &s->open_part.digest, sizeof s->open_part.digest);
   s->bytes += s->parts[s->n_parts].len;
   s->n_parts++;
-  free_open (s);
+  free_open_part (s);
 }
 
 void
@@ -104,14 +105,14 @@
   size_t size = r->body.len + 16;
   assert (size < KQ_JOURNAL_BLOCK_BYTES);
   if (s->open_bytes + size > KQ_JOURNAL_BLOCK_BYTES)
-    close_part (j);
-  if (s->open.n_records == s->open_capacity)
+    finish_part (j);
+  if (s->open_part.n_records == s->open_capacity)
     {
       s->open_capacity = s->open_capacity > 0 ? s->open_capacity * 2 : 64;
-      s->open.records
-          = kq_realloc (s->open.records, s->open_capacity * sizeof *s->open.records);
+      s->open_part.records = kq_realloc (s->open_part.records,
+                                         s->open_capacity * sizeof *s->open_part.records);
     }
-  KqRecord *copy = &s->open.records[s->open.n_records++];
+  KqRecord *copy = &s->open_part.records[s->open_part.n_records++];
   *copy = *r;
   copy->body = kq_str_own (r->body);
   s->open_bytes += size;
@@ -123,13 +124,13 @@
   KqSnapshot *s = &j->snapshot;
   assert (s->building && s->covers == j->last);
   if (s->n_parts > 0)
-    close_part (j);
+    finish_part (j);
   s->building = false;
   s->ready = true;
   kq_journal_tick (j, now, out);
 }
 
-/* The last position all of whose records the snapshot covers. */
+/* The last position up to which the snapshot covers all records. */
 static uint64_t
 last_covered_index (const KqJournal *j)
 {
@@ -140,7 +141,7 @@
   return index;
 }
 
-/* A snapshot that fits into one value is written as its own head. */
+/* Encodes the head. If there are no parts it holds the records itself. */
 static void
 make_head (KqJournal *j)
 {
@@ -148,15 +149,15 @@
   KqBlock b = { .index = last_covered_index (j),
                 .seq = s->covers,
                 .parts = kq_buf_str (&s->digests) };
-  stamp (j, &b, KQ_BLOCK_SNAPSHOT);
+  set_origin (j, &b, KQ_BLOCK_SNAPSHOT);
   if (s->n_parts == 0)
     {
-      b.records = s->open.records;
-      b.n_records = s->open.n_records;
+      b.records = s->open_part.records;
+      b.n_records = s->open_part.n_records;
     }
   kq_block_encode (&b, &s->head);
   s->bytes += s->head.len;
-  free_open (s);
+  free_open_part (s);
 }
 
 static void
@@ -177,18 +178,18 @@
 {
   char key[KQ_JOURNAL_KEY_MAX];
   snprintf (key, sizeof key, "snap/%u/head", j->shard);
-  bool check = j->snap.step == KQ_STEP_CHECK;
-  KqStoreOp op = { .kind = check ? KQ_STORE_GET : KQ_STORE_PUT,
+  bool read_back = j->snap.step == KQ_STEP_READ_BACK;
+  KqStoreOp op = { .kind = read_back ? KQ_STORE_GET : KQ_STORE_PUT,
                    .key = kq_str (key),
-                   .value = check ? (KqStr){ 0 } : kq_buf_str (&j->snapshot.head),
+                   .value = read_back ? (KqStr){ 0 } : kq_buf_str (&j->snapshot.head),
                    .expect = j->head_revision };
   kq_journal_send (j, &j->snap, &op, now, out);
 }
 
 static void
-send_clean (KqJournal *j, KqTime now, KqOutbox *out)
+send_delete_part (KqJournal *j, KqTime now, KqOutbox *out)
 {
-  const KqPartKey *k = &j->garbage.items[j->garbage.n - 1];
+  const KqPartKey *k = &j->obsolete_parts.items[j->obsolete_parts.n - 1];
   KqStoreOp op
       = { .kind = KQ_STORE_DELETE, .key = kq_str (k->key), .expect = k->revision };
   kq_journal_send (j, &j->snap, &op, now, out);
@@ -203,28 +204,29 @@
       if (!s->ready || j->committed < s->covers)
         return;
       make_head (j);
-      kq_journal_lane_next (&j->snap, s->n_parts > 0 ? KQ_STEP_PART : KQ_STEP_WRITE);
+      kq_journal_set_step (&j->snap, s->n_parts > 0 ? KQ_STEP_WRITE_PART : KQ_STEP_WRITE);
     }
   switch (j->snap.step)
     {
-    case KQ_STEP_PART:
+    case KQ_STEP_WRITE_PART:
       send_part (j, now, out);
       break;
     case KQ_STEP_WRITE:
-    case KQ_STEP_CHECK:
+    case KQ_STEP_READ_BACK:
       send_head (j, now, out);
       break;
-    case KQ_STEP_CLEAN:
-      send_clean (j, now, out);
+    case KQ_STEP_DELETE_PART:
+      send_delete_part (j, now, out);
       break;
     default:
       assert (false);
     }
 }
 
-/* The head is in the store: earlier slots may be written again, earlier parts go. */
+/* The head is in the store: slots that it covers may be overwritten, and the parts of
+ * earlier snapshots are deleted. */
 static void
-head_landed (KqJournal *j, uint64_t revision)
+head_committed (KqJournal *j, uint64_t revision)
 {
   KqSnapshot *s = &j->snapshot;
   KqBlock head;
@@ -241,18 +243,21 @@
   j->count.snapshots++;
   j->count.snapshot_bytes += s->bytes;
   for (size_t i = 0; i < j->parts.n; i++)
-    kq_part_keys_add (&j->garbage, j->parts.items[i].key, j->parts.items[i].revision);
+    kq_part_keys_add (&j->obsolete_parts, j->parts.items[i].key,
+                      j->parts.items[i].revision);
   kq_part_keys_free (&j->parts);
   j->parts = s->written;
   s->written = (KqPartKeys){ 0 };
   kq_journal_snapshot_drop (j);
-  kq_journal_lane_next (&j->snap, j->garbage.n > 0 ? KQ_STEP_CLEAN : KQ_STEP_IDLE);
+  kq_journal_set_step (&j->snap,
+                       j->obsolete_parts.n > 0 ? KQ_STEP_DELETE_PART : KQ_STEP_IDLE);
 }
 
-/* Another head stands there. A predecessor's that came late is an older snapshot of the
- * same log and may be replaced; a successor's means that we are fenced. */
+/* The head's revision isn't the expected one. If the head is a previous owner's, written
+ * late, it is an older snapshot of the same log and is replaced. A successor's head means
+ * that we are fenced. */
 static void
-head_taken (KqJournal *j, KqStr value, uint64_t revision)
+head_conflict (KqJournal *j, KqStr value, uint64_t revision)
 {
   KqBlock b;
   char key[KQ_JOURNAL_KEY_MAX];
@@ -260,49 +265,50 @@
   if (result != KQ_OK)
     {
       snprintf (key, sizeof key, "snap/%u/head", j->shard);
-      kq_journal_fail (j, result, kq_str (key), "The snapshot's head was lost.");
+      kq_journal_set_damaged (j, result, kq_str (key),
+                              "The snapshot's head is missing or can't be read.");
       return;
     }
   uint64_t epoch = b.epoch;
   bool ours = epoch == j->epoch && b.write_id == j->snapshot.write_id;
   kq_block_free (&b);
   if (ours)
-    head_landed (j, revision);
+    head_committed (j, revision);
   else if (epoch > j->epoch)
     kq_journal_fenced_by (j, epoch);
   else
     {
       j->head_revision = revision;
-      kq_journal_lane_next (&j->snap, KQ_STEP_WRITE);
+      kq_journal_set_step (&j->snap, KQ_STEP_WRITE);
     }
 }
 
 static void
 head_reply (KqJournal *j, const KqStoreReply *r, KqTime now)
 {
-  bool check = j->snap.step == KQ_STEP_CHECK;
-  bool absent = check && r->result == KQ_ERR_STORE_NOT_FOUND;
+  bool read_back = j->snap.step == KQ_STEP_READ_BACK;
+  bool absent = read_back && r->result == KQ_ERR_STORE_NOT_FOUND;
   uint64_t revision = absent ? 0 : r->revision;
-  if (r->result == KQ_OK && !check)
-    head_landed (j, r->revision);
+  if (r->result == KQ_OK && !read_back)
+    head_committed (j, r->revision);
   else if (r->result == KQ_ERR_STORE_CONFLICT)
-    head_taken (j, r->value, r->revision);
+    head_conflict (j, r->value, r->revision);
   else if (absent || r->result == KQ_OK)
     {
       if (revision == j->head_revision)
-        kq_journal_lane_next (&j->snap, KQ_STEP_WRITE);
+        kq_journal_set_step (&j->snap, KQ_STEP_WRITE);
       else
-        head_taken (j, r->value, revision);
+        head_conflict (j, r->value, revision);
     }
   else
     {
       if (r->result != KQ_ERR_STORE_BUSY)
-        j->snap.step = KQ_STEP_CHECK;
+        j->snap.step = KQ_STEP_READ_BACK;
       kq_journal_back_off (j, &j->snap, now);
     }
 }
 
-/* Nobody else uses the part's key: a conflict is our own write, come before. */
+/* Nobody else uses the part's key, so a conflict is an earlier try of the same write. */
 static void
 part_reply (KqJournal *j, const KqStoreReply *r, KqTime now)
 {
@@ -318,14 +324,14 @@
             (unsigned long long)s->write_id, s->next_part);
   if (conflict && !kq_str_eq (r->value, kq_buf_str (&s->parts[s->next_part])))
     {
-      kq_journal_fail (j, KQ_ERR_JOURNAL_DAMAGED, kq_str (key),
-                       "A snapshot part was overwritten.");
+      kq_journal_set_damaged (j, KQ_ERR_JOURNAL_DAMAGED, kq_str (key),
+                              "A snapshot part was overwritten.");
       return;
     }
   kq_part_keys_add (&s->written, key, r->revision);
   s->next_part++;
-  kq_journal_lane_next (&j->snap,
-                        s->next_part < s->n_parts ? KQ_STEP_PART : KQ_STEP_WRITE);
+  kq_journal_set_step (&j->snap,
+                       s->next_part < s->n_parts ? KQ_STEP_WRITE_PART : KQ_STEP_WRITE);
 }
 
 void
@@ -333,17 +339,18 @@
 {
   switch (j->snap.step)
     {
-    case KQ_STEP_PART:
+    case KQ_STEP_WRITE_PART:
       part_reply (j, r, now);
       break;
     case KQ_STEP_WRITE:
-    case KQ_STEP_CHECK:
+    case KQ_STEP_READ_BACK:
       head_reply (j, r, now);
       break;
-    case KQ_STEP_CLEAN:
-      /* A deletion that failed is left to the next owner, who finds the key. */
-      j->garbage.n--;
-      kq_journal_lane_next (&j->snap, j->garbage.n > 0 ? KQ_STEP_CLEAN : KQ_STEP_IDLE);
+    case KQ_STEP_DELETE_PART:
+      /* A failed deletion isn't repeated: the next owner lists the key and deletes it. */
+      j->obsolete_parts.n--;
+      kq_journal_set_step (&j->snap,
+                           j->obsolete_parts.n > 0 ? KQ_STEP_DELETE_PART : KQ_STEP_IDLE);
       break;
     default:
       assert (false);
--- a/src/shard/journal_state.h
+++ b/src/shard/journal_state.h
@@ -1,85 +1,88 @@
 #ifndef KQ_SHARD_JOURNAL_STATE_H
 #define KQ_SHARD_JOURNAL_STATE_H
 
-/* journal_state: what the files of the journal share. Internal to the journal.
+/* journal_state: declarations shared by the files of the journal. Internal to it.
  *
- * Two lanes talk to the store, each with one call in flight at most: the log lane
- * (reading at recovery, then fence and commits) and the snapshot lane. A lane's step
- * says what to do next; the call is sent by tick once `wait_until` has come. */
+ * Two independent sequences of store calls ("lanes") run at the same time, each with at
+ * most one call in flight: the log lane (reads at recovery, then the fence and commits)
+ * and the snapshot lane. A lane's step says which call is next or in flight; tick sends
+ * it once `wait_until` has passed. */
 
 #include "base/rand.h"
 #include "shard/backoff.h"
 #include "shard/journal.h"
 #include "shard/journal_block.h"
 
-/* Slots of the ring. At 4 commits a second it is full after a minute; a snapshot is due
- * at three quarters, so that it has 16 s to be written. One LIST reads it at recovery. */
+/* Slots of the ring, read by one LIST at recovery. At 4 commits per second it fills in
+ * 64 s. A snapshot is due when three quarters are used, which leaves 16 s to write it. */
 #define KQ_JOURNAL_SLOTS 256
-#define KQ_JOURNAL_SLOTS_DUE (KQ_JOURNAL_SLOTS * 3 / 4)
-/* Commits leave these slots to the fences of successors: a full ring without room for
- * a fence could never be opened again. */
-#define KQ_JOURNAL_SLOTS_FENCE 32
-/* A snapshot is also due once the log has so many bytes, and as many as the last
- * snapshot: reading stays within twice the state, and snapshots cost at most as many
- * bytes as the log. */
-#define KQ_JOURNAL_BYTES_DUE ((size_t)256 * 1024)
-/* Bytes of records in one value; the rest of the store's limit is left to the fields. */
+#define KQ_JOURNAL_SNAPSHOT_SLOTS (KQ_JOURNAL_SLOTS * 3 / 4)
+/* Slots that commits leave free for the fences of later owners. If the ring were full, no
+ * new owner could write its fence and the journal could never be opened again. */
+#define KQ_JOURNAL_FENCE_SLOTS 32
+/* A snapshot is also due once the log has this many bytes and at least as many as the
+ * last snapshot. So recovery reads at most about twice the size of the state, and
+ * snapshots write at most as many bytes as the log. */
+#define KQ_JOURNAL_SNAPSHOT_BYTES ((size_t)256 * 1024)
+/* Limit for the records of one block; the rest of the store's value limit is for the
+ * block's fields. */
 #define KQ_JOURNAL_BLOCK_BYTES ((size_t)900 * 1000)
-/* Commits that may go at once after a quiet time, and what urgent ones may add. Eight
- * take the whole of a job's start and end; urgent work's reserve lasts 2 s at 4 a
- * second, longer than the 1.6 s in which it must start. */
+/* Burst of the commit rate limit, in commits, and the extra burst for urgent commits.
+ * Eight commits cover the start and the end of a job. The extra burst equals 2 s of the
+ * rate at 4 per second, longer than the 1.6 s within which urgent work must start. */
 #define KQ_JOURNAL_BURST 8
 #define KQ_JOURNAL_URGENT_BURST 8
-/* A call without any reply counts as unreachable after this: the store's client answers
- * every call, so only a fault of our own comes to this. */
-#define KQ_JOURNAL_REPLY_MAX (30 * KQ_SEC)
-/* Times that log and snapshot may contradict each other in a way that a predecessor's
- * late write explains, before it counts as damage. */
-#define KQ_JOURNAL_REREADS 5
+/* A call without a reply counts as KQ_ERR_STORE_UNREACHABLE after this time. The store
+ * client answers every call, so a missing reply is a fault inside this process. */
+#define KQ_JOURNAL_REPLY_TIMEOUT (30 * KQ_SEC)
+/* How often recovery reads again when the snapshot is newer than the log. A late write of
+ * the previous owner can cause that; after this many times it counts as damage. */
+#define KQ_JOURNAL_REREADS_MAX 5
 #define KQ_JOURNAL_KEY_MAX 96
 
 /* Records of the journal itself. */
-#define KQ_RECORD_VOID 1 /* stands where a record was withdrawn */
+#define KQ_RECORD_VOID 1 /* replaces a withdrawn record and keeps its number */
 
 typedef enum
 {
   KQ_STEP_IDLE,
   KQ_STEP_READ_LOG,
   KQ_STEP_READ_SNAPSHOT,
-  KQ_STEP_WRITE, /* the block in flight */
-  KQ_STEP_CHECK, /* read back after a lost answer */
-  KQ_STEP_PART,  /* snapshot lane: the next part */
-  KQ_STEP_CLEAN  /* snapshot lane: delete a part that no head names any more */
+  KQ_STEP_WRITE,      /* log lane: the prepared block; snapshot lane: the head */
+  KQ_STEP_READ_BACK,  /* read the key after a write without an answer */
+  KQ_STEP_WRITE_PART, /* snapshot lane: write the next part */
+  KQ_STEP_DELETE_PART /* snapshot lane: delete a part that no head refers to */
 } KqStep;
 
 typedef struct
 {
   KqStep step;
-  uint32_t number; /* of the call in flight; 0: none */
+  uint32_t call_number; /* of the call in flight; 0: none */
   KqTime sent_at;
   KqTime wait_until;
   KqTime backoff;
-} KqLane;
+} KqStoreLane;
 
 typedef struct
 {
   KqRecord record; /* owns its body */
-  KqTime at;
+  KqTime appended_at;
   KqCommitClass commit_class;
-} KqWaiting;
+} KqPendingRecord;
 
-/* The block being written. Once sent its bytes never change: a late first write and a
- * repeated one are the same, and what was in it can't be withdrawn any more. */
+/* The block being written to the next slot. Its bytes never change once it is prepared,
+ * so a delayed first write and a retry have the same effect; its records can't be
+ * withdrawn. */
 typedef struct
 {
   KqBuf value;
   uint64_t index;
   uint64_t write_id;
-  uint64_t expect;
-  KqSeq last;
-  KqTime oldest; /* since when its oldest record waits */
+  uint64_t expect;  /* revision of the slot to be replaced */
+  KqSeq last;       /* its last record */
+  KqTime oldest_at; /* when its oldest record was appended */
   KqCommitClass commit_class;
-} KqFlight;
+} KqSlotWrite;
 
 typedef struct
 {
@@ -93,20 +96,20 @@
   size_t n;
 } KqPartKeys;
 
-/* A snapshot from its _begin until its head is in the store. */
+/* A snapshot being made, from _begin until its head is in the store. */
 typedef struct
 {
   bool building;
   bool ready;   /* _end was called */
   KqSeq covers; /* the last record whose effect is in it */
   uint64_t write_id;
-  KqBlock open; /* records of the part being filled */
+  KqBlock open_part; /* the part being filled; owns the bodies of its records */
   size_t open_capacity;
   size_t open_bytes;
   KqBuf *parts; /* encoded */
   size_t n_parts;
-  size_t next_part; /* to be written */
-  KqBuf digests;
+  size_t next_part; /* the next to be written */
+  KqBuf digests;    /* of the parts, 8 bytes each */
   KqBuf head;
   size_t bytes;
   KqPartKeys written;
@@ -117,55 +120,61 @@
   uint32_t shard;
   KqNodeId self;
   KqRand rand;
-  uint32_t next_number;
+  uint32_t next_call_number;
   KqJournalState state;
   uint64_t epoch;
   KqJournalDamage damage;
   KqJournalCount count;
 
-  KqLane log;
+  KqStoreLane log;
   uint64_t slot_revision[KQ_JOURNAL_SLOTS];
-  KqSeq slot_last[KQ_JOURNAL_SLOTS]; /* the last record up to and in the slot */
-  uint64_t next_index;               /* position of the next write; the first is 1 */
-  size_t log_bytes;                  /* since the snapshot */
-  KqSeq last;                        /* given out */
-  KqSeq sent;                        /* in a block that may be in the store */
+  KqSeq slot_last[KQ_JOURNAL_SLOTS]; /* last record in the slot or, if empty, before it */
+  uint64_t next_index;               /* position of the next block, from 1 */
+  size_t log_bytes;                  /* written since the snapshot */
+  KqSeq last;                        /* last record appended */
+  KqSeq sent;                        /* last record in a prepared or written block */
   KqSeq committed;
-  KqWaiting *waiting; /* from `first` to `len`; the seq of `first` is sent + 1 */
+  /* Records that aren't in a block yet: items `first` to `len` - 1. The sequence number
+   * of the item `first` is sent + 1. */
+  KqPendingRecord *pending;
   size_t first, len, capacity;
-  size_t n_urgent; /* among those waiting */
-  bool flying;
-  KqFlight flight;
-  KqTime interval; /* between commits, on average */
-  KqTime paid_until;
-
-  KqBlock *blocks; /* recovered: log slots by index, behind the snapshot's */
+  size_t n_urgent;    /* of those */
+  bool write_pending; /* `slot_write` isn't acknowledged yet */
+  KqSlotWrite slot_write;
+  KqTime commit_interval; /* between commits at the allowed rate */
+  KqTime rate_used_until; /* the commits so far use up the allowed rate until then */
+
+  /* Recovered, until all records were replayed: */
+  KqBlock *blocks; /* log slots after the snapshot, by index */
   size_t n_blocks;
-  KqBlock *snapshot_blocks; /* parts in order, or the head alone */
+  KqBlock *snapshot_blocks; /* parts in order, or a head without parts */
   size_t n_snapshot_blocks;
-  KqBlock head;      /* recovered */
-  size_t read_block; /* next_record: counts snapshot blocks, then log blocks */
-  size_t read_record;
-  bool draining; /* records are still to be taken by next_record */
-  int rereads;
+  KqBlock head;
+  size_t replay_block; /* position of next_record: in snapshot_blocks, then blocks */
+  size_t replay_record;
+  bool replaying; /* records are left for next_record */
+  int rereads;    /* see KQ_JOURNAL_REREADS_MAX */
 
-  KqLane snap;
+  KqStoreLane snap;
   KqSnapshot snapshot;
-  KqSeq covered;          /* by the snapshot in the store */
-  uint64_t covered_index; /* slots up to here may be written again */
+  KqSeq covered;          /* last record covered by the snapshot in the store */
+  uint64_t covered_index; /* slots up to this position may be overwritten */
   uint64_t head_revision;
-  size_t snapshot_bytes; /* of the last one */
-  KqPartKeys parts;      /* of the snapshot in the store, and leftovers */
-  KqPartKeys garbage;
+  size_t snapshot_bytes; /* size of the snapshot in the store */
+  KqPartKeys parts;      /* part keys in the store that the next head makes obsolete */
+  KqPartKeys obsolete_parts; /* part keys to delete now */
 };
 
-/* journal.c: calls and lanes */
-void kq_journal_fail (KqJournal *j, KqResult code, KqStr key, const char *what);
+/* journal.c */
+/* Logs the damage, drops the state in memory and makes the journal DAMAGED. */
+void kq_journal_set_damaged (KqJournal *j, KqResult code, KqStr key, const char *what);
+/* A block of a successor with this epoch was found: the journal becomes FENCED. */
 void kq_journal_fenced_by (KqJournal *j, uint64_t epoch);
-void kq_journal_send (KqJournal *j, KqLane *lane, KqStoreOp *op, KqTime now,
+void kq_journal_send (KqJournal *j, KqStoreLane *lane, KqStoreOp *op, KqTime now,
                       KqOutbox *out);
-void kq_journal_back_off (KqJournal *j, KqLane *lane, KqTime now);
-void kq_journal_lane_next (KqLane *lane, KqStep step);
+/* Delays the lane's next call after a failure. */
+void kq_journal_back_off (KqJournal *j, KqStoreLane *lane, KqTime now);
+void kq_journal_set_step (KqStoreLane *lane, KqStep step);
 void kq_journal_slot_key (const KqJournal *j, uint64_t index, char key[]);
 void kq_part_keys_add (KqPartKeys *k, const char *key, uint64_t revision);
 void kq_part_keys_free (KqPartKeys *k);
@@ -188,7 +197,7 @@
 void kq_journal_snapshot_send (KqJournal *j, KqTime now, KqOutbox *out);
 void kq_journal_snapshot_reply (KqJournal *j, const KqStoreReply *r, KqTime now);
 void kq_journal_snapshot_drop (KqJournal *j);
-/* A record up to `seq` was withdrawn: a snapshot that has its effect must not be. */
+/* The record `seq` was withdrawn: discards a snapshot in progress that includes it. */
 void kq_journal_snapshot_withdrawn (KqJournal *j, KqSeq seq);
 
 #endif
--- a/src/shard/journal_test.c
+++ b/src/shard/journal_test.c
@@ -16,7 +16,7 @@
 #define RECORD_TYPE 150
 #define N_SLOTS 256 /* of the ring */
 
-/* Up to two owners of one shard over one store; both share the clock. */
+/* Two nodes that may own the same shard, with one store and one clock. */
 typedef struct
 {
   KqStoreFake *store;
@@ -65,7 +65,7 @@
   kq_outbox_free (&out);
 }
 
-/* Moves on to the next thing that happens; false: nothing will. */
+/* Advances the time to the next event and handles it; false: there is none. */
 static bool
 step (Rig *g)
 {
@@ -124,7 +124,7 @@
   return kq_journal_append (g->journals[i], &r, KQ_COMMIT_NORMAL, g->now);
 }
 
-/* Reads what the journal recovered: values must be first..last without a gap. */
+/* Replays the recovered records; their values must be first..last without a gap. */
 static void
 expect_values (Rig *g, int i, uint64_t first, uint64_t last)
 {
@@ -148,7 +148,7 @@
   run_until_state (g, i, KQ_JOURNAL_OPEN);
 }
 
-/* One snapshot with the values first..last, `pad` bytes more in each record. */
+/* Makes a snapshot with the values first..last. */
 static void
 snapshot (Rig *g, int i, uint64_t first, uint64_t last)
 {
@@ -189,9 +189,9 @@
   rig_free (&g);
 }
 
-/* The store takes the write, the answer is lost (or the write comes late, or never). The
- * caller of the commit must wait until the slot was read back; a record counted as
- * committed by assumption would be lost, one written twice would be applied twice. */
+/* The answer to a commit is lost, or its write takes effect late or never. The journal
+ * must read the slot to learn the outcome. A record that was only assumed to be committed
+ * would be lost; one written to two slots would be applied twice. */
 static void
 test_lost_answer (void **state)
 {
@@ -215,8 +215,8 @@
       }
 }
 
-/* The same for the fence: without read-back the new owner would believe to be fenced by
- * its own record, or open without a fence. */
+/* The same for the fence. Without reading the slot the new owner would take its own fence
+ * for a successor's, or open without a fence. */
 static void
 test_lost_answer_of_fence (void **state)
 {
@@ -234,8 +234,9 @@
     }
 }
 
-/* A paused owner wakes after its successor has fenced. Its commit must fail in the store
- * and its journal say FENCED, or two owners would acknowledge different histories. */
+/* A suspended owner resumes after its successor has written its fence. The old owner's
+ * commit must fail in the store and its journal become FENCED; otherwise two owners would
+ * acknowledge different histories. */
 static void
 test_old_owner_is_fenced (void **state)
 {
@@ -259,9 +260,9 @@
   rig_free (&g);
 }
 
-/* The old owner's commit takes effect between the successor's reading and its fence. The
- * old owner acknowledges it, so the successor must see it: its fence fails and it reads
- * again. */
+/* The old owner's commit takes effect between the successor's read and its fence. The old
+ * owner acknowledges the commit, so the successor must not miss it: its fence fails and
+ * it reads again. */
 static void
 test_commit_between_read_and_fence (void **state)
 {
@@ -299,8 +300,8 @@
   rig_free (&g);
 }
 
-/* A snapshot was built while a record waited, and the record was then withdrawn: the
- * snapshot holds its effect and must never reach the store. */
+/* A snapshot is made while a record is pending, and the record is then withdrawn. The
+ * snapshot includes the record's effect and must never reach the store. */
 static void
 test_withdraw_drops_snapshot (void **state)
 {
@@ -322,8 +323,8 @@
   rig_free (&g);
 }
 
-/* A snapshot was built between two records that share a slot: the successor must take
- * the one from the snapshot alone and the other from the slot, each once. */
+/* A snapshot is made between two records that are written to the same slot. The successor
+ * must replay the first from the snapshot and the second from the slot, each once. */
 static void
 test_snapshot_inside_a_slot (void **state)
 {
@@ -346,7 +347,8 @@
   rig_free (&g);
 }
 
-/* The ring wraps three times; each snapshot may lose its answer in any way. */
+/* The ring wraps three times. The answer to the first write under snap/ is lost in each
+ * possible way. */
 static void
 test_ring_wraps_with_snapshots (void **state)
 {
@@ -373,8 +375,8 @@
     }
 }
 
-/* A state beyond the value limit: parts, found again by the successor; the parts of the
- * earlier snapshot go. */
+/* A state larger than the store's value limit is written in parts, which the successor
+ * must find. The parts of an earlier snapshot must be deleted. */
 static void
 test_snapshot_in_parts (void **state)
 {
@@ -411,14 +413,14 @@
   KqStoreOp list = { .kind = KQ_STORE_LIST, .key = KQ_STR ("snap/") };
   kq_store_fake_call (g.store, 5, &list, g.now);
   assert_true (kq_store_fake_next (g.store, g.now + KQ_SEC, &client, &reply));
-  /* The head and four parts (8, 8, 8, 1 records) of the second one alone. */
+  /* Only the head and the four parts (8, 8, 8, 1 records) of the second snapshot. */
   assert_int_equal (reply.n_items, 1 + 4);
   kq_outbox_free (&out);
   rig_free (&g);
 }
 
-/* A value in the store is damaged or of a later program's version. The newest record may
- * have been acknowledged, so the journal must not open without it. */
+/* A value in the store is damaged or has a later format version. It may hold the newest
+ * record, which may have been acknowledged, so the journal must not open without it. */
 static void
 test_damage_is_found (void **state)
 {
@@ -460,8 +462,8 @@
       }
 }
 
-/* During an outage nothing is acknowledged; afterwards everything is, in order, and the
- * return costs few calls. */
+/* During a store outage nothing is committed; afterwards everything is, in order. Retries
+ * must be few, so that they don't overload the returning store. */
 static void
 test_outage (void **state)
 {
--- a/src/shard/log_port.h
+++ b/src/shard/log_port.h
@@ -1,8 +1,8 @@
 #ifndef KQ_SHARD_LOG_PORT_H
 #define KQ_SHARD_LOG_PORT_H
 
-/* log_port: how jobs and claims append records, with the real journal behind it or an
- * array in tests. */
+/* log_port: the interface through which jobs and claims append records. Backed by the
+ * journal or, in tests, by an array. */
 
 #include "shard/journal.h"
 
@@ -12,14 +12,14 @@
   KQ_LOG_PORT_FAKE
 } KqLogPortKind;
 
-/* The fake keeps copies of the records and counts as committed whatever the test says. */
+/* Keeps copies of all records. The test sets what counts as committed and the lag. */
 typedef struct
 {
   KqRecord *records;
   size_t n_records;
   size_t capacity;
   KqSeq committed;
-  KqTime lag; /* what kq_log_port_lag says */
+  KqTime lag; /* returned by kq_log_port_lag */
 } KqFakeLog;
 
 typedef struct
--- a/src/shard/owner.c
+++ b/src/shard/owner.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #define PART "owner"
-#define NUMBER_BIT 0x80000000U /* numbers below belong to the journal */
+#define CALL_NUMBER_BIT 0x80000000U /* set in our call numbers, not in the journal's */
 
 KqOwner *
 kq_owner_new (const KqNodeInfo *self, uint32_t first, uint32_t n, uint64_t seed)
@@ -18,8 +18,9 @@
   o->n = n;
   o->entries = kq_alloc ((n > 0 ? n : 1) * sizeof *o->entries);
   o->rand = kq_rand (seed);
-  /* Replies to the process before this one must not look like ours. */
-  o->next_number = (uint32_t)kq_rand_next (&o->rand);
+  /* A random start, so that a late reply to an earlier process of this node doesn't match
+   * one of our calls. */
+  o->next_call_number = (uint32_t)kq_rand_next (&o->rand);
   o->times = (KqOwnerTimes){ .lease = 10 * KQ_SEC, .blind_max = 600 * KQ_SEC };
   return o;
 }
@@ -48,7 +49,7 @@
 }
 
 void
-kq_owner_tell (KqOwner *o, KqOwnerEventKind kind, uint32_t i)
+kq_owner_add_event (KqOwner *o, KqOwnerEventKind kind, uint32_t i)
 {
   if (o->n_events == o->events_capacity)
     {
@@ -71,7 +72,7 @@
 }
 
 void
-kq_owner_drop (KqOwner *o, uint32_t i)
+kq_owner_reset_entry (KqOwner *o, uint32_t i)
 {
   KqOwnEntry *e = &o->entries[i];
   if (e->holding)
@@ -79,12 +80,12 @@
       kq_log (KQ_LOG_WARN, PART, "Ownership lost. shard=%u epoch=%llu", o->first + i,
               (unsigned long long)e->mine.epoch);
       o->count.lost++;
-      kq_owner_tell (o, KQ_OWNER_LOST, i);
+      kq_owner_add_event (o, KQ_OWNER_LOST, i);
     }
-  e->holding = e->told_give_up = false;
+  e->holding = e->give_up_sent = false;
   e->state = KQ_OWN_NONE;
   e->step = KQ_OWNER_IDLE;
-  e->number = 0;
+  e->call_number = 0;
   e->wait_until = e->backoff = 0;
 }
 
@@ -94,12 +95,12 @@
   KqOwnEntry *e = entry_of (o, shard);
   if (e == NULL || !e->holding)
     return;
-  if (now - e->took_at > KQ_OWNER_STEADY)
+  if (now - e->taken_at > KQ_OWNER_STABLE_TIME)
     e->step_downs = 0;
-  kq_owner_drop (o, (uint32_t)(e - o->entries));
-  e->uncertain = true; /* perhaps own/<shard> still names us */
+  kq_owner_reset_entry (o, (uint32_t)(e - o->entries));
+  e->uncertain = true; /* own/<shard> may still name us */
   e->wait_until = now + (KQ_OWNER_RECHECK << e->step_downs);
-  if (e->step_downs < KQ_OWNER_STEP_DOWNS)
+  if (e->step_downs < KQ_OWNER_STEP_DOWN_DOUBLINGS)
     e->step_downs++;
 }
 
@@ -137,10 +138,10 @@
   return &o->count;
 }
 
-/* No other node of the region had a key when we last saw the store. A node that is cut
- * off from everybody still knows the others' keys, so it doesn't count as alone. */
+/* No other node of the region had a key in the store when we last read it. A node that is
+ * cut off from all others still knows their keys, so it isn't taken for the only one. */
 static bool
-alone (const KqOwner *o, const KqMember *m)
+only_node_of_region (const KqOwner *o, const KqMember *m)
 {
   for (size_t k = 0; k < kq_member_count (m); k++)
     {
@@ -152,14 +153,15 @@
   return true;
 }
 
-/* Whether this process slept until just now: what it believes of its peers is from before
- * that, and a successor may have come. It must hear fresh heartbeats before it may take
- * the silence of the store for an outage; its lease alone is proof in the meantime. */
+/* Whether this process was suspended until recently. What it knows of its peers is then
+ * outdated, and a successor may have taken its shards. It must receive new heartbeats
+ * before it may treat a silent store as an outage; until then only a live lease makes it
+ * owner. */
 static bool
-slept (const KqOwner *o, KqTime now)
+recently_suspended (const KqOwner *o, KqTime now)
 {
-  return now - o->ticked_at > KQ_OWNER_HEARD (o)
-         || now - o->awake_at < KQ_OWNER_HEARD (o);
+  return now - o->ticked_at > KQ_OWNER_HEARD_AGE (o)
+         || now - o->resumed_at < KQ_OWNER_HEARD_AGE (o);
 }
 
 bool
@@ -168,20 +170,22 @@
   KqTime silence = kq_member_store_silence (m, now);
   if (kq_member_lease_live (m, now) || kq_member_lease (m) == 0)
     return false;
-  if (slept (o, now))
+  if (recently_suspended (o, now))
     return false;
-  /* The store answers us, so it is not away: our lease alone has lapsed. */
-  if (silence < KQ_OWNER_REACH (o) || silence > o->times.blind_max)
+  /* After a short silence the store isn't away: only our lease has expired. */
+  if (silence < KQ_OWNER_STORE_REACH_AGE (o) || silence > o->times.blind_max)
     return false;
-  if (kq_member_peer_reaches_store (m, KQ_OWNER_REACH (o), now))
+  if (kq_member_peer_reaches_store (m, KQ_OWNER_STORE_REACH_AGE (o), now))
     return false;
-  return kq_member_hears_region (m, KQ_OWNER_HEARD (o), now) || alone (o, m);
+  return kq_member_hears_region (m, KQ_OWNER_HEARD_AGE (o), now)
+         || only_node_of_region (o, m);
 }
 
-/* Whether ownership under `lease` is in force. A lease of another number means that the
- * one named in own/<shard> lapsed in between, and a successor may have come and gone. */
+/* Whether ownership that was taken under the lease id `lease` is still valid. If our
+ * present lease has another id, the one named in own/<shard> expired in between, and
+ * another node may have owned the shard since. */
 static bool
-in_force (const KqOwner *o, const KqMember *m, uint64_t lease, KqTime now)
+ownership_valid (const KqOwner *o, const KqMember *m, uint64_t lease, KqTime now)
 {
   return kq_member_lease (m) == lease
          && (kq_member_lease_live (m, now) || kq_owner_blind (o, m, now));
@@ -191,11 +195,11 @@
 kq_owner_is_mine (const KqOwner *o, uint32_t shard, const KqMember *m, KqTime now)
 {
   const KqOwnEntry *e = entry_of (o, shard);
-  return e != NULL && e->holding && in_force (o, m, e->mine.lease, now);
+  return e != NULL && e->holding && ownership_valid (o, m, e->mine.lease, now);
 }
 
 KqNodeId
-kq_owner_claimed (const KqMember *m, uint32_t shard, uint64_t *epoch)
+kq_owner_reported (const KqMember *m, uint32_t shard, uint64_t *epoch)
 {
   KqNodeId id = 0;
   for (size_t k = 0; k < kq_member_count (m); k++)
@@ -219,12 +223,12 @@
   const KqOwnEntry *e = entry_of (o, shard);
   uint64_t epoch = e != NULL && e->holding ? e->mine.epoch : 0;
   KqNodeId id = epoch > 0 ? o->self.id : 0;
-  KqNodeId claimed = kq_owner_claimed (m, shard, &epoch);
-  return claimed != 0 ? claimed : id;
+  KqNodeId reported = kq_owner_reported (m, shard, &epoch);
+  return reported != 0 ? reported : id;
 }
 
-/* Our lease lives, and we have seen our own key in the store: whatever node was there
- * before us is known. */
+/* Our lease is live and the list of nodes that we read has our own key, so we know every
+ * node that was in the store before us. */
 bool
 kq_owner_may_take (const KqOwner *o, const KqMember *m, KqTime now)
 {
@@ -252,39 +256,41 @@
 }
 
 static bool
-claimed_by_peer (const KqOwner *o, uint32_t i, const KqMember *m)
+reported_by_peer (const KqOwner *o, uint32_t i, const KqMember *m)
 {
   uint64_t epoch = 0;
-  KqNodeId by = kq_owner_claimed (m, o->first + i, &epoch);
+  KqNodeId by = kq_owner_reported (m, o->first + i, &epoch);
   return by != 0 && by != o->self.id;
 }
 
-/* Reads own/<shard>; what follows depends on what stands there (owner_swap.c). */
+/* Begins to take a shard by reading own/<shard>; its value decides the next step
+ * (owner_swap.c). */
 static void
 start_take (KqOwner *o, uint32_t i, const KqMember *m, KqTime now)
 {
   KqOwnEntry *e = &o->entries[i];
-  if (now < e->wait_until || count_state (o, KQ_OWN_TAKING) >= KQ_OWNER_TAKES)
+  if (now < e->wait_until || count_state (o, KQ_OWN_TAKING) >= KQ_OWNER_TAKES_MAX)
     return;
-  if (claimed_by_peer (o, i, m) && count_watches (o) >= KQ_OWNER_WATCHES)
+  if (reported_by_peer (o, i, m) && count_watches (o) >= KQ_OWNER_WATCHES_MAX)
     return;
   e->state = KQ_OWN_TAKING;
   e->step = KQ_OWNER_READ;
 }
 
-/* A shard of ours that another node should have, or any while we drain. */
+/* Begins a planned move of a shard of ours: another node is its wanted owner, or we
+ * drain. */
 static void
 start_move (KqOwner *o, uint32_t i, KqTime now)
 {
   KqOwnEntry *e = &o->entries[i];
-  int limit = o->draining ? KQ_OWNER_DRAIN_MOVES : KQ_OWNER_MOVES;
-  if (o->draining ? now < o->drain_at : e->wanted == 0 || now < o->settled_at)
+  int limit = o->draining ? KQ_OWNER_DRAIN_MOVES_MAX : KQ_OWNER_MOVES_MAX;
+  if (o->draining ? now < o->drain_at : e->wanted == 0 || now < o->moves_allowed_at)
     return;
   if (count_state (o, KQ_OWN_RELEASING) >= limit)
     return;
   e->state = KQ_OWN_RELEASING;
-  e->told_give_up = true;
-  kq_owner_tell (o, KQ_OWNER_GIVE_UP, i);
+  e->give_up_sent = true;
+  kq_owner_add_event (o, KQ_OWNER_GIVE_UP, i);
 }
 
 void
@@ -293,25 +299,26 @@
   KqOwnEntry *e = entry_of (o, shard);
   if (e == NULL || !e->holding || e->state != KQ_OWN_RELEASING)
     return;
-  e->holding = e->told_give_up = false;
+  e->holding = e->give_up_sent = false;
   o->count.released++;
   kq_owner_start_release (o, (uint32_t)(e - o->entries));
   kq_owner_send (o, (uint32_t)(e - o->entries), now, out);
 }
 
 static void
-decide (KqOwner *o, uint32_t i, const KqMember *m, KqTime now)
+tick_entry (KqOwner *o, uint32_t i, const KqMember *m, KqTime now)
 {
   KqOwnEntry *e = &o->entries[i];
   bool wanted = e->wanted == o->self.id;
-  if (e->holding && !in_force (o, m, e->mine.lease, now))
+  if (e->holding && !ownership_valid (o, m, e->mine.lease, now))
     {
-      kq_owner_drop (o, i);
+      kq_owner_reset_entry (o, i);
       e->uncertain = true; /* own/<shard> still names us */
     }
-  /* The digests may be faster than the watch, or the watch silent. */
-  if (e->step == KQ_OWNER_WATCH && (!wanted || !claimed_by_peer (o, i, m)))
-    kq_owner_drop (o, i);
+  /* The owner's digests no longer list the shard: don't wait for the watch, which may be
+   * slower or silent. */
+  if (e->step == KQ_OWNER_WATCH && (!wanted || !reported_by_peer (o, i, m)))
+    kq_owner_reset_entry (o, i);
   if (e->step != KQ_OWNER_IDLE || !kq_owner_may_take (o, m, now))
     return;
   if (e->state == KQ_OWN_NONE && wanted)
@@ -319,67 +326,67 @@
   else if (e->state == KQ_OWN_NONE && e->uncertain && now >= e->wait_until)
     {
       e->state = KQ_OWN_RELEASING;
-      e->step = KQ_OWNER_RELEASE_CHECK;
+      e->step = KQ_OWNER_RELEASE_READ_BACK;
     }
   else if (e->state == KQ_OWN_MINE && !wanted)
     start_move (o, i, now);
 }
 
-/* A peer's digest claims a shard of ours under a higher epoch: the store ended our lease
- * before its time and we haven't heard of it. Without this we would go on for up to a
- * lease beside the successor. */
+/* Drops shards of ours that a peer's digest lists with a higher epoch: the store ended
+ * our lease early and we haven't learnt it. Without this there would be two owners for up
+ * to the lease time. */
 static void
 step_down_superseded (KqOwner *o, const KqMember *m)
 {
   for (uint32_t i = 0; i < o->n; i++)
     {
       uint64_t epoch = o->entries[i].mine.epoch;
-      if (o->entries[i].holding && kq_owner_claimed (m, o->first + i, &epoch) != 0)
-        kq_owner_drop (o, i);
+      if (o->entries[i].holding && kq_owner_reported (m, o->first + i, &epoch) != 0)
+        kq_owner_reset_entry (o, i);
     }
 }
 
-/* Chooses the wanted owners anew when the members changed, and once in a while in any
- * case: whether a node's key is in the store may change without the version's change. */
+/* Chooses the wanted owners again when the members changed, and every KQ_OWNER_RECHECK in
+ * any case, as whether a node's key is in the store may change without a new version. */
 static void
-look_at_members (KqOwner *o, const KqMember *m, KqTime now)
+update_wanted (KqOwner *o, const KqMember *m, KqTime now)
 {
   if (o->draining && o->drain_at == 0)
     o->drain_at = now + KQ_OWNER_DRAIN_WAIT;
   bool changed = !o->picked || o->version != kq_member_version (m);
-  if (!changed && now < o->pick_at)
+  if (!changed && now < o->next_pick_at)
     return;
   changed |= kq_owner_pick_all (o, m);
   step_down_superseded (o, m);
   o->picked = true;
   o->version = kq_member_version (m);
-  o->pick_at = now + KQ_OWNER_RECHECK;
+  o->next_pick_at = now + KQ_OWNER_RECHECK;
   if (!changed)
     return;
-  o->settled_at = now + KQ_OWNER_SETTLE;
+  o->moves_allowed_at = now + KQ_OWNER_SETTLE_TIME;
   for (uint32_t i = 0; i < o->n; i++)
     if (o->entries[i].state == KQ_OWN_NONE)
-      o->entries[i].wait_until = o->entries[i].poll = 0;
+      o->entries[i].wait_until = o->entries[i].handover_backoff = 0;
 }
 
 void
 kq_owner_tick (KqOwner *o, const KqMember *m, KqTime now, KqOutbox *out)
 {
   KqStoreReply lost = { .result = KQ_ERR_STORE_UNREACHABLE };
-  if (o->ticked_at == 0 || now - o->ticked_at > KQ_OWNER_HEARD (o))
-    o->awake_at = now;
+  if (o->ticked_at == 0 || now - o->ticked_at > KQ_OWNER_HEARD_AGE (o))
+    o->resumed_at = now;
   o->ticked_at = now;
-  look_at_members (o, m, now);
+  update_wanted (o, m, now);
   for (uint32_t i = 0; i < o->n; i++)
     {
       KqOwnEntry *e = &o->entries[i];
-      if (e->number != 0 && now - e->sent_at > KQ_OWNER_REPLY_MAX)
+      if (e->call_number != 0 && now - e->sent_at > KQ_OWNER_REPLY_TIMEOUT)
         {
-          e->number = 0;
-          kq_owner_answer (o, i, &lost, m, now);
+          e->call_number = 0;
+          kq_owner_handle_reply (o, i, &lost, m, now);
         }
-      decide (o, i, m, now);
-      if (e->step != KQ_OWNER_IDLE && e->number == 0 && now >= e->wait_until)
+      tick_entry (o, i, m, now);
+      if (e->step != KQ_OWNER_IDLE && e->call_number == 0 && now >= e->wait_until)
         kq_owner_send (o, i, now, out);
     }
 }
@@ -388,17 +395,18 @@
 kq_owner_reply (KqOwner *o, const KqStoreReply *r, const KqMember *m, KqTime now,
                 KqOutbox *out)
 {
-  uint32_t number = (uint32_t)r->token;
+  uint32_t call_number = (uint32_t)r->token;
   KqOwnEntry *e = entry_of (o, (uint32_t)(r->token >> 32));
-  if (r->part != KQ_PART_SHARD || (number & NUMBER_BIT) == 0 || e == NULL)
+  if (r->part != KQ_PART_SHARD || (call_number & CALL_NUMBER_BIT) == 0 || e == NULL)
     return false;
-  /* A late or repeated answer: settled by a read-back already. */
-  if (e->number != number)
+  /* Late or repeated: the call was handled before, by the first reply or as unanswered,
+   * and then the outcome is read from the store. */
+  if (e->call_number != call_number)
     return true;
   uint32_t i = (uint32_t)(e - o->entries);
-  e->number = 0;
-  kq_owner_answer (o, i, r, m, now);
-  if (e->step != KQ_OWNER_IDLE && e->number == 0 && now >= e->wait_until)
+  e->call_number = 0;
+  kq_owner_handle_reply (o, i, r, m, now);
+  if (e->step != KQ_OWNER_IDLE && e->call_number == 0 && now >= e->wait_until)
     kq_owner_send (o, i, now, out);
   return true;
 }
--- a/src/shard/owner.h
+++ b/src/shard/owner.h
@@ -3,11 +3,13 @@
 
 /* owner: which shards of its region this node owns, by compare-and-swap in the store.
  *
- * own/<shard> holds owner, incarnation, epoch and lease id; it is valid while the
- * owner's lease key lives. The wanted owner is chosen by rendezvous hashing over live
- * members of the region that aren't draining, weighed by depot; moves are paced. A node
- * takes a shard that has no live owner, and one that its owner released. A paused
- * process finds its lease gone in kq_owner_is_mine before it does anything else. */
+ * own/<shard> holds the owner's node id and name, its incarnation, the shard's epoch
+ * (raised at each change of owner) and the owner's lease id. It is valid while the
+ * owner's lease key exists. The wanted owner of a shard is chosen by rendezvous hashing
+ * over the live members of the region that aren't draining, weighted by depot size; only
+ * a few shards are moved at a time. A node takes a shard that has no live owner or that
+ * its owner has released. A process that was suspended finds out in kq_owner_is_mine that
+ * its lease has expired, before it sends anything. */
 
 #include "member/member.h"
 #include "port/outbox.h"
@@ -15,16 +17,16 @@
 typedef enum
 {
   KQ_OWN_NONE,
-  KQ_OWN_TAKING, /* the swap is under way */
-  KQ_OWN_MINE,   /* epoch is ours; the journal may be opened */
+  KQ_OWN_TAKING, /* reading own/<shard> or writing ourselves into it */
+  KQ_OWN_MINE,   /* own/<shard> names us; the journal may be opened */
   KQ_OWN_RELEASING
 } KqOwnState;
 
 typedef enum
 {
   KQ_OWNER_TOOK,   /* open the shard's journal under `epoch` */
-  KQ_OWNER_LOST,   /* drop the shard's memory at once */
-  KQ_OWNER_GIVE_UP /* planned: finish commits, then call kq_owner_released */
+  KQ_OWNER_LOST,   /* drop the shard's state at once */
+  KQ_OWNER_GIVE_UP /* planned move: commit what is pending, then kq_owner_released */
 } KqOwnerEventKind;
 
 typedef struct
@@ -38,48 +40,57 @@
 
 typedef struct
 {
-  KqTime lease;     /* of the node's key: how long a node that hears no peer goes on */
-  KqTime blind_max; /* without the store at most; see kq_owner_blind */
+  KqTime lease;     /* lease time of the node's key */
+  KqTime blind_max; /* longest store outage in which ownership stays valid without a live
+                       lease; see kq_owner_blind */
 } KqOwnerTimes;
 
-/* Work done since the start; for counters and benches. */
+/* Totals since kq_owner_new. */
 typedef struct
 {
   uint64_t taken;
   uint64_t released;
   uint64_t lost;
-  uint64_t checks; /* read-backs after a lost answer */
+  uint64_t read_backs; /* reads of own/<shard> after a write without an answer */
 } KqOwnerCount;
 
-/* Shards first .. first + n - 1 belong to our region. */
+/* Shards first .. first + n - 1 are those of this node's region. */
 KqOwner *kq_owner_new (const KqNodeInfo *self, uint32_t first, uint32_t n, uint64_t seed);
 void kq_owner_free (KqOwner *o);
 /* Defaults: 10 s and 10 minutes. */
 void kq_owner_set_times (KqOwner *o, const KqOwnerTimes *t);
 void kq_owner_tick (KqOwner *o, const KqMember *m, KqTime now, KqOutbox *out);
-/* Token: shard << 32 | number from 2^31 up; false: not ours. */
+/* Handles the reply to a store call; false: not a call of this module. Tokens are
+ * shard << 32 | call number, with call numbers from 2^31 up. */
 bool kq_owner_reply (KqOwner *o, const KqStoreReply *r, const KqMember *m, KqTime now,
                      KqOutbox *out);
+/* Takes the oldest event; false when there is none. */
 bool kq_owner_event (KqOwner *o, KqOwnerEvent *e);
-/* The journal found a successor: step down at once. */
+/* Steps down at once (event LOST). For a shard that can't be served: its journal is
+ * FENCED or DAMAGED, its state can't be rebuilt, or kq_owner_is_mine is false. */
 void kq_owner_fenced (KqOwner *o, uint32_t shard, KqTime now);
-/* After GIVE_UP: everything is committed and dropped. */
+/* Call after GIVE_UP once the shard's records are committed and its state dropped: writes
+ * the release to own/<shard>. */
 void kq_owner_released (KqOwner *o, uint32_t shard, KqTime now, KqOutbox *out);
-/* Planned stop: wants no shard any more and gives up all. */
+/* For a planned stop: takes no shard any more and hands over all it has. */
 void kq_owner_drain (KqOwner *o);
 
 KqOwnState kq_owner_state (const KqOwner *o, uint32_t shard);
+/* 0: not owner. Doesn't check the lease; see kq_owner_is_mine. */
 uint64_t kq_owner_epoch (const KqOwner *o, uint32_t shard);
-/* "Am I still owner at now": state MINE and our lease certainly alive, or the bounded
- * blind time of a store outage (kq_owner_blind). Asked before every send. */
+/* Whether this node still owns the shard at `now`: it has taken it, and its lease is
+ * certainly live or kq_owner_blind holds. Must be checked before every send. */
 bool kq_owner_is_mine (const KqOwner *o, uint32_t shard, const KqMember *m, KqTime now);
-/* Store outage: our lease can't be renewed, but no peer of the region reaches the store
- * either and at least one was heard within a fifth of a lease (or we are the region's
- * only node). Never for a fifth of a lease after this process has slept. */
+/* Whether ownership continues without a live lease because the store is away: the lease
+ * has expired, the store has been silent for at least half a lease and at most blind_max,
+ * no peer of the region reaches it either, and a peer was heard within a fifth of a lease
+ * (or this is the region's only node). Always false for a fifth of a lease after this
+ * process was suspended. */
 bool kq_owner_blind (const KqOwner *o, const KqMember *m, KqTime now);
-/* Who owns a shard as far as this node knows, any region (digests first). 0: nobody. */
+/* The owner of a shard of any region as far as this node knows, by the highest epoch in
+ * the peers' digests and its own state. 0: none known. */
 KqNodeId kq_owner_of (const KqOwner *o, const KqMember *m, uint32_t shard);
-/* Who should own a shard of our region by what this node knows. 0: nobody. */
+/* The node that should own a shard of our region, by the members known here. 0: none. */
 KqNodeId kq_owner_wanted (const KqOwner *o, uint32_t shard);
 const KqOwnerCount *kq_owner_count (const KqOwner *o);
 
--- a/src/shard/owner_pick.c
+++ b/src/shard/owner_pick.c
@@ -2,15 +2,17 @@
 
 #include <math.h>
 
-/* Weighted rendezvous hashing: each node draws a number for the shard from its hash; the
- * lowest of -ln (number) / weight wins. When a node goes, only its shards move, and they
- * spread over all others.
+/* Weighted rendezvous hashing. The hash of node and shard gives a uniform number between
+ * 0 and 1; the node with the lowest -ln (number) / weight is the wanted owner. When a
+ * node goes, only its shards move, and they spread over all others.
  *
- * Load pattern: depots of unlike size. With weight 1 a depot of four nodes beside one of
- * one node holds four fifths of the shards, and its loss stops nearly all; with equal
- * shares for depots the single node carries four times the load of the others. The root
- * of the depot's size stands between: two thirds, and twice the load. Sizes count all
- * known nodes, also those that are gone, so that a death doesn't change the weights. */
+ * A node's weight is 1 / sqrt (number of nodes in its depot), a compromise for depots of
+ * different size. Take a depot of four nodes and one of a single node. With equal weights
+ * the larger depot would hold four fifths of the shards, and its loss would stop nearly
+ * all. With equal shares per depot the single node would carry four times the load of
+ * each other node. With the square root the larger depot holds two thirds, and the single
+ * node carries twice the load. The size counts all known nodes of the depot, also those
+ * that are gone, so that a node's failure doesn't change the weights. */
 
 static double
 weight (const KqMember *m, const KqNode *node)
@@ -27,7 +29,7 @@
 }
 
 static double
-draw (KqNodeId node, uint32_t shard)
+uniform_hash (KqNodeId node, uint32_t shard)
 {
   uint64_t h = kq_hash2 (node, shard);
   return ((double)(h >> 11) + 0.5) / (double)(1ULL << 53);
@@ -67,7 +69,8 @@
       o->entries[i].wanted = 0;
       for (size_t k = 0; k < n; k++)
         {
-          double score = -log (draw (nodes[k].id, o->first + i)) / nodes[k].weight;
+          double score
+              = -log (uniform_hash (nodes[k].id, o->first + i)) / nodes[k].weight;
           if (score >= best)
             continue;
           best = score;
--- a/src/shard/owner_state.h
+++ b/src/shard/owner_state.h
@@ -1,70 +1,80 @@
 #ifndef KQ_SHARD_OWNER_STATE_H
 #define KQ_SHARD_OWNER_STATE_H
 
-/* owner_state: what the files of the owner module share. Internal to it.
+/* owner_state: declarations shared by the files of the owner module. Internal to it.
  *
- * Each shard of the region has an entry. Its step says which store call is under way or
- * next; in the steady state no entry calls the store at all: who owns what is learnt
- * from the peers' digests. */
+ * Each shard of the region has an entry. Its step says which store call is in flight or
+ * next. In the steady state no entry calls the store: the owners of other shards are
+ * known from the peers' digests. */
 
 #include "base/rand.h"
 #include "shard/backoff.h"
 #include "shard/owner.h"
 
-/* Planned moves under way at a time: a move stops its shard for some store latencies,
- * so a node that comes doesn't stop a whole region. */
-#define KQ_OWNER_MOVES 2
-/* At a planned stop, where waiting costs more than a short halt. */
-#define KQ_OWNER_DRAIN_MOVES 4
-/* Before the first of them: two heartbeats, so that the next owners know of the stop and
- * wait for the releases. Without it each shard is without an owner until then. */
+/* Planned moves of one node at a time. A move stops its shard for a few store calls;
+ * without a limit a node that joins would stop most shards of the region at once. */
+#define KQ_OWNER_MOVES_MAX 2
+/* The same at a planned stop, where a long wait costs more than the short stops. */
+#define KQ_OWNER_DRAIN_MOVES_MAX 4
+/* Delay before the first move of a planned stop: two heartbeats, so that the next owners
+ * know of the stop and watch for the releases. Without it the first shards released would
+ * have no owner until those nodes hear of the stop. */
 #define KQ_OWNER_DRAIN_WAIT (1 * KQ_SEC)
-/* Shards being taken at a time: a takeover costs about six calls (own key, node key,
- * swap, two lists, fence); after a depot's loss the store must not get all at once. */
-#define KQ_OWNER_TAKES 4
-/* Members must not have changed for this long before a planned move: a node that
- * flaps would otherwise move shards to and fro. */
-#define KQ_OWNER_SETTLE (3 * KQ_SEC)
-/* How long a shard is left alone that can't be taken at present. */
+/* Shards that one node takes at a time. A takeover needs about six store calls (owner
+ * key, node key, swap, two lists, fence); after the loss of a depot all takeovers at once
+ * would overload the store. */
+#define KQ_OWNER_TAKES_MAX 4
+/* Planned moves wait until the members haven't changed for this long. Otherwise a node
+ * that flaps would move shards back and forth. */
+#define KQ_OWNER_SETTLE_TIME (3 * KQ_SEC)
+/* Delay before another try at a shard that can't be taken at present. */
 #define KQ_OWNER_RECHECK (1 * KQ_SEC)
-/* How long one watch for a release waits. Only the next owner of a shard watches, only
- * while the present one still claims it, and so many shards at a time: without it a
- * hand-over takes until the next heartbeat. */
+/* Duration of one watch for a shard's release, and watches of one node at a time. Without
+ * the watch the next owner learns of a release only by the next heartbeat. Only the
+ * wanted owner watches, and only while the present owner's digest lists the shard. */
 #define KQ_OWNER_WATCH_MS 10000
-#define KQ_OWNER_WATCHES 4
-/* A journal that can't be opened makes its owner step down at once, again and again: the
- * wait doubles up to 64 s, and is short again after a shard was held for a minute. */
-#define KQ_OWNER_STEP_DOWNS 6
-#define KQ_OWNER_STEADY (60 * KQ_SEC)
-/* Parts of the lease time (a fifth is four heartbeats by default):
+#define KQ_OWNER_WATCHES_MAX 4
+/* A journal that can't be opened makes each owner step down right after taking the shard.
+ * The delay before the next try is KQ_OWNER_RECHECK, doubled at most this many times
+ * (64 s), and starts again once a shard was held for KQ_OWNER_STABLE_TIME. */
+#define KQ_OWNER_STEP_DOWN_DOUBLINGS 6
+#define KQ_OWNER_STABLE_TIME (60 * KQ_SEC)
+/* Times relative to the lease time (a fifth of it is four heartbeats by default).
  *
- * A peer whom the store answered within half a lease reaches the store: every node
- * renews about every third of a lease; and when our own lease has lapsed in an outage of
- * the store, the last answer to anybody is older than half a lease.
+ * KQ_OWNER_STORE_REACH_AGE: a peer that the store answered within half a lease counts as
+ * reaching the store. Every node renews about every third of a lease. When our own lease
+ * has expired because of a store outage, the last answer to any node is older than half a
+ * lease.
  *
- * An owner whose key is gone but who was heard within a fifth is given half a lease of
- * grace: the store may have dropped every lease in an outage, and owners that come back
- * at once should keep their shards. It also gives an owner that is cut off from the
- * store the time to hear from us that we reach it, and to stop. */
-#define KQ_OWNER_REACH(o) ((o)->times.lease / 2)
-#define KQ_OWNER_HEARD(o) ((o)->times.lease / 5)
+ * KQ_OWNER_HEARD_AGE: a node whose heartbeat is younger than a fifth of a lease is still
+ * heard.
+ *
+ * KQ_OWNER_GRACE: an owner whose key is gone but which is still heard keeps its shards
+ * for another half of a lease. The store may have dropped all leases in an outage, and
+ * owners that register again at once should keep their shards. The grace also gives an
+ * owner that is cut off from the store the time to learn from our heartbeats that we
+ * reach the store, and to stop. */
+#define KQ_OWNER_STORE_REACH_AGE(o) ((o)->times.lease / 2)
+#define KQ_OWNER_HEARD_AGE(o) ((o)->times.lease / 5)
 #define KQ_OWNER_GRACE(o) ((o)->times.lease / 2)
-/* As in the journal: a call without any reply. */
-#define KQ_OWNER_REPLY_MAX (30 * KQ_SEC)
+/* After this time a call without a reply counts as unreachable; see
+ * KQ_JOURNAL_REPLY_TIMEOUT. */
+#define KQ_OWNER_REPLY_TIMEOUT (30 * KQ_SEC)
 
 typedef enum
 {
   KQ_OWNER_IDLE,
-  KQ_OWNER_READ,         /* GET own/<shard>, to take it */
-  KQ_OWNER_WATCH,        /* own/<shard>, until its present owner releases it */
-  KQ_OWNER_READ_NODE,    /* GET the named owner's key: is it gone? */
-  KQ_OWNER_SWAP,         /* PUT ourselves */
-  KQ_OWNER_CHECK,        /* GET after a lost answer of SWAP */
-  KQ_OWNER_RELEASE,      /* PUT nobody */
-  KQ_OWNER_RELEASE_CHECK /* GET after a lost answer of RELEASE */
+  KQ_OWNER_READ,      /* GET own/<shard>, in order to take it */
+  KQ_OWNER_WATCH,     /* WATCH own/<shard> until its present owner releases it */
+  KQ_OWNER_READ_NODE, /* GET the named owner's node key, to see whether it is gone */
+  KQ_OWNER_SWAP,      /* PUT own/<shard> with ourselves as owner */
+  KQ_OWNER_READ_BACK, /* GET after a SWAP without an answer */
+  KQ_OWNER_RELEASE,   /* PUT own/<shard> without an owner */
+  KQ_OWNER_RELEASE_READ_BACK /* GET after a RELEASE without an answer, or while
+                                `uncertain` */
 } KqOwnerStep;
 
-/* What own/<shard> says. */
+/* The value of own/<shard>. */
 typedef struct
 {
   KqNodeId owner; /* 0: released */
@@ -79,22 +89,25 @@
 {
   KqOwnState state;
   KqOwnerStep step;
-  bool holding; /* TOOK was told, LOST not; false once released */
-  bool told_give_up;
-  bool uncertain; /* a swap of ours may be in the store though we aren't owner */
+  bool holding; /* between the event TOOK and LOST or kq_owner_released */
+  bool give_up_sent;
+  bool uncertain; /* own/<shard> may name us, or a write of ours may still take effect,
+                     though we don't hold the shard */
   KqNodeId wanted;
-  uint32_t number; /* of the call in flight; 0: none */
+  uint32_t call_number; /* of the call in flight; 0: none */
   KqTime sent_at;
   KqTime wait_until;
   KqTime backoff;
-  KqTime poll;       /* backoff while the named owner is alive: a hand-over's last step */
-  uint64_t revision; /* of own/<shard> as last seen */
-  uint64_t watched;  /* the store's revision up to which the watch has seen */
-  KqOwnValue seen;   /* what stood there */
-  KqOwnValue mine;   /* what we are writing, or have written */
-  KqTime took_at;
-  int step_downs;    /* in a row, soon after taking */
-  KqTime gone_since; /* when we first saw that `seen` has no live owner */
+  /* Backoff of reads at the end of a handover, while the owner is alive but its digest no
+   * longer lists the shard. */
+  KqTime handover_backoff;
+  uint64_t revision;       /* of own/<shard> as last read */
+  uint64_t watch_revision; /* store revision up to which the watch has reported */
+  KqOwnValue stored;       /* value of own/<shard> as last read */
+  KqOwnValue mine;         /* our last value for own/<shard>, being written or written */
+  KqTime taken_at;
+  int step_downs;    /* consecutive ones soon after taking the shard */
+  KqTime gone_since; /* when the owner in `stored` was first found gone; 0: not gone */
 } KqOwnEntry;
 
 struct KqOwner
@@ -104,37 +117,41 @@
   uint32_t n;
   KqOwnEntry *entries;
   KqRand rand;
-  uint32_t next_number;
+  uint32_t next_call_number;
   KqOwnerTimes times;
   KqOwnerCount count;
   bool draining;
-  bool picked; /* wanted owners were chosen for `version` */
+  bool picked; /* wanted owners were chosen for the members' `version` */
   uint64_t version;
-  KqTime ticked_at; /* last tick */
-  KqTime awake_at;  /* since when ticks have come without a long gap */
-  KqTime pick_at;
-  KqTime settled_at;
-  KqTime drain_at; /* when a planned stop gives up its first shard; 0: not known yet */
+  KqTime ticked_at;    /* last tick */
+  KqTime resumed_at;   /* the first tick after the last long gap between ticks */
+  KqTime next_pick_at; /* wanted owners are chosen again then at the latest */
+  KqTime moves_allowed_at;
+  KqTime drain_at; /* first move of a planned stop; 0: not set yet */
   KqOwnerEvent *events;
   size_t first_event, n_events, events_capacity;
 };
 
 /* owner.c */
-void kq_owner_tell (KqOwner *o, KqOwnerEventKind kind, uint32_t i);
-/* The entry isn't ours any more; tells LOST if it was. */
-void kq_owner_drop (KqOwner *o, uint32_t i);
-/* Which live node's digest claims the shard under an epoch above *epoch; 0: none. */
-KqNodeId kq_owner_claimed (const KqMember *m, uint32_t shard, uint64_t *epoch);
+void kq_owner_add_event (KqOwner *o, KqOwnerEventKind kind, uint32_t i);
+/* Resets the entry to KQ_OWN_NONE; adds the event LOST if we held the shard. */
+void kq_owner_reset_entry (KqOwner *o, uint32_t i);
+/* The node, not gone, whose digest lists the shard with the highest epoch above *epoch,
+ * and that epoch; 0: none. */
+KqNodeId kq_owner_reported (const KqMember *m, uint32_t shard, uint64_t *epoch);
+/* Whether this node may take shards now. */
 bool kq_owner_may_take (const KqOwner *o, const KqMember *m, KqTime now);
 
-/* owner_pick.c: rendezvous hashing */
-/* True when any wanted owner is another one now. */
+/* owner_pick.c */
+/* Chooses the wanted owner of every shard; true when any of them changed. */
 bool kq_owner_pick_all (KqOwner *o, const KqMember *m);
 
-/* owner_swap.c: the calls of one entry */
+/* owner_swap.c */
+/* Sends the call of the entry's present step. */
 void kq_owner_send (KqOwner *o, uint32_t i, KqTime now, KqOutbox *out);
-void kq_owner_answer (KqOwner *o, uint32_t i, const KqStoreReply *r, const KqMember *m,
-                      KqTime now);
+/* Handles the reply to the call of the present step. */
+void kq_owner_handle_reply (KqOwner *o, uint32_t i, const KqStoreReply *r,
+                            const KqMember *m, KqTime now);
 void kq_owner_start_release (KqOwner *o, uint32_t i);
 
 #endif
--- a/src/shard/owner_swap.c
+++ b/src/shard/owner_swap.c
@@ -7,22 +7,22 @@
 #include <stdio.h>
 
 #define PART "owner"
-#define NUMBER_BIT 0x80000000U
+#define CALL_NUMBER_BIT 0x80000000U
 #define KEY_MAX 96
 #define OWN_VERSION 1
 
-/* Taking a shard:
+/* Steps of taking a shard:
  *
- *   READ own/<shard>; if it names another node that isn't known to be alive,
- *   READ_NODE its key (our list of nodes may be stale while watches are silent);
- *   SWAP ourselves in with epoch + 1 against the revision that was read;
- *   after a lost answer CHECK: the write id says whether it was ours.
+ *   READ own/<shard>. If it names another node that isn't known to be alive,
+ *   READ_NODE its key, as our list of nodes is outdated while watches are silent.
+ *   SWAP: write ourselves with epoch + 1 against the revision that was read.
+ *   READ_BACK after a write without an answer: the write id tells whether it is ours.
  *
- * While the present owner lives and claims the shard (a planned move), the next one
- * WATCHes own/<shard> for the release.
+ * In a planned move, while the present owner is alive and its digest lists the shard, the
+ * next owner WATCHes own/<shard> for the release.
  *
- * The value being written stays the same while a swap is repeated, so a first try that
- * takes effect late is recognized as ours. */
+ * A repeated SWAP writes the same value, so a first try that takes effect late is
+ * recognized as ours. */
 
 static void
 encode (const KqOwnValue *v, KqBuf *out)
@@ -62,9 +62,9 @@
 {
   KqOwnEntry *e = &o->entries[i];
   char key[KEY_MAX];
-  assert (e->number == 0);
-  o->next_number = (o->next_number + 1) | NUMBER_BIT;
-  e->number = o->next_number;
+  assert (e->call_number == 0);
+  o->next_call_number = (o->next_call_number + 1) | CALL_NUMBER_BIT;
+  e->call_number = o->next_call_number;
   e->sent_at = now;
   if (op->key.len == 0)
     {
@@ -73,7 +73,7 @@
     }
   op->call_class = KQ_STORE_URGENT;
   op->part = KQ_PART_SHARD;
-  op->token = (uint64_t)(o->first + i) << 32 | e->number;
+  op->token = (uint64_t)(o->first + i) << 32 | e->call_number;
   kq_outbox_store (out, op);
 }
 
@@ -90,19 +90,19 @@
     case KQ_OWNER_IDLE:
       assert (false);
       break;
-    case KQ_OWNER_CHECK:
-    case KQ_OWNER_RELEASE_CHECK:
-      o->count.checks++;
+    case KQ_OWNER_READ_BACK:
+    case KQ_OWNER_RELEASE_READ_BACK:
+      o->count.read_backs++;
       break;
     case KQ_OWNER_READ:
       break;
     case KQ_OWNER_WATCH:
       op.kind = KQ_STORE_WATCH;
-      op.expect = e->watched;
+      op.expect = e->watch_revision;
       op.wait_ms = KQ_OWNER_WATCH_MS;
       break;
     case KQ_OWNER_READ_NODE:
-      snprintf (key, sizeof key, "node/%.*s", KQ_STR_ARG (kq_name_str (&e->seen.name)));
+      snprintf (key, sizeof key, "node/%.*s", KQ_STR_ARG (kq_name_str (&e->stored.name)));
       op.key = kq_str (key);
       break;
     case KQ_OWNER_SWAP:
@@ -130,20 +130,21 @@
   e->wait_until = kq_backoff_next (&e->backoff, &o->rand, now);
 }
 
-/* Not to be had at present: looked at again later. */
+/* The shard can't be taken at present. The delay before the next try is random between
+ * 0.5 and 1.5 of KQ_OWNER_RECHECK. */
 static void
-leave (KqOwner *o, uint32_t i, KqTime now)
+retry_later (KqOwner *o, uint32_t i, KqTime now)
 {
-  kq_owner_drop (o, i);
+  kq_owner_reset_entry (o, i);
   o->entries[i].wait_until
       = now + KQ_OWNER_RECHECK / 2
         + (KqTime)kq_rand_below (&o->rand, (uint64_t)KQ_OWNER_RECHECK);
 }
 
-/* Takes what own/<shard> says from an answer; false when it can't be read, which is
- * logged and left alone: nobody takes a shard whose owner isn't known. */
+/* Takes the value of own/<shard> from a reply. False when it can't be read: that is
+ * logged and the shard isn't taken, as its owner isn't known. */
 static bool
-see (KqOwner *o, uint32_t i, const KqStoreReply *r, KqTime now)
+load_stored (KqOwner *o, uint32_t i, const KqStoreReply *r, KqTime now)
 {
   KqOwnEntry *e = &o->entries[i];
   KqOwnValue v = { 0 };
@@ -152,12 +153,12 @@
   if (!absent && !decode (r->value, &v))
     {
       kq_log (KQ_LOG_ERROR, PART, "Owner record can't be read. key=own/%u", o->first + i);
-      leave (o, i, now);
+      retry_later (o, i, now);
       return false;
     }
-  if (v.write_id != e->seen.write_id)
+  if (v.write_id != e->stored.write_id)
     e->gone_since = 0;
-  e->seen = v;
+  e->stored = v;
   e->revision = absent ? 0 : r->revision;
   return true;
 }
@@ -170,66 +171,66 @@
                           .name = o->self.name,
                           .incarnation = o->self.incarnation,
                           .lease = kq_member_lease (m),
-                          .epoch = e->seen.epoch + 1,
+                          .epoch = e->stored.epoch + 1,
                           .write_id = kq_rand_next (&o->rand) };
   e->uncertain = true;
   next_step (e, KQ_OWNER_SWAP);
 }
 
-/* The named owner's key is gone. An owner that is still heard gets a grace. */
+/* The named owner's key is gone. If its heartbeats still arrive, KQ_OWNER_GRACE must have
+ * passed first. */
 static void
 take_from_gone (KqOwner *o, uint32_t i, const KqMember *m, KqTime now)
 {
   KqOwnEntry *e = &o->entries[i];
-  const KqNode *node = kq_member_find (m, e->seen.owner);
-  bool heard
-      = node != NULL && node->heard_at != 0 && now - node->heard_at < KQ_OWNER_HEARD (o);
+  const KqNode *node = kq_member_find (m, e->stored.owner);
+  bool heard = node != NULL && node->heard_at != 0
+               && now - node->heard_at < KQ_OWNER_HEARD_AGE (o);
   if (e->gone_since == 0)
     e->gone_since = now;
   if (heard && now - e->gone_since < KQ_OWNER_GRACE (o))
-    leave (o, i, now);
+    retry_later (o, i, now);
   else
     start_swap (o, i, m);
 }
 
-/* own/<shard> was read in order to take it. */
+/* Next step of taking a shard, after own/<shard> was read. */
 static void
-consider (KqOwner *o, uint32_t i, const KqMember *m, KqTime now)
+continue_take (KqOwner *o, uint32_t i, const KqMember *m, KqTime now)
 {
   KqOwnEntry *e = &o->entries[i];
-  const KqNode *node = kq_member_find (m, e->seen.owner);
+  const KqNode *node = kq_member_find (m, e->stored.owner);
   if (!kq_owner_may_take (o, m, now))
-    leave (o, i, now);
-  else if (e->seen.owner == 0 || e->seen.owner == o->self.id)
-    start_swap (o, i, m); /* released, or an earlier process or lease of ours */
+    retry_later (o, i, now);
+  else if (e->stored.owner == 0 || e->stored.owner == o->self.id)
+    start_swap (o, i, m); /* released, or taken by us in an earlier process or lease */
   else if (node != NULL && node->in_store && node->state != KQ_NODE_GONE
-           && node->info.incarnation == e->seen.incarnation)
+           && node->info.incarnation == e->stored.incarnation)
     {
       uint64_t epoch = 0;
-      leave (o, i, now);
-      if (kq_owner_claimed (m, o->first + i, &epoch) != 0)
+      retry_later (o, i, now);
+      if (kq_owner_reported (m, o->first + i, &epoch) != 0)
         {
-          e->watched = e->revision;
+          e->watch_revision = e->revision;
           next_step (e, KQ_OWNER_WATCH);
         }
-      else /* its digest dropped the shard: the release is on the way */
-        e->wait_until = kq_backoff_next (&e->poll, &o->rand, now);
+      else /* its digest no longer lists the shard: the release is being written */
+        e->wait_until = kq_backoff_next (&e->handover_backoff, &o->rand, now);
     }
   else
     next_step (e, KQ_OWNER_READ_NODE);
 }
 
-/* The watch covers a prefix, so keys of other shards may have woken it. */
+/* The watch is for a key prefix, so it may report keys of other shards only. */
 static void
-watch_answer (KqOwner *o, uint32_t i, const KqStoreReply *r, const KqMember *m,
-              KqTime now)
+watch_reply (KqOwner *o, uint32_t i, const KqStoreReply *r, const KqMember *m, KqTime now)
 {
   KqOwnEntry *e = &o->entries[i];
   char key[KEY_MAX];
   KqStoreReply own = { .result = KQ_ERR_STORE_NOT_FOUND };
   if (r->result != KQ_OK)
     {
-      leave (o, i, now);
+      retry_later (o, i, now);
       return;
     }
   snprintf (key, sizeof key, "own/%u", o->first + i);
@@ -238,28 +239,28 @@
       own = (KqStoreReply){ .result = KQ_OK,
                             .value = r->items[k].value,
                             .revision = r->items[k].revision };
-  e->watched = r->revision;
-  if (own.revision == e->revision || !see (o, i, &own, now))
+  e->watch_revision = r->revision;
+  if (own.revision == e->revision || !load_stored (o, i, &own, now))
     return;
   e->state = KQ_OWN_TAKING;
-  consider (o, i, m, now);
+  continue_take (o, i, m, now);
 }
 
-/* The named owner's key was looked for. */
+/* The reply to READ_NODE. */
 static void
-node_read (KqOwner *o, uint32_t i, const KqStoreReply *r, const KqMember *m, KqTime now)
+node_reply (KqOwner *o, uint32_t i, const KqStoreReply *r, const KqMember *m, KqTime now)
 {
   KqOwnEntry *e = &o->entries[i];
-  const KqNode *node = kq_member_find (m, e->seen.owner);
+  const KqNode *node = kq_member_find (m, e->stored.owner);
   if (r->result == KQ_ERR_STORE_NOT_FOUND)
     {
       take_from_gone (o, i, m, now);
       return;
     }
-  /* The key is there. If for the whole grace we have heard the node under another
-   * incarnation, the one that is named has ended. */
-  bool other = node != NULL && node->info.incarnation != e->seen.incarnation
-               && node->heard_at != 0 && now - node->heard_at < KQ_OWNER_HEARD (o);
+  /* The key exists. If the node has been heard with another incarnation for the whole
+   * grace, the process that own/<shard> names has ended. */
+  bool other = node != NULL && node->info.incarnation != e->stored.incarnation
+               && node->heard_at != 0 && now - node->heard_at < KQ_OWNER_HEARD_AGE (o);
   if (!other)
     e->gone_since = 0;
   else if (e->gone_since == 0)
@@ -267,69 +268,69 @@
   if (other && now - e->gone_since >= KQ_OWNER_GRACE (o))
     start_swap (o, i, m);
   else
-    leave (o, i, now);
+    retry_later (o, i, now);
 }
 
-/* Our swap is in the store. Whether it is worth anything depends on the lease that it
- * names: it must still be ours and alive. */
+/* Our write is in the store. It makes us owner only if the lease that it names is still
+ * our present one and live. */
 static void
-swapped (KqOwner *o, uint32_t i, uint64_t revision, const KqMember *m, KqTime now)
+swap_committed (KqOwner *o, uint32_t i, uint64_t revision, const KqMember *m, KqTime now)
 {
   KqOwnEntry *e = &o->entries[i];
   e->revision = revision;
-  e->seen = e->mine;
+  e->stored = e->mine;
   if (kq_member_lease (m) != e->mine.lease || !kq_member_lease_live (m, now))
     {
-      leave (o, i, now);
+      retry_later (o, i, now);
       return;
     }
   assert (!e->holding);
   e->holding = true;
   e->uncertain = false;
-  e->poll = 0;
-  e->took_at = now;
+  e->handover_backoff = 0;
+  e->taken_at = now;
   e->state = KQ_OWN_MINE;
   o->count.taken++;
   next_step (e, KQ_OWNER_IDLE);
-  kq_owner_tell (o, KQ_OWNER_TOOK, i);
+  kq_owner_add_event (o, KQ_OWNER_TOOK, i);
 }
 
 static bool
 is_ours (const KqOwnEntry *e)
 {
-  return e->mine.write_id != 0 && e->seen.write_id == e->mine.write_id;
+  return e->mine.write_id != 0 && e->stored.write_id == e->mine.write_id;
 }
 
 static void
-swap_answer (KqOwner *o, uint32_t i, const KqStoreReply *r, const KqMember *m, KqTime now)
+swap_reply (KqOwner *o, uint32_t i, const KqStoreReply *r, const KqMember *m, KqTime now)
 {
   KqOwnEntry *e = &o->entries[i];
   uint64_t expect = e->revision;
-  bool check = e->step == KQ_OWNER_CHECK;
-  if (r->result == KQ_OK && !check)
+  bool read_back = e->step == KQ_OWNER_READ_BACK;
+  if (r->result == KQ_OK && !read_back)
     {
-      swapped (o, i, r->revision, m, now);
+      swap_committed (o, i, r->revision, m, now);
       return;
     }
   if (r->result != KQ_OK && r->result != KQ_ERR_STORE_CONFLICT
       && r->result != KQ_ERR_STORE_NOT_FOUND)
     {
       if (r->result != KQ_ERR_STORE_BUSY)
-        e->step = KQ_OWNER_CHECK;
+        e->step = KQ_OWNER_READ_BACK;
       back_off (o, e, now);
       return;
     }
-  if (!see (o, i, r, now))
+  if (!load_stored (o, i, r, now))
     return;
   if (is_ours (e))
-    swapped (o, i, e->revision, m, now);
-  else if (check && e->revision == expect)
+    swap_committed (o, i, e->revision, m, now);
+  else if (read_back && e->revision == expect)
     next_step (e, KQ_OWNER_SWAP);
   else
     {
-      /* Another node's swap came first, so ours never takes effect any more. */
+      /* Another write has changed the revision, so ours can't take effect any more. */
       e->uncertain = false;
-      consider (o, i, m, now);
+      continue_take (o, i, m, now);
     }
 }
 
@@ -337,7 +338,7 @@
 kq_owner_start_release (KqOwner *o, uint32_t i)
 {
   KqOwnEntry *e = &o->entries[i];
-  uint64_t epoch = e->mine.epoch > e->seen.epoch ? e->mine.epoch : e->seen.epoch;
+  uint64_t epoch = e->mine.epoch > e->stored.epoch ? e->mine.epoch : e->stored.epoch;
   e->state = KQ_OWN_RELEASING;
   e->mine = (KqOwnValue){ .epoch = epoch, .write_id = kq_rand_next (&o->rand) };
   e->uncertain = true;
@@ -348,17 +349,17 @@
 release_done (KqOwner *o, uint32_t i, KqTime now)
 {
   o->entries[i].uncertain = false;
-  kq_owner_drop (o, i);
+  kq_owner_reset_entry (o, i);
   o->entries[i].wait_until = now;
 }
 
 static void
-release_answer (KqOwner *o, uint32_t i, const KqStoreReply *r, KqTime now)
+release_reply (KqOwner *o, uint32_t i, const KqStoreReply *r, KqTime now)
 {
   KqOwnEntry *e = &o->entries[i];
   uint64_t expect = e->revision;
-  bool check = e->step == KQ_OWNER_RELEASE_CHECK;
-  if (r->result == KQ_OK && !check)
+  bool read_back = e->step == KQ_OWNER_RELEASE_READ_BACK;
+  if (r->result == KQ_OK && !read_back)
     {
       release_done (o, i, now);
       return;
@@ -367,16 +368,18 @@
       && r->result != KQ_ERR_STORE_NOT_FOUND)
     {
       if (r->result != KQ_ERR_STORE_BUSY)
-        e->step = KQ_OWNER_RELEASE_CHECK;
+        e->step = KQ_OWNER_RELEASE_READ_BACK;
       back_off (o, e, now);
       return;
     }
-  if (!see (o, i, r, now))
+  if (!load_stored (o, i, r, now))
     return;
-  /* Named after a swap or a lease that we have given up, or a swap of ours may still
-   * arrive against this revision: a release moves the revision and ends both. */
-  bool named = e->seen.owner == o->self.id && e->seen.incarnation == o->self.incarnation;
-  bool released_by_us = is_ours (e) && e->seen.owner == 0;
+  /* Either own/<shard> names us although we no longer hold the shard, or a write of ours
+   * may still take effect against this revision. A release ends both, as it removes the
+   * owner and changes the revision. */
+  bool named
+      = e->stored.owner == o->self.id && e->stored.incarnation == o->self.incarnation;
+  bool released_by_us = is_ours (e) && e->stored.owner == 0;
   if (released_by_us)
     release_done (o, i, now);
   else if (named || e->revision == expect)
@@ -386,8 +389,8 @@
 }
 
 void
-kq_owner_answer (KqOwner *o, uint32_t i, const KqStoreReply *r, const KqMember *m,
-                 KqTime now)
+kq_owner_handle_reply (KqOwner *o, uint32_t i, const KqStoreReply *r, const KqMember *m,
+                       KqTime now)
 {
   KqOwnEntry *e = &o->entries[i];
   bool known = r->result == KQ_OK || r->result == KQ_ERR_STORE_NOT_FOUND;
@@ -397,26 +400,26 @@
       break;
     case KQ_OWNER_READ:
       if (!known)
-        leave (o, i, now);
-      else if (see (o, i, r, now))
-        consider (o, i, m, now);
+        retry_later (o, i, now);
+      else if (load_stored (o, i, r, now))
+        continue_take (o, i, m, now);
       break;
     case KQ_OWNER_WATCH:
-      watch_answer (o, i, r, m, now);
+      watch_reply (o, i, r, m, now);
       break;
     case KQ_OWNER_READ_NODE:
       if (!known)
-        leave (o, i, now);
+        retry_later (o, i, now);
       else
-        node_read (o, i, r, m, now);
+        node_reply (o, i, r, m, now);
       break;
     case KQ_OWNER_SWAP:
-    case KQ_OWNER_CHECK:
-      swap_answer (o, i, r, m, now);
+    case KQ_OWNER_READ_BACK:
+      swap_reply (o, i, r, m, now);
       break;
     case KQ_OWNER_RELEASE:
-    case KQ_OWNER_RELEASE_CHECK:
-      release_answer (o, i, r, now);
+    case KQ_OWNER_RELEASE_READ_BACK:
+      release_reply (o, i, r, now);
       break;
     }
 }
--- a/src/shard/owner_test.c
+++ b/src/shard/owner_test.c
@@ -15,8 +15,8 @@
 #define TICK (50 * KQ_MS)
 #define LEASE (10 * KQ_SEC)
 
-/* A member module whose answers the test sets itself: the owner's decisions are tested
- * against any view of the region, also wrong ones. */
+/* Replaces the member module. The test sets its answers, so that the owner module can be
+ * tested with any view of the region, including wrong ones. */
 struct KqMember
 {
   KqNode nodes[N_NODES];
@@ -84,7 +84,7 @@
   return m->hears && age <= now;
 }
 
-/* Three nodes of one region; node ids are 1 to 3, of node i in depot i. */
+/* Three nodes of one region, each in a depot of its own. The id of node i is i + 1. */
 typedef struct
 {
   KqStoreFake *store;
@@ -93,7 +93,7 @@
   KqOwner *owners[N_NODES];
   KqShardDigest digests[N_NODES][N_SHARDS];
   bool up[N_NODES];
-  uint64_t epochs[N_SHARDS]; /* highest that any node took */
+  uint64_t epochs[N_SHARDS]; /* highest epoch under which any node took the shard */
   int lost[N_NODES];
   int max_releasing;
 } Rig;
@@ -105,7 +105,7 @@
   return kq_str (key);
 }
 
-/* All members see the nodes as they are, at once. */
+/* Gives every member module the true state of all nodes. */
 static void
 see_all (Rig *g)
 {
@@ -171,7 +171,7 @@
     {
       if (e.kind == KQ_OWNER_TOOK)
         {
-          assert_true (e.epoch > g->epochs[e.shard]); /* one owner to an epoch */
+          assert_true (e.epoch > g->epochs[e.shard]); /* one owner per epoch */
           g->epochs[e.shard] = e.epoch;
         }
       g->lost[i] += e.kind == KQ_OWNER_LOST;
@@ -250,8 +250,8 @@
          && memmem (value.ptr, value.len, name, strlen (name)) != NULL;
 }
 
-/* Every shard has exactly one owner, the wanted one, also in the store; returns how many
- * node i has. */
+/* Each shard must have one owner: the wanted one, named in the store. Returns node i's.
+ */
 static int
 expect_settled (Rig *g, int i)
 {
@@ -292,13 +292,13 @@
     assert_in_range (expect_settled (g, i), 2, 16);
   uint64_t calls = kq_store_fake_count (g->store)->calls;
   run (g, 20 * KQ_SEC);
-  assert_int_equal (kq_store_fake_count (g->store)->calls, calls); /* no call at rest */
+  assert_int_equal (kq_store_fake_count (g->store)->calls, calls); /* steady state */
   rig_free (g);
 }
 
-/* The answer of a take is lost in each way, and the one of a release. A node that
- * assumed the one or the other would own beside a successor, or leave the shard without
- * an owner that its peers believe in. */
+/* The answer to a take or to a release is lost in each possible way. A node that assumed
+ * an outcome would own the shard beside a successor, or leave it without an owner while
+ * its peers believe that there is one. */
 static void
 test_lost_answers (void **state)
 {
@@ -339,17 +339,17 @@
   g->up[2] = false;
   see_all (g);
   for (int i = 0; i < N_NODES; i++)
-    g->members[i].nodes[2].heard_at = 1; /* silent since long */
+    g->members[i].nodes[2].heard_at = 1; /* last heard long ago */
   run (g, 3 * KQ_SEC);
   assert_int_equal (expect_settled (g, 2), 0);
   taken = kq_owner_count (g->owners[0])->taken - taken;
-  assert_in_range (taken, 0, had); /* nobody else's shards moved */
+  assert_in_range (taken, 0, had); /* no other node's shards moved */
   rig_free (g);
 }
 
-/* The list of nodes at node 0 is stale (its watch is silent) and lacks node 2, which is
- * alive and owns shards. Node 0 thinks it should have them. It must look for node 2's
- * key before it takes anything. */
+/* Node 0's list of nodes is outdated, as its watch is silent, and lacks node 2, which is
+ * alive and owns shards. By that list node 0 is their wanted owner. It must read node 2's
+ * key before it takes any of them. */
 static void
 test_stale_list_takes_nothing (void **state)
 {
@@ -370,8 +370,8 @@
   rig_free (g);
 }
 
-/* Our own key is seen in the store only after the node was counted alive, and the version
- * of the members doesn't change with it. The shards must be taken all the same. */
+/* The nodes' own keys appear in the store's list only after the nodes count as alive, and
+ * the members' version doesn't change then. The shards must be taken nevertheless. */
 static void
 test_key_seen_late (void **state)
 {
@@ -389,10 +389,9 @@
   rig_free (g);
 }
 
-/* A node's lease lapses and it gets a new one, or its driver steps down (its journal
- * can't be read); meanwhile others have come that should own its shards. The store still
- * names the node, which is alive, so nobody else may take them: the node itself must
- * release what it no longer holds. */
+/* A node gets a new lease after its lease expired, or steps down from a damaged journal.
+ * Meanwhile other nodes became the wanted owners. The store still names the node, which
+ * is alive, so nobody else may take its shards: the node itself must release them. */
 static void
 test_named_but_not_holding (void **state)
 {
@@ -417,8 +416,8 @@
     }
 }
 
-/* A damaged journal makes each owner step down as soon as it has read it. The store must
- * not be asked for the same damage many times a second. */
+/* A damaged journal makes each owner step down as soon as it has read it. Without a
+ * growing delay the shard would be taken and the journal read many times per second. */
 static void
 test_step_downs_are_paced (void **state)
 {
@@ -436,8 +435,8 @@
   rig_free (g);
 }
 
-/* Two nodes that don't see each other both think that every shard is theirs, and swap at
- * the same time. One swap wins; the other node must find the winner alive by its key. */
+/* Two nodes that don't see each other try to take every shard at the same time. One write
+ * succeeds; the other node must then read the winner's node key and find it alive. */
 static void
 test_two_owners_race (void **state)
 {
@@ -466,8 +465,9 @@
   rig_free (g);
 }
 
-/* A process is paused beyond its lease. It wakes and, before any tick, asks whether it
- * may send: it must not. Later it tells LOST, and it never goes on in the old epoch. */
+/* A process is suspended for longer than its lease. It must not count as owner even
+ * before the next tick, must report LOST, and may take the shard again only with a new
+ * epoch. */
 static void
 test_paused_owner (void **state)
 {
@@ -488,8 +488,8 @@
   rig_free (g);
 }
 
-/* The store has dropped our lease before its time and a peer took our shard; we can't
- * reach the store to learn it, but we hear the peer's digest. We must stop. */
+/* The store dropped our lease early and a peer took our shard. We don't reach the store
+ * to learn that, but must step down by the higher epoch in the peer's digest. */
 static void
 test_superseded_by_digest (void **state)
 {
@@ -509,9 +509,10 @@
   rig_free (g);
 }
 
-/* Store outage: our lease has lapsed by our own clock. Cases: a peer of the region
- * reaches the store (we are cut off: stop); none does but one is heard (go on); none is
- * heard (stop); the bound has passed (stop); the lease has another number (stop). */
+/* Store outage: our lease has expired by our own clock. We remain owner if no peer of the
+ * region reaches the store but one is heard. We must stop if a peer reaches the store
+ * (only we are cut off), if no peer is heard, after blind_max, if the lease has another
+ * id, and if the store answered a short time ago (it isn't away). */
 static void
 test_blind_time (void **state)
 {
@@ -540,14 +541,14 @@
       m->lease = cases[c].lease;
       assert_int_equal (kq_owner_is_mine (g->owners[0], s, m, g->now), cases[c].blind);
     }
-  /* A paused process wakes with the views of before: it must not believe them. */
+  /* After a suspension the knowledge of the peers is outdated: not owner. */
   m->lease = 1;
   m->silence = 12 * KQ_SEC;
   m->hears = true;
   m->peer_reaches = false;
   assert_true (kq_owner_blind (g->owners[0], m, g->now));
   assert_false (kq_owner_blind (g->owners[0], m, g->now + 3 * KQ_SEC));
-  /* The region's only node hears nobody and goes on. */
+  /* The region's only node hears no peer and remains owner. */
   m->lease = 1;
   m->silence = 12 * KQ_SEC;
   m->hears = m->peer_reaches = false;
@@ -556,8 +557,8 @@
   rig_free (g);
 }
 
-/* A node leaves: its shards move a few at a time, no owner is lost, and each is without
- * an owner for well under a second. */
+/* A node joins: shards move to it a few at a time and only once the members are stable,
+ * and no shard is lost in a move. */
 static void
 test_planned_moves_are_paced (void **state)
 {
