--- a/src/member/lease.c
+++ b/src/member/lease.c
@@ -4,10 +4,11 @@
 
 #include <assert.h>
 
-/* Renewals within one lease: two may be lost before the third comes too late. */
-#define RENEWALS 3
-/* First retry after a failure; doubles up to a third of the lease. A retry is jittered
- * over its second half, so that the nodes don't return to a recovered store at once. */
+/* Two renewals in a row may fail before the lease expires. */
+#define RENEWALS_PER_LEASE 3
+/* Delay of the first retry after a failure; doubles up to a third of the lease. Its
+ * second half is random, so that the nodes don't all call a recovered store at the same
+ * time. */
 #define RETRY_MIN (200 * KQ_MS)
 
 void
@@ -31,10 +32,10 @@
 retry_wait (KqNodeLease *l)
 {
   KqTime wait = RETRY_MIN;
-  for (int i = 0; i < l->failures && wait < l->lease / RENEWALS; i++)
+  for (int i = 0; i < l->failures && wait < l->lease / RENEWALS_PER_LEASE; i++)
     wait *= 2;
-  if (wait > l->lease / RENEWALS)
-    wait = l->lease / RENEWALS;
+  if (wait > l->lease / RENEWALS_PER_LEASE)
+    wait = l->lease / RENEWALS_PER_LEASE;
   l->failures++;
   return wait / 2 + (KqTime)kq_rand_below (l->rand, (uint64_t)(wait / 2));
 }
@@ -52,19 +53,19 @@
       op.value = kq_buf_str (&l->value);
       op.expect = l->expect;
     }
-  l->call = op.token;
+  l->call_token = op.token;
   kq_outbox_store (out, &op);
 }
 
 void
 kq_node_lease_tick (KqNodeLease *l, uint64_t *token, KqTime now, KqOutbox *out)
 {
-  if (l->give_up != 0 && now >= l->give_up)
+  if (l->call_timeout_at != 0 && now >= l->call_timeout_at)
     {
-      l->give_up = 0;
-      l->next = now;
+      l->call_timeout_at = 0;
+      l->next_call_at = now;
     }
-  if (l->give_up != 0 || now < l->next)
+  if (l->call_timeout_at != 0 || now < l->next_call_at)
     return;
   switch (l->state)
     {
@@ -78,93 +79,93 @@
       send (l, KQ_STORE_LEASE_RENEW, token, out);
       break;
     case KQ_LEASE_REPLACED:
-    case KQ_LEASE_LEFT:
+    case KQ_LEASE_REVOKED:
       return;
     }
-  l->give_up = now + l->lease / RENEWALS;
+  l->call_timeout_at = now + l->lease / RENEWALS_PER_LEASE;
 }
 
 static void
-lose (KqNodeLease *l, KqTime now)
+lease_lost (KqNodeLease *l, KqTime now)
 {
   kq_log (KQ_LOG_WARN, "member", "The node's lease is lost. lease=%llu",
           (unsigned long long)l->id);
   l->state = KQ_LEASE_NONE;
   l->id = 0;
-  l->until = 0;
-  l->next = now;
+  l->valid_until = 0;
+  l->next_call_at = now;
 }
 
 static void
-put_answered (KqNodeLease *l, const KqStoreReply *r, KqTime now)
+put_reply (KqNodeLease *l, const KqStoreReply *r, KqTime now)
 {
   bool ours = r->result == KQ_ERR_STORE_CONFLICT
               && kq_str_eq (r->value, kq_buf_str (&l->value));
   if (r->result == KQ_OK || ours)
     {
       l->state = KQ_LEASE_HELD;
-      l->put_at = r->revision;
-      l->next = l->until - l->lease + l->lease / RENEWALS;
+      l->put_revision = r->revision;
+      l->next_call_at = l->valid_until - l->lease + l->lease / RENEWALS_PER_LEASE;
       l->failures = 0;
     }
   else if (r->result == KQ_ERR_STORE_CONFLICT)
     {
-      /* Left by the process before this one: the same name, its lease not lapsed yet. */
+      /* Written by an earlier process of the same name whose lease hasn't expired yet. */
       l->expect = r->revision;
-      l->next = now;
+      l->next_call_at = now;
     }
   else if (r->result == KQ_ERR_STORE_LEASE_LOST)
-    lose (l, now);
+    lease_lost (l, now);
   else
-    l->next = now + retry_wait (l);
+    l->next_call_at = now + retry_wait (l);
 }
 
 static void
-renew_answered (KqNodeLease *l, const KqStoreReply *r, KqTime now)
+renew_reply (KqNodeLease *l, const KqStoreReply *r, KqTime now)
 {
   if (r->result == KQ_OK)
     {
-      assert (r->sent_at + l->lease >= l->until);
-      l->until = r->sent_at + l->lease;
-      l->next = r->sent_at + l->lease / RENEWALS;
+      assert (r->sent_at + l->lease >= l->valid_until);
+      l->valid_until = r->sent_at + l->lease;
+      l->next_call_at = r->sent_at + l->lease / RENEWALS_PER_LEASE;
       l->failures = 0;
     }
   else if (r->result == KQ_ERR_STORE_LEASE_LOST)
     {
       l->expect = 0;
-      lose (l, now);
+      lease_lost (l, now);
     }
   else
-    l->next = now + retry_wait (l);
+    l->next_call_at = now + retry_wait (l);
 }
 
 bool
 kq_node_lease_reply (KqNodeLease *l, const KqStoreReply *r, KqTime now)
 {
-  if (l->give_up == 0 || r->token != l->call)
+  if (l->call_timeout_at == 0 || r->token != l->call_token)
     return false;
-  l->give_up = 0;
+  l->call_timeout_at = 0;
   switch (l->state)
     {
     case KQ_LEASE_NONE:
-      l->next = now;
+      l->next_call_at = now;
       if (r->result == KQ_OK)
         {
           l->id = r->lease;
-          l->until = r->sent_at + l->lease;
+          l->valid_until = r->sent_at + l->lease;
           l->state = KQ_LEASE_GRANTED;
         }
       else
-        l->next = now + retry_wait (l);
+        l->next_call_at = now + retry_wait (l);
       break;
     case KQ_LEASE_GRANTED:
-      put_answered (l, r, now);
+      put_reply (l, r, now);
       break;
     case KQ_LEASE_HELD:
-      renew_answered (l, r, now);
+      renew_reply (l, r, now);
       break;
     case KQ_LEASE_REPLACED:
-    case KQ_LEASE_LEFT:
+    case KQ_LEASE_REVOKED:
       break;
     }
   return true;
@@ -173,28 +174,28 @@
 bool
 kq_node_lease_live (const KqNodeLease *l, KqTime now)
 {
-  return l->state == KQ_LEASE_HELD && now < l->until;
+  return l->state == KQ_LEASE_HELD && now < l->valid_until;
 }
 
 void
 kq_node_lease_replaced (KqNodeLease *l, uint64_t revision)
 {
-  if (l->state != KQ_LEASE_HELD || revision <= l->put_at)
+  if (l->state != KQ_LEASE_HELD || revision <= l->put_revision)
     return;
   kq_log (KQ_LOG_ERROR, "member", "Another process has this node's name. key=%.*s",
           KQ_STR_ARG (kq_buf_str (&l->key)));
   l->state = KQ_LEASE_REPLACED;
   l->id = 0;
-  l->until = 0;
+  l->valid_until = 0;
 }
 
 void
-kq_node_lease_leave (KqNodeLease *l, uint64_t *token, KqOutbox *out)
+kq_node_lease_revoke (KqNodeLease *l, uint64_t *token, KqOutbox *out)
 {
   if (l->id != 0)
     send (l, KQ_STORE_LEASE_REVOKE, token, out);
-  l->state = KQ_LEASE_LEFT;
+  l->state = KQ_LEASE_REVOKED;
   l->id = 0;
-  l->until = 0;
-  l->give_up = 0;
+  l->valid_until = 0;
+  l->call_timeout_at = 0;
 }
--- a/src/member/lease.h
+++ b/src/member/lease.h
@@ -1,54 +1,58 @@
 #ifndef KQ_MEMBER_LEASE_H
 #define KQ_MEMBER_LEASE_H
 
-/* lease: this node's one key node/<name> in the store, under one lease.
+/* lease: this node's key node/<name> in the store and the lease under which it is
+ * written.
  *
- * grant -> put -> renew every third of the lease. A lost answer is never taken for a
- * failure: the put is sent again and a CONFLICT with our own value is success. Used
- * inside this slice only. */
+ * Grants the lease, writes the key, then renews the lease every third of its time. A
+ * missing answer isn't taken for a failure: the write is repeated, and a CONFLICT with
+ * our own value means that it succeeded before. Used inside src/member only. */
 
 #include "base/rand.h"
 #include "port/outbox.h"
 
 typedef enum
 {
-  KQ_LEASE_NONE,     /* nothing granted */
+  KQ_LEASE_NONE,     /* no lease */
   KQ_LEASE_GRANTED,  /* the key isn't written yet */
   KQ_LEASE_HELD,     /* the key is written under the lease */
-  KQ_LEASE_REPLACED, /* another process of our name wrote the key: for good */
-  KQ_LEASE_LEFT      /* given back: for good */
+  KQ_LEASE_REPLACED, /* another process of our name wrote the key; final */
+  KQ_LEASE_REVOKED   /* revoked by us; final */
 } KqLeaseState;
 
 typedef struct
 {
-  KqTime lease;
+  KqTime lease; /* duration */
   KqBuf key;
   KqBuf value;
   KqLeaseState state;
-  uint64_t id;
-  KqTime until;    /* counted from before the grant or renewal was sent */
-  uint64_t expect; /* of the key, for the put */
-  uint64_t put_at; /* revision of our put */
-  KqTime next;     /* of the next call */
-  KqTime give_up;  /* of the call in flight; 0: none */
-  uint64_t call;   /* its token */
-  int failures;    /* in a row */
+  uint64_t id;            /* of the lease in the store; 0: none */
+  KqTime valid_until;     /* expiry, counted from when the grant or renewal was sent */
+  uint64_t expect;        /* revision of the key that our put replaces */
+  uint64_t put_revision;  /* revision of the key after our put */
+  KqTime next_call_at;    /* time of the next call */
+  KqTime call_timeout_at; /* end of the wait for the call in flight; 0: none */
+  uint64_t call_token;    /* token of the call in flight */
+  int failures;           /* in a row */
   KqRand *rand;
 } KqNodeLease;
 
 void kq_node_lease_init (KqNodeLease *l, KqStr name, KqStr value, KqTime lease,
                          KqRand *rand);
 void kq_node_lease_clear (KqNodeLease *l);
-/* `token` numbers the calls of the whole slice. */
+/* Sends the next call when it is due. `token`: the last token used, shared by all store
+ * calls of the member module. */
 void kq_node_lease_tick (KqNodeLease *l, uint64_t *token, KqTime now, KqOutbox *out);
-/* False when the reply isn't of the call in flight. */
+/* Handles a reply; false when it doesn't belong to the call in flight. */
 bool kq_node_lease_reply (KqNodeLease *l, const KqStoreReply *r, KqTime now);
+/* The key is written and its lease is certainly live at `now`. */
 bool kq_node_lease_live (const KqNodeLease *l, KqTime now);
-/* The store's list shows our key with another process's value, written at `revision` (0:
- * it doesn't). Newer than our own put it's a process started later under our name: it
- * keeps the name, and we hold nothing from now on. Older it is what we replaced, in a
- * list that our put overtook. */
+/* The store's list has our key with another process's value, written at `revision` (0: it
+ * hasn't). If that is newer than our own put, a process started later under our name: it
+ * keeps the name, and this process never holds a lease again. If it is older, the list
+ * was read before our put and the value is the one that we have replaced. */
 void kq_node_lease_replaced (KqNodeLease *l, uint64_t revision);
-void kq_node_lease_leave (KqNodeLease *l, uint64_t *token, KqOutbox *out);
+/* Revokes the lease, which deletes the key. */
+void kq_node_lease_revoke (KqNodeLease *l, uint64_t *token, KqOutbox *out);
 
 #endif
--- a/src/member/member.c
+++ b/src/member/member.c
@@ -9,36 +9,38 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* How long a watch waits: a call per node and quarter of a minute. A store whose
- * watches are silent is noticed by this plus WATCH_GRACE. */
+/* How long a watch waits in the store: one call per node every 15 s. A watch without an
+ * answer counts as lost after this plus WATCH_GRACE. */
 #define WATCH_WAIT (15 * KQ_SEC)
 #define WATCH_GRACE (3 * KQ_SEC)
-/* Between lists that fail, or that an unknown node's heartbeat asks for. */
+/* Delay between lists after a failure, or that are wanted because of a heartbeat of an
+ * unknown node. */
 #define LIST_WAIT (1 * KQ_SEC)
-#define LIST_DOUBLINGS 3 /* after failures: 1, 2, 4, 8 s */
-#define FAR_BEATS 4      /* beats between bundles to another region */
-/* Digests go with a heartbeat when this rate to all peers of the region allows it, and
- * at the latest after DIGEST_AGE. With few nodes that is every heartbeat; at the target
- * size (12 nodes a region, 2.4 KB a shard) every few seconds. */
-#define NEAR_DIGEST_RATE 6000 /* bytes a second and node */
-#define DIGEST_AGE (4 * KQ_SEC)
-/* The same for a bundle. The node that gets it passes it on to its whole region, and
- * that costs more than the link: 18 KB to 11 nodes from each of 7 regions. */
-#define FAR_DIGEST_RATE                                                                  \
-  6000 /* bytes a second and pair of regions, passing on included                        \
-        */
-#define FAR_DIGEST_AGE (60 * KQ_SEC)
-#define FAR_REGIONS_MAX 32
-/* A gap between ticks beyond this was our own pause, not the others' silence. */
-#define PAUSE_BEATS 2
-
-/* Digests sent to another region. */
+#define LIST_DOUBLINGS 3   /* of LIST_WAIT after failures: 1, 2, 4, 8 s */
+#define BUNDLE_INTERVALS 4 /* heartbeats per bundle to another region */
+/* Digests are sent with a heartbeat when this rate to all peers of the region together
+ * allows it, and at the latest after DIGEST_AGE_MAX. With few nodes that is every
+ * heartbeat; at the target size (12 nodes per region, 2.4 KB per shard) every few
+ * seconds. */
+#define DIGEST_BYTES_PER_S 6000 /* per sending node */
+#define DIGEST_AGE_MAX (4 * KQ_SEC)
+/* The same for a bundle, per pair of regions and including the forwarding. The receiver
+ * forwards it to its whole region, which costs more than the link between the regions:
+ * 18 KB to 11 nodes from each of 7 regions. */
+#define BUNDLE_DIGEST_BYTES_PER_S 6000
+#define BUNDLE_DIGEST_AGE_MAX (60 * KQ_SEC)
+#define REMOTE_REGIONS_MAX 32
+/* A gap between ticks of more heartbeat intervals than this was a pause of this process;
+ * the others weren't silent. */
+#define PAUSE_INTERVALS 2
+
+/* The digests last sent to another region. */
 typedef struct
 {
   KqName region;
-  KqTime full_at;
-  uint64_t version; /* of our list, then */
-} FarRegion;
+  KqTime digests_sent_at;
+  uint64_t version; /* of our list at that time */
+} RemoteRegion;
 
 struct KqMember
 {
@@ -49,30 +51,31 @@
   KqNodeList list;
   KqNodeTimes times;
   KqNodeEntry *self;
-  /* The watch, or the list that comes first and after a failure. */
-  uint64_t watch_call; /* 0: none in flight */
-  KqTime watch_give_up;
-  KqTime watch_next;
-  uint64_t watch_revision; /* 0: list first */
-  bool list_wanted;        /* an unknown node was heard */
+  /* The watch on node/, or the list that is read first and after a failure. */
+  uint64_t watch_token; /* of the call in flight; 0: none */
+  KqTime watch_timeout_at;
+  KqTime next_watch_at;
+  uint64_t watch_revision; /* watch from here; 0: list first */
+  bool list_wanted;        /* a heartbeat of an unknown node arrived */
   KqTime listed_at;
   int list_failures;
   /* Heartbeats. */
-  uint64_t beat;
-  KqTime next_beat;
-  KqTime full_at;        /* digests were sent last */
-  uint64_t full_version; /* of the list, then: whoever is new needs them */
-  bool digest_moved;     /* other shards or services than then */
-  FarRegion far[FAR_REGIONS_MAX];
-  size_t n_far;
+  uint64_t heartbeat_number;
+  KqTime next_heartbeat_at;
+  KqTime digests_sent_at;   /* when digests were last sent */
+  uint64_t digests_version; /* of the list at that time: new nodes need the digests */
+  bool digests_changed;     /* shards or services have changed since */
+  RemoteRegion remote[REMOTE_REGIONS_MAX];
+  size_t n_remote;
   KqTime last_tick;
   KqTime store_answered_at;
   bool store_answered;
   bool draining;
 };
 
-/* The same shards under the same epochs and as many services, whatever their numbers
- * say. Nobody sends requests to an owner before its lines are there. */
+/* Whether the shards, their epochs and their numbers of services are unchanged; other
+ * values don't count. A new service must be reported at once, as no node sends requests
+ * for it to the owner before its digest lists the service. */
 static bool
 same_shards (const KqNodeEntry *e, const KqShardDigest *s, size_t n)
 {
@@ -101,9 +104,9 @@
   m->list.self = c->self.id;
   m->list.region = c->self.region;
   m->times.lease = c->lease;
-  m->times.beat = c->beat;
-  m->times.suspect = c->suspect;
-  m->times.far_suspect = c->suspect + 2 * FAR_BEATS * c->beat;
+  m->times.heartbeat_interval = c->beat;
+  m->times.suspect_after = c->suspect;
+  m->times.remote_suspect_after = c->suspect + 2 * BUNDLE_INTERVALS * c->beat;
   m->self = kq_node_list_put (&m->list, &c->self, 0);
   m->last_tick = -1;
   kq_member_set_digest (m, NULL, 0, 0, false);
@@ -126,9 +129,9 @@
 {
   KqMsgHeartbeat h = { .node = m->config.self.id };
   if (!same_shards (m->self, s, n))
-    m->digest_moved = true;
+    m->digests_changed = true;
   h.incarnation = m->config.self.incarnation;
-  h.beat = m->beat << 1;
+  h.beat = m->heartbeat_number << 1;
   h.table_revision = table_revision;
   h.draining = draining;
   h.shards = (KqShardDigest *)s;
@@ -139,9 +142,9 @@
 void
 kq_member_store_answered (KqMember *m, KqTime now)
 {
-  /* After an outage of ours: see KqNodeTimes.calm_until. */
+  /* The store returns after an outage; see KqNodeTimes.removal_allowed_at. */
   if (m->store_answered && now - m->store_answered_at > m->config.lease / 2)
-    m->times.calm_until = now + m->config.lease;
+    m->times.removal_allowed_at = now + m->config.lease;
   m->store_answered = true;
   if (now > m->store_answered_at)
     m->store_answered_at = now;
@@ -157,24 +160,24 @@
 tick_watch (KqMember *m, KqTime now, KqOutbox *out)
 {
   KqStoreOp op = { .part = KQ_PART_MEMBER, .key = KQ_STR ("node/") };
-  bool silent = m->watch_call != 0 && now >= m->watch_give_up;
+  bool silent = m->watch_token != 0 && now >= m->watch_timeout_at;
   bool list_now = m->list_wanted && now - m->listed_at >= LIST_WAIT;
   if (silent || list_now)
     {
-      m->watch_call = 0;
+      m->watch_token = 0;
       m->watch_revision = 0;
-      m->watch_next = now;
+      m->next_watch_at = now;
     }
-  if (m->watch_call != 0 || now < m->watch_next)
+  if (m->watch_token != 0 || now < m->next_watch_at)
     return;
   op.kind = m->watch_revision == 0 ? KQ_STORE_LIST : KQ_STORE_WATCH;
   op.expect = m->watch_revision;
   op.wait_ms = (int)(WATCH_WAIT / KQ_MS);
   op.token = ++m->token;
-  m->watch_call = op.token;
-  m->watch_give_up = now + WATCH_GRACE;
+  m->watch_token = op.token;
+  m->watch_timeout_at = now + WATCH_GRACE;
   if (op.kind == KQ_STORE_WATCH)
-    m->watch_give_up += WATCH_WAIT;
+    m->watch_timeout_at += WATCH_WAIT;
   else
     {
       m->listed_at = now;
@@ -183,8 +186,8 @@
   kq_outbox_store (out, &op);
 }
 
-/* Jittered over its second half, so that the nodes don't list all at once when the
- * store is back. */
+/* Delay of the next list after a failure. Its second half is random, so that the nodes
+ * don't all call a recovered store at the same time. */
 static KqTime
 list_retry (KqMember *m)
 {
@@ -195,20 +198,21 @@
 }
 
 static void
-watch_answered (KqMember *m, const KqStoreReply *r, KqTime now)
+watch_reply (KqMember *m, const KqStoreReply *r, KqTime now)
 {
-  m->watch_call = 0;
+  m->watch_token = 0;
   if (r->result != KQ_OK)
     {
       m->watch_revision = 0;
-      m->watch_next = now + list_retry (m);
+      m->next_watch_at = now + list_retry (m);
       return;
     }
-  m->watch_next = now;
+  m->next_watch_at = now;
   m->list_failures = 0;
   m->watch_revision = r->revision;
-  uint64_t foreign = kq_node_list_store (&m->list, r->items, r->n_items, &m->times, now);
-  kq_node_lease_replaced (&m->lease, foreign);
+  uint64_t other_revision
+      = kq_node_list_store (&m->list, r->items, r->n_items, &m->times, now);
+  kq_node_lease_replaced (&m->lease, other_revision);
 }
 
 void
@@ -218,8 +222,8 @@
                   && r->result != KQ_ERR_PLATFORM_FORMAT;
   if (answered)
     kq_member_store_answered (m, now);
-  if (m->watch_call != 0 && r->token == m->watch_call)
-    watch_answered (m, r, now);
+  if (m->watch_token != 0 && r->token == m->watch_token)
+    watch_reply (m, r, now);
   else
     kq_node_lease_reply (&m->lease, r, now);
   kq_node_lease_tick (&m->lease, &m->token, now, out);
@@ -227,33 +231,34 @@
 }
 
 static bool
-near (const KqMember *m, const KqNodeEntry *e)
+same_region (const KqMember *m, const KqNodeEntry *e)
 {
   return kq_name_eq (&e->node.info.region, &m->config.self.region);
 }
 
-/* To every other node of our region, also to those thought gone: if they hear us and
- * answer, the thought was wrong. */
+/* Sends to every other node of our region, also to those that count as gone: if that is
+ * wrong they learn of us, and their heartbeats correct it. */
 static void
-send_near (KqMember *m, const KqMsg *msg, KqOutbox *out)
+send_to_region (KqMember *m, const KqMsg *msg, KqOutbox *out)
 {
   for (size_t i = 0; i < m->list.n; i++)
     {
       KqNodeEntry *e = m->list.entries[i];
-      if (e != m->self && near (m, e))
+      if (e != m->self && same_region (m, e))
         kq_outbox_send (out, e->node.info.id, msg);
     }
 }
 
-/* The present words about a node, as a message whose arrays are borrowed from it. */
+/* The last heartbeat of a node, with the store age as of now. Its arrays are borrowed
+ * from the entry. */
 static KqMsg
 heartbeat_of (const KqMember *m, const KqNodeEntry *e, KqTime now)
 {
-  KqMsg msg = { .kind = KQ_MSG_HEARTBEAT, .u.heartbeat = e->last->u.heartbeat };
+  KqMsg msg = { .kind = KQ_MSG_HEARTBEAT, .u.heartbeat = e->last_heartbeat->u.heartbeat };
   KqMsgHeartbeat *h = &msg.u.heartbeat;
   if (e == m->self)
     {
-      h->beat = m->beat << 1;
+      h->beat = m->heartbeat_number << 1;
       h->store_age_us = kq_member_store_silence (m, now);
     }
   else
@@ -262,19 +267,19 @@
 }
 
 static void
-make_light (KqMsg *msg)
+omit_digests (KqMsg *msg)
 {
-  msg->u.heartbeat.beat |= KQ_BEAT_LIGHT;
+  msg->u.heartbeat.beat |= KQ_HEARTBEAT_NO_DIGESTS;
   msg->u.heartbeat.shards = NULL;
   msg->u.heartbeat.n_shards = 0;
 }
 
-/* The live node of a region that comes first by a hash with `salt`: a choice that each
- * node makes alike without asking, and that spreads over the nodes as the salt varies.
- * When none is thought alive one after the other is tried, so that a link that comes
- * back is found. */
+/* The live node of a region with the highest hash with `salt`. All nodes with the same
+ * list choose the same one, and different salts spread the choice over the nodes. If no
+ * node is alive, all that aren't gone are chosen in turn, so that a restored link is
+ * found. */
 static KqNodeEntry *
-choose (const KqMember *m, const KqName *region, uint64_t salt)
+choose_node (const KqMember *m, const KqName *region, uint64_t salt)
 {
   KqNodeEntry *others[KQ_NODES_MAX];
   KqNodeEntry *best = NULL;
@@ -295,80 +300,85 @@
     }
   if (best != NULL || n == 0)
     return best;
-  return others[m->beat / FAR_BEATS % n];
+  return others[m->heartbeat_number / BUNDLE_INTERVALS % n];
 }
 
-static FarRegion *
-far_region (KqMember *m, const KqName *region)
+static RemoteRegion *
+remote_region (KqMember *m, const KqName *region)
 {
   size_t i = 0;
-  while (i < m->n_far && !kq_name_eq (&m->far[i].region, region))
+  while (i < m->n_remote && !kq_name_eq (&m->remote[i].region, region))
     i++;
-  if (i == FAR_REGIONS_MAX)
+  if (i == REMOTE_REGIONS_MAX)
     return NULL;
-  if (i == m->n_far)
-    m->far[m->n_far++] = (FarRegion){ .region = *region };
-  return &m->far[i];
+  if (i == m->n_remote)
+    m->remote[m->n_remote++] = (RemoteRegion){ .region = *region };
+  return &m->remote[i];
 }
 
-/* Whether `bytes` of digests, sent `copies` times, are due again. */
+/* Whether digests of `bytes` bytes, sent `copies` times, may be sent again: the rate
+ * allows it or `age` has passed since the last time. */
 static bool
 digests_due (KqTime since, size_t bytes, size_t copies, int64_t rate, KqTime age)
 {
-  KqTime pace = (KqTime)(bytes * copies) * KQ_SEC / rate;
-  return since >= age || since >= pace;
+  KqTime interval = (KqTime)(bytes * copies) * KQ_SEC / rate;
+  return since >= age || since >= interval;
 }
 
-/* Digests go to a far region when the rate allows, or when our list changed: a node
- * that came or returned there has none of them yet. */
+/* Whether digests are due in the bundle to another region: when the rate allows it or
+ * when our list changed, as a node that joined or returned there has none of them yet. */
 static bool
-far_due (KqMember *m, FarRegion *f, KqTime now)
+remote_digests_due (KqMember *m, RemoteRegion *f, KqTime now)
 {
   size_t bytes = 0;
   size_t nodes = 0;
   for (size_t i = 0; i < m->list.n; i++)
-    if (near (m, m->list.entries[i]) && m->list.entries[i]->last != NULL)
+    if (same_region (m, m->list.entries[i]) && m->list.entries[i]->last_heartbeat != NULL)
       {
-        bytes += kq_digest_size (&m->list.entries[i]->last->u.heartbeat);
+        bytes += kq_digest_size (&m->list.entries[i]->last_heartbeat->u.heartbeat);
         nodes++;
       }
-  bool news = f->version != m->list.version && now - f->full_at >= DIGEST_AGE;
-  if (f->full_at != 0 && !news
-      && !digests_due (now - f->full_at, bytes, nodes, FAR_DIGEST_RATE, FAR_DIGEST_AGE))
+  bool list_changed
+      = f->version != m->list.version && now - f->digests_sent_at >= DIGEST_AGE_MAX;
+  if (f->digests_sent_at != 0 && !list_changed
+      && !digests_due (now - f->digests_sent_at, bytes, nodes, BUNDLE_DIGEST_BYTES_PER_S,
+                       BUNDLE_DIGEST_AGE_MAX))
     return false;
-  f->full_at = now;
+  f->digests_sent_at = now;
   f->version = m->list.version;
   return true;
 }
 
-/* Our region's heartbeats to a far one, each node's to another receiver: passing on is
- * the dearest part, and so it spreads over that region. */
+/* Sends our region's heartbeats to another region, those of each node to a different
+ * receiver. Forwarding is the most expensive part, and this spreads it over the receiving
+ * region. */
 static void
 send_bundle (KqMember *m, const KqName *region, KqTime now, KqOutbox *out)
 {
-  FarRegion *f = far_region (m, region);
-  bool full = f != NULL && far_due (m, f, now);
+  RemoteRegion *f = remote_region (m, region);
+  bool with_digests = f != NULL && remote_digests_due (m, f, now);
   for (size_t i = 0; i < m->list.n; i++)
     {
       KqNodeEntry *e = m->list.entries[i];
-      if (!near (m, e) || e->node.state != KQ_NODE_ALIVE || e->last == NULL)
+      if (!same_region (m, e) || e->node.state != KQ_NODE_ALIVE
+          || e->last_heartbeat == NULL)
         continue;
-      KqNodeEntry *to = choose (m, region, e->node.info.id);
+      KqNodeEntry *to = choose_node (m, region, e->node.info.id);
       KqMsg msg = heartbeat_of (m, e, now);
       msg.u.heartbeat.via = m->config.self.id;
-      msg.u.heartbeat.beat &= ~(uint64_t)KQ_BEAT_LIGHT;
-      if (!full || !e->has_digests)
-        make_light (&msg);
+      msg.u.heartbeat.beat &= ~(uint64_t)KQ_HEARTBEAT_NO_DIGESTS;
+      if (!with_digests || !e->has_digests)
+        omit_digests (&msg);
       if (to != NULL)
         kq_outbox_send (out, to->node.info.id, &msg);
     }
 }
 
-/* One bundle per pair of regions, from the node that is chosen for the pair. */
+/* Sends a bundle to each other region for which this node is the chosen sender. */
 static void
-send_far (KqMember *m, KqTime now, KqOutbox *out)
+send_to_remote_regions (KqMember *m, KqTime now, KqOutbox *out)
 {
-  KqName done[FAR_REGIONS_MAX];
+  KqName done[REMOTE_REGIONS_MAX];
   size_t n = 0;
   for (size_t i = 0; i < m->list.n; i++)
     {
@@ -376,48 +386,50 @@
       size_t k = 0;
       while (k < n && !kq_name_eq (&done[k], region))
         k++;
-      if (k < n || n == FAR_REGIONS_MAX || near (m, m->list.entries[i]))
+      if (k < n || n == REMOTE_REGIONS_MAX || same_region (m, m->list.entries[i]))
         continue;
       done[n++] = *region;
       uint64_t salt = kq_str_hash (kq_name_str (region));
-      if (choose (m, &m->config.self.region, salt) == m->self)
+      if (choose_node (m, &m->config.self.region, salt) == m->self)
         send_bundle (m, region, now, out);
     }
 }
 
-/* To the peers of the region, with digests when they are due. */
+/* Sends our heartbeat to the peers of the region, with digests when they are due. */
 static void
-send_beat (KqMember *m, KqTime now, KqOutbox *out)
+send_heartbeat (KqMember *m, KqTime now, KqOutbox *out)
 {
   KqMsg msg = heartbeat_of (m, m->self, now);
   size_t peers = 0;
   for (size_t i = 0; i < m->list.n; i++)
-    peers += m->list.entries[i] != m->self && near (m, m->list.entries[i]);
+    peers += m->list.entries[i] != m->self && same_region (m, m->list.entries[i]);
   size_t bytes = kq_digest_size (&msg.u.heartbeat);
-  bool moved = m->digest_moved || m->full_version != m->list.version;
-  if (moved || digests_due (now - m->full_at, bytes, peers, NEAR_DIGEST_RATE, DIGEST_AGE))
+  bool changed = m->digests_changed || m->digests_version != m->list.version;
+  if (changed
+      || digests_due (now - m->digests_sent_at, bytes, peers, DIGEST_BYTES_PER_S,
+                      DIGEST_AGE_MAX))
     {
-      m->full_at = now;
-      m->full_version = m->list.version;
-      m->digest_moved = false;
+      m->digests_sent_at = now;
+      m->digests_version = m->list.version;
+      m->digests_changed = false;
     }
   else
-    make_light (&msg);
-  send_near (m, &msg, out);
+    omit_digests (&msg);
+  send_to_region (m, &msg, out);
 }
 
 static void
-tick_beat (KqMember *m, KqTime now, KqOutbox *out)
+tick_heartbeat (KqMember *m, KqTime now, KqOutbox *out)
 {
-  if (now < m->next_beat)
+  if (now < m->next_heartbeat_at)
     return;
-  m->beat++;
-  m->next_beat = now + m->config.beat;
+  m->heartbeat_number++;
+  m->next_heartbeat_at = now + m->config.beat;
   m->self->node.heard_at = now;
   m->self->node.store_age_us = kq_member_store_silence (m, now);
-  send_beat (m, now, out);
-  if (m->beat % FAR_BEATS == 0)
-    send_far (m, now, out);
+  send_heartbeat (m, now, out);
+  if (m->heartbeat_number % BUNDLE_INTERVALS == 0)
+    send_to_remote_regions (m, now, out);
 }
 
 static void
@@ -426,7 +438,7 @@
   m->self->listed_at = now;
   m->store_answered_at = m->store_answered ? m->store_answered_at : now;
   m->listed_at = now - LIST_WAIT;
-  m->times.awake_since = now;
+  m->times.resumed_at = now;
 }
 
 void
@@ -434,28 +446,28 @@
 {
   if (m->last_tick < 0)
     first_tick (m, now);
-  else if (now - m->last_tick > PAUSE_BEATS * m->config.beat)
-    m->times.awake_since = now;
+  else if (now - m->last_tick > PAUSE_INTERVALS * m->config.beat)
+    m->times.resumed_at = now;
   m->last_tick = now;
   m->times.store_silent = kq_member_store_silence (m, now) > m->config.lease;
   kq_node_list_age (&m->list, &m->times, now);
   kq_node_lease_tick (&m->lease, &m->token, now, out);
-  if (m->lease.state != KQ_LEASE_LEFT)
+  if (m->lease.state != KQ_LEASE_REVOKED)
     tick_watch (m, now, out);
-  tick_beat (m, now, out);
+  tick_heartbeat (m, now, out);
 }
 
-/* A far region's bundle came to us: pass it on within our region, in our own name, so
- * that nobody passes it on again. */
+/* Forwards a heartbeat from another region's bundle to our region. `via` is set to this
+ * node, so that nobody forwards it again. */
 static void
-pass_on (KqMember *m, const KqMsgHeartbeat *h, KqOutbox *out)
+forward_heartbeat (KqMember *m, const KqMsgHeartbeat *h, KqOutbox *out)
 {
   KqNodeEntry *via = kq_node_list_find (&m->list, h->via);
-  if (h->via == 0 || (via != NULL && near (m, via)))
+  if (h->via == 0 || (via != NULL && same_region (m, via)))
     return;
   KqMsg msg = { .kind = KQ_MSG_HEARTBEAT, .u.heartbeat = *h };
   msg.u.heartbeat.via = m->config.self.id;
-  send_near (m, &msg, out);
+  send_to_region (m, &msg, out);
 }
 
 void
@@ -464,21 +476,23 @@
   KqNodeEntry *e = kq_node_list_find (&m->list, h->node);
   if (e == NULL)
     {
-      /* Without its key there is no address: ask the store now, not at the watch's end.
-       */
+      /* The node's address is in its key: list the keys now. */
       m->list_wanted = true;
       return;
     }
   if (e == m->self)
     return;
-  /* Compared with the last heartbeat, not with the store's list: the list may name a
-   * restarted process before its first beat, which then counts from 1 again. */
-  if (e->last != NULL && h->incarnation == e->last->u.heartbeat.incarnation
-      && KQ_BEAT_COUNT (h->beat) <= KQ_BEAT_COUNT (e->last->u.heartbeat.beat))
+  /* The incarnation is compared with the last heartbeat, not with the store's list: the
+   * list may name a restarted process before its first heartbeat, whose number starts at
+   * 1 again. */
+  if (e->last_heartbeat != NULL
+      && h->incarnation == e->last_heartbeat->u.heartbeat.incarnation
+      && KQ_HEARTBEAT_NUMBER (h->beat)
+             <= KQ_HEARTBEAT_NUMBER (e->last_heartbeat->u.heartbeat.beat))
     return;
   kq_node_list_heard (&m->list, e, h, now);
-  if (!near (m, e))
-    pass_on (m, h, out);
+  if (!same_region (m, e))
+    forward_heartbeat (m, h, out);
 }
 
 void
@@ -539,7 +553,7 @@
   for (size_t i = 0; i < m->list.n; i++)
     {
       const KqNodeEntry *e = m->list.entries[i];
-      if (e != m->self && near (m, e) && e->node.heard_at > 0
+      if (e != m->self && same_region (m, e) && e->node.heard_at > 0
           && now - e->node.heard_at <= m->config.suspect
           && e->node.store_age_us + (now - e->node.heard_at) <= age)
         return true;
@@ -553,7 +567,7 @@
   for (size_t i = 0; i < m->list.n; i++)
     {
       const KqNodeEntry *e = m->list.entries[i];
-      if (e != m->self && near (m, e) && e->node.heard_at > 0
+      if (e != m->self && same_region (m, e) && e->node.heard_at > 0
           && now - e->node.heard_at <= age)
         return true;
     }
@@ -564,5 +578,5 @@
 kq_member_leave (KqMember *m, KqTime now, KqOutbox *out)
 {
   (void)now;
-  kq_node_lease_leave (&m->lease, &m->token, out);
+  kq_node_lease_revoke (&m->lease, &m->token, out);
 }
--- a/src/member/member.h
+++ b/src/member/member.h
@@ -1,16 +1,17 @@
 #ifndef KQ_MEMBER_MEMBER_H
 #define KQ_MEMBER_MEMBER_H
 
-/* member: which nodes there are, who is alive, and what their digests say.
+/* member: the known nodes, their liveness, and the digests of the shards that they own.
  *
- * Each node holds one key node/<name> under one lease in the store; its value tells
- * address, region and depot. Nodes of a region send each other heartbeats; between
- * regions one node a side (chosen by a hash over the pair) sends a bundle of its region's
- * heartbeats, so that the link carries O(regions), not O(nodes squared). Digests travel
- * with a heartbeat only as often as a rate in bytes allows (constants in member.c), and
- * at once when other shards are owned than before. A node is suspected when
- * its heartbeats stop, and gone when its store key goes (or, while the store is away,
- * after the lease time without a heartbeat). */
+ * Each node holds one key node/<name> under one lease in the store; its value has the
+ * node's addresses, region and depot. The nodes of a region send heartbeats to each
+ * other. Between two regions one node of each (chosen by a hash for the pair) sends a
+ * bundle of its region's heartbeats, so that the cost on the link doesn't grow with all
+ * pairs of nodes. A digest is the summary of one shard that its owner sends with its
+ * heartbeats. Digests are included only as often as a rate in bytes allows (constants in
+ * member.c), and at once when the owned shards or their number of services change. A node
+ * is suspect when its heartbeats stop, and gone when its key in the store is deleted or
+ * expires (or, while the store is away, after the lease time without a heartbeat). */
 
 #include "port/outbox.h"
 
@@ -38,12 +39,12 @@
 {
   KqNodeInfo info;
   KqNodeState state;
-  bool in_store; /* the node's key was in the store when we last looked */
+  bool in_store; /* the node's key was in the store's last list */
   bool draining;
   KqTime heard_at; /* last heartbeat, direct or bundled; 0: never */
   uint64_t table_revision;
-  int64_t store_age_us;  /* since the store last answered it, as of heard_at */
-  KqShardDigest *shards; /* of its last heartbeat */
+  int64_t store_age_us;  /* time from the store's last answer to it until heard_at */
+  KqShardDigest *shards; /* of its last heartbeat with digests */
   size_t n_shards;
 } KqNode;
 
@@ -61,15 +62,15 @@
 void kq_member_free (KqMember *m);
 void kq_member_tick (KqMember *m, KqTime now, KqOutbox *out);
 void kq_member_reply (KqMember *m, const KqStoreReply *r, KqTime now, KqOutbox *out);
-/* Whether a heartbeat leaves out its digests because those sent before still stand: its
- * empty list of shards must not be read as "owns nothing". Who wants digests asks
- * kq_member_find, or passes light heartbeats over. */
+/* Whether a heartbeat is sent without digests, in which case those sent before remain
+ * valid: its empty list of shards doesn't mean "owns nothing". Callers that need digests
+ * use kq_member_find or ignore such heartbeats. */
 bool kq_heartbeat_light (const KqMsgHeartbeat *h);
 void kq_member_heartbeat (KqMember *m, const KqMsgHeartbeat *h, KqTime now,
                           KqOutbox *out);
-/* The mesh connection to a node went down or up. */
+/* The connection to a node went down or up. */
 void kq_member_link (KqMember *m, KqNodeId node, bool up, KqTime now);
-/* What this node's next heartbeats say of itself; copied. */
+/* Sets what this node's next heartbeats report; copied. */
 void kq_member_set_digest (KqMember *m, const KqShardDigest *s, size_t n,
                            uint64_t table_revision, bool draining);
 /* The store answered some call of this node at `now`. */
@@ -79,23 +80,26 @@
 size_t kq_member_count (const KqMember *m);
 const KqNode *kq_member_at (const KqMember *m, size_t i);
 const KqNode *kq_member_find (const KqMember *m, KqNodeId id);
-/* Counts up whenever a node comes, goes or changes state or draining, or its key comes
- * to the store or goes from it. */
+/* Increases whenever a node is added or removed, its info, state or draining flag
+ * changes, or its key appears in or disappears from the store. */
 uint64_t kq_member_version (const KqMember *m);
-/* Whether our own key's lease is certainly alive at `now` (by the monotonic clock,
- * counted from before the renewal was sent). */
+/* Whether our own key's lease is certainly live at `now`: by the monotonic clock, counted
+ * from when the last successful renewal was sent. */
 bool kq_member_lease_live (const KqMember *m, KqTime now);
 uint64_t kq_member_lease (const KqMember *m); /* its id in the store; 0: none yet */
-/* Another process wrote our key since: the host was replaced under the same name, or two
- * have one name. This process holds no lease again; it should end. */
+/* Whether another process has written our key since: the host was replaced under the same
+ * name, or two hosts have the same name. This process never holds a lease again and
+ * should exit. */
 bool kq_member_replaced (const KqMember *m);
-/* How long the store hasn't answered this node. */
+/* Time since the store last answered this node. */
 KqTime kq_member_store_silence (const KqMember *m, KqTime now);
-/* A live peer of our region says that the store answered it within `age`. */
+/* Whether a peer of our region that isn't silent reports that the store answered it
+ * within `age`. */
 bool kq_member_peer_reaches_store (const KqMember *m, KqTime age, KqTime now);
-/* At least one peer of our region was heard within `age`. */
+/* Whether a heartbeat of at least one peer of our region arrived within `age`. */
 bool kq_member_hears_region (const KqMember *m, KqTime age, KqTime now);
-/* Gives the lease back: our key goes at once. For a planned stop, after hand-over. */
+/* Revokes the lease, so that our key is deleted at once. For a planned stop, after all
+ * shards are handed over. */
 void kq_member_leave (KqMember *m, KqTime now, KqOutbox *out);
 
 #endif
--- a/src/member/member_test.c
+++ b/src/member/member_test.c
@@ -12,21 +12,21 @@
 #include <cmocka.h>
 
 static const KqNode *
-seen (KqTableSim *f, int by, int whom)
+seen (KqTableSim *f, int by, int other)
 {
-  return kq_member_find (f->nodes[by].member, f->nodes[whom].info.id);
+  return kq_member_find (f->nodes[by].member, f->nodes[other].info.id);
 }
 
 static int
-state_of (KqTableSim *f, int by, int whom)
+state_of (KqTableSim *f, int by, int other)
 {
-  const KqNode *n = seen (f, by, whom);
+  const KqNode *n = seen (f, by, other);
   return n != NULL ? (int)n->state : -1;
 }
 
-/* All that are up see each other alive, and nobody else. */
+/* Every node that is up sees exactly the nodes that are up as alive. */
 static bool
-whole (KqTableSim *f)
+all_see_live (KqTableSim *f)
 {
   for (int a = 0; a < f->n; a++)
     for (int b = 0; b < f->n; b++)
@@ -35,14 +35,14 @@
   return true;
 }
 
-/* Until `whole`; returns how long, -1 after the limit. */
+/* Runs until all_see_live; returns how long that took, -1 after the limit. */
 static KqTime
-settle (KqTableSim *f, KqTime limit)
+wait_until_all_see_live (KqTableSim *f, KqTime limit)
 {
   KqTime start = f->now;
   while (f->now - start <= limit)
     {
-      if (whole (f))
+      if (all_see_live (f))
         return f->now - start;
       kq_table_sim_run (f, 50 * KQ_MS);
     }
@@ -63,55 +63,54 @@
 {
   KqTableSim *f = kq_table_sim_new (1, 9, 2, true);
   (void)state;
-  assert_in_range (settle (f, 5 * KQ_SEC), 0, 2 * KQ_SEC);
+  assert_in_range (wait_until_all_see_live (f, 5 * KQ_SEC), 0, 2 * KQ_SEC);
   assert_true (leases_live (f));
   for (int i = 0; i < 60; i++)
     {
       kq_table_sim_run (f, KQ_SEC);
-      assert_true (whole (f) && leases_live (f));
+      assert_true (all_see_live (f) && leases_live (f));
     }
-  assert_true (seen (f, 0, 3)->heard_at > 0); /* in the far region, by bundles */
+  assert_true (seen (f, 0, 3)->heard_at > 0); /* other region, by bundles */
   assert_true (kq_member_peer_reaches_store (f->nodes[0].member, 10 * KQ_SEC, f->now));
   assert_true (kq_member_hears_region (f->nodes[0].member, 2 * KQ_SEC, f->now));
-  /* A region's words cross the link once: node 0's heartbeats of 60 s to all of the far
-   * region would be 4 x 120. */
+
   kq_table_sim_free (f);
 }
 
-/* A process dies without a word. Its peers suspect it within the suspicion time, before
- * its key lapses, and count it gone when the key does; started again, it is back. */
+/* A process is killed. Its peers must suspect it before its key expires, and count it as
+ * gone when the key expires. After a restart it must be alive again. */
 static void
 test_kill_and_return (void **state)
 {
   KqTableSim *f = kq_table_sim_new (2, 6, 2, true);
   (void)state;
-  assert_true (settle (f, 5 * KQ_SEC) >= 0);
+  assert_true (wait_until_all_see_live (f, 5 * KQ_SEC) >= 0);
   kq_table_sim_kill (f, 2);
   kq_table_sim_run (f, 3 * KQ_SEC);
   assert_int_equal (state_of (f, 0, 2), KQ_NODE_SUSPECT);
   kq_table_sim_run (f, 9 * KQ_SEC);
   assert_int_equal (state_of (f, 0, 2), KQ_NODE_GONE);
   kq_table_sim_start (f, 2);
-  assert_in_range (settle (f, 5 * KQ_SEC), 0, 3 * KQ_SEC);
+  assert_in_range (wait_until_all_see_live (f, 5 * KQ_SEC), 0, 3 * KQ_SEC);
   assert_int_equal (seen (f, 1, 2)->info.incarnation, 2);
-  /* Killed and started at once: its former key is still there under the old lease. */
+  /* Killed and restarted at once: its earlier key still exists under the old lease. */
   kq_table_sim_kill (f, 4);
   kq_table_sim_start (f, 4);
   kq_table_sim_run (f, 2 * KQ_SEC);
-  assert_true (leases_live (f) && whole (f));
+  assert_true (leases_live (f) && all_see_live (f));
   kq_table_sim_run (f, 30 * KQ_SEC);
-  assert_true (leases_live (f) && whole (f));
+  assert_true (leases_live (f) && all_see_live (f));
   kq_table_sim_free (f);
 }
 
-/* The connection to a killed process breaks: that is told at once, and suspicion needs
- * not wait for the silence limit. A mere reconnection raises none. */
+/* When the connection to a process is lost and its heartbeats stop, it must be suspected
+ * before the silence limit. A reconnection alone must not raise suspicion. */
 static void
 test_broken_link (void **state)
 {
   KqTableSim *f = kq_table_sim_new (3, 3, 1, true);
   (void)state;
-  assert_true (settle (f, 5 * KQ_SEC) >= 0);
+  assert_true (wait_until_all_see_live (f, 5 * KQ_SEC) >= 0);
   kq_member_link (f->nodes[0].member, f->nodes[1].info.id, false, f->now);
   kq_table_sim_run (f, 2 * KQ_SEC);
   assert_int_equal (state_of (f, 0, 1), KQ_NODE_ALIVE);
@@ -122,14 +121,15 @@
   kq_table_sim_free (f);
 }
 
-/* Messages between two nodes are lost one way, then both, while each reaches the store:
- * suspicion, but no removal; when they come again it ends. */
+/* Messages between two nodes are lost in one direction, then in both, while each node
+ * reaches the store. They must suspect but not remove each other, until messages arrive
+ * again. */
 static void
 test_cut_peer (void **state)
 {
   KqTableSim *f = kq_table_sim_new (4, 3, 1, true);
   (void)state;
-  assert_true (settle (f, 5 * KQ_SEC) >= 0);
+  assert_true (wait_until_all_see_live (f, 5 * KQ_SEC) >= 0);
   f->cut[0][1] = true;
   kq_table_sim_run (f, 20 * KQ_SEC);
   assert_int_equal (state_of (f, 1, 0), KQ_NODE_SUSPECT);
@@ -139,23 +139,23 @@
   assert_int_equal (state_of (f, 0, 1), KQ_NODE_SUSPECT);
   assert_true (leases_live (f));
   f->cut[0][1] = f->cut[1][0] = false;
-  assert_in_range (settle (f, 5 * KQ_SEC), 0, 2 * KQ_SEC);
+  assert_in_range (wait_until_all_see_live (f, 5 * KQ_SEC), 0, 2 * KQ_SEC);
   kq_table_sim_free (f);
 }
 
-/* The store is away for minutes, longer than any lease. Nodes go on seeing each other
- * by heartbeats, know that their leases are gone, and one that dies is counted gone
- * after the lease time. When the store is back nobody is taken for gone meanwhile,
- * though at first it lists no key at all. */
+/* The store is away for longer than any lease. Nodes must still see each other by
+ * heartbeats, know that their leases have expired, and count a killed node as gone after
+ * the lease time. When the store returns it lists no key at first, but no live node may
+ * count as gone. */
 static void
 test_store_outage (void **state)
 {
   KqTableSim *f = kq_table_sim_new (5, 6, 2, true);
   (void)state;
-  assert_true (settle (f, 5 * KQ_SEC) >= 0);
+  assert_true (wait_until_all_see_live (f, 5 * KQ_SEC) >= 0);
   kq_store_fake_faults (f->store)->down = true;
   kq_table_sim_run (f, 60 * KQ_SEC);
-  assert_true (whole (f));
+  assert_true (all_see_live (f));
   for (int i = 0; i < 6; i++)
     {
       assert_false (kq_member_lease_live (f->nodes[i].member, f->now));
@@ -165,24 +165,24 @@
     }
   kq_table_sim_kill (f, 5);
   kq_table_sim_run (f, 20 * KQ_SEC);
-  assert_true (whole (f));
+  assert_true (all_see_live (f));
   assert_int_equal (state_of (f, 0, 5), KQ_NODE_GONE);
   kq_store_fake_faults (f->store)->down = false;
   uint64_t before = kq_store_fake_count (f->store)->calls;
   for (int i = 0; i < 400; i++)
     {
       kq_table_sim_run (f, 50 * KQ_MS);
-      assert_true (whole (f));
+      assert_true (all_see_live (f));
     }
   assert_true (leases_live (f));
-  /* A calm return: grant, put, list, watches and renewals, not a storm. */
+  /* Only grant, put, list, watches and renewals of five nodes, no repeated calls. */
   assert_in_range (kq_store_fake_count (f->store)->calls - before, 5 * 5, 5 * 60);
   kq_table_sim_free (f);
 }
 
-/* One node alone is cut off from the store. Its peers say that they reach it, so it
- * knows that the fault is its own; its lease ends by its own clock before the key goes
- * in the store. */
+/* One node is cut off from the store. Its peers report that they reach the store, so it
+ * knows that only it is cut off. Its lease must end by its own clock before its key
+ * expires in the store. */
 static void
 test_one_cut_from_store (void **state)
 {
@@ -192,8 +192,8 @@
   KqStr value;
   uint64_t rev;
   (void)state;
-  assert_true (settle (f, 5 * KQ_SEC) >= 0);
-  /* A slow store: a lease counted from the answer would outlive the key. */
+  assert_true (wait_until_all_see_live (f, 5 * KQ_SEC) >= 0);
+  /* A slow store: a lease counted from the answer would end after the key. */
   kq_store_fake_faults (f->store)->latency = 800 * KQ_MS;
   kq_table_sim_run (f, 12 * KQ_SEC);
   kq_store_fake_faults (f->store)->cut_from[1] = true;
@@ -211,18 +211,19 @@
   assert_int_equal (state_of (f, 0, 1), KQ_NODE_GONE);
   kq_store_fake_faults (f->store)->cut_from[1] = false;
   kq_store_fake_faults (f->store)->cut_to[1] = false;
-  assert_true (settle (f, 10 * KQ_SEC) >= 0);
+  assert_true (wait_until_all_see_live (f, 10 * KQ_SEC) >= 0);
   kq_table_sim_free (f);
 }
 
-/* A process sleeps for a minute and wakes. It must know at once that its lease is gone,
- * must not take its own sleep for the others' silence, and must be back soon. */
+/* A process is suspended for a minute. After it resumes it must know at once that its
+ * lease has expired, must not suspect its peers because of its own pause, and must soon
+ * have a lease again. */
 static void
 test_paused_process (void **state)
 {
   KqTableSim *f = kq_table_sim_new (7, 4, 1, true);
   (void)state;
-  assert_true (settle (f, 5 * KQ_SEC) >= 0);
+  assert_true (wait_until_all_see_live (f, 5 * KQ_SEC) >= 0);
   f->nodes[2].paused = true;
   kq_table_sim_run (f, 60 * KQ_SEC);
   assert_false (kq_member_lease_live (f->nodes[2].member, f->now));
@@ -233,14 +234,14 @@
       for (int i = 0; i < 4; i++)
         assert_int_equal (state_of (f, 2, i), KQ_NODE_ALIVE);
     }
-  assert_true (settle (f, 15 * KQ_SEC) >= 0);
+  assert_true (wait_until_all_see_live (f, 15 * KQ_SEC) >= 0);
   assert_true (leases_live (f));
   kq_table_sim_free (f);
 }
 
 /* A host is replaced under the same name while the old process still runs. The newer
- * one has the key; the older holds nothing from the moment it sees that, for good, and
- * the two don't push each other out in turns. */
+ * process must have the key. The older one must never hold a lease again once it sees
+ * that, or the two would replace each other's key in turns. */
 static void
 test_same_name_twice (void **state)
 {
@@ -248,14 +249,14 @@
   KqMemberConfig c = { .lease = 10 * KQ_SEC, .beat = KQ_SEC / 2, .suspect = 2 * KQ_SEC };
   KqOutbox out = { 0 };
   (void)state;
-  assert_true (settle (f, 5 * KQ_SEC) >= 0);
+  assert_true (wait_until_all_see_live (f, 5 * KQ_SEC) >= 0);
   KqMember *old = f->nodes[0].member;
   c.self = f->nodes[0].info;
   c.self.incarnation = 77;
   f->nodes[0].member = kq_member_new (&c, 99);
   kq_table_sim_run (f, 3 * KQ_SEC);
   assert_true (kq_member_lease_live (f->nodes[0].member, f->now));
-  /* The old one's watch answers with the list. */
+  /* The watch of the old process is answered with the new key. */
   KqStr value;
   KqStoreReply r = { .kind = KQ_STORE_WATCH, .part = KQ_PART_MEMBER, .n_items = 1 };
   assert_true (kq_store_fake_get (f->store, KQ_STR ("node/n0"), &value, &r.revision));
@@ -269,11 +270,12 @@
   kq_outbox_free (&out);
   kq_member_free (old);
   kq_table_sim_run (f, 30 * KQ_SEC);
-  assert_true (whole (f) && leases_live (f));
+  assert_true (all_see_live (f) && leases_live (f));
   kq_table_sim_free (f);
 }
 
-/* A planned stop: the key goes at once, and the others know within a watch's answer. */
+/* A planned stop: the key must be deleted at once, and the others learn it by their
+ * watch. */
 static void
 test_leave (void **state)
 {
@@ -281,11 +283,11 @@
   KqOutbox out = { 0 };
   KqOut item;
   (void)state;
-  assert_true (settle (f, 5 * KQ_SEC) >= 0);
+  assert_true (wait_until_all_see_live (f, 5 * KQ_SEC) >= 0);
   kq_member_leave (f->nodes[1].member, f->now, &out);
   assert_true (kq_outbox_take (&out, &item));
   assert_int_equal (item.u.store.kind, KQ_STORE_LEASE_REVOKE);
-  item.u.store.token = 0; /* its answer goes to the first asker, who ignores it */
+  item.u.store.token = 0; /* a token that no call has, so the reply is ignored */
   kq_store_fake_call (f->store, 1, &item.u.store, f->now);
   kq_out_clear (&item);
   kq_outbox_free (&out);
@@ -295,8 +297,8 @@
   kq_table_sim_free (f);
 }
 
-/* Calls to the store are lost before or after their effect, answered late or twice. No
- * node ever thinks its lease alive after its key went, and all are there in the end. */
+/* Store calls are lost before or after their effect, or answered late or twice. No node
+ * may count its lease as live after its key is gone, and all must be alive in the end. */
 static void
 test_random_store_faults (void **state)
 {
@@ -326,16 +328,16 @@
         }
       s->down = false;
       memset (s->p, 0, sizeof s->p);
-      assert_true (settle (f, 30 * KQ_SEC) >= 0);
+      assert_true (wait_until_all_see_live (f, 30 * KQ_SEC) >= 0);
       kq_table_sim_run (f, 10 * KQ_SEC);
       assert_true (leases_live (f));
       kq_table_sim_free (f);
     }
 }
 
-/* Heartbeats over the region link grow with pairs of regions, not of nodes: with twice
- * the nodes a region there is still one sender a pair, and twice the
- * bytes; all pairs of nodes would be four times. */
+/* Heartbeats between regions must grow with pairs of regions, not of nodes. With twice
+ * the nodes per region there must still be one sender per pair of regions, and twice the
+ * bytes; with heartbeats between all pairs of nodes it would be four times. */
 static void
 test_bundles (void **state)
 {
@@ -344,9 +346,9 @@
   for (int k = 0; k < 2; k++)
     {
       KqTableSim *f = kq_table_sim_new (10, k == 0 ? 12 : 24, 4, true);
-      int pairs = 0; /* sending nodes, by the region that they send to */
+      int pairs = 0; /* of a sending node and a receiving region */
       bytes[k] = 0;
-      assert_true (settle (f, 5 * KQ_SEC) >= 0);
+      assert_true (wait_until_all_see_live (f, 5 * KQ_SEC) >= 0);
       kq_table_sim_run (f, 10 * KQ_SEC);
       memset (f->crossed, 0, sizeof f->crossed);
       for (int i = 0; i < f->n; i++)
@@ -366,17 +368,17 @@
   assert_true (bytes[1] < 2.2 * bytes[0]);
 }
 
-/* A node takes a shard, its numbers change, it gives the shard away. Peers near and far
- * must know who owns it within a beat or a bundle; light heartbeats in between must not
- * read as "owns nothing". */
+/* A node takes a shard, the shard's values change, the node releases the shard. Peers in
+ * both regions must know the owner within a heartbeat or a bundle; heartbeats without
+ * digests in between must not be read as "owns nothing". */
 static void
-test_digests_travel (void **state)
+test_digests_arrive (void **state)
 {
   KqTableSim *f = kq_table_sim_new (17, 8, 2, true);
   KqTeamDigest teams[60] = { { .wanted = { 0 } } };
   KqShardDigest d = { .shard = 5, .epoch = 1, .teams = teams, .n_teams = 60 };
   (void)state;
-  assert_true (settle (f, 5 * KQ_SEC) >= 0);
+  assert_true (wait_until_all_see_live (f, 5 * KQ_SEC) >= 0);
   kq_table_sim_run (f, 10 * KQ_SEC);
   f->nodes[0].digest = &d;
   f->nodes[0].n_digest = 1;
@@ -397,7 +399,8 @@
   kq_table_sim_free (f);
 }
 
-/* Guards against an owner without requests: its runners' lines waited for their pace. */
+/* A new service of a shard must be reported at once. If its entry in the digest waited
+ * for the digest rate, the owner would get no requests for the service until then. */
 static void
 test_service_lines_travel (void **state)
 {
@@ -406,7 +409,7 @@
   KqServiceDigest line = { .service = kq_name (KQ_STR ("quick")), .slots = 4 };
   KqShardDigest d = { .shard = 5, .epoch = 1, .teams = teams, .n_teams = 60 };
   (void)state;
-  assert_true (settle (f, 5 * KQ_SEC) >= 0);
+  assert_true (wait_until_all_see_live (f, 5 * KQ_SEC) >= 0);
   f->nodes[0].digest = &d;
   f->nodes[0].n_digest = 1;
   kq_table_sim_run (f, 700 * KQ_MS);
@@ -436,7 +439,7 @@
     cmocka_unit_test (test_leave),
     cmocka_unit_test (test_random_store_faults),
     cmocka_unit_test (test_bundles),
-    cmocka_unit_test (test_digests_travel),
+    cmocka_unit_test (test_digests_arrive),
     cmocka_unit_test (test_service_lines_travel),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/src/member/nodes.c
+++ b/src/member/nodes.c
@@ -8,8 +8,8 @@
 #include <string.h>
 
 #define INFO_VERSION 1
-/* A node that is gone and silent stays listed so long, for operators to see. */
-#define FORGET (60 * KQ_SEC)
+/* A node that is gone and silent stays in the list this long, for operators to see. */
+#define FORGET_AFTER (60 * KQ_SEC)
 
 void
 kq_node_info_pack (const KqNodeInfo *info, KqBuf *out)
@@ -49,7 +49,7 @@
 static void
 free_entry (KqNodeEntry *e)
 {
-  kq_msg_free (e->last);
+  kq_msg_free (e->last_heartbeat);
   free (e);
 }
 
@@ -62,7 +62,7 @@
 }
 
 static size_t
-place (const KqNodeList *l, KqNodeId id)
+find_index (const KqNodeList *l, KqNodeId id)
 {
   size_t i = 0;
   while (i < l->n && l->entries[i]->node.info.id < id)
@@ -73,14 +73,14 @@
 KqNodeEntry *
 kq_node_list_find (const KqNodeList *l, KqNodeId id)
 {
-  size_t i = place (l, id);
+  size_t i = find_index (l, id);
   return i < l->n && l->entries[i]->node.info.id == id ? l->entries[i] : NULL;
 }
 
 KqNodeEntry *
 kq_node_list_put (KqNodeList *l, const KqNodeInfo *info, KqTime now)
 {
-  size_t i = place (l, info->id);
+  size_t i = find_index (l, info->id);
   KqNodeEntry *e;
   if (i < l->n && l->entries[i]->node.info.id == info->id)
     {
@@ -108,47 +108,47 @@
 static void
 set_state (KqNodeList *l, KqNodeEntry *e, KqNodeState state, KqTime now)
 {
-  static const char *const words[] = { "alive", "suspect", "gone" };
+  static const char *const state_names[] = { "alive", "suspect", "gone" };
   if (e->node.state == state)
     return;
   kq_log (KQ_LOG_INFO, "member", "Node changed its state. node=%.*s from=%s to=%s",
-          KQ_STR_ARG (kq_name_str (&e->node.info.name)), words[e->node.state],
-          words[state]);
+          KQ_STR_ARG (kq_name_str (&e->node.info.name)), state_names[e->node.state],
+          state_names[state]);
   e->node.state = state;
-  e->gone_at = now;
+  e->state_since = now;
   l->version++;
 }
 
 static bool
-is_far (const KqNodeList *l, const KqNodeEntry *e)
+in_other_region (const KqNodeList *l, const KqNodeEntry *e)
 {
   return !kq_name_eq (&e->node.info.region, &l->region);
 }
 
-/* How long the node has been silent while we could have heard it. */
+/* Time without a heartbeat during which this process could have received one. */
 static KqTime
 silence (const KqNodeEntry *e, const KqNodeTimes *t, KqTime now)
 {
   KqTime from = e->node.heard_at > e->listed_at ? e->node.heard_at : e->listed_at;
-  if (t->awake_since > from)
-    from = t->awake_since;
+  if (t->resumed_at > from)
+    from = t->resumed_at;
   return now - from;
 }
 
 static bool
-suspect (const KqNodeList *l, const KqNodeEntry *e, const KqNodeTimes *t, KqTime now)
+is_suspect (const KqNodeList *l, const KqNodeEntry *e, const KqNodeTimes *t, KqTime now)
 {
-  KqTime limit = is_far (l, e) ? t->far_suspect : t->suspect;
+  KqTime limit = in_other_region (l, e) ? t->remote_suspect_after : t->suspect_after;
   if (silence (e, t, now) > limit)
     return true;
-  /* The connection broke and nothing came since: a killed process shows so at once. One
-   * beat's time lets a mere reconnection pass. */
-  return !is_far (l, e) && e->link_lost_at > e->node.heard_at
-         && now - e->link_lost_at > 2 * t->beat;
+  /* The connection was lost and no heartbeat has arrived since, as when the process was
+   * killed: no need to wait for the limit. Two heartbeats' time allows a reconnection. */
+  return !in_other_region (l, e) && e->link_lost_at > e->node.heard_at
+         && now - e->link_lost_at > 2 * t->heartbeat_interval;
 }
 
 static void
-store_has (KqNodeList *l, const KqStoreItem *item, const KqNodeTimes *t, KqTime now)
+add_stored_node (KqNodeList *l, const KqStoreItem *item, const KqNodeTimes *t, KqTime now)
 {
   KqNodeInfo info;
   KqStr name = item->key;
@@ -168,30 +168,30 @@
       e->listed_at = now;
       set_state (l, e, KQ_NODE_ALIVE, now);
     }
-  if (e->node.state == KQ_NODE_ALIVE && suspect (l, e, t, now))
+  if (e->node.state == KQ_NODE_ALIVE && is_suspect (l, e, t, now))
     set_state (l, e, KQ_NODE_SUSPECT, now);
 }
 
-/* Changes when any node's key comes to the store or goes from it. */
+/* A hash over the nodes whose keys are in the store. */
 static uint64_t
-keys_mark (const KqNodeList *l)
+stored_keys_hash (const KqNodeList *l)
 {
-  uint64_t mark = 0;
+  uint64_t hash = 0;
   for (size_t i = 0; i < l->n; i++)
     {
       if (l->entries[i]->node.in_store)
-        mark = kq_hash2 (mark, l->entries[i]->node.info.id);
+        hash = kq_hash2 (hash, l->entries[i]->node.info.id);
     }
-  return mark;
+  return hash;
 }
 
 uint64_t
 kq_node_list_store (KqNodeList *l, const KqStoreItem *items, size_t n,
                     const KqNodeTimes *t, KqTime now)
 {
-  uint64_t foreign = 0;
+  uint64_t other_revision = 0;
   KqNodeEntry *self = kq_node_list_find (l, l->self);
-  uint64_t before = keys_mark (l);
+  uint64_t before = stored_keys_hash (l);
   for (size_t i = 0; i < l->n; i++)
     l->entries[i]->node.in_store = false;
   for (size_t i = 0; i < n; i++)
@@ -201,26 +201,26 @@
         {
           self->node.in_store = true;
           if (info.incarnation != self->node.info.incarnation)
-            foreign = items[i].revision;
+            other_revision = items[i].revision;
           continue;
         }
-      store_has (l, &items[i], t, now);
+      add_stored_node (l, &items[i], t, now);
     }
   for (size_t i = 0; i < l->n; i++)
     {
       KqNodeEntry *e = l->entries[i];
-      /* After an outage every lease has lapsed and every key is missing for a moment.
-       * Taken at once, each node would take over all shards of the others; a node that
-       * is still heard writes its key again within seconds. */
-      bool calm = now < t->calm_until && e->node.state == KQ_NODE_ALIVE;
-      if (e != self && !e->node.in_store && !calm)
+      /* After a store outage all leases have expired and all keys are missing for a short
+       * time. If that counted at once, each node would take over the others' shards. A
+       * node that is still heard writes its key again within seconds. */
+      bool may_return = now < t->removal_allowed_at && e->node.state == KQ_NODE_ALIVE;
+      if (e != self && !e->node.in_store && !may_return)
         set_state (l, e, KQ_NODE_GONE, now);
     }
-  /* Who may own a shard depends on the keys: the only node of a region whose own key had
-   * come without a new version never looked again, and took no shard. */
-  if (keys_mark (l) != before)
+  /* Which node may own a shard depends on the keys. Without a new version the only node
+   * of a region wouldn't notice that its own key has appeared and would take no shard. */
+  if (stored_keys_hash (l) != before)
     l->version++;
-  return foreign;
+  return other_revision;
 }
 
 void
@@ -232,16 +232,16 @@
       KqNodeEntry *e = l->entries[i];
       if (e->node.info.id != l->self && e->node.state != KQ_NODE_GONE)
         {
-          bool quiet = suspect (l, e, t, now);
+          bool suspected = is_suspect (l, e, t, now);
           if (t->store_silent && silence (e, t, now) > t->lease)
             set_state (l, e, KQ_NODE_GONE, now);
-          else if (!e->node.in_store && !t->store_silent && now >= t->calm_until)
+          else if (!e->node.in_store && !t->store_silent && now >= t->removal_allowed_at)
             set_state (l, e, KQ_NODE_GONE, now);
           else
-            set_state (l, e, quiet ? KQ_NODE_SUSPECT : KQ_NODE_ALIVE, now);
+            set_state (l, e, suspected ? KQ_NODE_SUSPECT : KQ_NODE_ALIVE, now);
         }
       if (e->node.state == KQ_NODE_GONE && !t->store_silent && !e->node.in_store
-          && now - e->gone_at > FORGET && now - e->node.heard_at > FORGET)
+          && now - e->state_since > FORGET_AFTER && now - e->node.heard_at > FORGET_AFTER)
         {
           free_entry (e);
           l->version++;
@@ -252,7 +252,7 @@
   l->n = kept;
 }
 
-/* Measured on packed digests; names are about ten bytes. */
+/* Packed sizes of a digest's parts, with names of about ten bytes. */
 #define SHARD_BYTES 50
 #define SERVICE_BYTES 27
 #define TEAM_BYTES 36
@@ -269,35 +269,37 @@
 bool
 kq_heartbeat_light (const KqMsgHeartbeat *h)
 {
-  return (h->beat & KQ_BEAT_LIGHT) != 0;
+  return (h->beat & KQ_HEARTBEAT_NO_DIGESTS) != 0;
 }
 
-/* Keeps the digests of the last full heartbeat of the same process. */
+/* Stores the heartbeat; one without digests keeps the digests that the same process sent
+ * before. */
 static void
-keep (KqNodeEntry *e, const KqMsgHeartbeat *h)
+store_heartbeat (KqNodeEntry *e, const KqMsgHeartbeat *h)
 {
   KqMsg m = { .kind = KQ_MSG_HEARTBEAT, .u.heartbeat = *h };
-  KqMsgHeartbeat *have = e->last != NULL ? &e->last->u.heartbeat : NULL;
-  if (kq_heartbeat_light (h) && have != NULL && have->incarnation == h->incarnation)
+  KqMsgHeartbeat *stored
+      = e->last_heartbeat != NULL ? &e->last_heartbeat->u.heartbeat : NULL;
+  if (kq_heartbeat_light (h) && stored != NULL && stored->incarnation == h->incarnation)
     {
-      KqShardDigest *shards = have->shards;
-      size_t n = have->n_shards;
-      *have = *h;
-      have->shards = shards;
-      have->n_shards = n;
+      KqShardDigest *shards = stored->shards;
+      size_t n = stored->n_shards;
+      *stored = *h;
+      stored->shards = shards;
+      stored->n_shards = n;
       return;
     }
   e->has_digests = !kq_heartbeat_light (h);
-  kq_msg_free (e->last);
-  e->last = kq_msg_copy (&m);
+  kq_msg_free (e->last_heartbeat);
+  e->last_heartbeat = kq_msg_copy (&m);
 }
 
 void
 kq_node_list_heard (KqNodeList *l, KqNodeEntry *e, const KqMsgHeartbeat *h, KqTime now)
 {
-  keep (e, h);
-  e->node.shards = e->last->u.heartbeat.shards;
-  e->node.n_shards = e->last->u.heartbeat.n_shards;
+  store_heartbeat (e, h);
+  e->node.shards = e->last_heartbeat->u.heartbeat.shards;
+  e->node.n_shards = e->last_heartbeat->u.heartbeat.n_shards;
   if (e->node.draining != h->draining)
     l->version++;
   e->node.draining = h->draining;
@@ -310,8 +312,8 @@
     }
   e->node.heard_at = now;
   e->link_lost_at = 0;
-  /* Gone by heartbeats alone (the store was away) ends by a heartbeat; gone by the
-   * store's list ends by the list. */
+  /* A node that is gone for lack of heartbeats (the store was away) returns with a
+   * heartbeat. One that is gone because its key is missing returns with its key. */
   if (e->node.state == KQ_NODE_SUSPECT
       || (e->node.state == KQ_NODE_GONE && e->node.in_store))
     set_state (l, e, KQ_NODE_ALIVE, now);
--- a/src/member/nodes.h
+++ b/src/member/nodes.h
@@ -1,18 +1,18 @@
 #ifndef KQ_MEMBER_NODES_H
 #define KQ_MEMBER_NODES_H
 
-/* nodes: the list of known nodes and their states. Used inside this slice only. */
+/* nodes: the list of known nodes and their states. Used inside src/member only. */
 
 #include "member/member.h"
 
 typedef struct
 {
   KqNode node;
-  KqTime listed_at;    /* silence counts from here at the earliest */
-  KqTime link_lost_at; /* 0: the connection isn't known to be down */
-  KqMsg *last;         /* that heartbeat; node.shards points into it */
-  bool has_digests;    /* of this process; light heartbeats alone tell nothing */
-  KqTime gone_at;
+  KqTime listed_at;      /* when it was listed; silence isn't counted from before */
+  KqTime link_lost_at;   /* 0: the connection isn't known to be down */
+  KqMsg *last_heartbeat; /* with the last digests; node.shards points into it */
+  bool has_digests;      /* digests of the node's present process have arrived */
+  KqTime state_since;    /* last change of state */
 } KqNodeEntry;
 
 typedef struct
@@ -24,39 +24,41 @@
   uint64_t version;
 } KqNodeList;
 
-/* Times of silence; those of far nodes are longer, for bundles are rarer. */
+/* Time limits, and what is known of our own pauses and of the store. */
 typedef struct
 {
   KqTime lease;
-  KqTime beat;
-  KqTime suspect;
-  KqTime far_suspect;
-  KqTime awake_since; /* silence before this was our own */
-  bool store_silent;  /* the store's list is old: heartbeats alone decide */
-  KqTime calm_until;  /* until then a missing key alone removes nobody */
+  KqTime heartbeat_interval;
+  KqTime suspect_after;
+  KqTime remote_suspect_after; /* other regions: longer, as bundles are less frequent */
+  KqTime resumed_at; /* end of our last pause; silence isn't counted from before */
+  bool store_silent; /* the store's list is outdated: only heartbeats count */
+  KqTime removal_allowed_at; /* until then a missing key alone doesn't make a node gone */
 } KqNodeTimes;
 
 void kq_node_list_clear (KqNodeList *l);
 KqNodeEntry *kq_node_list_find (const KqNodeList *l, KqNodeId id);
-/* Adds the node, or takes over its new addresses. NULL: the list is full. */
+/* Adds the node or updates its info. NULL: the list is full. */
 KqNodeEntry *kq_node_list_put (KqNodeList *l, const KqNodeInfo *info, KqTime now);
-/* The keys under node/ as the store listed them. When our own key holds another
- * incarnation than ours its revision is returned, otherwise 0. */
+/* Applies the store's list of the keys under node/. Returns the revision of our own key
+ * if it holds an incarnation other than ours, otherwise 0. */
 uint64_t kq_node_list_store (KqNodeList *l, const KqStoreItem *items, size_t n,
                              const KqNodeTimes *t, KqTime now);
-/* Suspects, removes and forgets by silence. */
+/* Updates the nodes' states by their silence and removes nodes that are long gone. */
 void kq_node_list_age (KqNodeList *l, const KqNodeTimes *t, KqTime now);
-/* A heartbeat's number counts up in its upper bits; the lowest bit says that it leaves
- * out the digests because those sent before still stand. Digests are most of a
- * heartbeat's bytes and change less often than life needs proving. */
-#define KQ_BEAT_LIGHT 1U
-#define KQ_BEAT_COUNT(beat) ((beat) >> 1)
+/* KqMsgHeartbeat.beat has a sequence number in its upper bits. The lowest bit means that
+ * the heartbeat is sent without digests and those sent before remain valid. Digests are
+ * most of a heartbeat's bytes and needn't be sent as often as liveness must be shown. */
+#define KQ_HEARTBEAT_NO_DIGESTS 1U
+#define KQ_HEARTBEAT_NUMBER(beat) ((beat) >> 1)
 
-/* About how many bytes the digests of a heartbeat take on the wire. */
+/* Approximate size in bytes of a heartbeat's digests on the wire. */
 size_t kq_digest_size (const KqMsgHeartbeat *h);
+/* Applies a heartbeat of the node `e`. */
 void kq_node_list_heard (KqNodeList *l, KqNodeEntry *e, const KqMsgHeartbeat *h,
                          KqTime now);
 
+/* Encodes the value of the key node/<name>. */
 void kq_node_info_pack (const KqNodeInfo *info, KqBuf *out);
 
 #endif
--- a/src/shard/owner_test.c
+++ b/src/shard/owner_test.c
@@ -250,7 +250,7 @@
          && memmem (value.ptr, value.len, name, strlen (name)) != NULL;
 }
 
-/* Each shard must have one owner: the wanted one, named in the store. Returns node i's.
+/* Each shard has one owner: the wanted one, named in the store. Returns node i's count.
  */
 static int
 expect_settled (Rig *g, int i)
@@ -510,9 +510,8 @@
 }
 
 /* Store outage: our lease has expired by our own clock. We remain owner if no peer of the
- * region reaches the store but one is heard. We must stop if a peer reaches the store
- * (only we are cut off), if no peer is heard, after blind_max, if the lease has another
- * id, and if the store answered a short time ago (it isn't away). */
+ * region reaches the store but one is heard. We must stop if a peer reaches the store, if
+ * none is heard, after blind_max, with another lease id, or if the store isn't silent. */
 static void
 test_blind_time (void **state)
 {
