--- a/src/shard/journal_state.h
+++ b/src/shard/journal_state.h
@@ -142,7 +142,7 @@
   bool write_pending; /* `slot_write` isn't acknowledged yet */
   KqSlotWrite slot_write;
   KqTime commit_interval; /* between commits at the allowed rate */
-  KqTime rate_used_until; /* the commits so far use up the allowed rate until then */
+  KqTime rate_used_until; /* time up to which past commits use the rate */
 
   /* Recovered, until all records were replayed: */
   KqBlock *blocks; /* log slots after the snapshot, by index */
