--- a/src/shard/journal_commit.c
+++ b/src/shard/journal_commit.c
@@ -319,7 +319,7 @@
     case KQ_ERR_STORE_CONFLICT:
       slot_conflict (j, r->value, r->revision, now);
       break;
-    case KQ_ERR_STORE_BUSY: /* rejected by this node's call limit, so not sent */
+    case KQ_ERR_STORE_BUSY: /* call limit of this node or the store: no effect */
       kq_journal_back_off (j, &j->log, now);
       break;
     default:
