--- a/src/node/core.c
+++ b/src/node/core.c
@@ -7,19 +7,18 @@
 #include <string.h>
 
 #define PART "node"
-/* The platform's host list lags by seconds itself; reading it more often would only cost
- * calls. Half the suspicion time of a worker's lease. */
+/* How often a host list is read. The platform updates it with a delay of seconds, so
+ * reading it more often would gain nothing. Half the time after which a worker whose
+ * lease isn't renewed is suspected. */
 #define HOSTS_EVERY (2 * KQ_SEC)
-/* The store counts as away when it hasn't answered for two renewals of the node's lease.
- */
-/* How long the runners of a shard that we no longer own are served while no successor
- * shows: a lost one for the time in which we may take it back after an outage, a released
- * one for the time that a hand-over takes at most. */
+/* How long this node serves the runners of a shard that it no longer owns, as long as no
+ * successor is known. After a loss: the time within which this node may own the shard
+ * again after an outage. After a release: the longest time of a handover. */
 #define LINGER_LOST (5 * KQ_SEC)
 #define LINGER_RELEASED (2 * KQ_SEC)
-/* The store counts as away when it hasn't answered for two renewals of the node's lease.
- */
-#define STORE_AWAY (3 * KQ_SEC)
+/* Without an answer for this long the store counts as unreachable: two renewals of the
+ * node's lease. */
+#define STORE_SILENCE_MAX (3 * KQ_SEC)
 
 KqNotice *
 kq_core_add_notice (KqCore *c, KqNoticeKind kind)
@@ -79,11 +78,11 @@
   c->owner = kq_owner_new (&config->self, c->first, c->n_shards, config->seed + 2);
   kq_owner_set_times (c->owner, &ot);
   c->dist = kq_table_dist_new (config->self.id, config->seed + 3);
-  c->hosts = kq_alloc (c->n_shards * sizeof (KqShardHost *));
-  c->hosts_told = kq_alloc (c->n_shards * sizeof *c->hosts_told);
-  c->gone_at = kq_alloc (c->n_shards * sizeof *c->gone_at);
+  c->shards = kq_alloc (c->n_shards * sizeof (KqShardHost *));
+  c->hosts_announced = kq_alloc (c->n_shards * sizeof *c->hosts_announced);
+  c->gone_due_at = kq_alloc (c->n_shards * sizeof *c->gone_due_at);
   for (uint32_t i = 0; i < c->n_shards; i++)
-    c->hosts[i] = kq_shard_host_new (c->first + i, total, config->self.id, &jc);
+    c->shards[i] = kq_shard_host_new (c->first + i, total, config->self.id, &jc);
   return c;
 }
 
@@ -96,15 +95,15 @@
   while (kq_core_notice (c, &n))
     kq_hosts_free (&n.hosts);
   for (uint32_t i = 0; i < c->n_shards; i++)
-    kq_shard_host_free (c->hosts[i]);
+    kq_shard_host_free (c->shards[i]);
   for (int d = 0; d < KQ_DEPOTS_MAX; d++)
-    kq_hosts_free (&c->lists[d]);
+    kq_hosts_free (&c->host_lists[d]);
   kq_table_dist_free (c->dist);
   kq_owner_free (c->owner);
   kq_member_free (c->member);
-  free (c->hosts);
-  free (c->hosts_told);
-  free (c->gone_at);
+  free (c->shards);
+  free (c->hosts_announced);
+  free (c->gone_due_at);
   free (c->services);
   free (c);
 }
@@ -114,11 +113,11 @@
 {
   if (shard < c->first || shard >= c->first + c->n_shards)
     return NULL;
-  return c->hosts[shard - c->first];
+  return c->shards[shard - c->first];
 }
 
 KqShardHost *
-kq_core_mine (KqCore *c, uint32_t shard, KqTime now)
+kq_core_owned_shard (KqCore *c, uint32_t shard, KqTime now)
 {
   KqShardHost *h = kq_core_shard (c, shard);
   if (h == NULL || kq_shard_host_state (h) == KQ_HOST_IDLE
@@ -127,11 +126,11 @@
   return h;
 }
 
-/* Jobs and claims stop at once. The shard's runners go on serving requests until a
- * successor shows in the digests, `linger` at most: requests are not fenced by epochs,
- * runners refuse what is beyond their slots, and between two owners there would otherwise
- * be nobody to serve even idempotent requests (faults_live, store-loses-answers: 69 of
- * some 400 GETs refused with NO_TARGET). */
+/* Jobs and claims stop at once. Requests are sent to the shard's runners until the
+ * digests show a successor, for at most `linger`. That is safe because requests aren't
+ * fenced by epochs and runners refuse requests beyond their slots. Without it even
+ * idempotent requests would fail between two owners: in the case store-loses-answers of
+ * faults_live 69 of about 400 GETs were refused with NO_TARGET. */
 static void
 drop_shard (KqCore *c, uint32_t shard, KqTime linger, KqTime now)
 {
@@ -139,30 +138,30 @@
   if (kq_shard_host_state (h) == KQ_HOST_IDLE)
     return;
   kq_shard_host_drop (h);
-  c->hosts_told[shard - c->first] = false;
-  c->gone_at[shard - c->first] = now + linger;
+  c->hosts_announced[shard - c->first] = false;
+  c->gone_due_at[shard - c->first] = now + linger;
 }
 
-/* Says that a shard is gone once its successor is there, or the time is over. */
+/* Announces that a shard is gone, once a successor is known or the time is over. */
 static void
-tell_gone (KqCore *c, KqTime now)
+announce_gone_shards (KqCore *c, KqTime now)
 {
   for (uint32_t i = 0; i < c->n_shards; i++)
     {
-      if (c->gone_at[i] == 0)
+      if (c->gone_due_at[i] == 0)
         continue;
-      if (kq_shard_host_state (c->hosts[i]) == KQ_HOST_ACTIVE)
-        c->gone_at[i] = 0; /* it came back */
-      else if (now >= c->gone_at[i] || kq_core_has_successor (c, c->first + i))
+      if (kq_shard_host_state (c->shards[i]) == KQ_HOST_ACTIVE)
+        c->gone_due_at[i] = 0; /* this node owns the shard again */
+      else if (now >= c->gone_due_at[i] || kq_core_has_successor (c, c->first + i))
         {
-          c->gone_at[i] = 0;
+          c->gone_due_at[i] = 0;
           kq_core_add_notice (c, KQ_NOTICE_SHARD_GONE)->shard = c->first + i;
         }
     }
 }
 
 static void
-take_owner_events (KqCore *c, KqTime now, KqOutbox *out)
+handle_owner_events (KqCore *c, KqTime now, KqOutbox *out)
 {
   KqOwnerEvent e;
   while (kq_owner_event (c->owner, &e))
@@ -171,12 +170,12 @@
       switch (e.kind)
         {
         case KQ_OWNER_TOOK:
-          kq_log (KQ_LOG_INFO, PART, "Took shard. shard=%u epoch=%llu", e.shard,
+          kq_log (KQ_LOG_INFO, PART, "Shard acquired. shard=%u epoch=%llu", e.shard,
                   (unsigned long long)e.epoch);
           kq_shard_host_open (h, e.epoch, kq_table_dist_current (c->dist), now, out);
           break;
         case KQ_OWNER_LOST:
-          kq_log (KQ_LOG_WARN, PART, "Lost shard. shard=%u", e.shard);
+          kq_log (KQ_LOG_WARN, PART, "Shard ownership lost. shard=%u", e.shard);
           drop_shard (c, e.shard, LINGER_LOST, now);
           break;
         case KQ_OWNER_GIVE_UP:
@@ -196,7 +195,8 @@
   if (!kq_owner_is_mine (c->owner, shard, c->member, now)
       && kq_shard_host_state (h) != KQ_HOST_GIVING_UP)
     {
-      kq_log (KQ_LOG_WARN, PART, "Shard is no longer ours. shard=%u", shard);
+      kq_log (KQ_LOG_WARN, PART,
+              "Ownership of the shard has expired; dropping it. shard=%u", shard);
       drop_shard (c, shard, LINGER_LOST, now);
       kq_owner_fenced (c->owner, shard, now);
       return;
@@ -217,68 +217,70 @@
     }
 }
 
-/* Asks for the host lists of depots in which we own a shard. */
+/* Reads the host lists of all depots while this node has an active shard. */
 static void
-ask_hosts (KqCore *c, KqTime now, KqOutbox *out)
+read_host_lists (KqCore *c, KqTime now, KqOutbox *out)
 {
   const KqSettings *s = c->config.settings;
   bool any = false;
   for (uint32_t i = 0; i < c->n_shards; i++)
-    any = any || kq_shard_host_state (c->hosts[i]) == KQ_HOST_ACTIVE;
+    any = any || kq_shard_host_state (c->shards[i]) == KQ_HOST_ACTIVE;
   for (int d = 0; d < s->n_depots && any; d++)
     {
       KqStoreOp op = { .kind = KQ_STORE_HOSTS, .part = KQ_PART_HOSTS };
-      if (now < c->hosts_at[d] || c->hosts_asked[d])
+      if (now < c->next_read_at[d] || c->read_pending[d])
         continue;
-      c->hosts_asked[d] = true;
+      c->read_pending[d] = true;
       op.token = (uint64_t)d;
       op.key = kq_name_str (&s->depots[d]);
       kq_outbox_store (out, &op);
     }
 }
 
-/* Tells a shard, and the tasks that call its workers and runners, its hosts. */
+/* Passes a shard's hosts to the shard, and to the tasks that call its workers and
+ * runners. */
 static void
-give_hosts (KqCore *c, uint32_t shard, KqTime now, KqOutbox *out)
+announce_hosts (KqCore *c, uint32_t shard, KqTime now, KqOutbox *out)
 {
   const KqSettings *s = c->config.settings;
-  KqShardHost *h = kq_core_mine (c, shard, now);
+  KqShardHost *h = kq_core_owned_shard (c, shard, now);
   uint32_t i = shard - c->first;
   KqNotice *n;
   if (h == NULL || kq_shard_host_state (h) != KQ_HOST_ACTIVE)
     return;
   n = kq_core_add_notice (c, KQ_NOTICE_SHARD_HOSTS);
   n->shard = shard;
-  kq_shard_copy_hosts (s, c->lists, s->n_depots, shard, &n->hosts);
-  n->taken_over = !c->hosts_told[i];
-  c->hosts_told[i] = true;
+  kq_shard_copy_hosts (s, c->host_lists, s->n_depots, shard, &n->hosts);
+  n->taken_over = !c->hosts_announced[i];
+  c->hosts_announced[i] = true;
   kq_shard_host_set_hosts (h, &n->hosts, now, out);
 }
 
-/* A shard that has become active doesn't wait for the next list. */
+/* Passes the hosts to shards that have become active, without waiting for the next read
+ * of the lists. */
 static void
-give_hosts_first (KqCore *c, KqTime now, KqOutbox *out)
+announce_first_hosts (KqCore *c, KqTime now, KqOutbox *out)
 {
   for (uint32_t i = 0; i < c->n_shards; i++)
     {
-      if (!c->hosts_told[i] && c->lists_known)
-        give_hosts (c, c->first + i, now, out);
+      if (!c->hosts_announced[i] && c->all_lists_read)
+        announce_hosts (c, c->first + i, now, out);
     }
 }
 
 static bool
-every_list_came (const KqCore *c)
+every_list_read (const KqCore *c)
 {
   for (int d = 0; d < c->config.settings->n_depots; d++)
     {
-      if (!c->list_came[d])
+      if (!c->list_read[d])
         return false;
     }
   return true;
 }
 
 static void
-take_host_list (KqCore *c, const KqStoreReply *r, KqTime now, KqOutbox *out)
+handle_host_list (KqCore *c, const KqStoreReply *r, KqTime now, KqOutbox *out)
 {
   const KqSettings *s = c->config.settings;
   KqHostList list;
@@ -286,8 +288,9 @@
   uint64_t d = r->token;
   if (d >= (uint64_t)s->n_depots)
     return;
-  c->hosts_asked[d] = false;
-  c->hosts_at[d] = now + HOSTS_EVERY + (KqTime)kq_rand_below (&c->rand, HOSTS_EVERY / 4);
+  c->read_pending[d] = false;
+  c->next_read_at[d]
+      = now + HOSTS_EVERY + (KqTime)kq_rand_below (&c->rand, HOSTS_EVERY / 4);
   if (r->result != KQ_OK)
     return;
   read = kq_hosts_parse (r->value, &list);
@@ -296,12 +299,12 @@
       kq_log (KQ_LOG_ERROR, PART, "Host list not readable. code=%d", read);
       return;
     }
-  kq_hosts_free (&c->lists[d]);
-  c->lists[d] = list;
-  c->list_came[d] = true;
-  c->lists_known = every_list_came (c);
-  for (uint32_t i = 0; i < c->n_shards && c->lists_known; i++)
-    give_hosts (c, c->first + i, now, out);
+  kq_hosts_free (&c->host_lists[d]);
+  c->host_lists[d] = list;
+  c->list_read[d] = true;
+  c->all_lists_read = every_list_read (c);
+  for (uint32_t i = 0; i < c->n_shards && c->all_lists_read; i++)
+    announce_hosts (c, c->first + i, now, out);
 }
 
 void
@@ -327,7 +330,7 @@
         kq_shard_host_store_reply (h, r, now, out);
       break;
     case KQ_PART_HOSTS:
-      take_host_list (c, r, now, out);
+      handle_host_list (c, r, now, out);
       break;
     case KQ_PART_COUNT:
       break;
@@ -337,13 +340,13 @@
 void
 kq_core_worker_reply (KqCore *c, const KqWorkerReply *r, KqTime now, KqOutbox *out)
 {
-  KqShardHost *h = kq_core_mine (c, r->shard, now);
+  KqShardHost *h = kq_core_owned_shard (c, r->shard, now);
   if (h != NULL)
     kq_shard_host_worker_reply (h, r, now, out);
 }
 
 void
-kq_core_peer (KqCore *c, KqNodeId peer, bool up, KqTime now)
+kq_core_peer_changed (KqCore *c, KqNodeId peer, bool up, KqTime now)
 {
   kq_member_link (c->member, peer, up, now);
 }
@@ -366,52 +369,53 @@
 }
 
 static void
-take_table (KqCore *c, KqTime now)
+announce_table_events (KqCore *c, KqTime now)
 {
   KqTableResult r;
   if (kq_table_dist_changed (c->dist))
     {
       KqTable *t = kq_table_dist_current (c->dist);
       for (uint32_t i = 0; i < c->n_shards; i++)
-        kq_shard_host_set_table (c->hosts[i], t, now);
+        kq_shard_host_set_table (c->shards[i], t, now);
       kq_core_add_notice (c, KQ_NOTICE_TABLE);
     }
   while (kq_table_dist_result (c->dist, &r))
-    kq_core_add_notice (c, KQ_NOTICE_ANSWER)->result = r;
+    kq_core_add_notice (c, KQ_NOTICE_TABLE_RESULT)->result = r;
 }
 
 static void
-tell_given_up (KqCore *c)
+announce_given_up (KqCore *c)
 {
-  if (!c->draining || c->given_up_told)
+  if (!c->draining || c->given_up_announced)
     return;
   for (uint32_t i = 0; i < c->n_shards; i++)
     {
-      if (kq_shard_host_state (c->hosts[i]) != KQ_HOST_IDLE
-          || kq_owner_state (c->owner, c->first + i) != KQ_OWN_NONE || c->gone_at[i] != 0)
+      if (kq_shard_host_state (c->shards[i]) != KQ_HOST_IDLE
+          || kq_owner_state (c->owner, c->first + i) != KQ_OWN_NONE
+          || c->gone_due_at[i] != 0)
         return;
     }
-  c->given_up_told = true;
+  c->given_up_announced = true;
   kq_core_add_notice (c, KQ_NOTICE_GIVEN_UP);
 }
 
 void
 kq_core_tick (KqCore *c, KqTime now, KqOutbox *out)
 {
-  bool store_ok = kq_member_store_silence (c->member, now) < STORE_AWAY;
+  bool store_ok = kq_member_store_silence (c->member, now) < STORE_SILENCE_MAX;
   kq_core_update_digests (c, now);
   kq_member_tick (c->member, now, out);
-  kq_core_tell_nodes (c, now, out);
+  kq_core_announce_nodes (c, now, out);
   kq_owner_tick (c->owner, c->member, now, out);
-  take_owner_events (c, now, out);
-  tell_gone (c, now);
+  handle_owner_events (c, now, out);
+  announce_gone_shards (c, now);
   kq_table_dist_tick (c->dist, now, out);
-  take_table (c, now);
+  announce_table_events (c, now);
   for (uint32_t i = 0; i < c->n_shards; i++)
     tick_shard (c, c->first + i, store_ok, now, out);
-  give_hosts_first (c, now, out);
-  ask_hosts (c, now, out);
-  tell_given_up (c);
+  announce_first_hosts (c, now, out);
+  read_host_lists (c, now, out);
+  announce_given_up (c);
 }
 
 void
--- a/src/node/core.h
+++ b/src/node/core.h
@@ -1,11 +1,11 @@
 #ifndef KQ_NODE_CORE_H
 #define KQ_NODE_CORE_H
 
-/* core: one node's decisions put together: members, ownership, table, shards.
+/* core: the state of one node: membership, shard ownership, the table and the shards.
  *
- * Pure: replies, messages and `now` in; store calls, worker calls, messages (by an
- * outbox) and notices out. The daemon's node task drives it with sockets, the soak and
- * the fault matrix with fakes. */
+ * Does no I/O: it is given replies, messages and the time, and puts store calls, worker
+ * calls and messages into an outbox, and notices into a queue. The daemon's node task
+ * connects it to sockets; the soak test and the fault matrix to fakes. */
 
 #include "member/member.h"
 #include "node/shard_host.h"
@@ -25,28 +25,29 @@
 
 typedef enum
 {
-  KQ_NOTICE_TABLE,       /* a new table is in force */
-  KQ_NOTICE_SHARD_HOSTS, /* the hosts of a shard we own, as the list has them now */
-  KQ_NOTICE_SHARD_GONE,
-  KQ_NOTICE_NODE,    /* a node came, changed or is gone */
-  KQ_NOTICE_ANSWER,  /* a table change of ours has ended */
-  KQ_NOTICE_GIVEN_UP /* planned stop: no shard is left */
+  KQ_NOTICE_TABLE,        /* a new table is in force */
+  KQ_NOTICE_SHARD_HOSTS,  /* the present hosts of a shard that this node owns */
+  KQ_NOTICE_SHARD_GONE,   /* this node no longer serves the shard's runners */
+  KQ_NOTICE_NODE,         /* a node joined, changed or is gone */
+  KQ_NOTICE_TABLE_RESULT, /* a table change started here has ended */
+  KQ_NOTICE_GIVEN_UP      /* planned stop: this node owns no shard any more */
 } KqNoticeKind;
 
 typedef struct
 {
   KqNoticeKind kind;
   uint32_t shard;
-  bool taken_over;
-  KqHostList hosts; /* owned by the taker */
-  KqNode node;      /* shards not filled */
+  bool taken_over;  /* SHARD_HOSTS: the first one since the shard became active */
+  KqHostList hosts; /* SHARD_HOSTS: the receiver frees it */
+  KqNode node;      /* NODE: without its shards */
   KqTableResult result;
 } KqNotice;
 
 KqCore *kq_core_new (const KqCoreConfig *c);
 void kq_core_free (KqCore *c);
 
-/* Everything that is due at `now`. Call it after the other functions too. */
+/* Does everything that is due at `now`. Call it periodically, and after the functions
+ * below. */
 void kq_core_tick (KqCore *c, KqTime now, KqOutbox *out);
 void kq_core_store_reply (KqCore *c, const KqStoreReply *r, KqTime now, KqOutbox *out);
 void kq_core_worker_reply (KqCore *c, const KqWorkerReply *r, KqTime now, KqOutbox *out);
@@ -54,30 +55,33 @@
  * CLAIM_DONE. */
 void kq_core_message (KqCore *c, KqNodeId from, const KqMsg *m, KqTime now,
                       KqOutbox *out);
-void kq_core_peer (KqCore *c, KqNodeId peer, bool up, KqTime now);
-/* The dispatcher's lines, for our heartbeats. */
+/* The mesh connection to a peer was made or lost. */
+void kq_core_peer_changed (KqCore *c, KqNodeId peer, bool up, KqTime now);
+/* The dispatcher's service digests, sent with this node's heartbeats. Copied. */
 void kq_core_set_services (KqCore *c, const KqServiceDigest *s, size_t n);
-/* Starts a table change; its end comes as a notice. */
+/* Starts a table change; its result comes as KQ_NOTICE_TABLE_RESULT. */
 void kq_core_change_table (KqCore *c, uint64_t call, const KqRowChange *ch, size_t n,
                            KqTime now, KqOutbox *out);
-/* Planned stop: gives up all shards, then says KQ_NOTICE_GIVEN_UP. */
+/* Planned stop: releases all shards, then emits KQ_NOTICE_GIVEN_UP. */
 void kq_core_drain (KqCore *c);
-/* After GIVEN_UP: the node's key goes. */
+/* After KQ_NOTICE_GIVEN_UP: deletes the node's key in the store. */
 void kq_core_leave (KqCore *c, KqTime now, KqOutbox *out);
 
-/* The next notice; false: none. */
+/* Takes the next notice from the queue; false if it is empty. */
 bool kq_core_notice (KqCore *c, KqNotice *n);
-/* Whether a worker call may leave now: we are still owner of its shard, at its epoch. */
+/* Whether a worker call may be sent now: this node still owns its shard in the same
+ * epoch. */
 bool kq_core_may_call (const KqCore *c, const KqWorkerCall *call, KqTime now);
-/* Ready: a table is in force and the node's lease is alive (or the store is away). The
- * reason otherwise is in *why. */
+/* Whether a table is in force and the node's lease is valid, or the store can't be
+ * reached. *why is set to the reason if not, otherwise to "". */
 bool kq_core_ready (KqCore *c, KqTime now, const char **why);
 
 KqTable *kq_core_table (KqCore *c);
 const KqMember *kq_core_member (const KqCore *c);
 const KqOwner *kq_core_owner (const KqCore *c);
 bool kq_core_draining (const KqCore *c);
-/* Our shards: first, count, and the host of one. */
+/* The shards of this node's region: first number, count, and the state of one; NULL if
+ * the shard isn't of this region. */
 uint32_t kq_core_first_shard (const KqCore *c);
 uint32_t kq_core_shards (const KqCore *c);
 KqShardHost *kq_core_shard (KqCore *c, uint32_t shard);
--- a/src/node/core_route.c
+++ b/src/node/core_route.c
@@ -10,10 +10,10 @@
 
 #define SHARD_ANY UINT32_MAX
 
-/* The digest of a shard as its present owner last told it, or NULL. owner: set if not
- * NULL. */
+/* The digest of the shard with the highest epoch in the nodes' heartbeats, or NULL. Sets
+ * *owner to the node that sent it, if owner isn't NULL. */
 static const KqShardDigest *
-find_told_by (const KqCore *c, uint32_t shard, const KqNode **owner)
+find_owner_digest (const KqCore *c, uint32_t shard, const KqNode **owner)
 {
   const KqShardDigest *best = NULL;
   for (size_t i = 0; i < kq_member_count (c->member); i++)
@@ -35,7 +35,7 @@
 static const KqShardDigest *
 find_digest (const KqCore *c, uint32_t shard)
 {
-  return find_told_by (c, shard, NULL);
+  return find_owner_digest (c, shard, NULL);
 }
 
 static bool
@@ -53,10 +53,11 @@
 kq_core_has_successor (const KqCore *c, uint32_t shard)
 {
   const KqNode *owner = NULL;
-  const KqShardDigest *d = find_told_by (c, shard, &owner);
-  if (d == NULL || d->epoch <= kq_shard_host_epoch (c->hosts[shard - c->first]))
+  const KqShardDigest *d = find_owner_digest (c, shard, &owner);
+  if (d == NULL || d->epoch <= kq_shard_host_epoch (c->shards[shard - c->first]))
     return false;
-  /* A new owner's shard is heard up to a beat before the lines of its runners. */
+  /* A new owner's heartbeat may show the shard up to one heartbeat before it shows the
+   * services of the shard's runners. */
   return c->n_services == 0 || serves_requests (owner);
 }
 
@@ -67,8 +68,9 @@
          && size->accelerators <= room->accelerators;
 }
 
-/* How good a shard is for a job; lower is better. A shard whose largest worker can't
- * ever hold it comes last, one without room now by its queue. */
+/* The cost of placing a job in a shard: the number of queued jobs if a worker has room
+ * now, otherwise more than that, by queued jobs per worker. INT64_MAX if the job doesn't
+ * fit even into the largest worker while it is empty. */
 static int64_t
 shard_cost (const KqShardDigest *d, const KqSize *size)
 {
@@ -79,20 +81,21 @@
   return 1000000 + (int64_t)d->queued_jobs * 1000 / d->workers;
 }
 
-/* Without a key: of two shards of our region drawn at random the cheaper one, or the
- * best of all when neither can ever hold the job. Two choices keep all entry nodes from
- * sending everything to the one shard that the last digests showed as the emptiest. */
+/* For a job without an idempotency key: the cheaper of two random shards of this region,
+ * or the first shard that can hold the job if neither of them can. Choosing among all
+ * shards would make every entry node send to the one that the last digests showed as the
+ * emptiest. */
 static uint32_t
 choose_shard (KqCore *c, const KqJobSpec *spec)
 {
   uint32_t best = c->first + (uint32_t)kq_rand_below (&c->rand, c->n_shards);
   uint32_t other = c->first + (uint32_t)kq_rand_below (&c->rand, c->n_shards);
   int64_t cost = shard_cost (find_digest (c, best), &spec->size);
-  int64_t cost2 = shard_cost (find_digest (c, other), &spec->size);
-  if (cost2 < cost)
+  int64_t other_cost = shard_cost (find_digest (c, other), &spec->size);
+  if (other_cost < cost)
     {
       best = other;
-      cost = cost2;
+      cost = other_cost;
     }
   for (uint32_t i = 0; i < c->n_shards && cost == INT64_MAX; i++)
     {
@@ -106,7 +109,7 @@
 static void
 fill_submit (KqCore *c, KqMsgJobSubmit *s)
 {
-  uint64_t low;
+  uint64_t low_bits;
   if (s->shard != SHARD_ANY)
     return;
   if (s->spec.key.len > 0)
@@ -114,14 +117,14 @@
       KqStr team = kq_name_str (&s->spec.team);
       KqStr key = kq_name_str (&s->spec.key);
       s->shard = kq_shard_of_key (c->config.settings, team, key);
-      low = kq_hash2 (kq_str_hash (key), kq_str_hash (team));
+      low_bits = kq_hash2 (kq_str_hash (key), kq_str_hash (team));
     }
   else
     {
       s->shard = choose_shard (c, &s->spec);
-      low = kq_rand_next (&c->rand);
+      low_bits = kq_rand_next (&c->rand);
     }
-  s->job = (KqJobId)s->shard << 48 | (low & 0xffffffffffffULL);
+  s->job = (KqJobId)s->shard << 48 | (low_bits & 0xffffffffffffULL);
 }
 
 static uint32_t
@@ -145,9 +148,10 @@
     }
 }
 
-/* Nobody owns the shard, or the one who does can't take it now: it did not run. */
+/* Answers that the message wasn't carried out: the shard has no owner, or its owner can't
+ * accept it now. */
 static void
-refuse (const KqMsg *m, KqResult code, KqOutbox *out)
+send_refusal (const KqMsg *m, KqResult code, KqOutbox *out)
 {
   KqMsg r = { 0 };
   KqNodeId to = 0;
@@ -169,20 +173,21 @@
       r.u.claim_reply.code = KQ_ERR_CLAIM_UNAVAILABLE;
       break;
     default:
-      return; /* the end of a claim: a later word or the grace time settles it; a move is
-                 repeated */
+      /* No answer is needed: the end of a claim is reported again or follows from the
+       * grace time, and a job's move is repeated. */
+      return;
     }
   kq_outbox_send (out, to, &r);
 }
 
-/* To the shard's owner: ourselves, or one hop further. A message that has come from
- * another node is not passed on again, so that two nodes with different views don't send
- * it to and fro. */
+/* Delivers the message to the shard if this node owns it, otherwise sends it to the
+ * owner. A message from another node isn't forwarded again: two nodes with different
+ * views of the ownership would send it back and forth. */
 static void
-to_shard (KqCore *c, KqNodeId from, const KqMsg *m, KqTime now, KqOutbox *out)
+route_to_shard (KqCore *c, KqNodeId from, const KqMsg *m, KqTime now, KqOutbox *out)
 {
   uint32_t shard = shard_of_message (m);
-  KqShardHost *h = kq_core_mine (c, shard, now);
+  KqShardHost *h = kq_core_owned_shard (c, shard, now);
   KqNodeId owner;
   if (h != NULL && kq_shard_host_state (h) == KQ_HOST_ACTIVE)
     {
@@ -191,25 +196,26 @@
     }
   owner = kq_owner_of (c->owner, c->member, shard);
   if (owner == 0 || owner == c->config.self.id || from != c->config.self.id)
-    refuse (m, KQ_ERR_NO_OWNER, out);
+    send_refusal (m, KQ_ERR_NO_OWNER, out);
   else
     kq_outbox_send (out, owner, m);
 }
 
 static bool
-is_far (const KqCore *c, const KqNode *n)
+in_other_region (const KqCore *c, const KqNode *n)
 {
   return !kq_name_eq (&n->info.region, &c->config.self.region);
 }
 
 static void
-take_heartbeat (KqCore *c, const KqMsgHeartbeat *h, KqTime now, KqOutbox *out)
+handle_heartbeat (KqCore *c, const KqMsgHeartbeat *h, KqTime now, KqOutbox *out)
 {
   const KqNode *n;
   kq_member_heartbeat (c->member, h, now, out);
   n = kq_member_find (c->member, h->node);
   if (n != NULL && h->node != c->config.self.id)
-    kq_table_dist_peer (c->dist, h->node, h->table_revision, is_far (c, n), now, out);
+    kq_table_dist_peer (c->dist, h->node, h->table_revision, in_other_region (c, n), now,
+                        out);
 }
 
 void
@@ -219,7 +225,7 @@
   switch (m->kind)
     {
     case KQ_MSG_HEARTBEAT:
-      take_heartbeat (c, &m->u.heartbeat, now, out);
+      handle_heartbeat (c, &m->u.heartbeat, now, out);
       break;
     case KQ_MSG_TABLE:
     case KQ_MSG_TABLE_WANT:
@@ -228,31 +234,31 @@
     case KQ_MSG_JOB_SUBMIT:
       copy = *m;
       fill_submit (c, &copy.u.job_submit);
-      to_shard (c, from, &copy, now, out);
+      route_to_shard (c, from, &copy, now, out);
       break;
     case KQ_MSG_JOB_CALL:
     case KQ_MSG_JOB_MOVE:
     case KQ_MSG_JOB_MOVED:
     case KQ_MSG_CLAIM_BEGIN:
     case KQ_MSG_CLAIM_DONE:
-      to_shard (c, from, m, now, out);
+      route_to_shard (c, from, m, now, out);
       break;
     default:
-      assert (!"a message the core doesn't take");
+      assert (!"message kind not handled by the core");
       break;
     }
 }
 
-/* Tells the shards what the others' digests say of teams and sizes. */
+/* Gives each active shard the digests of all other shards, for team usage and sizes. */
 static void
-tell_others (KqCore *c, KqTime now)
+share_digests (KqCore *c, KqTime now)
 {
   uint32_t total = (uint32_t)kq_settings_total_shards (c->config.settings);
   KqShardDigest *all = kq_alloc (total * sizeof *all);
   for (uint32_t i = 0; i < c->n_shards; i++)
     {
       size_t n = 0;
-      if (kq_shard_host_state (c->hosts[i]) != KQ_HOST_ACTIVE)
+      if (kq_shard_host_state (c->shards[i]) != KQ_HOST_ACTIVE)
         continue;
       for (uint32_t s = 0; s < total; s++)
         {
@@ -260,7 +266,7 @@
           if (d != NULL)
             all[n++] = *d;
         }
-      kq_shard_host_set_others (c->hosts[i], all, n, now);
+      kq_shard_host_set_other_digests (c->shards[i], all, n, now);
     }
   free (all);
 }
@@ -276,12 +282,13 @@
   own = kq_alloc ((c->n_shards + 1) * sizeof *own);
   for (uint32_t i = 0; i < c->n_shards; i++)
     {
-      if (kq_core_mine (c, c->first + i, now) != NULL
-          && kq_shard_host_digest (c->hosts[i], now, &own[n]))
+      if (kq_core_owned_shard (c, c->first + i, now) != NULL
+          && kq_shard_host_digest (c->shards[i], now, &own[n]))
         n++;
     }
-  /* The dispatcher is one for all our shards; its lines ride on the first of them, or on
-   * one that is none while it serves the runners of shards just lost. */
+  /* The node has one dispatcher for all its shards: the service digests are sent with the
+   * first shard, or with a placeholder while the node only serves the runners of shards
+   * that it has just lost. */
   if (n == 0 && c->n_services > 0)
     own[n++] = (KqShardDigest){ .shard = SHARD_ANY };
   if (n > 0)
@@ -291,22 +298,22 @@
     }
   kq_member_set_digest (c->member, own, n, kq_table_dist_revision (c->dist), c->draining);
   free (own);
-  tell_others (c, now);
+  share_digests (c, now);
 }
 
-static ToldNode *
-find_told (KqCore *c, KqNodeId id)
+static AnnouncedNode *
+find_announced (KqCore *c, KqNodeId id)
 {
-  for (size_t i = 0; i < c->n_told; i++)
+  for (size_t i = 0; i < c->n_announced; i++)
     {
-      if (c->told[i].id == id)
-        return &c->told[i];
+      if (c->announced[i].id == id)
+        return &c->announced[i];
     }
   return NULL;
 }
 
 static void
-tell_node (KqCore *c, const KqNode *n)
+announce_node (KqCore *c, const KqNode *n)
 {
   KqNotice *notice = kq_core_add_notice (c, KQ_NOTICE_NODE);
   notice->node = *n;
@@ -314,26 +321,26 @@
   notice->node.n_shards = 0;
 }
 
-/* A node whose process died, or was started anew: the claims that the former process
- * opened have no one left to report their end. */
+/* The process of a node has died or was restarted: nobody will report the end of the
+ * claims that the former process opened. */
 static void
 node_gone (KqCore *c, KqNodeId id, uint64_t incarnation, KqTime now, KqOutbox *out)
 {
   for (uint32_t i = 0; i < c->n_shards; i++)
     {
-      if (kq_core_mine (c, c->first + i, now) != NULL)
-        kq_shard_host_node_gone (c->hosts[i], id, incarnation, now, out);
+      if (kq_core_owned_shard (c, c->first + i, now) != NULL)
+        kq_shard_host_node_gone (c->shards[i], id, incarnation, now, out);
     }
 }
 
 static void
-compare_node (KqCore *c, const KqNode *n, KqTime now, KqOutbox *out)
+announce_if_changed (KqCore *c, const KqNode *n, KqTime now, KqOutbox *out)
 {
-  ToldNode *t = find_told (c, n->info.id);
-  if (t == NULL && c->n_told < KQ_NODES_MAX)
+  AnnouncedNode *t = find_announced (c, n->info.id);
+  if (t == NULL && c->n_announced < KQ_NODES_MAX)
     {
-      t = &c->told[c->n_told++];
-      *t = (ToldNode){ n->info.id, KQ_NODE_GONE, false, n->info.incarnation };
+      t = &c->announced[c->n_announced++];
+      *t = (AnnouncedNode){ n->info.id, KQ_NODE_GONE, false, n->info.incarnation };
     }
   if (t == NULL)
     return;
@@ -343,32 +350,32 @@
     node_gone (c, t->id, t->incarnation, now, out);
   if (t->state != n->state || t->draining != n->draining
       || t->incarnation != n->info.incarnation)
-    tell_node (c, n);
-  *t = (ToldNode){ n->info.id, n->state, n->draining, n->info.incarnation };
+    announce_node (c, n);
+  *t = (AnnouncedNode){ n->info.id, n->state, n->draining, n->info.incarnation };
 }
 
 static void
-forget_told (KqCore *c, size_t i, KqTime now, KqOutbox *out)
+announce_removed (KqCore *c, size_t i, KqTime now, KqOutbox *out)
 {
   KqNode gone = { .state = KQ_NODE_GONE };
-  gone.info.id = c->told[i].id;
-  node_gone (c, c->told[i].id, c->told[i].incarnation, now, out);
-  tell_node (c, &gone);
-  c->told[i] = c->told[--c->n_told];
+  gone.info.id = c->announced[i].id;
+  node_gone (c, c->announced[i].id, c->announced[i].incarnation, now, out);
+  announce_node (c, &gone);
+  c->announced[i] = c->announced[--c->n_announced];
 }
 
 void
-kq_core_tell_nodes (KqCore *c, KqTime now, KqOutbox *out)
+kq_core_announce_nodes (KqCore *c, KqTime now, KqOutbox *out)
 {
   uint64_t version = kq_member_version (c->member);
   if (version == c->member_version)
     return;
   c->member_version = version;
   for (size_t i = 0; i < kq_member_count (c->member); i++)
-    compare_node (c, kq_member_at (c->member, i), now, out);
-  for (size_t i = c->n_told; i > 0; i--)
+    announce_if_changed (c, kq_member_at (c->member, i), now, out);
+  for (size_t i = c->n_announced; i > 0; i--)
     {
-      if (kq_member_find (c->member, c->told[i - 1].id) == NULL)
-        forget_told (c, i - 1, now, out);
+      if (kq_member_find (c->member, c->announced[i - 1].id) == NULL)
+        announce_removed (c, i - 1, now, out);
     }
 }
--- a/src/node/core_state.h
+++ b/src/node/core_state.h
@@ -1,7 +1,7 @@
 #ifndef KQ_NODE_CORE_STATE_H
 #define KQ_NODE_CORE_STATE_H
 
-/* core_state: what the files of the core share. */
+/* core_state: the state of KqCore, shared by core.c and core_route.c. */
 
 #include "base/rand.h"
 #include "node/core.h"
@@ -12,14 +12,14 @@
   KqNotice notice;
 } NoticeItem;
 
-/* What the other tasks were last told of a node. */
+/* The last state of a node announced by KQ_NOTICE_NODE. */
 typedef struct
 {
   KqNodeId id;
   KqNodeState state;
   bool draining;
   uint64_t incarnation;
-} ToldNode;
+} AnnouncedNode;
 
 struct KqCore
 {
@@ -30,40 +30,41 @@
   KqTableDist *dist;
   uint32_t first;
   uint32_t n_shards;
-  KqShardHost **hosts;
-  bool
-      *hosts_told; /* per shard: its hosts have been in a notice since it became active */
-  KqTime *gone_at; /* per shard: when the others are told that it is gone; 0: not due */
+  KqShardHost **shards;
+  /* Per shard: its hosts have been announced since it became active. */
+  bool *hosts_announced;
+  /* Per shard: when KQ_NOTICE_SHARD_GONE is due at the latest; 0: not pending. */
+  KqTime *gone_due_at;
   KqServiceDigest *services;
   size_t n_services;
-  /* The platform's host lists, one a depot; the last ones stay while the store is away.
-   */
-  KqHostList lists[KQ_DEPOTS_MAX];
-  bool list_came[KQ_DEPOTS_MAX];
-  bool lists_known; /* every depot's list has come once */
-  KqTime hosts_at[KQ_DEPOTS_MAX];
-  bool hosts_asked[KQ_DEPOTS_MAX];
+  /* The platform's host lists, one per depot; the last ones read stay in use while the
+   * store can't be reached. */
+  KqHostList host_lists[KQ_DEPOTS_MAX];
+  bool list_read[KQ_DEPOTS_MAX];
+  bool all_lists_read; /* every depot's list has been read */
+  KqTime next_read_at[KQ_DEPOTS_MAX];
+  bool read_pending[KQ_DEPOTS_MAX];
   bool draining;
-  bool given_up_told;
+  bool given_up_announced;
   KqTime digest_at;
   uint64_t member_version;
-  ToldNode told[KQ_NODES_MAX];
-  size_t n_told;
+  AnnouncedNode announced[KQ_NODES_MAX];
+  size_t n_announced;
   NoticeItem *first_notice;
   NoticeItem *last_notice;
 };
 
 KqNotice *kq_core_add_notice (KqCore *c, KqNoticeKind kind);
-/* The shard's host if it isn't idle and we are certainly its owner at `now`. Every call
- * into an active shard asks here first: a paused process finds its lease gone and drops
- * the shard before it does anything in the old epoch. */
-KqShardHost *kq_core_mine (KqCore *c, uint32_t shard, KqTime now);
-/* Another node's digest shows the shard under a later epoch than our last one, and that
- * node serves requests if we do. */
+/* The shard if it isn't idle and this node certainly owns it at `now`; otherwise NULL.
+ * Must be called before every call into an active shard: a process that was paused finds
+ * that its lease has expired, and drops the shard before it acts in the old epoch. */
+KqShardHost *kq_core_owned_shard (KqCore *c, uint32_t shard, KqTime now);
+/* Whether another node's digest shows the shard in a later epoch than our last one, and
+ * that node serves requests if this one does. */
 bool kq_core_has_successor (const KqCore *c, uint32_t shard);
-/* Tells the other tasks of nodes that came, changed or went. */
-void kq_core_tell_nodes (KqCore *c, KqTime now, KqOutbox *out);
-/* What our next heartbeats say, and what our shards are told of the others. */
+/* Adds a KQ_NOTICE_NODE for each node that joined, changed or is gone. */
+void kq_core_announce_nodes (KqCore *c, KqTime now, KqOutbox *out);
+/* Updates the digests in our heartbeats, and the other shards' digests in ours. */
 void kq_core_update_digests (KqCore *c, KqTime now);
 
 #endif
--- a/src/node/core_test.c
+++ b/src/node/core_test.c
@@ -14,7 +14,7 @@
 #define TICK (20 * KQ_MS)
 #define SHARDS 2
 
-/* One whole core, alone in its region, and the fake store. */
+/* A core that is the only node of its region, and a fake store. */
 typedef struct
 {
   KqSettings settings;
@@ -22,8 +22,8 @@
   KqStoreFake *store;
   KqOutbox out;
   KqTime now;
-  int gone;       /* notices of shards that are gone */
-  KqTime gone_at; /* the last one */
+  int gone;       /* number of KQ_NOTICE_SHARD_GONE */
+  KqTime gone_at; /* time of the last one */
   bool given_up;
 } Rig;
 
@@ -111,8 +111,9 @@
   return n;
 }
 
-/* The only node of a region: nobody else's coming or going makes it look again at who
- * should own what, so its own key's coming to the store has to. It once took no shard. */
+/* Guards against a lone node that never acquires its shards. Wanted owners are computed
+ * again when nodes join or leave; without other nodes, the write of this node's own key
+ * to the store must cause it. */
 static void
 test_lone_node_takes_its_shards (void **state)
 {
@@ -121,27 +122,27 @@
   assert_int_equal (active_shards (r), SHARDS);
 }
 
-/* A planned stop without a successor: jobs and claims are given up at once, the runners
- * are served for a while longer, and only then the node says that it is done. */
+/* A planned stop without a successor: jobs and claims are released at once, requests are
+ * sent to the runners for a while longer, and KQ_NOTICE_GIVEN_UP comes last. */
 static void
 test_runners_outlive_a_released_shard (void **state)
 {
   Rig *r = *state;
-  KqTime released;
+  KqTime released_at;
   run (r, 5 * KQ_SEC);
   kq_core_drain (r->core);
   while (active_shards (r) > 0 && r->now < 200 * KQ_SEC)
     run (r, TICK);
-  released = r->now;
+  released_at = r->now;
   assert_int_equal (active_shards (r), 0);
   assert_false (r->given_up);
   run (r, 10 * KQ_SEC);
   assert_int_equal (r->gone, SHARDS);
-  assert_true (r->gone_at - released >= KQ_SEC);
+  assert_true (r->gone_at - released_at >= KQ_SEC);
   assert_true (r->given_up);
 }
 
-/* Another node of the region: its key in the store. */
+/* Adds another node of the region by writing its key to the store. */
 static void
 add_node (Rig *r, KqNodeInfo *n1)
 {
@@ -158,10 +159,10 @@
   kq_buf_free (&value);
 }
 
-/* The other node's heartbeat: it owns every shard under a later epoch. */
+/* Delivers a heartbeat of the other node: it owns every shard in a later epoch. */
 static void
-hear_successor (Rig *r, const KqNodeInfo *n1, uint64_t beat, KqServiceDigest *lines,
-                size_t n_lines)
+deliver_successor_heartbeat (Rig *r, const KqNodeInfo *n1, uint64_t beat,
+                             KqServiceDigest *lines, size_t n_lines)
 {
   KqShardDigest shards[SHARDS] = { { .shard = 0 } };
   KqMsg m = { .kind = KQ_MSG_HEARTBEAT };
@@ -177,7 +178,8 @@
   kq_core_message (r->core, n1->id, &m, r->now, &r->out);
 }
 
-/* Guards against a hand-over to a successor that doesn't serve its runners yet. */
+/* Guards against a handover to a successor that doesn't serve its runners yet: its first
+ * heartbeat shows the shards without any service. */
 static void
 test_runners_are_kept_until_the_successor_serves (void **state)
 {
@@ -191,10 +193,10 @@
   while (active_shards (r) > 0 && r->now < 200 * KQ_SEC)
     run (r, TICK);
   assert_int_equal (active_shards (r), 0);
-  hear_successor (r, &n1, 1, NULL, 0);
+  deliver_successor_heartbeat (r, &n1, 1, NULL, 0);
   run (r, 500 * KQ_MS);
   assert_int_equal (r->gone, 0);
-  hear_successor (r, &n1, 2, &line, 1);
+  deliver_successor_heartbeat (r, &n1, 2, &line, 1);
   run (r, 2 * TICK);
   assert_int_equal (r->gone, SHARDS);
 }
--- a/src/node/node_task.c
+++ b/src/node/node_task.c
@@ -13,17 +13,17 @@
 #include <string.h>
 
 #define PART "node"
-/* The core is looked over this often; commits and renewals wait at most so long. */
+/* Period of kq_core_tick in seconds, and the longest delay of a due commit or renewal. */
 #define TICK_S 0.02
-/* After the last shard is given up, for the store call that removes our key. */
+/* Time for the store call that deletes this node's key at the end of a planned stop. */
 #define LEAVE_TIME (300 * KQ_MS)
 
-/* A table change under way, and who asked. */
+/* A table change in progress, and who requested it. */
 typedef struct Change
 {
   struct Change *next;
-  uint64_t number; /* the core's */
-  uint64_t call;   /* the asker's */
+  uint64_t number; /* of the call to the core */
+  uint64_t call;   /* of the requester */
   KqNodeId asker;
 } Change;
 
@@ -56,7 +56,7 @@
   kq_mail_send_answer (kq_mesh_task (n->peers.mesh), to, call, code, json);
 }
 
-/* Takes over the value. */
+/* Takes ownership of `o`. */
 static void
 answer_json (KqNodeTask *n, KqNodeId to, uint64_t call, json_t *o)
 {
@@ -66,8 +66,8 @@
   json_decref (o);
 }
 
-/* A worker call that waited here while our ownership ended must not leave: the successor
- * may have started the task elsewhere already. */
+/* Drops a worker call if this node lost the shard while the call was queued: the
+ * successor may have started the task elsewhere already. */
 static void
 send_worker_call (KqNodeTask *n, KqOut *item, KqTime now)
 {
@@ -110,7 +110,7 @@
 }
 
 static void
-notice_hosts (KqNodeTask *n, KqNotice *notice)
+send_hosts (KqNodeTask *n, KqNotice *notice)
 {
   KqMail *to_runners = kq_mail_new (KQ_MAIL_SHARD_HOSTS);
   KqMail *to_workers = kq_mail_new (KQ_MAIL_HOSTS);
@@ -124,7 +124,7 @@
 }
 
 static void
-notice_shard_gone (KqNodeTask *n, uint32_t shard)
+send_shard_gone (KqNodeTask *n, uint32_t shard)
 {
   KqMail *m = kq_mail_new (KQ_MAIL_SHARD_GONE);
   m->u.shard_gone = shard;
@@ -132,7 +132,7 @@
 }
 
 static void
-notice_node (KqNodeTask *n, const KqNode *node)
+send_node (KqNodeTask *n, const KqNode *node)
 {
   KqMail *m = kq_mail_new (KQ_MAIL_NODE);
   const KqName *region = &n->core_config.self.region;
@@ -140,8 +140,8 @@
   m->u.node.node = node->info.id;
   m->u.node.region = node->info.region;
   m->u.node.depot = node->info.depot;
-  /* A node that stops as planned is sent requests while it has runners: its lines say
-   * when it has none. */
+  /* A draining node still gets requests: its service digests show when it has no runners
+   * left. */
   m->u.node.usable = node->state == KQ_NODE_ALIVE;
   m->u.node.gone = node->state == KQ_NODE_GONE;
   kq_task_send (n->peers.gateway, m);
@@ -153,7 +153,7 @@
 }
 
 static void
-notice_answer (KqNodeTask *n, const KqTableResult *r)
+send_change_result (KqNodeTask *n, const KqTableResult *r)
 {
   Change **at = &n->changes;
   KqBuf text = { 0 };
@@ -174,7 +174,7 @@
 }
 
 static void
-take_notices (KqNodeTask *n)
+handle_notices (KqNodeTask *n)
 {
   KqNotice notice;
   while (kq_core_notice (n->core, &notice))
@@ -187,16 +187,16 @@
           send_table (n, n->peers.operators);
           break;
         case KQ_NOTICE_SHARD_HOSTS:
-          notice_hosts (n, &notice);
+          send_hosts (n, &notice);
           break;
         case KQ_NOTICE_SHARD_GONE:
-          notice_shard_gone (n, notice.shard);
+          send_shard_gone (n, notice.shard);
           break;
         case KQ_NOTICE_NODE:
-          notice_node (n, &notice.node);
+          send_node (n, &notice.node);
           break;
-        case KQ_NOTICE_ANSWER:
-          notice_answer (n, &notice.result);
+        case KQ_NOTICE_TABLE_RESULT:
+          send_change_result (n, &notice.result);
           break;
         case KQ_NOTICE_GIVEN_UP:
           n->given_up = true;
@@ -205,8 +205,9 @@
     }
 }
 
-/* A planned stop ends when callers, runners and shards are all done with; then our key
- * leaves the store, so that nobody waits for our lease to lapse. */
+/* Ends a planned stop once the gateway and the runners have drained and all shards are
+ * released. Then this node's key is deleted from the store, so that the other nodes
+ * needn't wait for its lease to expire. */
 static void
 advance_drain (KqNodeTask *n, KqTime now)
 {
@@ -226,8 +227,9 @@
     n->config.stopped (n->config.arg, false);
 }
 
-/* The host was replaced under our name, or two have one name: our key in the store is
- * another process's, and we never hold a lease again. */
+/* Ends the process if this node's key in the store belongs to another process, because
+ * the host was replaced under the same name or two hosts have one name: this process
+ * would never get a lease again. */
 static void
 check_replaced (KqNodeTask *n)
 {
@@ -239,10 +241,10 @@
 }
 
 static void
-step (KqNodeTask *n, KqTime now)
+run_core (KqNodeTask *n, KqTime now)
 {
   kq_core_tick (n->core, now, &n->out);
-  take_notices (n);
+  handle_notices (n);
   drain_outbox (n, now);
   advance_drain (n, now);
   check_replaced (n);
@@ -253,7 +255,7 @@
 {
   (void)ev;
   (void)events;
-  step (w->data, kq_time_now ());
+  run_core (w->data, kq_time_now ());
 }
 
 static void
@@ -295,22 +297,22 @@
   answer (n, from, q->call, KQ_OK, KQ_STR ("{}"));
 }
 
-/* Forwards the mail to another task of ours. */
+/* Forwards the message to another task of this process. */
 static void
-pass_on (KqTask *to, KqNodeId from, const KqMsg *m)
+forward (KqTask *to, KqNodeId from, const KqMsg *m)
 {
   kq_task_send (to, kq_mail_msg (from, m));
 }
 
 static void
-take_query (KqNodeTask *n, KqNodeId from, const KqMsg *m, KqTime now)
+handle_query (KqNodeTask *n, KqNodeId from, const KqMsg *m, KqTime now)
 {
   const KqMsgQuery *q = &m->u.query;
   KqStr what = q->what;
   if (kq_str_eq (what, KQ_STR ("queues")))
-    pass_on (n->peers.runners, from, m);
+    forward (n->peers.runners, from, m);
   else if (kq_str_eq (what, KQ_STR ("requests")) || kq_str_eq (what, KQ_STR ("explain")))
-    pass_on (n->peers.gateway, from, m);
+    forward (n->peers.gateway, from, m);
   else if (kq_str_eq (what, KQ_STR ("node")))
     answer_json (n, from, q->call, kq_query_node (n->core, now));
   else if (kq_str_eq (what, KQ_STR ("nodes")))
@@ -339,15 +341,15 @@
 }
 
 static void
-take_message (KqNodeTask *n, KqNodeId from, const KqMsg *m, KqTime now)
+handle_message (KqNodeTask *n, KqNodeId from, const KqMsg *m, KqTime now)
 {
   switch (m->kind)
     {
     case KQ_MSG_HEARTBEAT:
-      /* A light one would read as "no slots": requests would find no owner until the
-       * next full one, seconds later with many nodes. */
+      /* A light heartbeat has no digests. The gateway would take it for "no slots" and
+       * find no target until the next full one, which takes seconds with many nodes. */
       if (!kq_heartbeat_light (&m->u.heartbeat))
-        pass_on (n->peers.gateway, from, m);
+        forward (n->peers.gateway, from, m);
       kq_core_message (n->core, from, m, now, &n->out);
       break;
     case KQ_MSG_TABLE:
@@ -364,37 +366,37 @@
     case KQ_MSG_REQ_BODY:
     case KQ_MSG_REQ_CANCEL:
     case KQ_MSG_RESP_CREDIT:
-      pass_on (n->peers.runners, from, m);
+      forward (n->peers.runners, from, m);
       break;
     case KQ_MSG_REQ_CREDIT:
     case KQ_MSG_RESP_HEAD:
     case KQ_MSG_RESP_BODY:
     case KQ_MSG_RESP_FAIL:
     case KQ_MSG_CLAIM_REPLY:
-      pass_on (n->peers.gateway, from, m);
+      forward (n->peers.gateway, from, m);
       break;
     case KQ_MSG_JOB_REPLY:
     case KQ_MSG_ANSWER:
-      pass_on (kq_calls_tag (m->u.answer.call) == KQ_CALLS_OPERATOR ? n->peers.operators
+      forward (kq_calls_tag (m->u.answer.call) == KQ_CALLS_OPERATOR ? n->peers.operators
                                                                     : n->peers.gateway,
                from, m);
       break;
-    case KQ_MSG_CREW: /* travels on connections of its own (fleet/link.h) */
+    case KQ_MSG_CREW: /* sent on connections of its own (fleet/link.h) */
       break;
     case KQ_MSG_QUERY:
-      take_query (n, from, m, now);
+      handle_query (n, from, m, now);
       break;
     case KQ_MSG_HELLO:
-      break; /* the mesh's own */
+      break; /* handled by the mesh */
     }
 }
 
 static void
-take_peer (KqNodeTask *n, const KqMailPeer *p, KqTime now)
+handle_peer (KqNodeTask *n, const KqMailPeer *p, KqTime now)
 {
   KqTask *to[2] = { n->peers.gateway, n->peers.runners };
   if (p->up || p->was_up)
-    kq_core_peer (n->core, p->peer, p->up, now);
+    kq_core_peer_changed (n->core, p->peer, p->up, now);
   for (int i = 0; i < 2; i++)
     {
       KqMail *m = kq_mail_new (KQ_MAIL_PEER);
@@ -403,9 +405,9 @@
     }
 }
 
-/* Our own lines reach our gateway the same way as other owners' do. */
+/* The gateway gets this node's own service digests as a heartbeat, like other nodes'. */
 static void
-take_services (KqNodeTask *n, const KqMailServices *s)
+handle_services (KqNodeTask *n, const KqMailServices *s)
 {
   KqMsg m = { .kind = KQ_MSG_HEARTBEAT };
   KqShardDigest d = { 0 };
@@ -415,11 +417,11 @@
   m.u.heartbeat.node = n->core_config.self.id;
   m.u.heartbeat.shards = &d;
   m.u.heartbeat.n_shards = 1;
-  pass_on (n->peers.gateway, n->core_config.self.id, &m);
+  forward (n->peers.gateway, n->core_config.self.id, &m);
 }
 
 static void
-take_worker_reply (KqNodeTask *n, KqMail *mail, KqTime now)
+handle_worker_reply (KqNodeTask *n, KqMail *mail, KqTime now)
 {
   kq_core_worker_reply (n->core, &mail->u.worker_reply, now, &n->out);
   if (mail->u.worker_reply.kind == KQ_WORKER_LEASE
@@ -434,20 +436,20 @@
   switch (mail->kind)
     {
     case KQ_MAIL_MSG:
-      take_message (n, mail->u.msg.peer, mail->u.msg.msg, now);
+      handle_message (n, mail->u.msg.peer, mail->u.msg.msg, now);
       break;
     case KQ_MAIL_PEER:
-      take_peer (n, &mail->u.peer, now);
+      handle_peer (n, &mail->u.peer, now);
       break;
     case KQ_MAIL_STORE_REPLY:
       kq_core_store_reply (n->core, &mail->u.store_reply, now, &n->out);
-      step (n, now);
+      run_core (n, now);
       break;
     case KQ_MAIL_WORKER_REPLY:
-      take_worker_reply (n, mail, now);
+      handle_worker_reply (n, mail, now);
       break;
     case KQ_MAIL_SERVICES:
-      take_services (n, &mail->u.services);
+      handle_services (n, &mail->u.services);
       break;
     case KQ_MAIL_DRAINED:
       if (strcmp (mail->u.drained, "gateway") == 0)
@@ -456,7 +458,7 @@
         n->runners_drained = true;
       break;
     default:
-      assert (!"a mail the node's task doesn't take");
+      assert (!"mail kind not handled by the node task");
       break;
     }
   drain_outbox (n, now);
--- a/src/node/node_task.h
+++ b/src/node/node_task.h
@@ -1,8 +1,8 @@
 #ifndef KQ_NODE_NODE_TASK_H
 #define KQ_NODE_NODE_TASK_H
 
-/* node_task: drives the core by timers and mails, and sorts incoming messages among the
- * process's tasks. It owns no socket. */
+/* node_task: runs the core from a timer and from mails, and routes incoming messages to
+ * the tasks of the process. It owns no socket. */
 
 #include "base/counter.h"
 #include "base/task.h"
@@ -12,12 +12,13 @@
 typedef struct
 {
   KqCounters *counters;
-  /* Called once a planned stop is complete, or its limit has passed. */
-  void (*stopped) (void *arg, bool whole);
+  /* The process should end. `complete`: a planned stop has finished; false: it exceeded
+   * its time limit, or another process has taken over this node's name. */
+  void (*stopped) (void *arg, bool complete);
   void *arg;
 } KqNodeTaskConfig;
 
-/* Who else there is; set before the loop runs. */
+/* The other tasks of the process; set before the loop runs. */
 typedef struct
 {
   KqMesh *mesh;
@@ -32,11 +33,12 @@
 
 KqNodeTask *kq_node_task_new (KqLoop *loop, const KqNodeTaskConfig *c);
 void kq_node_task_free (KqNodeTask *n);
-/* Makes the core and starts. Comes second, because the core tells other nodes the ports
- * that the other tasks, which report to this one, have bound. */
+/* Creates the core and starts the timer. Separate from kq_node_task_new: the other tasks
+ * need this one, and the core needs the ports that they have bound, for its heartbeats.
+ */
 void kq_node_task_start (KqNodeTask *n, const KqNodeTaskPeers *p, const KqCoreConfig *c);
 KqTask *kq_node_task_task (KqNodeTask *n);
-/* Planned stop. */
+/* Starts a planned stop: no new work is accepted, shards are released. */
 void kq_node_task_drain (KqNodeTask *n, KqTime now);
 bool kq_node_task_ready (KqNodeTask *n, KqTime now, const char **why);
 
--- a/src/node/queries.c
+++ b/src/node/queries.c
@@ -2,7 +2,7 @@
 
 #include <stdlib.h>
 
-/* An import of this many rows is a typing error or an attack. */
+/* A larger import is taken for a mistake or an attack. */
 #define CHANGES_MAX 20000
 #define FAULTS_MAX 16
 
@@ -97,7 +97,7 @@
                        json_string (host_state_name (kq_shard_host_state (h))));
   json_object_set_new (o, "epoch", json_integer ((json_int_t)kq_shard_host_epoch (h)));
   json_object_set_new (o, "journal_lag_ms",
-                       json_integer (kq_shard_host_lag (h, now) / KQ_MS));
+                       json_integer (kq_shard_host_journal_lag (h, now) / KQ_MS));
   if (claims != NULL)
     json_object_set_new (o, "claims",
                          json_integer ((json_int_t)kq_claims_count (claims)));
@@ -187,7 +187,7 @@
 }
 
 static void
-tell_faults (const KqRowFault *f, int n, KqBuf *detail)
+append_faults (const KqRowFault *f, int n, KqBuf *detail)
 {
   for (int i = 0; i < n && i < FAULTS_MAX; i++)
     kq_buf_printf (detail, "%s%.*s (%d %s): %s", i > 0 ? "; " : "",
@@ -207,14 +207,15 @@
     old = kq_table_find (t, out->row.kind, kq_name_str (&out->row.name));
   if (old != NULL)
     out->row = *old;
-  /* This node may lag: what others changed in the row meanwhile must not be undone by
-   * the fields that are taken from our copy of it. */
+  /* This node's table may be out of date. The fields copied from it must not undo what
+   * others have changed in the row since: the change is refused if the row's revision is
+   * no longer `based`. */
   out->derived = true;
   out->based = old != NULL ? old->revision : 0;
   if (fields == NULL || out->remove)
     return KQ_OK;
   n = kq_row_set (&out->row, fields, faults, FAULTS_MAX);
-  tell_faults (faults, n, detail);
+  append_faults (faults, n, detail);
   return n > 0 ? faults[0].code : KQ_OK;
 }
 
--- a/src/node/queries.h
+++ b/src/node/queries.h
@@ -1,7 +1,7 @@
 #ifndef KQ_NODE_QUERIES_H
 #define KQ_NODE_QUERIES_H
 
-/* queries: operators' questions about one node, answered as JSON. */
+/* queries: operators' queries about one node, answered as JSON. */
 
 #include "node/core.h"
 
@@ -9,20 +9,22 @@
 
 /* Each returns a new JSON value. */
 json_t *kq_query_node (KqCore *c, KqTime now);
-/* All nodes as this one sees them. */
+/* All nodes known to this one. */
 json_t *kq_query_nodes (KqCore *c);
-/* Every shard number with its owner as this node knows it; our own with their state. */
+/* All shards of this region: the owner known to this node, and the state here. */
 json_t *kq_query_shards (KqCore *c, KqTime now);
 json_t *kq_query_workers (KqCore *c, KqTime now);
-/* Jobs accepted = queued + running + ended, by shard of this node. */
+/* Numbers of jobs of each active shard of this node. Every accepted job is counted as
+ * queued, running or ended. */
 json_t *kq_query_jobs_account (KqCore *c);
 /* The table in force; NULL when there is none. */
 json_t *kq_query_table (KqCore *c);
 
-/* Reads {"changes": [{"kind", "name", "fields": {...}, "remove", "expect"}]} against the
- * table in force. "expect": the revision the operator saw, 0 for "must not exist";
- * without it whatever stands there. *out is freed by the caller with free ().
- * On an error *detail says which row and field, and what is allowed. */
+/* Reads {"changes": [{"kind", "name", "fields": {...}, "remove", "expect"}]}; fields that
+ * aren't named keep their value in the table in force. "expect": the row's revision that
+ * the operator saw, 0 if the row must not exist; without it any revision is accepted. The
+ * caller frees *out with free (). On an error *detail says which row and field, and what
+ * is allowed. */
 KqResult kq_query_read_changes (KqCore *c, KqStr json, KqRowChange **out, size_t *n,
                                 KqBuf *detail);
 
--- a/src/node/shard_host.c
+++ b/src/node/shard_host.c
@@ -6,10 +6,10 @@
 #include <stdlib.h>
 
 #define PART "shard"
-/* Record types of journal.h: below this they are the claims'. */
-#define JOB_TYPES 200
-/* How long an idempotency key is remembered when the service's row is gone. */
-#define CLAIM_TTL (24 * 3600 * KQ_SEC)
+/* The first record type of jobs; lower ones belong to claims (see shard/journal.h). */
+#define JOB_RECORD_TYPE_MIN 200
+/* How long an idempotency key is remembered if the table has no row for its service. */
+#define CLAIM_TTL_DEFAULT (24 * 3600 * KQ_SEC)
 
 struct KqShardHost
 {
@@ -22,7 +22,7 @@
   KqJobs *jobs;
   KqClaims *claims;
   KqHold hold;
-  KqOutbox passing; /* needs no commit */
+  KqOutbox immediate; /* items that needn't wait for a commit */
   KqTable *table;
 };
 
@@ -45,7 +45,7 @@
 kq_shard_host_drop (KqShardHost *h)
 {
   kq_hold_free (&h->hold);
-  kq_outbox_free (&h->passing);
+  kq_outbox_free (&h->immediate);
   kq_jobs_free (h->jobs);
   kq_claims_free (h->claims);
   h->jobs = NULL;
@@ -93,51 +93,52 @@
   kq_journal_open (h->journal, epoch, now, out);
 }
 
-/* Renewals of worker leases acknowledge only what is committed already, and must not
- * wait behind a commit: with a slow store the leases would lapse and every task would be
- * started again. */
+/* Whether an item can be sent without waiting for the commits before it. Renewals of
+ * worker leases acknowledge only what is committed already, and must not wait: with a
+ * slow store the leases would expire and every task would be started again. */
 static bool
-may_pass (const KqOut *item, KqSeq after)
+needs_no_wait (const KqOut *item, KqSeq after)
 {
   if (item->kind == KQ_OUT_WORKER)
     return item->u.worker.kind == KQ_WORKER_LEASE;
-  /* An answer that needs no record, such as a refusal, leaves at once: behind the held
-   * ones its caller would wait through the whole outage for a "not run". */
+  /* A reply that needs no record, such as a refusal, is sent at once. Behind the held
+   * items its caller would wait for "not run" as long as the store is unreachable. */
   return item->kind == KQ_OUT_SEND && after == 0;
 }
 
-/* Items that a call produced leave once its record is in the store. */
+/* Keeps the items that a call produced until its record is in the store. */
 static void
-hold_items (KqShardHost *h, KqSeq after, KqOutbox *items)
+hold_until_committed (KqShardHost *h, KqSeq after, KqOutbox *items)
 {
   KqOutbox held = { 0 };
   KqOut item;
   while (kq_outbox_take (items, &item))
-    kq_outbox_move (may_pass (&item, after) ? &h->passing : &held, &item);
+    kq_outbox_move (needs_no_wait (&item, after) ? &h->immediate : &held, &item);
   kq_hold_add (&h->hold, after, &held);
   kq_outbox_free (&held);
 }
 
 static void
-release (KqShardHost *h, KqOutbox *out)
+release_committed (KqShardHost *h, KqOutbox *out)
 {
   KqOut item;
-  while (kq_outbox_take (&h->passing, &item))
+  while (kq_outbox_take (&h->immediate, &item))
     kq_outbox_move (out, &item);
   kq_hold_release (&h->hold, kq_journal_committed (h->journal), out);
 }
 
-/* A record that its module can't read damages the journal: going on without it could run
- * a request or a task twice. The shard stays without an owner until an operator has
- * looked, and the others go on. */
+/* Applies the recovered records. A record that can't be read marks the journal as
+ * damaged: skipping it could run a request or a task twice. This shard then stays without
+ * an owner until an operator has intervened; other shards aren't affected. */
 static void
 apply_recovered (KqShardHost *h, KqTime now)
 {
   KqRecord r;
   while (kq_journal_next_record (h->journal, &r))
     {
-      KqResult read = r.type >= JOB_TYPES ? kq_jobs_apply (h->jobs, &r, now)
-                                          : kq_claims_apply (h->claims, &r, now);
+      KqResult read = r.type >= JOB_RECORD_TYPE_MIN
+                          ? kq_jobs_apply (h->jobs, &r, now)
+                          : kq_claims_apply (h->claims, &r, now);
       if (read == KQ_OK)
         continue;
       kq_log (KQ_LOG_ERROR, PART,
@@ -156,7 +157,7 @@
   h->state = KQ_HOST_ACTIVE;
   kq_claims_opened (h->claims, now);
   after = kq_jobs_opened (h->jobs, h->epoch, now, &items);
-  hold_items (h, after, &items);
+  hold_until_committed (h, after, &items);
   kq_outbox_free (&items);
   kq_log (KQ_LOG_INFO, PART, "Shard recovered. shard=%u epoch=%llu", h->shard,
           (unsigned long long)h->epoch);
@@ -169,7 +170,7 @@
 }
 
 static void
-snapshot (KqShardHost *h, KqTime now, KqOutbox *out)
+write_snapshot (KqShardHost *h, KqTime now, KqOutbox *out)
 {
   kq_journal_snapshot_begin (h->journal);
   kq_claims_snapshot (h->claims, now, add_snapshot_record, h->journal);
@@ -193,7 +194,7 @@
       if (h->state == KQ_HOST_RECOVERING)
         become_active (h, now);
       if (kq_journal_snapshot_due (h->journal))
-        snapshot (h, now, out);
+        write_snapshot (h, now, out);
       return KQ_OK;
     case KQ_JOURNAL_CLOSED:
     case KQ_JOURNAL_RECOVERING:
@@ -217,13 +218,13 @@
     {
       KqOutbox items = { 0 };
       KqSeq after = kq_jobs_tick (h->jobs, store_ok, now, &items);
-      hold_items (h, after, &items);
+      hold_until_committed (h, after, &items);
       after = kq_claims_tick (h->claims, now, &items);
-      hold_items (h, after, &items);
+      hold_until_committed (h, after, &items);
       kq_outbox_free (&items);
     }
   kq_journal_tick (h->journal, now, out);
-  release (h, out);
+  release_committed (h, out);
   return KQ_OK;
 }
 
@@ -239,13 +240,13 @@
                             KqOutbox *out)
 {
   KqOutbox items = { 0 };
-  /* An answer to a call of an older epoch of ours speaks of a lease that is not ours. */
+  /* A reply to a call of an earlier epoch concerns a lease that is no longer valid. */
   if (h->state != KQ_HOST_ACTIVE || r->epoch != h->epoch)
     return;
-  hold_items (h, kq_jobs_worker_reply (h->jobs, r, now, &items), &items);
+  hold_until_committed (h, kq_jobs_worker_reply (h->jobs, r, now, &items), &items);
   kq_outbox_free (&items);
   kq_journal_tick (h->journal, now, out);
-  release (h, out);
+  release_committed (h, out);
 }
 
 static KqTime
@@ -254,7 +255,7 @@
   const KqRow *row = NULL;
   if (h->table != NULL)
     row = kq_table_find (h->table, KQ_ROW_SERVICE, service);
-  return row != NULL ? row->u.service.claim_ttl_s * KQ_SEC : CLAIM_TTL;
+  return row != NULL ? row->u.service.claim_ttl_s * KQ_SEC : CLAIM_TTL_DEFAULT;
 }
 
 static KqSeq
@@ -276,7 +277,7 @@
     case KQ_MSG_CLAIM_DONE:
       return kq_claims_done (h->claims, &m->u.claim_done, now, items);
     default:
-      assert (!"a message a shard doesn't take");
+      assert (!"message kind not handled by a shard");
       return 0;
     }
 }
@@ -286,10 +287,10 @@
 {
   KqOutbox items = { 0 };
   assert (h->state == KQ_HOST_ACTIVE);
-  hold_items (h, handle_message (h, m, now, &items), &items);
+  hold_until_committed (h, handle_message (h, m, now, &items), &items);
   kq_outbox_free (&items);
   kq_journal_tick (h->journal, now, out);
-  release (h, out);
+  release_committed (h, out);
 }
 
 void
@@ -309,13 +310,15 @@
   KqOutbox items = { 0 };
   if (h->state != KQ_HOST_ACTIVE)
     return;
-  hold_items (h, kq_jobs_set_hosts (h->jobs, l->hosts, l->n_hosts, now, &items), &items);
+  hold_until_committed (h, kq_jobs_set_hosts (h->jobs, l->hosts, l->n_hosts, now, &items),
+                        &items);
   kq_outbox_free (&items);
-  release (h, out);
+  release_committed (h, out);
 }
 
 void
-kq_shard_host_set_others (KqShardHost *h, const KqShardDigest *d, size_t n, KqTime now)
+kq_shard_host_set_other_digests (KqShardHost *h, const KqShardDigest *d, size_t n,
+                                 KqTime now)
 {
   if (h->state == KQ_HOST_ACTIVE)
     kq_jobs_set_others (h->jobs, d, n, now);
@@ -328,10 +331,11 @@
   KqOutbox items = { 0 };
   if (h->state != KQ_HOST_ACTIVE)
     return;
-  hold_items (h, kq_claims_node_gone (h->claims, node, incarnation, now, &items), &items);
+  hold_until_committed (
+      h, kq_claims_node_gone (h->claims, node, incarnation, now, &items), &items);
   kq_outbox_free (&items);
   kq_journal_tick (h->journal, now, out);
-  release (h, out);
+  release_committed (h, out);
 }
 
 bool
@@ -373,7 +377,7 @@
 }
 
 KqTime
-kq_shard_host_lag (const KqShardHost *h, KqTime now)
+kq_shard_host_journal_lag (const KqShardHost *h, KqTime now)
 {
   return kq_journal_lag (h->journal, now);
 }
--- a/src/node/shard_host_test.c
+++ b/src/node/shard_host_test.c
@@ -12,10 +12,11 @@
 
 #define SHARD 3
 
-/* Lets the store answer whatever is in the outbox, until nothing is due for a second. */
+/* Runs the journal `j`, or the shard `h` if `j` is NULL, with the store for one second.
+ * Other items of the outbox than store calls are dropped. */
 static void
-pump (KqStoreFake *store, KqJournal *j, KqShardHost *h, KqOutbox *out, KqTime *now,
-      KqResult *code)
+run_store (KqStoreFake *store, KqJournal *j, KqShardHost *h, KqOutbox *out, KqTime *now,
+           KqResult *code)
 {
   KqTime until = *now + KQ_SEC;
   while (*now < until)
@@ -44,7 +45,8 @@
     }
 }
 
-/* What a host makes of a journal that holds one record of this type and body. */
+/* The result of recovering a shard from a journal with one record of this type and
+ * body. */
 static KqResult
 recover_with (uint16_t type, KqStr body)
 {
@@ -58,16 +60,16 @@
   KqTime now = 100 * KQ_SEC;
   KqResult code = KQ_OK;
   kq_journal_open (j, 1, now, &out);
-  pump (store, j, NULL, &out, &now, &code);
+  run_store (store, j, NULL, &out, &now, &code);
   while (kq_journal_next_record (j, &recovered))
     ;
   assert_int_equal (kq_journal_state (j), KQ_JOURNAL_OPEN);
   kq_journal_append (j, &r, KQ_COMMIT_NORMAL, now);
-  pump (store, j, NULL, &out, &now, &code);
+  run_store (store, j, NULL, &out, &now, &code);
   assert_int_equal (kq_journal_lag (j, now), 0);
   kq_outbox_free (&out);
   kq_shard_host_open (h, 2, NULL, now, &out);
-  pump (store, NULL, h, &out, &now, &code);
+  run_store (store, NULL, h, &out, &now, &code);
   assert_true (code != KQ_OK || kq_shard_host_state (h) == KQ_HOST_ACTIVE);
   kq_outbox_free (&out);
   kq_shard_host_free (h);
@@ -76,9 +78,9 @@
   return code;
 }
 
-/* A newer program, or a fault, has left a record that this one can't read. Passing over
- * it could run a request or a task twice, and ending the process would take down one
- * owner after another: the shard alone is given up, loudly. */
+/* The journal has a record that this program can't read, left by a newer version or by a
+ * fault. Skipping it could run a request or a task twice, and ending the process would
+ * stop one owner after another: only this shard must be dropped, with an error. */
 static void
 test_unreadable_record_gives_up_the_shard (void **state)
 {
@@ -88,7 +90,8 @@
   assert_int_equal (recover_with (200, KQ_STR ("\x91\x01")), KQ_ERR_JOURNAL_DAMAGED);
 }
 
-/* A cancellation of a job that isn't there changes nothing, as any repeated record. */
+/* The cancellation of an unknown job is readable and has no effect, like any repeated
+ * record: the shard opens. */
 static void
 test_readable_record_opens_the_shard (void **state)
 {
@@ -125,9 +128,10 @@
   kq_shard_host_message (h, &m, now, out);
 }
 
-/* Answers of that kind in the outbox: their number, and the code of the last. */
+/* Empties the outbox; returns the number of messages of that kind, and in *code the
+ * result in the last one. */
 static int
-take_answers (KqOutbox *out, KqMsgKind kind, KqResult *code)
+count_replies (KqOutbox *out, KqMsgKind kind, KqResult *code)
 {
   KqOut item;
   int n = 0;
@@ -155,9 +159,9 @@
   kq_shard_host_message (h, &m, now, out);
 }
 
-/* The store goes away. The first job waits for its commit and its answer is held; three
- * seconds later the next callers, with a job and with a request under a key, are told
- * "not run" at once, not behind the first one. */
+/* Guards against refusals that wait behind held replies. The store becomes unreachable:
+ * the reply to the first job waits for its commit. Three seconds later a second job and a
+ * request with an idempotency key must be refused at once. */
 static void
 test_refusal_passes_held_answers (void **state)
 {
@@ -170,16 +174,16 @@
   KqResult code = KQ_OK;
   (void)state;
   kq_shard_host_open (h, 1, t, now, &out);
-  pump (store, NULL, h, &out, &now, &code);
+  run_store (store, NULL, h, &out, &now, &code);
   assert_int_equal (kq_shard_host_state (h), KQ_HOST_ACTIVE);
   submit (h, 1, now, &out);
-  assert_int_equal (take_answers (&out, KQ_MSG_JOB_REPLY, &code), 0);
+  assert_int_equal (count_replies (&out, KQ_MSG_JOB_REPLY, &code), 0);
   now += 3 * KQ_SEC;
   submit (h, 2, now, &out);
-  assert_int_equal (take_answers (&out, KQ_MSG_JOB_REPLY, &code), 1);
+  assert_int_equal (count_replies (&out, KQ_MSG_JOB_REPLY, &code), 1);
   assert_int_equal (code, KQ_ERR_NOT_COMMITTED);
   claim (h, now, &out);
-  assert_int_equal (take_answers (&out, KQ_MSG_CLAIM_REPLY, &code), 1);
+  assert_int_equal (count_replies (&out, KQ_MSG_CLAIM_REPLY, &code), 1);
   assert_int_equal (code, KQ_ERR_CLAIM_UNAVAILABLE);
   kq_outbox_free (&out);
   kq_shard_host_free (h);
--- a/src/node/shard_map.c
+++ b/src/node/shard_map.c
@@ -24,7 +24,7 @@
   return 0;
 }
 
-/* The host is one of our own region's. */
+/* The host must be in this node's region. */
 static uint32_t
 shard_of_host (const KqSettings *s, const KqHost *h)
 {
@@ -36,7 +36,7 @@
   assert (n > 0);
   if (n < s->n_depots || s->n_depots == 0)
     return (uint32_t)(first + (int)(rack % (uint64_t)n));
-  /* Shards depot, depot + n_depots, depot + 2 * n_depots, ... lie in the depot. */
+  /* Shards depot, depot + n_depots, depot + 2 * n_depots, ... are in the depot. */
   per_depot = (n - depot + s->n_depots - 1) / s->n_depots;
   assert (per_depot > 0);
   return (uint32_t)(first + depot + (int)(rack % (uint64_t)per_depot) * s->n_depots);
