--- a/src/node/core.c
+++ b/src/node/core.c
@@ -372,7 +372,7 @@
 announce_table_events (KqCore *c, KqTime now)
 {
   KqTableResult r;
-  if (kq_table_dist_changed (c->dist))
+  if (kq_table_dist_take_changed (c->dist))
     {
       KqTable *t = kq_table_dist_current (c->dist);
       for (uint32_t i = 0; i < c->n_shards; i++)
--- a/src/node/queries.c
+++ b/src/node/queries.c
@@ -209,9 +209,9 @@
     out->row = *old;
   /* This node's table may be out of date. The fields copied from it must not undo what
    * others have changed in the row since: the change is refused if the row's revision is
-   * no longer `based`. */
+   * no longer `base_revision`. */
   out->derived = true;
-  out->based = old != NULL ? old->revision : 0;
+  out->base_revision = old != NULL ? old->revision : 0;
   if (fields == NULL || out->remove)
     return KQ_OK;
   n = kq_row_set (&out->row, fields, faults, FAULTS_MAX);
--- a/src/table/commit.c
+++ b/src/table/commit.c
@@ -7,16 +7,16 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* An operator waits for the answer; after this it is "unknown", never "failed". Below
- * the 5 s after which the operators' interface gives a node up: whoever asked must hear
- * "unknown" from the one who knows that the swap was sent. */
-#define CHANGE_LIMIT (4 * KQ_SEC)
-#define RETRY_WAIT (200 * KQ_MS)
-/* A peer not heard for longer is no use sending to. */
-#define PEER_HEARD (10 * KQ_SEC)
-/* A change up to this size goes to far peers at once; a larger one (an import) crosses
- * the region link only for the few that ask first. */
-#define FAR_PUSH_MAX 4096
+/* Time limit of a change. After it the result is "unknown", not "failed": the
+ * compare-and-swap may still take effect. Below the 5 s timeout of the operators'
+ * interface, so that the operator gets "unknown" from the node that sent the swap. */
+#define CHANGE_TIMEOUT (4 * KQ_SEC)
+#define RETRY_DELAY (200 * KQ_MS)
+/* Peers without a heartbeat for longer than this aren't sent changes. */
+#define PEER_SILENT_MAX (10 * KQ_SEC)
+/* Changes up to this size are sent at once to peers in other regions. A larger one (an
+ * import) is sent across the region link only to the few peers that request it first. */
+#define FAR_PUSH_MAX_BYTES 4096
 
 static void
 add_result (KqTableDist *d, KqResult code, uint64_t revision, size_t which)
@@ -37,7 +37,7 @@
   c->next = NULL;
   kq_buf_clear (&c->base_bytes);
   c->rebase = false;
-  c->garbage = (KqTableBase){ 0 };
+  c->obsolete_base = (KqTableBase){ 0 };
   c->part = 0;
   c->id = 0;
 }
@@ -56,7 +56,7 @@
 }
 
 void
-kq_commit_clear (KqTableDist *d)
+kq_commit_free (KqTableDist *d)
 {
   while (d->pending != NULL)
     finish (d, KQ_ERR_STORE_UNREACHABLE, 0, 0);
@@ -75,7 +75,7 @@
   p->n = n;
   p->changes = kq_alloc (n * sizeof *c);
   memcpy (p->changes, c, n * sizeof *c);
-  p->deadline = now + CHANGE_LIMIT;
+  p->deadline = now + CHANGE_TIMEOUT;
   while (*end != NULL)
     end = &(*end)->next;
   *end = p;
@@ -100,7 +100,7 @@
   op->part = KQ_PART_TABLE;
   op->token = ++d->token;
   c->call = op->token;
-  c->give_up = now + KQ_TABLE_CALL_WAIT;
+  c->call_deadline = now + KQ_TABLE_CALL_TIMEOUT;
   kq_outbox_store (out, op);
 }
 
@@ -131,18 +131,19 @@
   KqCommit *c = &d->commit;
   KqStoreOp op = { .kind = KQ_STORE_PUT };
   KqBuf key = { 0 };
-  size_t at = c->part * KQ_BASE_PART_SIZE;
+  size_t at = c->part * KQ_BASE_PART_BYTES;
   size_t left = c->base_bytes.len - at;
   kq_base_key (&c->head.base, c->part, &key);
   op.key = kq_buf_str (&key);
   op.value = kq_str_n (c->base_bytes.ptr + at,
-                       left < KQ_BASE_PART_SIZE ? left : KQ_BASE_PART_SIZE);
+                       left < KQ_BASE_PART_BYTES ? left : KQ_BASE_PART_BYTES);
   c->state = KQ_COMMIT_PARTS;
   call_store (d, &op, now, out);
   kq_buf_free (&key);
 }
 
-/* Deletes a base that no head names any more. Lost calls leave garbage, never harm. */
+/* Deletes a base that no head refers to any more. If a call is lost, the keys stay in the
+ * store unused. */
 static void
 delete_base (KqTableDist *d, const KqTableBase *b, KqOutbox *out)
 {
@@ -161,46 +162,47 @@
     }
 }
 
-/* A new base under a new name. It holds the table before the change when the change
- * fits into the tail, otherwise the table after it. */
+/* Prepares a new base under a new key. It holds the table before the change if the change
+ * goes to the tail, otherwise the table after it. */
 static void
 plan_base (KqTableDist *d, bool in_tail)
 {
   KqCommit *c = &d->commit;
   const KqTable *t = in_tail ? d->table : c->next;
   c->rebase = true;
-  c->garbage = c->head.old;
+  c->obsolete_base = c->head.old;
   c->head.old = c->head.base;
   c->head.base = (KqTableBase){ .revision = kq_table_revision (t) };
   c->head.base.id = kq_rand_next (&d->rand) | 1;
   kq_buf_clear (&c->base_bytes);
   kq_table_pack (t, &c->base_bytes);
-  c->head.base.n_parts = (c->base_bytes.len + KQ_BASE_PART_SIZE - 1) / KQ_BASE_PART_SIZE;
+  c->head.base.n_parts
+      = (c->base_bytes.len + KQ_BASE_PART_BYTES - 1) / KQ_BASE_PART_BYTES;
 }
 
-/* The head that the change would write. `lost`: the store's head is older than the
- * table in force here, because the store lost writes; what was accepted stays, so the
- * new head carries our table whole. */
+/* Prepares the head to be written. `lost`: the store's head is older than the table in
+ * force here, because the store has lost writes. Accepted changes must not be undone, so
+ * the new head then refers to a base with the whole table of this node. */
 static void
-plan_head (KqTableDist *d, bool lost)
+plan_head (KqTableDist *d, bool store_lost_writes)
 {
   KqCommit *c = &d->commit;
   KqBuf changes = { 0 };
   uint64_t revision = kq_table_revision (c->next);
-  kq_changes_pack_alone (d->pending->changes, d->pending->n, &changes);
-  bool in_tail = changes.len <= KQ_TAIL_CHANGE_MAX;
+  kq_changes_pack_entry (d->pending->changes, d->pending->n, &changes);
+  bool in_tail = changes.len <= KQ_TAIL_CHANGE_MAX_BYTES;
   kq_head_copy (&c->head, &d->head);
-  c->expect = d->head_at;
+  c->expect = d->head_store_revision;
   c->id = kq_rand_next (&d->rand) | 1;
   c->head.revision = revision;
   c->head.ids[revision % KQ_HEAD_IDS] = c->id;
-  bool full = c->head.tail.bytes + changes.len > KQ_TAIL_MAX && c->head.tail.n > 0;
-  if (lost)
+  bool full = c->head.tail.bytes + changes.len > KQ_TAIL_MAX_BYTES && c->head.tail.n > 0;
+  if (store_lost_writes)
     kq_tail_clear (&c->head.tail, revision - 1);
-  if (full || lost || !in_tail)
+  if (full || store_lost_writes || !in_tail)
     plan_base (d, in_tail);
   if (full)
-    kq_tail_cut (&c->head.tail, KQ_TAIL_KEEP);
+    kq_tail_cut (&c->head.tail, KQ_TAIL_KEEP_BYTES);
   if (in_tail)
     kq_tail_add (&c->head.tail, revision, kq_buf_str (&changes));
   else
@@ -208,26 +210,27 @@
   kq_buf_free (&changes);
 }
 
-/* The head is known: makes the new table, and decides what is written first. */
+/* Computes the new table from the known head, and starts to write the new base, or the
+ * head if no new base is needed. */
 static void
 prepare (KqTableDist *d, KqTime now, KqOutbox *out)
 {
   KqCommit *c = &d->commit;
   KqPendingChange *p = d->pending;
   uint64_t ours = kq_dist_revision (d);
-  bool lost = ours > d->head.revision;
+  bool store_lost_writes = ours > d->head.revision;
   KqResult why;
   size_t which;
   if (d->table == NULL || ours < d->head.revision)
     {
-      c->state = KQ_COMMIT_READY;
+      c->state = KQ_COMMIT_WAIT_TABLE;
       return;
     }
   reset (c);
   c->next = kq_table_change (d->table, ours + 1, p->changes, p->n, &why, &which);
-  /* Refused by what may be an old table here: another node may have made the row that
-   * this operator saw. Read the head, then judge. */
-  if ((c->next == NULL || lost) && !c->fresh)
+  /* This node's table may be out of date, and another node may have written the row that
+   * the operator saw: read the head before refusing the change. */
+  if ((c->next == NULL || store_lost_writes) && !c->head_read)
     {
       read_head (d, KQ_COMMIT_READ, now, out);
       return;
@@ -237,20 +240,20 @@
       finish (d, why, ours, which);
       return;
     }
-  if (lost)
+  if (store_lost_writes)
     kq_log (KQ_LOG_ERROR, "table",
             "The store's table is older than ours; writing ours. store=%llu ours=%llu",
             (unsigned long long)d->head.revision, (unsigned long long)ours);
-  plan_head (d, lost);
+  plan_head (d, store_lost_writes);
   if (c->rebase)
     put_part (d, now, out);
   else
     put_head (d, now, out);
 }
 
-/* The change goes to the peers at once: nodes whose watches are silent learn it now. */
+/* Sends the last change to the peers at once, for nodes whose watch doesn't report it. */
 static void
-push (KqTableDist *d, KqTime now, KqOutbox *out)
+send_change_to_peers (KqTableDist *d, KqTime now, KqOutbox *out)
 {
   KqMsg m = { .kind = KQ_MSG_TABLE };
   KqBuf b = { 0 };
@@ -259,7 +262,7 @@
     return;
   m.u.table.revision = revision;
   m.u.table.base = revision - 1;
-  if (m.u.table.base == 0) /* that means the whole table */
+  if (m.u.table.base == 0) /* 0 announces the whole table */
     kq_table_pack (d->table, &b);
   else
     kq_tail_pack_above (&d->recent, revision - 1, &b);
@@ -267,22 +270,22 @@
   for (size_t i = 0; i < d->n_peers; i++)
     {
       const KqTablePeer *p = &d->peers[i];
-      if (now - p->heard_at < PEER_HEARD && (!p->far || b.len <= FAR_PUSH_MAX))
+      if (now - p->heard_at < PEER_SILENT_MAX && (!p->far || b.len <= FAR_PUSH_MAX_BYTES))
         kq_outbox_send (out, p->id, &m);
     }
   kq_buf_free (&b);
 }
 
-/* The swap took effect and nobody swapped since. */
+/* The compare-and-swap took effect, and the head hasn't changed since. */
 static void
-committed (KqTableDist *d, uint64_t head_at, KqTime now, KqOutbox *out)
+commit_succeeded (KqTableDist *d, uint64_t head_store_revision, KqTime now, KqOutbox *out)
 {
   KqCommit *c = &d->commit;
   uint64_t revision = c->head.revision;
-  if (head_at > d->head_at)
+  if (head_store_revision > d->head_store_revision)
     {
       kq_head_copy (&d->head, &c->head);
-      d->head_at = head_at;
+      d->head_store_revision = head_store_revision;
     }
   if (revision > kq_dist_revision (d))
     {
@@ -291,39 +294,40 @@
         kq_tail_add (&d->recent, revision, kq_buf_str (&t->entries[t->n - 1].changes));
       else
         kq_tail_clear (&d->recent, revision);
-      kq_tail_cut (&d->recent, KQ_TABLE_RECENT_MAX);
-      kq_dist_adopt (d, kq_table_ref (c->next), false);
-      push (d, now, out);
+      kq_tail_cut (&d->recent, KQ_TABLE_RECENT_MAX_BYTES);
+      kq_dist_set_table (d, kq_table_ref (c->next), false);
+      send_change_to_peers (d, now, out);
     }
-  delete_base (d, &c->garbage, out);
+  delete_base (d, &c->obsolete_base, out);
   finish (d, KQ_OK, revision, 0);
 }
 
-/* The head in the store is another one than we expected: ours with others on top, or
- * others' alone. */
+/* The head in the store isn't the expected one: other nodes have committed, either after
+ * this commit took effect or instead of it. */
 static void
-head_moved (KqTableDist *d, KqStr value, uint64_t head_at, KqTime now, KqOutbox *out)
+handle_other_head (KqTableDist *d, KqStr value, uint64_t head_store_revision, KqTime now,
+                   KqOutbox *out)
 {
   KqCommit *c = &d->commit;
   uint64_t revision = c->head.revision;
   KqTableBase base = c->rebase ? c->head.base : (KqTableBase){ 0 };
-  if (!kq_dist_take_head (d, value, head_at, now, out))
+  if (!kq_dist_apply_head (d, value, head_store_revision, now, out))
     {
       finish (d, KQ_ERR_PLATFORM_FORMAT, 0, 0);
       return;
     }
-  if (kq_head_has (&d->head, revision, c->id))
+  if (kq_head_has_id (&d->head, revision, c->id))
     {
       finish (d, KQ_OK, revision, 0);
       return;
     }
-  if (d->head.revision >= revision && !kq_head_remembers (&d->head, revision))
+  if (d->head.revision >= revision && !kq_head_keeps_id (&d->head, revision))
     {
       finish (d, KQ_ERR_STORE_UNREACHABLE, 0, 0);
       return;
     }
   delete_base (d, &base, out);
-  c->fresh = true;
+  c->head_read = true;
   prepare (d, now, out);
 }
 
@@ -331,14 +335,15 @@
 wait_and_retry (KqCommit *c, KqTime now)
 {
   c->call = 0;
-  c->retry_at = now + RETRY_WAIT;
+  c->retry_at = now + RETRY_DELAY;
 }
 
 static void
-part_answered (KqTableDist *d, const KqStoreReply *r, KqTime now, KqOutbox *out)
+handle_part_reply (KqTableDist *d, const KqStoreReply *r, KqTime now, KqOutbox *out)
 {
   KqCommit *c = &d->commit;
-  /* A CONFLICT on a name drawn at random: our own write whose answer was lost. */
+  /* The key is random, so a CONFLICT means that an earlier write by this node took effect
+   * and its answer was lost. */
   if (r->result != KQ_OK && r->result != KQ_ERR_STORE_CONFLICT)
     {
       wait_and_retry (c, now);
@@ -352,20 +357,20 @@
 }
 
 static void
-put_answered (KqTableDist *d, const KqStoreReply *r, KqTime now, KqOutbox *out)
+handle_put_reply (KqTableDist *d, const KqStoreReply *r, KqTime now, KqOutbox *out)
 {
   switch (r->result)
     {
     case KQ_OK:
-      committed (d, r->revision, now, out);
+      commit_succeeded (d, r->revision, now, out);
       break;
     case KQ_ERR_STORE_CONFLICT:
-      head_moved (d, r->value, r->revision, now, out);
+      handle_other_head (d, r->value, r->revision, now, out);
       break;
     case KQ_ERR_STORE_TOO_LARGE:
       finish (d, KQ_ERR_TABLE_TOO_LARGE, 0, 0);
       break;
-    case KQ_ERR_STORE_BUSY: /* not sent */
+    case KQ_ERR_STORE_BUSY: /* the call wasn't sent */
       wait_and_retry (&d->commit, now);
       break;
     default:
@@ -375,11 +380,12 @@
     }
 }
 
-/* After a lost answer. While the head is as before, the swap may still take effect
- * later: the same bytes are sent again under the same expectation, so at most one of
- * the two takes effect. A moved head shows our write id, or that ours never will. */
+/* After a lost answer. If the head is unchanged, the swap may still take effect later:
+ * the same value is sent again with the same expected revision, so at most one of the two
+ * takes effect. If the head has changed, its write ids show whether the swap took effect;
+ * if not, it never will. */
 static void
-verify_answered (KqTableDist *d, const KqStoreReply *r, KqTime now, KqOutbox *out)
+handle_verify_reply (KqTableDist *d, const KqStoreReply *r, KqTime now, KqOutbox *out)
 {
   uint64_t at = r->result == KQ_OK ? r->revision : 0;
   if (r->result != KQ_OK && r->result != KQ_ERR_STORE_NOT_FOUND)
@@ -387,19 +393,19 @@
   else if (at == d->commit.expect)
     put_head (d, now, out);
   else
-    head_moved (d, r->value, at, now, out);
+    handle_other_head (d, r->value, at, now, out);
 }
 
 static void
-read_answered (KqTableDist *d, const KqStoreReply *r, KqTime now, KqOutbox *out)
+handle_read_reply (KqTableDist *d, const KqStoreReply *r, KqTime now, KqOutbox *out)
 {
   if (r->result != KQ_OK && r->result != KQ_ERR_STORE_NOT_FOUND)
     {
       wait_and_retry (&d->commit, now);
       return;
     }
-  d->commit.fresh = true;
-  if (kq_dist_take_head (d, r->value, r->result == KQ_OK ? r->revision : 0, now, out))
+  d->commit.head_read = true;
+  if (kq_dist_apply_head (d, r->value, r->result == KQ_OK ? r->revision : 0, now, out))
     prepare (d, now, out);
   else
     finish (d, KQ_ERR_PLATFORM_FORMAT, 0, 0);
@@ -415,21 +421,21 @@
   switch (c->state)
     {
     case KQ_COMMIT_READ:
-      read_answered (d, r, now, out);
+      handle_read_reply (d, r, now, out);
       break;
     case KQ_COMMIT_PARTS:
-      part_answered (d, r, now, out);
+      handle_part_reply (d, r, now, out);
       break;
     case KQ_COMMIT_PUT:
-      put_answered (d, r, now, out);
+      handle_put_reply (d, r, now, out);
       break;
     case KQ_COMMIT_VERIFY:
-      verify_answered (d, r, now, out);
+      handle_verify_reply (d, r, now, out);
       break;
     case KQ_COMMIT_IDLE:
-    case KQ_COMMIT_READY:
+    case KQ_COMMIT_WAIT_TABLE:
     case KQ_COMMIT_STATES:
-      assert (!"a call in flight without a state for it");
+      assert (!"store reply in a state without a call");
     }
   kq_commit_tick (d, now, out);
   return true;
@@ -438,14 +444,14 @@
 static void
 begin (KqTableDist *d, KqTime now, KqOutbox *out)
 {
-  d->commit.fresh = false;
+  d->commit.head_read = false;
   if (d->head_known)
     prepare (d, now, out);
   else
     read_head (d, KQ_COMMIT_READ, now, out);
 }
 
-/* Sends again what failed. */
+/* Repeats the call that failed. */
 static void
 retry (KqTableDist *d, KqTime now, KqOutbox *out)
 {
@@ -461,7 +467,7 @@
     case KQ_COMMIT_PUT:
       put_head (d, now, out);
       break;
-    case KQ_COMMIT_READY:
+    case KQ_COMMIT_WAIT_TABLE:
       prepare (d, now, out);
       break;
     case KQ_COMMIT_IDLE:
@@ -474,16 +480,16 @@
 kq_commit_tick (KqTableDist *d, KqTime now, KqOutbox *out)
 {
   KqCommit *c = &d->commit;
-  if (c->call != 0 && now >= c->give_up)
+  if (c->call != 0 && now >= c->call_deadline)
     {
-      /* No answer at all: as a lost one. */
+      /* Treated like a lost answer. */
       c->call = 0;
       c->retry_at = now;
       if (c->state == KQ_COMMIT_PUT)
         c->state = KQ_COMMIT_VERIFY;
     }
   if (d->pending != NULL && now >= d->pending->deadline)
-    c->call = 0; /* its answer would come too late */
+    c->call = 0; /* an answer would be too late */
   while (d->pending != NULL && c->call == 0)
     {
       if (now >= d->pending->deadline)
@@ -497,7 +503,7 @@
       else if (now >= c->retry_at)
         {
           retry (d, now, out);
-          if (c->state == KQ_COMMIT_READY)
+          if (c->state == KQ_COMMIT_WAIT_TABLE)
             return;
         }
       else
--- a/src/table/dist.c
+++ b/src/table/dist.c
@@ -7,23 +7,26 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* One waiting watch per node: a call a minute. Its answer carries the head (a few KB)
- * also when nothing changed, so it isn't shorter; silence is made up for by peers. */
+/* Duration of a watch: one store call a minute per node. Not shorter, since each answer
+ * carries the head (a few KB) even if nothing has changed. If a watch fails to report a
+ * change, peers do. */
 #define WATCH_WAIT (60 * KQ_SEC)
 #define WATCH_GRACE (5 * KQ_SEC)
-/* Between lists that fail; doubles this often. */
+/* Wait after a failed list or watch; doubled at each failure, LIST_DOUBLINGS times at
+ * most. */
 #define LIST_WAIT (1 * KQ_SEC)
 #define LIST_DOUBLINGS 3
-/* A near peer ahead of us for this long: our watch should have told us by now. */
-#define NEAR_WAIT (300 * KQ_MS)
-/* A far peer ahead: wait longer, and each node another time, so that the change crosses
- * the region link once and the others of the region get it from the first. */
-#define FAR_WAIT (700 * KQ_MS)
-#define FAR_SPREAD (1500 * KQ_MS)
-#define WANT_WAIT (1 * KQ_SEC)
-/* A peer silent for longer may give its place to another. */
-#define PEER_KEPT (60 * KQ_SEC)
-/* Changes kept for peers that lack them. */
+/* How long a peer of this region may have a higher revision before this node requests the
+ * changes from it: by then this node's own watch should have reported them. */
+#define NEAR_LAG_WAIT (300 * KQ_MS)
+/* The same for a peer in another region: longer, and with a random part, so that one node
+ * requests the change across the region link and the others get it from that node. */
+#define FAR_LAG_WAIT (700 * KQ_MS)
+#define FAR_LAG_SPREAD (1500 * KQ_MS)
+/* Between two requests. */
+#define REQUEST_INTERVAL (1 * KQ_SEC)
+/* The entry of a peer without a heartbeat for longer may be reused. */
+#define PEER_REUSE_AFTER (60 * KQ_SEC)
 
 KqTableDist *
 kq_table_dist_new (KqNodeId self, uint64_t seed)
@@ -39,7 +42,7 @@
 {
   if (d == NULL)
     return;
-  kq_commit_clear (d);
+  kq_commit_free (d);
   kq_table_unref (d->table);
   kq_tail_free (&d->recent);
   kq_head_free (&d->head);
@@ -67,7 +70,7 @@
 }
 
 bool
-kq_table_dist_changed (KqTableDist *d)
+kq_table_dist_take_changed (KqTableDist *d)
 {
   bool changed = d->changed;
   d->changed = false;
@@ -81,9 +84,9 @@
 }
 
 void
-kq_dist_adopt (KqTableDist *d, KqTable *table, bool from_peer)
+kq_dist_set_table (KqTableDist *d, KqTable *table, bool from_peer)
 {
-  /* The invariant of the whole slice: what is in force never goes back. */
+  /* Invariant of this module: the revision in force never decreases. */
   assert (d->table == NULL || kq_table_revision (table) > kq_table_revision (d->table));
   kq_table_unref (d->table);
   d->table = table;
@@ -92,8 +95,8 @@
   d->lag_since = 0;
 }
 
-/* Applies the changes of `t` that are newer than the table; false when they don't join
- * on or are damaged. */
+/* Applies the changes of `t` that are newer than the table `onto`; false if there is a
+ * gap between them or if they are damaged. */
 static bool
 apply_tail (KqTableDist *d, const KqTableTail *t, KqTable *onto, bool from_peer)
 {
@@ -111,14 +114,14 @@
     if (t->entries[i].revision == d->recent.from + d->recent.n + 1)
       kq_tail_add (&d->recent, t->entries[i].revision,
                    kq_buf_str (&t->entries[i].changes));
-  kq_tail_cut (&d->recent, KQ_TABLE_RECENT_MAX);
-  kq_dist_adopt (d, next, from_peer);
+  kq_tail_cut (&d->recent, KQ_TABLE_RECENT_MAX_BYTES);
+  kq_dist_set_table (d, next, from_peer);
   assert (d->recent.from + d->recent.n == kq_dist_revision (d));
   return true;
 }
 
 static void
-ask_part (KqTableDist *d, KqTime now, KqOutbox *out)
+read_part (KqTableDist *d, KqTime now, KqOutbox *out)
 {
   KqStoreOp op = { .kind = KQ_STORE_GET, .part = KQ_PART_TABLE };
   KqBuf key = { 0 };
@@ -126,7 +129,7 @@
   op.key = kq_buf_str (&key);
   op.token = ++d->token;
   d->load_call = op.token;
-  d->load_give_up = now + KQ_TABLE_CALL_WAIT;
+  d->load_deadline = now + KQ_TABLE_CALL_TIMEOUT;
   kq_outbox_store (out, &op);
   kq_buf_free (&key);
 }
@@ -140,17 +143,17 @@
   d->load_base = d->head.base;
   d->load_part = 0;
   kq_buf_clear (&d->load_bytes);
-  ask_part (d, now, out);
+  read_part (d, now, out);
 }
 
-/* Brings the table up to the head as last read. */
+/* Brings the table up to the last head that was read. */
 static void
 catch_up (KqTableDist *d, KqTime now, KqOutbox *out)
 {
   if (!d->head_known)
     return;
   if (d->table == NULL && d->head.base.id == 0)
-    kq_dist_adopt (d, kq_table_new (0), false);
+    kq_dist_set_table (d, kq_table_new (0), false);
   if (d->table != NULL && d->head.revision <= kq_dist_revision (d))
     {
       if (d->head.revision == kq_dist_revision (d))
@@ -168,20 +171,20 @@
 }
 
 bool
-kq_dist_take_head (KqTableDist *d, KqStr value, uint64_t head_at, KqTime now,
-                   KqOutbox *out)
+kq_dist_apply_head (KqTableDist *d, KqStr value, uint64_t head_store_revision, KqTime now,
+                    KqOutbox *out)
 {
   KqTableHead head = { 0 };
-  if (head_at != 0 && !kq_head_unpack (value, &head))
+  if (head_store_revision != 0 && !kq_head_unpack (value, &head))
     {
       kq_log (KQ_LOG_ERROR, "table", "The head in the store is damaged. at=%llu",
-              (unsigned long long)head_at);
+              (unsigned long long)head_store_revision);
       return false;
     }
   kq_head_free (&d->head);
   d->head = head;
   d->head_known = true;
-  d->head_at = head_at;
+  d->head_store_revision = head_store_revision;
   catch_up (d, now, out);
   return true;
 }
@@ -192,11 +195,11 @@
   d->load_call = 0;
   d->loading = false;
   d->load_next = now + LIST_WAIT;
-  d->watch_revision = 0; /* the base may be gone because the head moved on */
+  d->watch_revision = 0; /* the base may be deleted: read the head again */
 }
 
 static void
-part_answered (KqTableDist *d, const KqStoreReply *r, KqTime now, KqOutbox *out)
+handle_part_reply (KqTableDist *d, const KqStoreReply *r, KqTime now, KqOutbox *out)
 {
   KqResult why;
   d->load_call = 0;
@@ -210,7 +213,7 @@
   kq_buf_add_str (&d->load_bytes, r->value);
   if (++d->load_part < d->load_base.n_parts)
     {
-      ask_part (d, now, out);
+      read_part (d, now, out);
       return;
     }
   d->loading = false;
@@ -230,7 +233,7 @@
 static void
 tick_load (KqTableDist *d, KqTime now, KqOutbox *out)
 {
-  if (d->load_call != 0 && now >= d->load_give_up)
+  if (d->load_call != 0 && now >= d->load_deadline)
     load_failed (d, now);
   if (d->loading || now < d->load_next || !d->head_known)
     return;
@@ -242,7 +245,7 @@
 tick_watch (KqTableDist *d, KqTime now, KqOutbox *out)
 {
   KqStoreOp op = { .part = KQ_PART_TABLE, .key = KQ_STR ("table/head") };
-  if (d->watch_call != 0 && now >= d->watch_give_up)
+  if (d->watch_call != 0 && now >= d->watch_deadline)
     {
       d->watch_call = 0;
       d->watch_revision = 0;
@@ -254,14 +257,14 @@
   op.wait_ms = (int)(WATCH_WAIT / KQ_MS);
   op.token = ++d->token;
   d->watch_call = op.token;
-  d->watch_give_up = now + WATCH_GRACE;
+  d->watch_deadline = now + WATCH_GRACE;
   if (op.kind == KQ_STORE_WATCH)
-    d->watch_give_up += WATCH_WAIT;
+    d->watch_deadline += WATCH_WAIT;
   kq_outbox_store (out, &op);
 }
 
 static void
-watch_answered (KqTableDist *d, const KqStoreReply *r, KqTime now, KqOutbox *out)
+handle_watch_reply (KqTableDist *d, const KqStoreReply *r, KqTime now, KqOutbox *out)
 {
   d->watch_call = 0;
   if (r->result != KQ_OK)
@@ -279,21 +282,21 @@
   d->watch_revision = r->revision > 0 ? r->revision : 1;
   uint64_t at = r->n_items > 0 ? r->items[0].revision : 0;
   KqStr value = r->n_items > 0 ? r->items[0].value : KQ_STR ("");
-  /* A list may be overtaken by a commit of ours; what it says then is old. */
-  if (d->head_known && at <= d->head_at)
+  /* The answer is out of date if this node has committed since the call was sent. */
+  if (d->head_known && at <= d->head_store_revision)
     catch_up (d, now, out);
   else
-    kq_dist_take_head (d, value, at, now, out);
+    kq_dist_apply_head (d, value, at, now, out);
 }
 
-static void want (KqTableDist *d, KqTime now, KqOutbox *out);
+static void request_changes (KqTableDist *d, KqTime now, KqOutbox *out);
 
 void
 kq_table_dist_tick (KqTableDist *d, KqTime now, KqOutbox *out)
 {
   tick_load (d, now, out);
   tick_watch (d, now, out);
-  want (d, now, out);
+  request_changes (d, now, out);
   kq_commit_tick (d, now, out);
 }
 
@@ -301,28 +304,28 @@
 kq_table_dist_reply (KqTableDist *d, const KqStoreReply *r, KqTime now, KqOutbox *out)
 {
   if (d->watch_call != 0 && r->token == d->watch_call)
-    watch_answered (d, r, now, out);
+    handle_watch_reply (d, r, now, out);
   else if (d->load_call != 0 && r->token == d->load_call)
-    part_answered (d, r, now, out);
+    handle_part_reply (d, r, now, out);
   else if (kq_commit_reply (d, r, now, out))
     return;
   kq_table_dist_tick (d, now, out);
 }
 
-/* The peer's place: its own, else that of one long silent, else a new one. */
+/* The entry of the peer; if it has none, one that may be reused, or a new one. */
 static KqTablePeer *
-peer_place (KqTableDist *d, KqNodeId id, KqTime now)
+find_peer_entry (KqTableDist *d, KqNodeId id, KqTime now)
 {
-  KqTablePeer *free_place = NULL;
+  KqTablePeer *reusable = NULL;
   for (size_t i = 0; i < d->n_peers; i++)
     {
       if (d->peers[i].id == id)
         return &d->peers[i];
-      if (now - d->peers[i].heard_at > PEER_KEPT)
-        free_place = &d->peers[i];
+      if (now - d->peers[i].heard_at > PEER_REUSE_AFTER)
+        reusable = &d->peers[i];
     }
-  if (free_place != NULL)
-    return free_place;
+  if (reusable != NULL)
+    return reusable;
   if (d->n_peers == d->peers_capacity)
     {
       d->peers_capacity = d->peers_capacity > 0 ? 2 * d->peers_capacity : 16;
@@ -331,16 +334,17 @@
   return &d->peers[d->n_peers++];
 }
 
-/* Asks the peer that is ahead, once our own watch has had its time. */
+/* Requests the missing changes from a peer with a higher revision, once this node's own
+ * watch has had time to report them. */
 static void
-want (KqTableDist *d, KqTime now, KqOutbox *out)
+request_changes (KqTableDist *d, KqTime now, KqOutbox *out)
 {
   KqMsg m = { .kind = KQ_MSG_TABLE_WANT };
-  KqTime wait = d->lag_far ? d->far_wait : NEAR_WAIT;
-  if (d->lag_since == 0 || now < d->want_next || now - d->lag_since < wait)
+  KqTime wait = d->lag_far ? d->far_wait : NEAR_LAG_WAIT;
+  if (d->lag_since == 0 || now < d->request_next || now - d->lag_since < wait)
     return;
   m.u.table_want.above = kq_dist_revision (d);
-  d->want_next = now + WANT_WAIT;
+  d->request_next = now + REQUEST_INTERVAL;
   kq_outbox_send (out, d->lag_peer, &m);
 }
 
@@ -350,26 +354,27 @@
 {
   if (peer == d->self)
     return;
-  *peer_place (d, peer, now) = (KqTablePeer){ peer, far, now };
+  *find_peer_entry (d, peer, now) = (KqTablePeer){ peer, far, now };
   if (revision <= kq_dist_revision (d))
     return;
   if (d->lag_since == 0)
     {
       d->lag_since = now;
       d->lag_far = true;
-      d->far_wait = FAR_WAIT + (KqTime)kq_rand_below (&d->rand, FAR_SPREAD);
+      d->far_wait = FAR_LAG_WAIT + (KqTime)kq_rand_below (&d->rand, FAR_LAG_SPREAD);
     }
   if (!far || d->lag_far)
     {
       d->lag_peer = peer;
       d->lag_far = far;
     }
-  want (d, now, out);
+  request_changes (d, now, out);
 }
 
-/* Sends a peer what it lacks: the changes if we still have them, else the whole. */
+/* Sends a peer the changes that it lacks, or the whole table if they aren't kept any
+ * more. */
 static void
-answer_want (KqTableDist *d, KqNodeId peer, uint64_t above, KqOutbox *out)
+send_missing_changes (KqTableDist *d, KqNodeId peer, uint64_t above, KqOutbox *out)
 {
   KqMsg m = { .kind = KQ_MSG_TABLE };
   KqBuf b = { 0 };
@@ -390,7 +395,7 @@
 }
 
 static void
-take_whole (KqTableDist *d, const KqMsgTable *m)
+apply_whole_table (KqTableDist *d, const KqMsgTable *m)
 {
   KqResult why;
   KqTable *t = kq_table_unpack (m->bytes, &why);
@@ -405,11 +410,11 @@
       return;
     }
   kq_tail_clear (&d->recent, kq_table_revision (t));
-  kq_dist_adopt (d, t, true);
+  kq_dist_set_table (d, t, true);
 }
 
 static void
-take_changes (KqTableDist *d, const KqMsgTable *m)
+apply_changes (KqTableDist *d, const KqMsgTable *m)
 {
   KqTableTail tail;
   if (d->table == NULL || m->base > kq_dist_revision (d))
@@ -429,15 +434,15 @@
 {
   if (m->kind == KQ_MSG_TABLE_WANT)
     {
-      answer_want (d, peer, m->u.table_want.above, out);
+      send_missing_changes (d, peer, m->u.table_want.above, out);
       return;
     }
   assert (m->kind == KQ_MSG_TABLE);
   if (m->u.table.revision <= kq_dist_revision (d) && d->table != NULL)
     return;
   if (m->u.table.base == 0)
-    take_whole (d, &m->u.table);
+    apply_whole_table (d, &m->u.table);
   else
-    take_changes (d, &m->u.table);
+    apply_changes (d, &m->u.table);
   kq_commit_tick (d, now, out);
 }
--- a/src/table/dist.h
+++ b/src/table/dist.h
@@ -1,13 +1,14 @@
 #ifndef KQ_TABLE_DIST_H
 #define KQ_TABLE_DIST_H
 
-/* dist: the table in force at this node, kept up with the store and with peers.
+/* dist: distribution of the table. Keeps the table in force at this node in step with the
+ * store and with peers.
  *
- * A change is one compare-and-swap in the store, nothing less. The node watches one
- * prefix (a waiting watch counts as a call: one per node, long) and passes what it
- * learns on to peers; a peer whose heartbeat shows a lower revision is sent what it
- * lacks, so that a node with a silent watch learns within a heartbeat. Only a whole,
- * checked table of a higher revision is applied. */
+ * A change is committed by one compare-and-swap in the store. Each node has one long
+ * watch in the store (a waiting watch counts as a call) and sends its own commits to its
+ * peers. A node that sees a higher revision in a peer's heartbeat requests the missing
+ * changes from it, in case its own watch doesn't report them. A table is only applied if
+ * it is complete, valid and of a higher revision. */
 
 #include "port/outbox.h"
 #include "table/table.h"
@@ -16,35 +17,36 @@
 
 typedef struct
 {
-  uint64_t call;     /* of the asker */
+  uint64_t call;     /* as given to kq_table_dist_change */
   KqResult code;     /* KQ_OK, KQ_ERR_TABLE_*, KQ_ERR_STORE_UNREACHABLE */
-  uint64_t revision; /* KQ_OK: in which the change stands */
-  size_t which;      /* CONFLICT, NOT_FOUND: the change at fault */
+  uint64_t revision; /* KQ_OK: of the table with the change */
+  size_t which;      /* CONFLICT, NOT_FOUND: index of the refused row change */
 } KqTableResult;
 
 KqTableDist *kq_table_dist_new (KqNodeId self, uint64_t seed);
 void kq_table_dist_free (KqTableDist *d);
-/* The table in force; NULL before the first. Ref it to keep it. */
+/* The table in force; NULL before the first. The caller takes a reference to keep it. */
 KqTable *kq_table_dist_current (KqTableDist *d);
 uint64_t kq_table_dist_revision (const KqTableDist *d);
 /* True once after each new table. */
-bool kq_table_dist_changed (KqTableDist *d);
-/* Whether the present table came from a peer and not yet from the store. */
+bool kq_table_dist_take_changed (KqTableDist *d);
+/* Whether the table in force came from a peer and isn't confirmed by the store yet. */
 bool kq_table_dist_from_peer (const KqTableDist *d);
 
 void kq_table_dist_tick (KqTableDist *d, KqTime now, KqOutbox *out);
 void kq_table_dist_reply (KqTableDist *d, const KqStoreReply *r, KqTime now,
                           KqOutbox *out);
-/* A peer's heartbeat showed this revision. `far`: the peer lies in another region. */
+/* A peer's heartbeat showed this revision. `far`: the peer is in another region. */
 void kq_table_dist_peer (KqTableDist *d, KqNodeId peer, uint64_t revision, bool far,
                          KqTime now, KqOutbox *out);
 /* KQ_MSG_TABLE or KQ_MSG_TABLE_WANT. */
 void kq_table_dist_message (KqTableDist *d, KqNodeId peer, const KqMsg *m, KqTime now,
                             KqOutbox *out);
-/* Starts a change; its end comes out of kq_table_dist_result. A lost answer is resolved
- * by reading back and comparing the write id. */
+/* Starts a change; its result comes from kq_table_dist_result. If the store's answer is
+ * lost, the head is read back and its write ids show whether the change took effect. */
 void kq_table_dist_change (KqTableDist *d, uint64_t call, const KqRowChange *c, size_t n,
                            KqTime now, KqOutbox *out);
+/* Takes the next result of a change; false if there is none. */
 bool kq_table_dist_result (KqTableDist *d, KqTableResult *r);
 
 #endif
--- a/src/table/dist_test.c
+++ b/src/table/dist_test.c
@@ -11,12 +11,12 @@
 
 #include <cmocka.h>
 
-/* In force everywhere: the users' limit. */
-#define LIMIT (5 * KQ_SEC)
+/* Required time within which a change is in force at all nodes. */
+#define IN_FORCE_LIMIT (5 * KQ_SEC)
 
 static KqResult
-set (KqTableSim *f, int node, const char *name, int64_t weight, uint64_t expect,
-     uint64_t *revision)
+set_weight (KqTableSim *f, int node, const char *name, int64_t weight, uint64_t expect,
+            uint64_t *revision)
 {
   KqRowChange c = kq_table_sim_row (name, weight, expect);
   KqTableResult r = kq_table_sim_result (f, kq_table_sim_change (f, node, &c, 1));
@@ -42,38 +42,38 @@
   kq_table_sim_run (f, KQ_SEC);
   for (int i = 0; i < 6; i++)
     assert_non_null (kq_table_dist_current (f->nodes[i].dist));
-  assert_int_equal (set (f, 0, "a", 7, 0, &rev), KQ_OK);
+  assert_int_equal (set_weight (f, 0, "a", 7, 0, &rev), KQ_OK);
   assert_int_equal (rev, 1);
-  assert_in_range (kq_table_sim_wait (f, 1, LIMIT), 0, KQ_SEC);
+  assert_in_range (kq_table_sim_wait (f, 1, IN_FORCE_LIMIT), 0, KQ_SEC);
   assert_int_equal (weight_at (f, 5, "a"), 7);
-  /* Many changes: the tail is folded into bases again and again. */
+  /* Many changes: a new base is written repeatedly. */
   for (int i = 1; i <= 600; i++)
-    assert_int_equal (set (f, i % 6, "a", i, UINT64_MAX, &rev), KQ_OK);
+    assert_int_equal (set_weight (f, i % 6, "a", i, UINT64_MAX, &rev), KQ_OK);
   assert_int_equal (rev, 601);
   KqStr value;
   KqTableHead head;
   assert_true (kq_store_fake_get (f->store, KQ_STR ("table/head"), &value, &rev));
-  assert_true (value.len < 2 * KQ_TAIL_MAX);
+  assert_true (value.len < 2 * KQ_TAIL_MAX_BYTES);
   assert_true (kq_head_unpack (value, &head));
   rev = head.revision;
   assert_true (head.base.id != 0 && head.old.id != 0 && head.tail.n > 0);
   kq_head_free (&head);
-  assert_true (kq_table_sim_wait (f, rev, LIMIT) >= 0);
+  assert_true (kq_table_sim_wait (f, rev, IN_FORCE_LIMIT) >= 0);
   for (int i = 0; i < 6; i++)
     assert_int_equal (weight_at (f, i, "a"), 600);
-  /* A node started now reads base and tail. */
+  /* A node that starts reads the base and the tail. */
   kq_table_sim_kill (f, 3);
   kq_table_sim_start (f, 3);
   f->mute_tables = true;
-  assert_true (kq_table_sim_wait (f, rev, LIMIT) >= 0);
+  assert_true (kq_table_sim_wait (f, rev, IN_FORCE_LIMIT) >= 0);
   assert_int_equal (weight_at (f, 3, "a"), 600);
   assert_false (kq_table_dist_from_peer (f->nodes[3].dist));
   kq_table_sim_free (f);
 }
 
-/* Operators change a row while every watch in the store is silent and the messages that
- * announce it are lost. Each node must still have it within the limit: heartbeats show
- * the higher revision, and who lacks it asks one peer. */
+/* Guards against nodes that miss a change. No watch reports it, and the messages that
+ * carry it are lost. Each node must still get it within the limit: heartbeats show the
+ * higher revision, and a node that lacks it requests it from a peer. */
 static void
 test_silent_watches (void **state)
 {
@@ -85,18 +85,18 @@
   for (int i = 0; i < 10; i++)
     {
       f->mute_tables = true;
-      assert_int_equal (set (f, i, "a", 1 + i, UINT64_MAX, &rev), KQ_OK);
+      assert_int_equal (set_weight (f, i, "a", 1 + i, UINT64_MAX, &rev), KQ_OK);
       kq_table_sim_run (f, 100 * KQ_MS);
       f->mute_tables = false;
-      assert_in_range (kq_table_sim_wait (f, rev, LIMIT), 0, LIMIT);
+      assert_in_range (kq_table_sim_wait (f, rev, IN_FORCE_LIMIT), 0, IN_FORCE_LIMIT);
       kq_table_sim_run (f, 7 * KQ_SEC);
     }
   kq_table_sim_free (f);
 }
 
-/* The answer to the swap is lost after it took effect, or the swap never arrived, or
- * takes effect only after the client gave up. The operator must be told the truth, and
- * the change must stand exactly once. */
+/* The swap's answer is lost after the swap took effect, or the swap never arrives, or it
+ * takes effect after the client has given up, among others. The operator must get the
+ * correct result, and the change must take effect exactly once. */
 static void
 test_lost_answers (void **state)
 {
@@ -109,9 +109,9 @@
       KqTableSim *f = kq_table_sim_new (3 + i, 3, 1, false);
       uint64_t rev;
       kq_table_sim_run (f, KQ_SEC);
-      assert_int_equal (set (f, 0, "a", 1, 0, &rev), KQ_OK);
+      assert_int_equal (set_weight (f, 0, "a", 1, 0, &rev), KQ_OK);
       kq_store_fake_script (f->store, KQ_STORE_PUT, "table/head", 0, fates[i]);
-      assert_int_equal (set (f, 0, "a", 2, rev, &rev), KQ_OK);
+      assert_int_equal (set_weight (f, 0, "a", 2, rev, &rev), KQ_OK);
       assert_true (kq_store_fake_script_done (f->store));
       kq_table_sim_run (f, 10 * KQ_SEC);
       assert_int_equal (rev, 2);
@@ -124,8 +124,9 @@
     }
 }
 
-/* The answer of A's swap is lost, and before A reads back B commits others on top. A
- * finds its write id among the last ones and must not commit a second time. */
+/* Guards against a change that is committed twice. The answer to node A's swap is lost,
+ * and node B commits before A reads the head back. A must find its write id among the
+ * last ones and not commit again. */
 static void
 test_lost_answer_others_on_top (void **state)
 {
@@ -137,19 +138,19 @@
   kq_store_fake_script (f->store, KQ_STORE_PUT, "table/head", 0, KQ_FATE_LOST_AFTER);
   int call = kq_table_sim_change (f, 0, &c, 1);
   kq_table_sim_run (f, 100 * KQ_MS);
-  assert_int_equal (set (f, 1, "b", 6, 0, &rev), KQ_OK);
+  assert_int_equal (set_weight (f, 1, "b", 6, 0, &rev), KQ_OK);
   assert_int_equal (rev, 2);
   KqTableResult r = kq_table_sim_result (f, call);
   assert_int_equal (r.code, KQ_OK);
   assert_int_equal (r.revision, 1);
-  assert_int_equal (kq_table_sim_wait (f, 2, LIMIT) >= 0, 1);
+  assert_int_equal (kq_table_sim_wait (f, 2, IN_FORCE_LIMIT) >= 0, 1);
   assert_int_equal (kq_table_dist_revision (f->nodes[0].dist), 2);
   kq_table_sim_free (f);
 }
 
-/* Two operators change the same row from the same revision through two nodes at once:
- * one stands, the other is told CONFLICT and which row. Changes of different rows at
- * once both stand. */
+/* Two operators change the same row from the same revision through two nodes at once: one
+ * change must take effect, the other must get CONFLICT and the index of the row.
+ * Concurrent changes of different rows must both take effect. */
 static void
 test_operators_race (void **state)
 {
@@ -157,8 +158,8 @@
   uint64_t rev;
   (void)state;
   kq_table_sim_run (f, KQ_SEC);
-  assert_int_equal (set (f, 0, "a", 1, 0, &rev), KQ_OK);
-  kq_table_sim_wait (f, rev, LIMIT);
+  assert_int_equal (set_weight (f, 0, "a", 1, 0, &rev), KQ_OK);
+  kq_table_sim_wait (f, rev, IN_FORCE_LIMIT);
   KqRowChange x[2] = { kq_table_sim_row ("x", 1, 0), kq_table_sim_row ("a", 2, rev) };
   KqRowChange y[2] = { kq_table_sim_row ("y", 1, 0), kq_table_sim_row ("a", 3, rev) };
   int a = kq_table_sim_change (f, 0, x, 2);
@@ -178,8 +179,9 @@
   kq_table_sim_free (f);
 }
 
-/* A node whose watch lags is asked to change a row that another node made a moment ago:
- * it must read the head before it says "not found" or "conflict". */
+/* Guards against refusals based on an old table. A node whose watch lags gets a change to
+ * a row that another node has just created: it must read the head before it answers "not
+ * found" or "conflict". */
 static void
 test_stale_node_reads_first (void **state)
 {
@@ -189,31 +191,31 @@
   kq_table_sim_run (f, KQ_SEC);
   kq_store_fake_faults (f->store)->watches_silent = true;
   f->mute_tables = true;
-  assert_int_equal (set (f, 0, "a", 1, 0, &rev), KQ_OK);
+  assert_int_equal (set_weight (f, 0, "a", 1, 0, &rev), KQ_OK);
   assert_int_equal (kq_table_dist_revision (f->nodes[1].dist), 0);
-  assert_int_equal (set (f, 1, "a", 2, rev, &rev), KQ_OK);
-  assert_int_equal (set (f, 2, "a", 3, 0, NULL), KQ_ERR_TABLE_CONFLICT);
-  /* A change of single fields over this node's old copy would undo the others: node 2
-   * still has the row of no revision at all, whatever revision the operator names. */
+  assert_int_equal (set_weight (f, 1, "a", 2, rev, &rev), KQ_OK);
+  assert_int_equal (set_weight (f, 2, "a", 3, 0, NULL), KQ_ERR_TABLE_CONFLICT);
+  /* A change of some fields, based on an old copy of the row, would undo changes to the
+   * others: it must be refused whatever revision the operator expects. */
   KqRowChange c = kq_table_sim_row ("a", 2, rev);
   c.row.u.team.limit.cpu_milli = 5;
   c.derived = true;
-  c.based = rev - 1;
+  c.base_revision = rev - 1;
   KqTableResult r = kq_table_sim_result (f, kq_table_sim_change (f, 2, &c, 1));
   assert_int_equal (r.code, KQ_ERR_TABLE_CONFLICT);
   c.expect = UINT64_MAX;
   r = kq_table_sim_result (f, kq_table_sim_change (f, 2, &c, 1));
   assert_int_equal (r.code, KQ_ERR_TABLE_CONFLICT);
-  c.based = rev;
+  c.base_revision = rev;
   r = kq_table_sim_result (f, kq_table_sim_change (f, 2, &c, 1));
   assert_int_equal (r.code, KQ_OK);
-  assert_int_equal (set (f, 2, "zz", 3, 77, NULL), KQ_ERR_TABLE_NOT_FOUND);
+  assert_int_equal (set_weight (f, 2, "zz", 3, 77, NULL), KQ_ERR_TABLE_NOT_FOUND);
   kq_table_sim_free (f);
 }
 
-/* Every host is replaced, one after the other, with changes in between and the store
- * away half of the time. No node may show an older revision than the fleet had, and a
- * node started in the outage takes the table from its peers and says so. */
+/* Every node is replaced, one after the other, with changes in between; at every second
+ * replacement the store is down. No node may keep an older revision than the others had.
+ * A node started in the outage must get the table from its peers and report that. */
 static void
 test_replacement_of_all (void **state)
 {
@@ -224,12 +226,13 @@
   for (int i = 0; i < 6; i++)
     {
       bool outage = i % 2 == 1;
-      assert_int_equal (set (f, (i + 3) % 6, "a", 10 + i, UINT64_MAX, &rev), KQ_OK);
-      assert_true (kq_table_sim_wait (f, rev, LIMIT) >= 0);
+      assert_int_equal (set_weight (f, (i + 3) % 6, "a", 10 + i, UINT64_MAX, &rev),
+                        KQ_OK);
+      assert_true (kq_table_sim_wait (f, rev, IN_FORCE_LIMIT) >= 0);
       kq_table_sim_kill (f, i);
       kq_store_fake_faults (f->store)->down = outage;
       kq_table_sim_start (f, i);
-      assert_true (kq_table_sim_wait (f, rev, LIMIT) >= 0);
+      assert_true (kq_table_sim_wait (f, rev, IN_FORCE_LIMIT) >= 0);
       assert_int_equal (kq_table_dist_revision (f->nodes[i].dist), rev);
       assert_int_equal (kq_table_dist_from_peer (f->nodes[i].dist), outage);
       kq_store_fake_faults (f->store)->down = false;
@@ -240,8 +243,8 @@
   kq_table_sim_free (f);
 }
 
-/* An import of 500 rows is one change. With one bad row none of them stands; without,
- * all do, in one revision, also when an answer on the way was lost. */
+/* An import of 500 rows is one change. If one row conflicts, none may take effect;
+ * otherwise all must, in one revision, even if an answer of the store is lost. */
 static void
 test_import (void **state)
 {
@@ -250,7 +253,7 @@
   uint64_t rev;
   (void)state;
   kq_table_sim_run (f, KQ_SEC);
-  assert_int_equal (set (f, 0, "t499", 1, 0, &rev), KQ_OK);
+  assert_int_equal (set_weight (f, 0, "t499", 1, 0, &rev), KQ_OK);
   for (int i = 0; i < 500; i++)
     {
       char name[16];
@@ -266,16 +269,17 @@
   r = kq_table_sim_result (f, kq_table_sim_change (f, 1, c, 500));
   assert_int_equal (r.code, KQ_OK);
   assert_int_equal (r.revision, rev + 1);
-  assert_true (kq_table_sim_wait (f, rev + 1, LIMIT) >= 0);
+  assert_true (kq_table_sim_wait (f, rev + 1, IN_FORCE_LIMIT) >= 0);
   for (int i = 0; i < 4; i++)
     assert_int_equal (kq_table_size (kq_table_dist_current (f->nodes[i].dist)), 500);
   free (c);
   kq_table_sim_free (f);
 }
 
-/* The head in the store is overwritten with bytes that aren't a table, then lost. Nodes
- * keep what is in force; a change is refused while the head can't be read, and after
- * its loss the accepted table is written back from memory with the next change. */
+/* The head in the store is overwritten with bytes that aren't a head, then set back to an
+ * older state. Nodes must keep the table in force; a change must be refused while the
+ * head can't be read. After the rollback the next change must write the whole accepted
+ * table from memory. */
 static void
 test_damaged_and_lost_head (void **state)
 {
@@ -286,33 +290,33 @@
   KqBuf keep = { 0 };
   (void)state;
   kq_table_sim_run (f, KQ_SEC);
-  assert_int_equal (set (f, 0, "a", 1, 0, &rev), KQ_OK);
+  assert_int_equal (set_weight (f, 0, "a", 1, 0, &rev), KQ_OK);
   kq_table_sim_run (f, KQ_SEC);
   assert_true (kq_store_fake_get (f->store, KQ_STR ("table/head"), &old, &at));
   kq_buf_add_str (&keep, old);
-  assert_int_equal (set (f, 0, "a", 2, UINT64_MAX, &rev), KQ_OK);
+  assert_int_equal (set_weight (f, 0, "a", 2, UINT64_MAX, &rev), KQ_OK);
   kq_table_sim_run (f, KQ_SEC);
   kq_store_fake_set (f->store, KQ_STR ("table/head"), KQ_STR ("nonsense"), f->now);
   kq_table_sim_run (f, KQ_SEC);
   assert_int_equal (weight_at (f, 1, "a"), 2);
-  assert_int_equal (set (f, 1, "a", 3, UINT64_MAX, NULL), KQ_ERR_PLATFORM_FORMAT);
-  /* The store was put back to an older state. */
+  assert_int_equal (set_weight (f, 1, "a", 3, UINT64_MAX, NULL), KQ_ERR_PLATFORM_FORMAT);
+  /* The store is set back to an older state. */
   kq_store_fake_set (f->store, KQ_STR ("table/head"), kq_buf_str (&keep), f->now);
   kq_table_sim_run (f, 2 * KQ_SEC);
   assert_int_equal (weight_at (f, 1, "a"), 2);
-  assert_int_equal (set (f, 1, "b", 4, 0, &rev), KQ_OK);
+  assert_int_equal (set_weight (f, 1, "b", 4, 0, &rev), KQ_OK);
   assert_int_equal (rev, 3);
   kq_table_sim_kill (f, 0);
   kq_table_sim_start (f, 0);
   f->mute_tables = true;
-  assert_true (kq_table_sim_wait (f, 3, LIMIT) >= 0);
+  assert_true (kq_table_sim_wait (f, 3, IN_FORCE_LIMIT) >= 0);
   assert_int_equal (weight_at (f, 0, "a"), 2);
   kq_buf_free (&keep);
   kq_table_sim_free (f);
 }
 
-/* The store is away: a change ends within its limit as "unknown", and what it turns out
- * to be later is the same on all nodes. */
+/* The store is down: a change must end within its time limit with the result "unknown".
+ * Whether it takes effect later must be the same on all nodes. */
 static void
 test_change_in_outage (void **state)
 {
@@ -320,18 +324,18 @@
   (void)state;
   kq_table_sim_run (f, KQ_SEC);
   kq_store_fake_faults (f->store)->down = true;
-  assert_int_equal (set (f, 0, "a", 1, 0, NULL), KQ_ERR_STORE_UNREACHABLE);
+  assert_int_equal (set_weight (f, 0, "a", 1, 0, NULL), KQ_ERR_STORE_UNREACHABLE);
   kq_store_fake_faults (f->store)->down = false;
   kq_table_sim_run (f, 20 * KQ_SEC);
-  assert_int_equal (set (f, 1, "b", 1, 0, NULL), KQ_OK);
+  assert_int_equal (set_weight (f, 1, "b", 1, 0, NULL), KQ_OK);
   kq_table_sim_run (f, 2 * KQ_SEC);
   for (int i = 1; i < 3; i++)
     assert_int_equal (weight_at (f, i, "a"), weight_at (f, 0, "a"));
   kq_table_sim_free (f);
 }
 
-/* A part of the base in the store is damaged. A node that starts refuses it whole and
- * takes the table from its peers, which have it in memory. */
+/* A part of the base in the store is damaged. A node that starts must reject the base and
+ * get the table from its peers, which have it in memory. */
 static void
 test_damaged_base (void **state)
 {
@@ -344,7 +348,7 @@
   (void)state;
   kq_table_sim_run (f, KQ_SEC);
   for (int i = 1; i <= 200; i++)
-    assert_int_equal (set (f, i % 4, "a", i, UINT64_MAX, NULL), KQ_OK);
+    assert_int_equal (set_weight (f, i % 4, "a", i, UINT64_MAX, NULL), KQ_OK);
   assert_true (kq_store_fake_get (f->store, KQ_STR ("table/head"), &value, &rev));
   assert_true (kq_head_unpack (value, &head));
   assert_true (head.base.id != 0);
@@ -354,7 +358,7 @@
   kq_store_fake_set (f->store, kq_buf_str (&key), kq_buf_str (&cut), f->now);
   kq_table_sim_kill (f, 1);
   kq_table_sim_start (f, 1);
-  assert_true (kq_table_sim_wait (f, head.revision, LIMIT) >= 0);
+  assert_true (kq_table_sim_wait (f, head.revision, IN_FORCE_LIMIT) >= 0);
   assert_int_equal (weight_at (f, 1, "a"), 200);
   kq_head_free (&head);
   kq_buf_free (&key);
@@ -362,9 +366,9 @@
   kq_table_sim_free (f);
 }
 
-/* The swap's answer is lost and, before its author can look, more commits follow than
- * the head remembers ids of. Nobody can tell any more: the operator must hear "unknown",
- * not a guess. */
+/* The swap's answer is lost and, before the node reads the head back, more commits follow
+ * than the head keeps write ids of. Whether the change took effect can't be found out any
+ * more: the operator must get "unknown". */
 static void
 test_lost_answer_forgotten (void **state)
 {
@@ -376,15 +380,15 @@
   int call = kq_table_sim_change (f, 0, &c, 1);
   kq_table_sim_run (f, 20 * KQ_MS);
   for (int i = 0; i < KQ_HEAD_IDS + 1; i++)
-    assert_int_equal (set (f, 1, "b", 1 + i, UINT64_MAX, NULL), KQ_OK);
+    assert_int_equal (set_weight (f, 1, "b", 1 + i, UINT64_MAX, NULL), KQ_OK);
   assert_false (f->done[call]);
   assert_int_equal (kq_table_sim_result (f, call).code, KQ_ERR_STORE_UNREACHABLE);
   kq_table_sim_free (f);
 }
 
-/* Two regions lose each other for a minute, the far one loses the store with it. What
- * was changed meanwhile is in force there soon after, and the cut region kept serving
- * with what it had. */
+/* Two regions are disconnected for about two minutes, and one of them also from the
+ * store. Its nodes must keep their table in force meanwhile, and get the changes made in
+ * the other region within the limit after the connection is restored. */
 static void
 test_region_cut (void **state)
 {
@@ -392,8 +396,8 @@
   uint64_t rev;
   (void)state;
   kq_table_sim_run (f, KQ_SEC);
-  assert_int_equal (set (f, 0, "a", 1, 0, &rev), KQ_OK);
-  kq_table_sim_wait (f, rev, LIMIT);
+  assert_int_equal (set_weight (f, 0, "a", 1, 0, &rev), KQ_OK);
+  kq_table_sim_wait (f, rev, IN_FORCE_LIMIT);
   for (int pass = 1; pass >= 0; pass--)
     {
       for (int a = 0; a < 6; a++)
@@ -406,28 +410,31 @@
         }
       if (pass == 0)
         break;
-      /* Watches that wait already are answered by the fake: let them end first. */
+      /* The fake still answers watches that are waiting: let them end first. */
       kq_table_sim_run (f, 70 * KQ_SEC);
-      assert_int_equal (set (f, 2, "a", 2, rev, &rev), KQ_OK);
-      assert_int_equal (set (f, 1, "a", 3, UINT64_MAX, NULL), KQ_ERR_STORE_UNREACHABLE);
+      assert_int_equal (set_weight (f, 2, "a", 2, rev, &rev), KQ_OK);
+      assert_int_equal (set_weight (f, 1, "a", 3, UINT64_MAX, NULL),
+                        KQ_ERR_STORE_UNREACHABLE);
       kq_table_sim_run (f, 60 * KQ_SEC);
       assert_int_equal (weight_at (f, 3, "a"), 1);
     }
-  assert_in_range (kq_table_sim_wait (f, rev, LIMIT), 0, LIMIT);
+  assert_in_range (kq_table_sim_wait (f, rev, IN_FORCE_LIMIT), 0, IN_FORCE_LIMIT);
   for (int i = 0; i < 6; i++)
     assert_int_equal (weight_at (f, i, "a"), 2);
   kq_table_sim_free (f);
 }
 
-/* Random faults at once, many seeds: no revision goes back (asserted in the program),
- * and a change said to be made is in force at the end. */
+/* Several random faults at the same time, with many seeds: no node's revision may
+ * decrease (asserted in kq_dist_set_table), and every change that got KQ_OK must be in
+ * force at the end. */
 static void
 test_random_faults (void **state)
 {
   (void)state;
   for (uint64_t n = 0; n < 40; n++)
     {
-      /* 322: a lost answer's retry undid a change that a watch had shown meanwhile. */
+      /* Seed 322: after a lost answer, the retry undid a change that a watch had reported
+       * in between. */
       uint64_t seed = n == 0 ? 322 : 100 + n;
       KqTableSim *f = kq_table_sim_new (seed, 6, 2, false);
       KqRand r = kq_rand (seed);
@@ -448,7 +455,7 @@
               kq_table_sim_kill (f, node);
               kq_table_sim_start (f, node);
             }
-          KqResult code = set (f, node, name, 1 + i, UINT64_MAX, NULL);
+          KqResult code = set_weight (f, node, name, 1 + i, UINT64_MAX, NULL);
           if (code == KQ_OK)
             {
               last[i % 4] = 1 + i;
--- a/src/table/head.c
+++ b/src/table/head.c
@@ -215,9 +215,9 @@
   kq_digest_end (out, at);
 }
 
-/* What must hold of a head that was written whole. */
+/* Checks the invariants between the members of a head. */
 static bool
-sound (const KqTableHead *h)
+head_consistent (const KqTableHead *h)
 {
   uint64_t end = h->tail.from + h->tail.n;
   bool base = h->base.id != 0 ? h->base.n_parts > 0 : h->base.revision == 0;
@@ -242,7 +242,7 @@
   kq_read_join (&r, &ids);
   read_base (&r, &out->base);
   read_base (&r, &out->old);
-  ok = read_entries (&r, &out->tail) && !r.bad && ok && sound (out);
+  ok = read_entries (&r, &out->tail) && !r.bad && ok && head_consistent (out);
   kq_unpacked_close (&u);
   if (!ok)
     kq_head_free (out);
@@ -250,20 +250,20 @@
 }
 
 bool
-kq_head_remembers (const KqTableHead *h, uint64_t revision)
+kq_head_keeps_id (const KqTableHead *h, uint64_t revision)
 {
   return revision + KQ_HEAD_IDS > h->revision;
 }
 
 bool
-kq_head_has (const KqTableHead *h, uint64_t revision, uint64_t id)
+kq_head_has_id (const KqTableHead *h, uint64_t revision, uint64_t id)
 {
-  return revision <= h->revision && kq_head_remembers (h, revision)
+  return revision <= h->revision && kq_head_keeps_id (h, revision)
          && h->ids[revision % KQ_HEAD_IDS] == id;
 }
 
 void
-kq_changes_pack_alone (const KqRowChange *c, size_t n, KqBuf *out)
+kq_changes_pack_entry (const KqRowChange *c, size_t n, KqBuf *out)
 {
   KqPacker p;
   kq_packer_init (&p, out);
--- a/src/table/head.h
+++ b/src/table/head.h
@@ -1,29 +1,31 @@
 #ifndef KQ_TABLE_HEAD_H
 #define KQ_TABLE_HEAD_H
 
-/* head: the one value in the store that says what the table is.
+/* head: the value in the store that defines the table.
  *
- * table/head holds the revision, where the base is (the whole table at some revision,
- * in parts of its own keys) and the tail: the latest changes. A commit is one swap of
- * this value, however many rows it changes. The watched value stays a few KB: when the
- * tail has grown, a new base is written under new names first. A base's revision may
- * lie anywhere within the tail, so that a node which is a few changes behind never needs
- * the base. Used inside this slice only. */
+ * The key table/head holds the revision, a reference to the base (the whole table at some
+ * revision, split over keys of its own) and the tail (the latest changes). A commit is
+ * one compare-and-swap of this value, however many rows it changes. The value is watched,
+ * so it is kept at a few KB: before the tail gets too large, a new base is written under
+ * new keys. The tail may begin before the base's revision, so that a node which is a few
+ * changes behind doesn't need to read the base. Used only within src/table. */
 
 #include "table/table.h"
 
-/* The tail is cut back to KEEP when it would pass MAX. Every watch's answer carries it
- * over the region link, while a base is written once and read only by nodes that start:
- * small is cheap. `make bench-table`, 1,700 changes a day: 496 MB a day over the link
- * with 4096 and 2048; figures of these values stand in docs/design/table.md. */
-#define KQ_TAIL_MAX 2048
-#define KQ_TAIL_KEEP 1024
-/* A larger single change goes to the base alone: 500 rows are some 55 KB. */
-#define KQ_TAIL_CHANGE_MAX 65536
+/* The tail is cut to KEEP bytes when it would exceed MAX. Every answer to a watch carries
+ * the tail over the region link, while a base is written once and read only by nodes that
+ * start. With limits of 4096 and 2048 bytes, 1,700 changes a day cost 496 MB a day over
+ * the link (make bench-table); see docs/design/table.md. */
+#define KQ_TAIL_MAX_BYTES 2048
+#define KQ_TAIL_KEEP_BYTES 1024
+/* A larger change isn't put into the tail but only into the base; 500 rows take about
+ * 55 KB. */
+#define KQ_TAIL_CHANGE_MAX_BYTES 65536
 #define KQ_BASE_PARTS_MAX 8
-#define KQ_BASE_PART_SIZE 900000
-/* Write ids of the last commits, by which the author of a commit whose answer was lost
- * finds it again though others committed after it. */
+#define KQ_BASE_PART_BYTES 900000
+/* Number of write ids of the last commits that the head keeps. A node that lost the
+ * answer to its commit finds the commit by its id, also if others have committed after
+ * it. */
 #define KQ_HEAD_IDS 16
 
 /* One change and the revision it made. */
@@ -45,10 +47,10 @@
 
 typedef struct
 {
-  uint64_t id; /* 0: none, the empty table at revision 0 */
+  uint64_t id; /* random, part of the keys; 0: the empty table at revision 0 */
   uint64_t revision;
   size_t n_parts;
-  uint64_t part_revisions[KQ_BASE_PARTS_MAX]; /* of the store, to delete them by */
+  uint64_t part_revisions[KQ_BASE_PARTS_MAX]; /* in the store, for deletion */
 } KqTableBase;
 
 typedef struct
@@ -56,32 +58,35 @@
   uint64_t revision;
   uint64_t ids[KQ_HEAD_IDS]; /* ids[revision % KQ_HEAD_IDS] */
   KqTableBase base;
-  KqTableBase old; /* the one before: deleted when the next base stands */
+  KqTableBase old; /* the previous base: deleted once the next one is in use */
   KqTableTail tail;
 } KqTableHead;
 
+/* Removes all entries; the next one added makes revision from + 1. */
 void kq_tail_clear (KqTableTail *t, uint64_t from);
 void kq_tail_free (KqTableTail *t);
 void kq_tail_add (KqTableTail *t, uint64_t revision, KqStr changes);
 /* Drops the oldest entries until at most `bytes` are left. */
 void kq_tail_cut (KqTableTail *t, size_t bytes);
-/* Packs the entries above a revision, with a digest. */
+/* Appends the entries above a revision in packed form, with a digest. */
 void kq_tail_pack_above (const KqTableTail *t, uint64_t above, KqBuf *out);
 bool kq_tail_unpack (KqStr bytes, KqTableTail *out);
-/* The table with the entries above its revision applied; NULL when they don't join on
- * or are damaged. A new reference. */
+/* Returns the table with the entries above its revision applied, as a new reference; NULL
+ * if the tail begins after the table's revision, or an entry is damaged. */
 KqTable *kq_tail_apply (const KqTableTail *t, KqTable *table);
 
 void kq_head_free (KqTableHead *h);
 void kq_head_copy (KqTableHead *to, const KqTableHead *from);
 void kq_head_pack (const KqTableHead *h, KqBuf *out);
 bool kq_head_unpack (KqStr bytes, KqTableHead *out);
-/* Whether the change with that id made that revision. */
-bool kq_head_has (const KqTableHead *h, uint64_t revision, uint64_t id);
-/* Whether kq_head_has can still tell. */
-bool kq_head_remembers (const KqTableHead *h, uint64_t revision);
+/* Whether the commit with that write id made that revision. */
+bool kq_head_has_id (const KqTableHead *h, uint64_t revision, uint64_t id);
+/* Whether the head still keeps the write id of that revision. */
+bool kq_head_keeps_id (const KqTableHead *h, uint64_t revision);
 
-void kq_changes_pack_alone (const KqRowChange *c, size_t n, KqBuf *out);
+/* Packs changes as one tail entry. */
+void kq_changes_pack_entry (const KqRowChange *c, size_t n, KqBuf *out);
+/* Appends the store's key of one part of a base. */
 void kq_base_key (const KqTableBase *b, size_t part, KqBuf *out);
 
 #endif
--- a/src/table/row.c
+++ b/src/table/row.c
@@ -110,7 +110,7 @@
   return set_fault (fault, code, kq_str (f->name), allowed);
 }
 
-/* Fields against each other. */
+/* Whether `low` is within `high`, where a member of 0 means no limit. */
 static bool
 check_limits (const KqSize *low, const KqSize *high)
 {
@@ -181,7 +181,7 @@
   return field_fault (fault, KQ_ERR_TABLE_RANGE, f);
 }
 
-/* -1: neither. */
+/* Returns 1, 0, or -1 if the text is neither. */
 static int
 parse_bool (KqStr s)
 {
@@ -234,7 +234,8 @@
   return field_fault (fault, KQ_ERR_TABLE_TYPE, f);
 }
 
-/* What kq_row_to_json gives besides the fields, so that it can be written back. */
+/* Accepts the members that kq_row_to_json adds to the fields, so that its object can be
+ * written back. */
 static KqResult
 set_meta (const KqRow *row, KqStr key, const json_t *v, KqRowFault *fault)
 {
--- a/src/table/row_fields.c
+++ b/src/table/row_fields.c
@@ -2,10 +2,10 @@
 
 #include <stdio.h>
 
-/* Each field of each row kind, once. Parsing, checks, packing, printing and the manual
- * page come from here. Packed rows hold the values in this order: a new field is added
- * at the end of its kind, with the default that keeps the old behaviour, and none is
- * ever removed or moved. */
+/* The description of every field of every row kind, from which parsing, validation,
+ * packing, printing and the manual page are derived. Packed rows hold the values in this
+ * order: a new field is added at the end of its kind, with a default that keeps the old
+ * behaviour; no field is ever removed or moved. */
 
 #define AT(member) offsetof (KqRow, u.member)
 #define INT(kind, name, member, min, max, fallback, meaning)                             \
@@ -16,23 +16,23 @@
   {                                                                                      \
     kind, name, KQ_FIELD_BOOL, AT (member), 0, 1, fallback, meaning                      \
   }
-/* A size is three fields with one prefix. The largest worker known has 64 cores and
- * 250 GB; the ranges hold a fleet of 100,000 of them. */
+/* A size is three fields with a common prefix. The ranges allow for 100,000 workers of 64
+ * cores and 250 GB, the largest worker known. */
 #define CPU_MAX 6400000000LL
 #define MEMORY_MAX 25600000000LL
 #define ACCELERATORS_MAX 1000000
-#define PART(kind, name, member, part, max, fallback, meaning)                           \
+#define SIZE_MEMBER(kind, name, member, part, max, fallback, meaning)                    \
   {                                                                                      \
     kind, name, KQ_FIELD_INT, AT (member) + offsetof (KqSize, part), 0, max, fallback,   \
         meaning                                                                          \
   }
 #define SIZE(kind, prefix, member, cpu, memory, devices, meaning)                        \
-  PART (kind, prefix "cpu_milli", member, cpu_milli, CPU_MAX, cpu,                       \
-        meaning " Processors, in thousandths of a core."),                               \
-      PART (kind, prefix "memory_mb", member, memory_mb, MEMORY_MAX, memory,             \
-            meaning " Memory, in MB."),                                                  \
-      PART (kind, prefix "accelerators", member, accelerators, ACCELERATORS_MAX,         \
-            devices, meaning " Accelerators, in whole devices.")
+  SIZE_MEMBER (kind, prefix "cpu_milli", member, cpu_milli, CPU_MAX, cpu,                \
+               meaning " Processors, in thousandths of a core."),                        \
+      SIZE_MEMBER (kind, prefix "memory_mb", member, memory_mb, MEMORY_MAX, memory,      \
+                   meaning " Memory, in MB."),                                           \
+      SIZE_MEMBER (kind, prefix "accelerators", member, accelerators, ACCELERATORS_MAX,  \
+                   devices, meaning " Accelerators, in whole devices.")
 
 #define DAY_MS (24 * 3600 * 1000LL)
 
--- a/src/table/row_pack.c
+++ b/src/table/row_pack.c
@@ -74,8 +74,8 @@
       kq_pack_bool (p, c[i].remove);
       if (c[i].remove)
         {
-          KqRow bare = kq_row_default (c[i].row.kind, kq_name_str (&c[i].row.name));
-          kq_row_pack (p, &bare);
+          KqRow empty_row = kq_row_default (c[i].row.kind, kq_name_str (&c[i].row.name));
+          kq_row_pack (p, &empty_row);
         }
       else
         kq_row_pack (p, &c[i].row);
@@ -113,9 +113,9 @@
 size_t
 kq_digest_begin (KqBuf *b)
 {
-  static const char room[DIGEST_SIZE];
+  static const char placeholder[DIGEST_SIZE];
   size_t at = b->len;
-  kq_buf_add (b, room, sizeof room);
+  kq_buf_add (b, placeholder, sizeof placeholder);
   return at;
 }
 
--- a/src/table/row_pack.h
+++ b/src/table/row_pack.h
@@ -1,10 +1,10 @@
 #ifndef KQ_TABLE_ROW_PACK_H
 #define KQ_TABLE_ROW_PACK_H
 
-/* row_pack: rows, changes and digests in packed form. Used inside this slice only.
+/* row_pack: serialization of rows and changes, and digests. Used only within src/table.
  *
- * A packed text is 8 bytes of digest and one msgpack array, so that half a text or a
- * changed byte is told from a whole one before any of it is read. */
+ * A packed value is 8 bytes of digest and one msgpack array. The digest is checked before
+ * anything is read, so that a truncated or altered value is rejected. */
 
 #include "table/table.h"
 #include "wire/pack.h"
@@ -15,19 +15,20 @@
 bool kq_row_field_valid (const KqRowField *f, int64_t v);
 
 void kq_row_pack (KqPacker *p, const KqRow *row);
-/* Reads and checks one row. A row with more fields than this program knows was written
- * by a newer one and is refused: it would lose them at the next change. Missing ones at
- * the end were written by an older one and get their defaults. */
+/* Reads and checks one row. A row with more fields than this version knows was written by
+ * a newer version and is rejected, because the next change would drop them. A row with
+ * fewer fields was written by an older version; the missing ones get their defaults. */
 bool kq_row_unpack (KqReader *r, KqRow *row);
 
-void kq_changes_pack (KqPacker *p, const KqRowChange *c, size_t n); /* one field */
-/* Allocates *c, freed by the caller; false on a bad one (then *c is NULL). */
+void kq_changes_pack (KqPacker *p, const KqRowChange *c, size_t n); /* as one element */
+/* Allocates *c, which the caller frees; false (and *c NULL) if a change is invalid. */
 bool kq_changes_unpack (KqReader *r, KqRowChange **c, size_t *n);
 
-/* Leaves room for the digest at the end of b, and fills it in when all is packed. */
+/* Reserves space for the digest at the end of b; returns its offset. */
 size_t kq_digest_begin (KqBuf *b);
+/* Computes the digest of everything after it, and writes it at the offset. */
 void kq_digest_end (KqBuf *b, size_t at);
-/* Checks and cuts off the digest. */
+/* Removes the digest from the front of *bytes; false if it doesn't match. */
 bool kq_digest_check (KqStr *bytes);
 
 #endif
--- a/src/table/table.c
+++ b/src/table/table.c
@@ -6,11 +6,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Packed form of the whole table: digest, [version, revision, [row...]]. */
+/* Version of the packed table: a digest, then [version, revision, [row...]]. */
 #define PACK_VERSION 1
 
-/* Rows stand sorted by kind and name, each once; their revisions are at most the
- * table's. Nothing changes after the making. */
+/* Rows are unique and sorted by kind and name; their revisions are at most the table's.
+ * Immutable once created. */
 struct KqTable
 {
   int refs;
@@ -21,7 +21,7 @@
 };
 
 static KqTable *
-table_with_room (uint64_t revision, size_t n)
+alloc_table (uint64_t revision, size_t n)
 {
   KqTable *t = kq_alloc (sizeof *t);
   t->refs = 1;
@@ -34,7 +34,7 @@
 KqTable *
 kq_table_new (uint64_t revision)
 {
-  return table_with_room (revision, 0);
+  return alloc_table (revision, 0);
 }
 
 KqTable *
@@ -84,20 +84,20 @@
   return kq_str_cmp (name, kq_name_str (&row->name));
 }
 
-/* The place of the row, or where it would stand. */
+/* The index of the row, or the index at which it would be inserted. */
 static size_t
-place (const KqTable *t, KqRowKind kind, KqStr name, bool *there)
+find_index (const KqTable *t, KqRowKind kind, KqStr name, bool *found)
 {
   size_t low = 0;
   size_t high = t->n_rows;
-  *there = false;
+  *found = false;
   while (low < high)
     {
       size_t mid = low + (high - low) / 2;
       int c = compare (kind, name, &t->rows[mid]);
       if (c == 0)
         {
-          *there = true;
+          *found = true;
           return mid;
         }
       if (c < 0)
@@ -111,9 +111,9 @@
 const KqRow *
 kq_table_find (const KqTable *t, KqRowKind kind, KqStr name)
 {
-  bool there;
-  size_t i = place (t, kind, name, &there);
-  return there ? &t->rows[i] : NULL;
+  bool found;
+  size_t i = find_index (t, kind, name, &found);
+  return found ? &t->rows[i] : NULL;
 }
 
 const KqPolicyRow *
@@ -124,9 +124,9 @@
 }
 
 static void
-put_row (KqTable *t, const KqRow *row, size_t at, bool there)
+put_row (KqTable *t, const KqRow *row, size_t at, bool found)
 {
-  if (!there)
+  if (!found)
     {
       memmove (&t->rows[at + 1], &t->rows[at], (t->n_rows - at) * sizeof *t->rows);
       t->n_rows++;
@@ -142,19 +142,19 @@
   memmove (&t->rows[at], &t->rows[at + 1], (t->n_rows - at) * sizeof *t->rows);
 }
 
-/* Whether the row is still the one that the operator saw. */
+/* Checks that the row is still at the revision that the change expects. */
 static KqResult
-check_expected (const KqRowChange *c, const KqRow *now_there)
+check_expected (const KqRowChange *c, const KqRow *current)
 {
   if (c->derived && !c->remove
-      && c->based != (now_there != NULL ? now_there->revision : 0))
+      && c->base_revision != (current != NULL ? current->revision : 0))
     return KQ_ERR_TABLE_CONFLICT;
-  if (now_there == NULL)
+  if (current == NULL)
     {
       bool may_be_new = c->expect == 0 || (c->expect == UINT64_MAX && !c->remove);
       return may_be_new && !c->remove ? KQ_OK : KQ_ERR_TABLE_NOT_FOUND;
     }
-  if (c->expect != UINT64_MAX && c->expect != now_there->revision)
+  if (c->expect != UINT64_MAX && c->expect != current->revision)
     return KQ_ERR_TABLE_CONFLICT;
   return KQ_OK;
 }
@@ -162,14 +162,14 @@
 static KqResult
 apply (KqTable *t, const KqRowChange *c)
 {
-  bool there;
-  size_t at = place (t, c->row.kind, kq_name_str (&c->row.name), &there);
+  bool found;
+  size_t at = find_index (t, c->row.kind, kq_name_str (&c->row.name), &found);
   KqRowFault fault;
-  KqResult r = check_expected (c, there ? &t->rows[at] : NULL);
+  KqResult r = check_expected (c, found ? &t->rows[at] : NULL);
   if (r != KQ_OK)
     return r;
-  /* The same row twice in one change: which one was meant to stand isn't known. */
-  if (there && t->rows[at].revision == t->revision)
+  /* The row occurs twice in the change: it isn't known which one is meant. */
+  if (found && t->rows[at].revision == t->revision)
     return KQ_ERR_TABLE_CONFLICT;
   if (c->remove)
     {
@@ -178,9 +178,9 @@
     }
   if (!kq_row_check (&c->row, &fault))
     return fault.code;
-  if (!there && t->n_rows == KQ_TABLE_ROWS_MAX)
+  if (!found && t->n_rows == KQ_TABLE_ROWS_MAX)
     return KQ_ERR_TABLE_TOO_LARGE;
-  put_row (t, &c->row, at, there);
+  put_row (t, &c->row, at, found);
   return KQ_OK;
 }
 
@@ -189,7 +189,7 @@
                  KqResult *why, size_t *which)
 {
   assert (revision > t->revision);
-  KqTable *next = table_with_room (revision, t->n_rows + n);
+  KqTable *next = alloc_table (revision, t->n_rows + n);
   memcpy (next->rows, t->rows, t->n_rows * sizeof *t->rows);
   next->n_rows = t->n_rows;
   for (size_t i = 0; i < n; i++)
@@ -229,7 +229,7 @@
   kq_read_array (r, &a);
   if (r->bad || a.left > KQ_TABLE_ROWS_MAX)
     return NULL;
-  KqTable *t = table_with_room (revision, a.left);
+  KqTable *t = alloc_table (revision, a.left);
   while (a.left > 0)
     {
       KqRow *row = &t->rows[t->n_rows];
--- a/src/table/table.h
+++ b/src/table/table.h
@@ -1,11 +1,12 @@
 #ifndef KQ_TABLE_TABLE_H
 #define KQ_TABLE_TABLE_H
 
-/* table: the operators' table: rows, their checks, and one whole table at a revision.
+/* table: the configuration table that operators edit: its rows, their validation, and the
+ * whole table at one revision.
  *
- * A KqTable never changes once made: a change makes a new one. Every field of every row
- * kind is described once, in row_fields.c (name, type, range, default, meaning); parsing,
- * checks, printing and the manual page come from there. */
+ * A KqTable is immutable: a change creates a new one. Every field of every row kind is
+ * described once, in row_fields.c (name, type, range, default, meaning); parsing,
+ * validation, printing and the manual page are derived from there. */
 
 #include "base/result.h"
 #include "base/str.h"
@@ -20,7 +21,7 @@
   KQ_ROW_TEAM,
   KQ_ROW_WORKER, /* an operator's override for one worker */
   KQ_ROW_CALLER,
-  KQ_ROW_POLICY, /* one row, named "default": switches of the scheduler */
+  KQ_ROW_POLICY, /* one row, named "default": settings of the scheduler */
   KQ_ROW_KINDS
 } KqRowKind;
 
@@ -34,12 +35,12 @@
   int64_t short_percent;  /* slots kept free of long requests */
   int64_t retry_percent;  /* retries in percent of first tries */
   int64_t claim_ttl_s;    /* how long an idempotency key is remembered */
-  int64_t silent_ms;      /* a runner's answer without a byte for so long is lost */
+  int64_t silent_ms;      /* a response without a byte for so long counts as lost */
   int64_t body_max_mb;
-  bool non_idempotent; /* every method, not only POST and PATCH */
-  bool far;            /* may be sent to the far region */
-  KqName home;         /* region of its claims; "" the entry node's */
-  /* Safeguards; each can be switched off to compare. */
+  bool non_idempotent; /* of every method, not only POST and PATCH */
+  bool far;            /* requests may be sent to another region */
+  KqName home;         /* region of its claims; "": the entry node's */
+  /* Safeguards; each can be disabled, to compare the results. */
   bool admission;
   bool fairness;
   bool short_slots;
@@ -61,16 +62,16 @@
 
 typedef struct
 {
-  int64_t weight; /* share of what nobody is guaranteed; 1-1000 */
+  int64_t weight; /* share of what isn't guaranteed to any team; 1-1000 */
   KqSize guaranteed;
-  KqSize limit; /* never beyond; 0: no limit of that kind */
+  KqSize limit; /* upper bound; a member of 0: no limit */
 } KqTeamRow;
 
 typedef enum
 {
   KQ_WORKER_NORMAL,
-  KQ_WORKER_DRAIN,   /* no new work; what runs may finish */
-  KQ_WORKER_EVACUATE /* no new work; what runs is moved */
+  KQ_WORKER_DRAIN,   /* no new work; running tasks may finish */
+  KQ_WORKER_EVACUATE /* no new work; running tasks are moved */
 } KqWorkerMode;
 
 typedef struct
@@ -81,15 +82,15 @@
 
 typedef struct
 {
-  KqName token;   /* "" none; never printed */
+  KqName token;   /* "": none; never printed */
   int64_t weight; /* share within a service */
 } KqCallerRow;
 
 typedef struct
 {
-  int64_t urgent_percent; /* room kept for urgent jobs */
-  int64_t evictions_max;  /* evictions one job may suffer */
-  int64_t held_percent;   /* most workers held back as bad at a time */
+  int64_t urgent_percent; /* capacity reserved for urgent jobs */
+  int64_t evictions_max;  /* of one job */
+  int64_t held_percent;   /* most workers that may be excluded as bad at a time */
   bool learned_sizes;
   bool interference;
   bool throttle;
@@ -142,12 +143,12 @@
 /* The fields of a kind, in their fixed order; new ones come at the end. */
 const KqRowField *kq_row_fields (KqRowKind kind, int *n);
 const KqRowField *kq_row_field (KqRowKind kind, KqStr name); /* NULL: none */
-/* Allowed values in words, for faults and manual pages. */
+/* Writes the allowed values as text, for error messages and manual pages. */
 void kq_row_field_allowed (const KqRowField *f, char *out, size_t size);
-/* The value as text; a token as "set" or "". */
+/* Appends the value as text; a token as "set" or "". */
 void kq_row_field_text (const KqRow *row, const KqRowField *f, KqBuf *out);
 
-/* A fault in a row: which field, which result (501-504), what is allowed. */
+/* An error in a row: the result (501-504), the field, and the allowed values. */
 typedef struct
 {
   KqResult code;
@@ -159,27 +160,28 @@
 bool kq_row_kind_parse (KqStr s, KqRowKind *out);
 /* A row with every field at its default. */
 KqRow kq_row_default (KqRowKind kind, KqStr name);
-/* Reads the fields given in a JSON object over *row (unset fields stay). Returns the
- * number of faults (all of them, up to max, are in faults). */
+/* Sets the fields of *row that the JSON object names; if all are valid, checks the row.
+ * Returns the number of errors; the first `max` of them are written to `faults`. */
 int kq_row_set (KqRow *row, const json_t *fields, KqRowFault *faults, int max);
 /* The same for one field given as text (command line, CSV). */
 KqResult kq_row_set_text (KqRow *row, KqStr field, KqStr value, KqRowFault *fault);
-/* Checks a whole row: name, every field's range, and fields against each other. False
- * and *fault on the first fault. */
+/* Checks the row's name, the range of every field, and the consistency between fields.
+ * Returns false and sets *fault at the first error. */
 bool kq_row_check (const KqRow *row, KqRowFault *fault);
-/* A new JSON object of all fields; a caller's token is shown only when `secrets`;
- * otherwise "has_token" tells whether there is one (kq_row_set ignores it, so that an
- * object read may be written back). */
+/* Returns a new JSON object of all fields. A caller's token is included only if `secrets`
+ * is set; otherwise "has_token" says whether there is one. kq_row_set ignores
+ * "has_token", so that the object may be written back. */
 json_t *kq_row_to_json (const KqRow *row, bool secrets);
 
-/* More rows than this make no table: packed it must fit into few values of the store. */
+/* Upper bound of the number of rows: the packed table must fit into a few values of
+ * the store. */
 #define KQ_TABLE_ROWS_MAX 10000
 
-KqTable *kq_table_new (uint64_t revision); /* empty */
+KqTable *kq_table_new (uint64_t revision); /* empty; the caller holds one reference */
 KqTable *kq_table_ref (KqTable *t);
 void kq_table_unref (KqTable *t);
 uint64_t kq_table_revision (const KqTable *t);
-/* NULL when there is none. O(log rows). */
+/* NULL if there is no such row. O(log rows). */
 const KqRow *kq_table_find (const KqTable *t, KqRowKind kind, KqStr name);
 /* The policy row, or the defaults. */
 const KqPolicyRow *kq_table_policy (const KqTable *t);
@@ -187,27 +189,29 @@
 size_t kq_table_size (const KqTable *t);
 const KqRow *kq_table_row (const KqTable *t, size_t i);
 
-/* One change of several rows: all or none. */
+/* The change of one row. All changes of one call take effect, or none. */
 typedef struct
 {
   KqRow row; /* the new row; for a removal only kind and name count */
   bool remove;
-  uint64_t expect; /* the row's revision the operator saw; 0: must not exist;
-                      UINT64_MAX: whatever it is */
-  /* `row` was made by setting some fields over a row of that revision (0: over the
-   * defaults, the row wasn't there). If the row is another one by now, fields that this
-   * change doesn't name would go back to old values: CONFLICT, whatever was expected. */
+  uint64_t expect; /* the row's revision that the operator saw; 0: it must not exist;
+                      UINT64_MAX: any */
+  /* `row` was made by setting some fields in a copy of the row at revision
+   * `base_revision` (0: the row didn't exist, so in the defaults). If the row's revision
+   * is another one by now, the copied fields would undo later changes: CONFLICT, whatever
+   * `expect` is. */
   bool derived;
-  uint64_t based;
+  uint64_t base_revision;
 } KqRowChange;
 
-/* A new table with the changes at revision `revision`; NULL and *why, *which on
- * CONFLICT, NOT_FOUND or TOO_LARGE. */
+/* Returns a new table with the changes applied, at revision `revision`. On an error (a
+ * row check, CONFLICT, NOT_FOUND, TOO_LARGE) returns NULL and sets *why to the result and
+ * *which to the index of the change. */
 KqTable *kq_table_change (const KqTable *t, uint64_t revision, const KqRowChange *c,
                           size_t n, KqResult *why, size_t *which);
 
-/* The whole table as bytes (msgpack with a digest), and back. Reading checks every row
- * again; a table with one bad row is refused whole. */
+/* Serializes the whole table (msgpack with a digest), and reads it back. Reading checks
+ * every row again: a table with an invalid row is rejected (NULL, *why is set). */
 void kq_table_pack (const KqTable *t, KqBuf *out);
 KqTable *kq_table_unpack (KqStr bytes, KqResult *why);
 
--- a/src/table/table_test.c
+++ b/src/table/table_test.c
@@ -45,15 +45,15 @@
   for (int i = 0; i < 3; i++)
     {
       KqStr f = kq_name_str (&faults[i].field);
-      KqResult want = kq_str_eq (f, KQ_STR ("weight")) ? KQ_ERR_TABLE_RANGE
-                      : kq_str_eq (f, KQ_STR ("limit_cpu_milli"))
-                          ? KQ_ERR_TABLE_TYPE
-                          : KQ_ERR_TABLE_UNKNOWN_FIELD;
-      assert_int_equal (faults[i].code, want);
+      KqResult request_changes = kq_str_eq (f, KQ_STR ("weight")) ? KQ_ERR_TABLE_RANGE
+                                 : kq_str_eq (f, KQ_STR ("limit_cpu_milli"))
+                                     ? KQ_ERR_TABLE_TYPE
+                                     : KQ_ERR_TABLE_UNKNOWN_FIELD;
+      assert_int_equal (faults[i].code, request_changes);
     }
   assert_int_equal (row.u.team.limit.memory_mb, 9);
   json_decref (o);
-  /* Guaranteed more than the limit. */
+  /* The guarantee exceeds the limit. */
   o = json_pack ("{s:i}", "guaranteed_memory_mb", 10);
   assert_int_equal (kq_row_set (&row, o, faults, 8), 1);
   assert_int_equal (faults[0].code, KQ_ERR_TABLE_ROW);
@@ -63,8 +63,8 @@
   json_decref (o);
 }
 
-/* A caller's token is a secret: it is shown to nobody who didn't ask with `secrets`, and
- * an object read without it may be written back and keeps it. */
+/* Guards against leaking a caller's token: the JSON object has it only with `secrets`. An
+ * object without it can be written back, and the row keeps its token. */
 static void
 test_token_hidden (void **state)
 {
@@ -128,7 +128,7 @@
   assert_int_equal (kq_table_find (t1, KQ_ROW_TEAM, KQ_STR ("b"))->revision, 2);
   assert_null (kq_table_find (t1, KQ_ROW_CLASS, KQ_STR ("b")));
   assert_true (kq_table_policy (t1)->quotas);
-  /* The second change is at fault: none is made. */
+  /* The second change conflicts: none takes effect. */
   c[0].expect = 2;
   c[1].expect = 1;
   assert_null (kq_table_change (t1, 3, c, 2, &why, &which));
@@ -150,7 +150,7 @@
 }
 
 static KqTable *
-sample (size_t n)
+make_table (size_t n)
 {
   KqTable *t = kq_table_new (1);
   KqRowChange *c = kq_alloc (n * sizeof *c);
@@ -168,12 +168,12 @@
   return out;
 }
 
-/* Bytes from the store or a peer were cut or damaged: the table is refused whole, so
- * that no node runs with half of the rows. */
+/* Guards against a node that uses part of a table: a packed table from the store or a
+ * peer that is truncated or altered must be rejected. */
 static void
 test_damaged_refused_whole (void **state)
 {
-  KqTable *t = sample (20);
+  KqTable *t = make_table (20);
   KqBuf b = { 0 };
   KqResult why;
   (void)state;
@@ -198,12 +198,12 @@
   kq_buf_free (&b);
 }
 
-/* A row whose value is out of range was written by a faulty program with a right
- * digest: the check when applied refuses the table. */
+/* A faulty program has packed a row with a value out of range, with a valid digest: the
+ * check of the rows must reject the table. */
 static void
 test_bad_row_refused (void **state)
 {
-  KqTable *t = sample (1);
+  KqTable *t = make_table (1);
   KqBuf b = { 0 };
   KqResult why;
   (void)state;
@@ -215,20 +215,21 @@
   kq_buf_free (&b);
 }
 
-/* A faulty program of ours packs nonsense and puts the right digest on it: heads, changes
- * and tables are read or refused; nothing crashes (the sanitizer build tells). */
+/* A faulty program has packed random bytes with a valid digest: heads, changes and tables
+ * must be read or rejected without a crash or an invalid memory access (detected by the
+ * sanitizer build). */
 static void
 test_nonsense_with_digest (void **state)
 {
   KqRand r = kq_rand (5);
-  KqTable *t = sample (12);
+  KqTable *t = make_table (12);
   KqTableHead head = { .revision = 7, .base = { .id = 3, .revision = 6, .n_parts = 1 } };
   KqRowChange c = change (KQ_ROW_CLASS, "a", 0);
   KqBuf changes = { 0 };
   KqBuf packed[3] = { { 0 } };
   KqResult why;
   (void)state;
-  kq_changes_pack_alone (&c, 1, &changes);
+  kq_changes_pack_entry (&c, 1, &changes);
   kq_tail_clear (&head.tail, 6);
   kq_tail_add (&head.tail, 7, kq_buf_str (&changes));
   kq_table_pack (t, &packed[0]);
@@ -244,9 +245,10 @@
         {
           char *at = &b.ptr[8 + kq_rand_below (&r, b.len - 8)];
           unsigned byte = (unsigned)kq_rand_next (&r) & 0xff;
-          /* 0xdd and 0xdf announce up to 2^32 members, for which msgpack-c allocates
-           * before it reads them: malloc refuses or gives untouched pages, but the
-           * sanitizer's own ends the process. Left out until wire/pack looks first. */
+          /* 0xdd and 0xdf announce up to 2^32 members, and msgpack-c allocates them
+           * before it reads any: malloc fails or returns untouched pages, but the
+           * sanitizer's malloc ends the process. Skipped until wire/pack checks the
+           * number first. */
           if ((byte & 0xfd) != 0xdd)
             *at = (char)byte;
         }
