--- a/src/node/core_route.c
+++ b/src/node/core_route.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Messages between nodes and what the digests say. */
+/* Routing of messages between nodes, and the shards' digests in heartbeats. */
 
 #define SHARD_ANY UINT32_MAX
 
--- a/src/node/shard_host.h
+++ b/src/node/shard_host.h
@@ -56,7 +56,8 @@
 /* The digests of the other shards; copied. */
 void kq_shard_host_set_other_digests (KqShardHost *h, const KqShardDigest *d, size_t n,
                                       KqTime now);
-/* The process of a node with this incarnation has ended: its claims end. */
+/* The process of the node with this incarnation has ended: the outcome of the claims that
+ * it opened is unknown. */
 void kq_shard_host_node_gone (KqShardHost *h, KqNodeId node, uint64_t incarnation,
                               KqTime now, KqOutbox *out);
 /* False when the shard isn't active. */
@@ -64,7 +65,7 @@
 /* NULL unless the shard is active. */
 const KqJobs *kq_shard_host_jobs (const KqShardHost *h);
 const KqClaims *kq_shard_host_claims (const KqShardHost *h);
-/* Age of the oldest record that isn't committed yet; 0: none. */
+/* How long the oldest uncommitted record has been waiting; 0: there is none. */
 KqTime kq_shard_host_journal_lag (const KqShardHost *h, KqTime now);
 
 #endif
--- a/src/table/table.h
+++ b/src/table/table.h
@@ -197,9 +197,9 @@
   uint64_t expect; /* the row's revision that the operator saw; 0: it must not exist;
                       UINT64_MAX: any */
   /* `row` was made by setting some fields in a copy of the row at revision
-   * `base_revision` (0: the row didn't exist, so in the defaults). If the row's revision
-   * is another one by now, the copied fields would undo later changes: CONFLICT, whatever
-   * `expect` is. */
+   * `base_revision` (0: the row didn't exist; the copy held the defaults). If the row's
+   * revision is another one by now, the copied fields would undo later changes: CONFLICT,
+   * whatever `expect` is. */
   bool derived;
   uint64_t base_revision;
 } KqRowChange;
