--- a/src/http/client.c
+++ b/src/http/client.c
@@ -9,11 +9,12 @@
 #include <string.h>
 #include <strings.h>
 
-/* How often calls are looked over for silence. */
-#define SILENCE_CHECK_S 0.1
-/* Connections whose age is remembered; beyond that all are forgotten, and calls that ask
- * for an old one end as not sent until they have opened another. Descriptors end far
- * below this; ports of closed connections make up the rest. */
+/* Interval of the check for timed-out calls. */
+#define IDLE_CHECK_S 0.1
+/* Limit of KqHttpClient.opened_at. When it is reached, the table is cleared, and calls
+ * with opened_before end as KQ_HTTP_NOT_SENT on connections opened earlier. Open
+ * connections are far fewer, as file descriptors are limited; the other entries are of
+ * closed ones. */
 #define OPENED_MAX 20000
 
 typedef struct Socket
@@ -27,9 +28,9 @@
   KqLoop *loop;
   CURLM *multi;
   ev_timer timeout;
-  ev_timer silence;
-  int idle_s;
-  bool in_curl; /* a libcurl callback is on the stack: handles may not be removed */
+  ev_timer idle_check;
+  int pool_idle_s;
+  bool in_curl; /* within a libcurl callback, where handles must not be removed */
   KqHttpCall *first;
   GHashTable *opened_at; /* hash of a connection's addresses -> when it was opened */
   uint64_t bytes_out;    /* of ended calls */
@@ -45,33 +46,33 @@
   struct curl_slist *headers;
   KqHttpCallback cb;
   bool streamed;
-  KqBuf body; /* whole, or fed and not yet sent */
+  KqBuf body; /* the whole body, or the unsent part of a streamed one */
   bool fed_end;
-  bool starved; /* libcurl waits for body bytes */
+  bool read_paused; /* libcurl waits for bytes of the streamed body */
   bool paused;
-  bool held; /* libcurl holds a chunk back for us */
+  bool write_paused; /* libcurl keeps a chunk until the call is resumed */
   bool cancelled;
-  bool silent;
-  KqTime last_byte;
-  KqTime limit_us; /* longest silence as of now */
-  KqTime silent_us;
-  KqBuf head;     /* header lines of the answer as they come */
-  int64_t length; /* Content-Length; -1 without */
-  bool head_given;
-  KqTime left_at; /* from when on it may have left, in part or whole; 0: it hasn't */
-  bool opens;     /* a new connection was opened for it */
+  bool timed_out;
+  KqTime last_activity;
+  KqTime idle_limit_us;   /* the present timeout of inactivity */
+  KqTime idle_timeout_us; /* the one from the response's first byte on */
+  KqBuf head;             /* header lines received so far */
+  int64_t length;         /* Content-Length; -1: unknown */
+  bool head_delivered;
+  KqTime send_started_at; /* when sending began; 0: no byte was sent */
+  bool opened_connection; /* a socket was opened for the call, not yet in opened_at */
   KqTime opened_before;
 };
 
 static void
-note_byte (KqHttpCall *c)
+restart_idle_time (KqHttpCall *c)
 {
-  c->last_byte = kq_time_now ();
+  c->last_activity = kq_time_now ();
 }
 
-/* Splits the collected header lines and gives the answer's head to the owner. */
+/* Parses the header lines and calls the head callback. */
 static void
-give_head (KqHttpCall *c)
+deliver_head (KqHttpCall *c)
 {
   KqHeader *h = NULL;
   size_t n = 0;
@@ -94,7 +95,7 @@
     }
   if (status == 204 || status == 304)
     c->length = 0;
-  c->head_given = true;
+  c->head_delivered = true;
   if (!c->cancelled && c->cb.head != NULL)
     c->cb.head (c->cb.arg, c, (int)status, h, n, c->length);
   free (h);
@@ -107,9 +108,9 @@
   size_t n = size * count;
   KqStr s = kq_str_trim (kq_str_n (line, n));
   long status = 0;
-  note_byte (c);
-  c->limit_us = c->silent_us;
-  if (c->head_given)
+  restart_idle_time (c);
+  c->idle_limit_us = c->idle_timeout_us;
+  if (c->head_delivered)
     return n; /* trailers */
   if (kq_str_has_prefix (s, KQ_STR ("HTTP/")))
     {
@@ -123,7 +124,7 @@
     }
   curl_easy_getinfo (c->easy, CURLINFO_RESPONSE_CODE, &status);
   if (status >= 200)
-    give_head (c);
+    deliver_head (c);
   return n;
 }
 
@@ -132,12 +133,12 @@
 {
   KqHttpCall *c = arg;
   size_t n = size * count;
-  note_byte (c);
+  restart_idle_time (c);
   if (c->cancelled)
     return 0;
   if (c->paused)
     {
-      c->held = true;
+      c->write_paused = true;
       return CURL_WRITEFUNC_PAUSE;
     }
   if (c->cb.data != NULL)
@@ -151,14 +152,14 @@
   KqHttpCall *c = arg;
   size_t max = size * count;
   size_t n = c->body.len < max ? c->body.len : max;
-  note_byte (c);
+  restart_idle_time (c);
   if (c->cancelled)
     return CURL_READFUNC_ABORT;
   if (n == 0 && c->fed_end)
     return 0;
   if (n == 0)
     {
-      c->starved = true;
+      c->read_paused = true;
       return CURL_READFUNC_PAUSE;
     }
   memcpy (to, c->body.ptr, n);
@@ -191,10 +192,12 @@
 {
   if (code == CURLE_OK)
     return KQ_HTTP_DONE;
-  /* What libcurl counts as sent lacks requests whose first write would block. */
-  if (c->left_at == 0)
+  /* libcurl's count of sent bytes isn't used: it is 0 if the request's first write
+   * blocked. */
+  if (c->send_started_at == 0)
     return KQ_HTTP_NOT_SENT;
-  return c->silent || code == CURLE_OPERATION_TIMEDOUT ? KQ_HTTP_SILENT : KQ_HTTP_BROKEN;
+  return c->timed_out || code == CURLE_OPERATION_TIMEDOUT ? KQ_HTTP_SILENT
+                                                          : KQ_HTTP_BROKEN;
 }
 
 static void
@@ -222,9 +225,9 @@
   free_call (c);
 }
 
-/* Reads what libcurl has finished; runs outside of its callbacks. */
+/* Finishes the calls that libcurl has completed. Not called within its callbacks. */
 static void
-collect (KqHttpClient *cl)
+finish_completed_calls (KqHttpClient *cl)
 {
   CURLMsg *msg;
   int left;
@@ -240,13 +243,13 @@
 }
 
 static void
-act (KqHttpClient *cl, curl_socket_t fd, int what)
+socket_action (KqHttpClient *cl, curl_socket_t fd, int what)
 {
   int running;
   cl->in_curl = true;
   curl_multi_socket_action (cl->multi, fd, what, &running);
   cl->in_curl = false;
-  collect (cl);
+  finish_completed_calls (cl);
 }
 
 static void
@@ -259,7 +262,7 @@
     what |= CURL_CSELECT_IN;
   if (events & EV_WRITE)
     what |= CURL_CSELECT_OUT;
-  act (s->client, w->fd, what);
+  socket_action (s->client, w->fd, what);
 }
 
 static void
@@ -267,7 +270,7 @@
 {
   (void)ev;
   (void)events;
-  act (w->data, CURL_SOCKET_TIMEOUT, 0);
+  socket_action (w->data, CURL_SOCKET_TIMEOUT, 0);
 }
 
 static int
@@ -312,17 +315,18 @@
   if (what & CURL_POLL_OUT)
     events |= EV_WRITE;
   ev_io_init (&s->io, on_io, fd, events);
-  /* Before timers: an answer that came while the loop stood still isn't late. */
+  /* Before timers: a response that arrived while the loop was blocked isn't late. */
   ev_set_priority (&s->io, 1);
   s->io.data = s;
   ev_io_start (ev, &s->io);
   return 0;
 }
 
-/* A target that accepts and then says nothing would hold its call, and the slot it
- * counts for, until the deadline of the whole request; without a deadline, for ever. */
+/* Ends inactive calls. Otherwise a target that accepts a connection and never responds
+ * would hold its call, and the slot that the call occupies, until total_ms, or forever if
+ * that is 0. */
 static void
-on_silence (struct ev_loop *ev, ev_timer *w, int events)
+on_idle_check (struct ev_loop *ev, ev_timer *w, int events)
 {
   KqHttpClient *cl = w->data;
   KqTime now = kq_time_now ();
@@ -332,18 +336,19 @@
       next = c->next;
       if (c->cancelled)
         free_call (c);
-      else if (c->limit_us > 0 && !c->paused && !c->starved
-               && now - c->last_byte > c->limit_us)
+      else if (c->idle_limit_us > 0 && !c->paused && !c->read_paused
+               && now - c->last_activity > c->idle_limit_us)
         {
-          c->silent = true;
+          c->timed_out = true;
           finish_call (c, CURLE_OPERATION_TIMEDOUT);
-          /* The owner may have changed the list; on with the rest at once. */
+          /* The done callback may have changed the list: restart, without waiting for the
+           * next interval. */
           ev_feed_event (ev, w, events);
           return;
         }
     }
   if (cl->first == NULL)
-    ev_timer_stop (ev, w); /* on again with the next call */
+    ev_timer_stop (ev, w); /* kq_http_call restarts it */
 }
 
 KqHttpClient *
@@ -351,7 +356,7 @@
 {
   KqHttpClient *cl = kq_alloc (sizeof *cl);
   cl->loop = loop;
-  cl->idle_s = idle_ms >= 1000 ? idle_ms / 1000 : 1;
+  cl->pool_idle_s = idle_ms >= 1000 ? idle_ms / 1000 : 1;
   cl->opened_at = g_hash_table_new (NULL, NULL);
   cl->multi = curl_multi_init ();
   assert (cl->multi != NULL);
@@ -362,8 +367,8 @@
   curl_multi_setopt (cl->multi, CURLMOPT_MAX_HOST_CONNECTIONS, (long)host_connections);
   curl_multi_setopt (cl->multi, CURLMOPT_PIPELINING, (long)CURLPIPE_NOTHING);
   ev_timer_init (&cl->timeout, on_timeout, 0, 0);
-  ev_timer_init (&cl->silence, on_silence, SILENCE_CHECK_S, SILENCE_CHECK_S);
-  cl->timeout.data = cl->silence.data = cl;
+  ev_timer_init (&cl->idle_check, on_idle_check, IDLE_CHECK_S, IDLE_CHECK_S);
+  cl->timeout.data = cl->idle_check.data = cl;
   return cl;
 }
 
@@ -381,7 +386,7 @@
     }
   curl_multi_cleanup (cl->multi);
   ev_timer_stop (ev, &cl->timeout);
-  ev_timer_stop (ev, &cl->silence);
+  ev_timer_stop (ev, &cl->idle_check);
   g_hash_table_destroy (cl->opened_at);
   free (cl);
 }
@@ -402,13 +407,14 @@
 static void
 set_headers (KqHttpCall *c, const KqHttpRequest *r)
 {
-  /* Headers that libcurl adds by itself; the caller's request passes as it is. */
-  static const char *const own[] = { "Accept", "Content-Type", "User-Agent", "Expect" };
+  /* Headers that libcurl would add; removed unless the caller sets them. */
+  static const char *const curl_headers[]
+      = { "Accept", "Content-Type", "User-Agent", "Expect" };
   KqBuf line = { 0 };
   for (size_t i = 0; i < r->n_headers; i++)
     {
       kq_buf_clear (&line);
-      /* libcurl sends an empty header only when it is written with a semicolon. */
+      /* libcurl sends a header without a value only if it ends in a semicolon. */
       if (r->headers[i].value.len == 0)
         kq_buf_printf (&line, "%.*s;", KQ_STR_ARG (r->headers[i].name));
       else
@@ -416,11 +422,11 @@
                        KQ_STR_ARG (r->headers[i].value));
       c->headers = curl_slist_append (c->headers, line.ptr);
     }
-  for (size_t i = 0; i < sizeof own / sizeof own[0]; i++)
+  for (size_t i = 0; i < sizeof curl_headers / sizeof curl_headers[0]; i++)
     {
       kq_buf_clear (&line);
-      kq_buf_printf (&line, "%s:", own[i]);
-      if (!has_header (r, own[i]))
+      kq_buf_printf (&line, "%s:", curl_headers[i]);
+      if (!has_header (r, curl_headers[i]))
         c->headers = curl_slist_append (c->headers, line.ptr);
     }
   kq_buf_free (&line);
@@ -458,12 +464,12 @@
   KqHttpCall *c = arg;
   (void)fd;
   (void)purpose;
-  c->opens = true;
+  c->opened_connection = true;
   return CURL_SOCKOPT_OK;
 }
 
-/* Whether the connection is younger than the call allows; also when its age isn't known.
- * libcurl doesn't tell a connection's age, so it is kept here by its addresses. */
+/* Whether the connection was opened after opened_before, or at an unknown time. libcurl
+ * doesn't report this time, so it is recorded here by the connection's addresses. */
 static bool
 opened_too_late (KqHttpCall *c, const char *to, int to_port, int own_port)
 {
@@ -471,28 +477,29 @@
   uint64_t ports = (uint64_t)to_port << 16 | (uint64_t)own_port;
   gpointer key = GSIZE_TO_POINTER (kq_hash2 (kq_str_hash (kq_str (to)), ports));
   KqTime at;
-  if (c->opens && g_hash_table_size (opened) >= OPENED_MAX)
+  if (c->opened_connection && g_hash_table_size (opened) >= OPENED_MAX)
     g_hash_table_remove_all (opened);
-  if (c->opens)
+  if (c->opened_connection)
     g_hash_table_insert (opened, key, GSIZE_TO_POINTER (kq_time_now ()));
-  c->opens = false;
+  c->opened_connection = false;
   if (c->opened_before == 0)
     return false;
   at = (KqTime)GPOINTER_TO_SIZE (g_hash_table_lookup (opened, key));
   return at == 0 || at > c->opened_before;
 }
 
-/* libcurl asks before each sending of the request. The second time it would repeat it by
- * itself, because a reused connection closed without an answer: outside of the retry
- * budget, counted nowhere, and perhaps a second run. */
+/* Called by libcurl each time before it sends the request. A second time means that a
+ * reused connection closed without a response and libcurl repeats the request. This is
+ * prevented: such a repetition isn't in the retry budget or any counter, and may run a
+ * task twice. */
 static int
-on_issue (void *arg, char *to, char *from, int to_port, int from_port)
+on_prereq (void *arg, char *to, char *from, int to_port, int from_port)
 {
   KqHttpCall *c = arg;
   (void)from;
-  if (c->left_at != 0 || opened_too_late (c, to, to_port, from_port))
+  if (c->send_started_at != 0 || opened_too_late (c, to, to_port, from_port))
     return CURL_PREREQFUNC_ABORT;
-  c->left_at = kq_time_now ();
+  c->send_started_at = kq_time_now ();
   return CURL_PREREQFUNC_OK;
 }
 
@@ -503,7 +510,7 @@
   curl_easy_setopt (e, CURLOPT_URL, r->url);
   curl_easy_setopt (e, CURLOPT_PRIVATE, c);
   curl_easy_setopt (e, CURLOPT_NOSIGNAL, 1L);
-  curl_easy_setopt (e, CURLOPT_PREREQFUNCTION, on_issue);
+  curl_easy_setopt (e, CURLOPT_PREREQFUNCTION, on_prereq);
   curl_easy_setopt (e, CURLOPT_PREREQDATA, c);
   curl_easy_setopt (e, CURLOPT_SOCKOPTFUNCTION, on_socket_opened);
   curl_easy_setopt (e, CURLOPT_SOCKOPTDATA, c);
@@ -514,7 +521,7 @@
   curl_easy_setopt (e, CURLOPT_HEADERDATA, c);
   curl_easy_setopt (e, CURLOPT_WRITEFUNCTION, on_write);
   curl_easy_setopt (e, CURLOPT_WRITEDATA, c);
-  curl_easy_setopt (e, CURLOPT_MAXAGE_CONN, (long)c->client->idle_s);
+  curl_easy_setopt (e, CURLOPT_MAXAGE_CONN, (long)c->client->pool_idle_s);
   if (strcmp (r->method, "HEAD") == 0)
     curl_easy_setopt (e, CURLOPT_NOBODY, 1L);
   if (r->connect_ms > 0)
@@ -538,18 +545,19 @@
   c->cb = *cb;
   c->easy = curl_easy_init ();
   assert (c->easy != NULL);
-  c->silent_us = r->silent_ms * KQ_MS;
-  c->limit_us = r->answer_ms > 0 ? r->answer_ms * KQ_MS : c->silent_us;
+  c->idle_timeout_us = r->silent_ms * KQ_MS;
+  c->idle_limit_us = r->first_byte_timeout_ms > 0 ? r->first_byte_timeout_ms * KQ_MS
+                                                  : c->idle_timeout_us;
   c->opened_before = r->opened_before;
-  note_byte (c);
+  restart_idle_time (c);
   set_options (c, r);
   set_headers (c, r);
   c->next = cl->first;
   if (cl->first != NULL)
     cl->first->prev = c;
   cl->first = c;
-  if (!ev_is_active (&cl->silence))
-    ev_timer_again (kq_loop_ev (cl->loop), &cl->silence);
+  if (!ev_is_active (&cl->idle_check))
+    ev_timer_again (kq_loop_ev (cl->loop), &cl->idle_check);
   curl_multi_add_handle (cl->multi, c->easy);
   return c;
 }
@@ -559,10 +567,10 @@
 {
   kq_buf_add_str (&c->body, bytes);
   c->fed_end = c->fed_end || end;
-  if (c->starved)
+  if (c->read_paused)
     {
-      c->starved = false;
-      note_byte (c);
+      c->read_paused = false;
+      restart_idle_time (c);
       curl_easy_pause (c->easy, c->paused ? CURLPAUSE_RECV : CURLPAUSE_CONT);
     }
 }
@@ -583,11 +591,11 @@
 kq_http_call_resume (KqHttpCall *c)
 {
   c->paused = false;
-  note_byte (c);
-  if (!c->held)
+  restart_idle_time (c);
+  if (!c->write_paused)
     return;
-  c->held = false;
-  curl_easy_pause (c->easy, c->starved ? CURLPAUSE_SEND : CURLPAUSE_CONT);
+  c->write_paused = false;
+  curl_easy_pause (c->easy, c->read_paused ? CURLPAUSE_SEND : CURLPAUSE_CONT);
 }
 
 void
@@ -599,9 +607,9 @@
 }
 
 KqTime
-kq_http_call_left_at (const KqHttpCall *c)
+kq_http_call_send_started_at (const KqHttpCall *c)
 {
-  return c->left_at;
+  return c->send_started_at;
 }
 
 uint64_t
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -1,11 +1,12 @@
 #ifndef KQ_HTTP_CLIENT_H
 #define KQ_HTTP_CLIENT_H
 
-/* client: HTTP requests out, on libcurl's multi interface on the libev loop.
+/* client: HTTP client on libcurl's multi interface and the libev loop.
  *
- * Answers stream: head, data chunks, done. libcurl repeats a request by itself when a
- * reused connection closes before any answer byte; a call that must leave at most once
- * sets `once`, which forces a new connection (tested by counting at the server). */
+ * A response is delivered by callbacks: head, data chunks, done. A call sends its request
+ * at most once: when a reused connection closes before the first response byte, libcurl
+ * would repeat the request by itself, but the call ends as KQ_HTTP_BROKEN instead. With
+ * `once` the request is never sent on a reused connection. */
 
 #include "base/result.h"
 #include "base/task.h"
@@ -16,22 +17,23 @@
 
 typedef enum
 {
-  KQ_HTTP_DONE,     /* the answer is whole */
-  KQ_HTTP_NOT_SENT, /* no byte of the request left: it provably did not run */
-  KQ_HTTP_BROKEN,   /* sent in part or whole, the answer is missing or cut */
-  KQ_HTTP_SILENT    /* as BROKEN: nothing came for too long, or total_ms passed */
+  KQ_HTTP_DONE,     /* the response is complete */
+  KQ_HTTP_NOT_SENT, /* no byte of the request was sent: it had no effect */
+  KQ_HTTP_BROKEN,   /* sent in part or whole; the response is missing or incomplete */
+  KQ_HTTP_SILENT    /* as BROKEN, because of a timeout */
 } KqHttpEnd;
 
 typedef struct
 {
   void *arg;
+  /* length: Content-Length; -1: unknown. h is valid during the callback only. */
   void (*head) (void *arg, KqHttpCall *c, int status, const KqHeader *h, size_t n,
                 int64_t length);
-  /* May call kq_http_call_pause; the chunk has been taken all the same. */
+  /* May call kq_http_call_pause, which takes effect after this chunk. */
   void (*data) (void *arg, KqHttpCall *c, KqStr chunk);
-  /* The request body may be fed (streamed uploads); called when more is wanted. */
+  /* Of a streamed upload: a part was sent, more may be fed. May be NULL. */
   void (*want) (void *arg, KqHttpCall *c);
-  /* The last call; c is freed behind it. */
+  /* The last callback; c is freed after it. */
   void (*done) (void *arg, KqHttpCall *c, KqHttpEnd end);
 } KqHttpCallback;
 
@@ -41,37 +43,39 @@
   const char *url;
   const KqHeader *headers;
   size_t n_headers;
-  KqStr body;          /* a whole body, copied; ignored when streamed */
-  bool streamed;       /* the body comes by kq_http_call_feed */
-  int64_t body_length; /* of a streamed body; -1: unknown */
-  int connect_ms;
-  int silent_ms; /* no byte either way for so long ends the call; 0: never */
-  int answer_ms; /* the same until the answer's first byte; 0: silent_ms */
-  int total_ms;  /* 0: no limit */
-  bool once;     /* never reuse a connection: leaves at most once */
-  /* Not 0: the call leaves only on a connection opened by then, and ends as NOT_SENT
-   * where there is none. A process that has started anew since has no such connection. */
+  KqStr body;                /* a whole body, copied; ignored when streamed */
+  bool streamed;             /* the body is passed to kq_http_call_feed */
+  int64_t body_length;       /* of a streamed body; -1: unknown */
+  int connect_ms;            /* timeout of connecting; 0: libcurl's default */
+  int silent_ms;             /* timeout of inactivity in both directions; 0: none */
+  int first_byte_timeout_ms; /* like silent_ms, until the response begins; 0: silent_ms */
+  int total_ms;              /* timeout of the whole call; 0: none */
+  bool once;                 /* use a new connection and close it afterwards */
+  /* Not 0: use only a connection opened at or before this time; without one the call ends
+   * as NOT_SENT. A server process started later has no such connection. */
   KqTime opened_before;
 } KqHttpRequest;
 
-/* host_connections: most connections to one host; idle_ms: an idle pooled connection
- * older than this is not used again. */
+/* host_connections: maximum number of connections to one host. idle_ms: a pooled
+ * connection idle for longer isn't reused; in whole seconds, at least one. */
 KqHttpClient *kq_http_client_new (KqLoop *loop, int host_connections, int idle_ms);
-/* Ends open calls without calling back. */
+/* Ends open calls without callbacks. */
 void kq_http_client_free (KqHttpClient *cl);
 
+/* r is copied. The call is freed after its done callback, or by cancel. */
 KqHttpCall *kq_http_call (KqHttpClient *cl, const KqHttpRequest *r,
                           const KqHttpCallback *cb);
-/* Takes the body's next bytes; end marks its end. */
+/* Appends bytes to a streamed body; end: these are the last. */
 void kq_http_call_feed (KqHttpCall *c, KqStr bytes, bool end);
 size_t kq_http_call_unfed (const KqHttpCall *c); /* body bytes not yet sent */
+/* Stops and continues the delivery of data; while paused, silent_ms doesn't apply. */
 void kq_http_call_pause (KqHttpCall *c);
 void kq_http_call_resume (KqHttpCall *c);
-/* Ends the call without calling back; its connection is closed. */
+/* Ends the call without callbacks; its connection is closed. */
 void kq_http_call_cancel (KqHttpCall *c);
-/* When the request left, in part or whole; 0: it hasn't. Its connection was open then. */
-KqTime kq_http_call_left_at (const KqHttpCall *c);
-/* Bytes of ended calls, heads and bodies, each way; what TCP adds isn't in them. */
+/* When sending the request began, on a connection that was open then; 0: it didn't. */
+KqTime kq_http_call_send_started_at (const KqHttpCall *c);
+/* Bytes of heads and bodies, sent and received, of ended calls; without TCP overhead. */
 uint64_t kq_http_client_bytes_out (const KqHttpClient *cl);
 uint64_t kq_http_client_bytes_in (const KqHttpClient *cl);
 
--- a/src/http/http_test.c
+++ b/src/http/http_test.c
@@ -17,56 +17,57 @@
 
 #include <cmocka.h>
 
-#define BIG (3 * 1024 * 1024)
+#define BIG_BODY_BYTES (3 * 1024 * 1024)
 
-/* The first write of the next request finds the socket's buffer full. */
-static bool full_once;
+/* Makes the first write of the next request fail with EAGAIN, as with a full socket
+ * buffer. */
+static bool block_next_request;
 
 ssize_t
 send (int fd, const void *bytes, size_t n, int flags)
 {
-  if (full_once && n > 4
+  if (block_next_request && n > 4
       && (memcmp (bytes, "GET ", 4) == 0 || memcmp (bytes, "POST", 4) == 0))
     {
-      full_once = false;
+      block_next_request = false;
       errno = EAGAIN;
       return -1;
     }
   return sendto (fd, bytes, n, flags, NULL, 0);
 }
 
-/* A server that echoes bodies, and a client, on one loop. */
+/* A server and a client on one loop. */
 typedef struct
 {
   KqLoop *loop;
   KqHttpServer *server;
   KqHttpClient *client;
-  int begun;
-  int gone_whole;
-  int gone_cut;
-  /* of the call */
+  int n_begun;
+  int n_complete;
+  int n_incomplete;
+  /* of the client's call */
   int status;
   size_t received;
   KqBuf uploaded;
   KqHttpEnd end;
   bool done;
   bool pause_once;
-  bool stop_when_gone;
-  ev_timer soon;
-} Pair;
+  bool stop_on_finished;
+  ev_timer stop_timer;
+} Fixture;
 
 static void
 server_begin (void *arg, KqHttpExchange *x)
 {
-  Pair *p = arg;
+  Fixture *p = arg;
   (void)x;
-  p->begun++;
+  p->n_begun++;
 }
 
 static void
 server_body (void *arg, KqHttpExchange *x, KqStr chunk)
 {
-  Pair *p = arg;
+  Fixture *p = arg;
   kq_buf_add_str (&p->uploaded, chunk);
   (void)x;
 }
@@ -74,7 +75,7 @@
 static void
 server_end (void *arg, KqHttpExchange *x)
 {
-  Pair *p = arg;
+  Fixture *p = arg;
   KqStr path = kq_http_path (x);
   if (kq_str_eq (path, KQ_STR ("/drop")))
     kq_http_abort (x);
@@ -97,13 +98,13 @@
 static void
 server_gone (void *arg, KqHttpExchange *x, bool whole)
 {
-  Pair *p = arg;
+  Fixture *p = arg;
   (void)x;
   if (whole)
-    p->gone_whole++;
+    p->n_complete++;
   else
-    p->gone_cut++;
-  if (p->stop_when_gone)
+    p->n_incomplete++;
+  if (p->stop_on_finished)
     kq_loop_stop (p->loop);
 }
 
@@ -111,7 +112,7 @@
 client_head (void *arg, KqHttpCall *c, int status, const KqHeader *h, size_t n,
              int64_t length)
 {
-  Pair *p = arg;
+  Fixture *p = arg;
   (void)c;
   (void)h;
   (void)n;
@@ -122,7 +123,7 @@
 static void
 client_data (void *arg, KqHttpCall *c, KqStr chunk)
 {
-  Pair *p = arg;
+  Fixture *p = arg;
   p->received += chunk.len;
   if (p->pause_once)
     {
@@ -134,7 +135,7 @@
 static void
 client_done (void *arg, KqHttpCall *c, KqHttpEnd end)
 {
-  Pair *p = arg;
+  Fixture *p = arg;
   (void)c;
   p->end = end;
   p->done = true;
@@ -142,7 +143,7 @@
 }
 
 static void
-on_guard (struct ev_loop *ev, ev_timer *w, int events)
+on_stop_timer (struct ev_loop *ev, ev_timer *w, int events)
 {
   (void)events;
   (void)w;
@@ -152,7 +153,7 @@
 static int
 set_up (void **state)
 {
-  Pair *p = kq_alloc (sizeof *p);
+  Fixture *p = kq_alloc (sizeof *p);
   KqHttpHandler h = { p, server_begin, server_body, server_end, NULL, server_gone };
   p->loop = kq_loop_new ();
   p->server = kq_http_server_new (p->loop, "127.0.0.1", 0, &h);
@@ -164,7 +165,7 @@
 static int
 tear_down (void **state)
 {
-  Pair *p = *state;
+  Fixture *p = *state;
   kq_http_client_free (p->client);
   kq_http_server_free (p->server);
   kq_loop_free (p->loop);
@@ -174,13 +175,13 @@
 }
 
 static void
-run (Pair *p)
+run (Fixture *p)
 {
   guard_run (p->loop, 20);
 }
 
 static KqHttpCall *
-start (Pair *p, const char *path, KqHttpRequest *r)
+start (Fixture *p, const char *path, KqHttpRequest *r)
 {
   static char url[128];
   KqHttpCallback cb = { p, client_head, client_data, NULL, client_done };
@@ -195,7 +196,7 @@
 static void
 test_whole_bodies (void **state)
 {
-  Pair *p = *state;
+  Fixture *p = *state;
   KqHttpRequest r = { .method = "PATCH", .body = KQ_STR ("abc") };
   start (p, "/plain", &r);
   run (p);
@@ -207,25 +208,25 @@
 static void
 test_streams_both_ways (void **state)
 {
-  Pair *p = *state;
-  KqHttpRequest r = { .method = "POST", .streamed = true, .body_length = BIG };
-  char *bytes = kq_alloc (BIG);
+  Fixture *p = *state;
+  KqHttpRequest r = { .method = "POST", .streamed = true, .body_length = BIG_BODY_BYTES };
+  char *bytes = kq_alloc (BIG_BODY_BYTES);
   KqHttpCall *c = start (p, "/echo%20it", &r);
-  kq_http_call_feed (c, kq_str_n (bytes, BIG / 2), false);
-  kq_http_call_feed (c, kq_str_n (bytes, BIG - BIG / 2), true);
+  kq_http_call_feed (c, kq_str_n (bytes, BIG_BODY_BYTES / 2), false);
+  kq_http_call_feed (c, kq_str_n (bytes, BIG_BODY_BYTES - BIG_BODY_BYTES / 2), true);
   run (p);
   free (bytes);
   assert_true (p->done);
   assert_int_equal (p->end, KQ_HTTP_DONE);
-  assert_int_equal (p->received, BIG);
+  assert_int_equal (p->received, BIG_BODY_BYTES);
 }
 
-/* The server breaks off after 4 of 100 bytes: the client must see a broken answer, not
- * a short one, and be told that the request may have run. */
+/* The server closes the connection after 4 of 100 bytes. The client must report the
+ * response as incomplete, and not that the request had no effect. */
 static void
 test_cut_answer_is_broken (void **state)
 {
-  Pair *p = *state;
+  Fixture *p = *state;
   KqHttpRequest r = { .method = "GET" };
   start (p, "/short", &r);
   run (p);
@@ -233,29 +234,30 @@
   assert_int_equal (p->end, KQ_HTTP_BROKEN);
 }
 
-/* The server closes a reused connection without an answer, after it took the request.
- * libcurl would send a GET again by itself: a second run outside of every retry budget,
- * and counted nowhere. The server must see it once, and the caller be told. */
+/* The server receives a request on a reused connection and closes it without a response.
+ * libcurl would repeat a GET by itself, outside of the retry budget and all counters. The
+ * server must receive the request once, and the call must end as broken. */
 static void
 test_no_repeat_on_reused_connection (void **state)
 {
-  Pair *p = *state;
+  Fixture *p = *state;
   KqHttpRequest r = { .method = "GET" };
   start (p, "/plain", &r);
   run (p);
   assert_int_equal (p->end, KQ_HTTP_DONE);
-  p->begun = 0;
+  p->n_begun = 0;
   start (p, "/drop", &r);
   run (p);
   assert_true (p->done);
-  assert_int_equal (p->begun, 1);
+  assert_int_equal (p->n_begun, 1);
   assert_int_equal (p->end, KQ_HTTP_BROKEN);
 }
 
-/* A request leaves by a later write and has no answer: the target has it. */
+/* The first write of a request blocks, a later one sends it, and there is no response:
+ * the call must not be reported as not sent. */
 static void
-expect_sent (Pair *p, const KqHttpRequest *request, const char *path, bool reused,
-             KqHttpEnd end)
+expect_sent_once (Fixture *p, const KqHttpRequest *request, const char *path, bool reused,
+                  KqHttpEnd end)
 {
   KqHttpRequest r = *request;
   if (reused)
@@ -264,41 +266,42 @@
       run (p);
       assert_int_equal (p->end, KQ_HTTP_DONE);
     }
-  p->begun = 0;
-  full_once = true;
+  p->n_begun = 0;
+  block_next_request = true;
   r.total_ms = 300;
   start (p, path, &r);
   run (p);
   assert_true (p->done);
-  assert_false (full_once);
-  assert_int_equal (p->begun, 1);
+  assert_false (block_next_request);
+  assert_int_equal (p->n_begun, 1);
   assert_int_equal (p->end, end);
 }
 
-/* One task runs twice: a call whose first write blocked was told as not sent. */
+/* A call whose first write blocked was reported as not sent although a later write sent
+ * it; the caller sent it again and a task ran twice. */
 static void
 test_blocked_first_write_is_sent (void **state)
 {
-  Pair *p = *state;
+  Fixture *p = *state;
   KqHttpRequest get = { .method = "GET" };
   KqHttpRequest post = { .method = "POST", .body = KQ_STR ("abc") };
   for (int reused = 0; reused < 2; reused++)
     {
-      expect_sent (p, &get, "/never", reused, KQ_HTTP_SILENT);
-      expect_sent (p, &post, "/never", reused, KQ_HTTP_SILENT);
-      expect_sent (p, &get, "/drop", reused, KQ_HTTP_BROKEN);
-      expect_sent (p, &post, "/drop", reused, KQ_HTTP_BROKEN);
+      expect_sent_once (p, &get, "/never", reused, KQ_HTTP_SILENT);
+      expect_sent_once (p, &post, "/never", reused, KQ_HTTP_SILENT);
+      expect_sent_once (p, &get, "/drop", reused, KQ_HTTP_BROKEN);
+      expect_sent_once (p, &post, "/drop", reused, KQ_HTTP_BROKEN);
     }
 }
 
-/* An acknowledgement is meant for the process that was heard before. It died and another
- * one listens at its address: a call on a new connection would reach that one, which
- * would take the acknowledgement for its own. So the call must not leave, and say so;
- * on the old connection it goes through. */
+/* An acknowledgement is meant for the process that sent the earlier response. If that
+ * process has been replaced by another at the same address, a call on a new connection
+ * would deliver the acknowledgement to the wrong process. With opened_before the call
+ * must succeed on the old connection, and otherwise end as not sent. */
 static void
 test_call_keeps_to_an_old_connection (void **state)
 {
-  Pair *p = *state;
+  Fixture *p = *state;
   KqHttpRequest r = { .method = "GET" };
   start (p, "/plain", &r);
   run (p);
@@ -308,19 +311,19 @@
   assert_int_equal (p->end, KQ_HTTP_DONE);
   start (p, "/drop", &(KqHttpRequest){ .method = "GET" }); /* closes the connection */
   run (p);
-  p->begun = 0;
+  p->n_begun = 0;
   start (p, "/plain", &r);
   run (p);
   assert_true (p->done);
   assert_int_equal (p->end, KQ_HTTP_NOT_SENT);
-  assert_int_equal (p->begun, 0);
+  assert_int_equal (p->n_begun, 0);
 }
 
-/* The server accepts and never answers: the silence limit ends the call. */
+/* The server accepts the request and never responds: silent_ms must end the call. */
 static void
 test_silent_target (void **state)
 {
-  Pair *p = *state;
+  Fixture *p = *state;
   KqHttpRequest r = { .method = "GET", .silent_ms = 200 };
   start (p, "/never", &r);
   run (p);
@@ -328,7 +331,8 @@
   assert_int_equal (p->end, KQ_HTTP_SILENT);
 }
 
-/* A socket that the loop doesn't serve: what it sends is there before the loop looks. */
+/* A listening socket outside of the event loop, so that a test can send a response while
+ * the loop is blocked. */
 static int
 listen_plain (int *port)
 {
@@ -343,7 +347,7 @@
 }
 
 static int
-accept_request (Pair *p, int listener)
+accept_request (Fixture *p, int listener)
 {
   char request[512];
   int fd = -1;
@@ -360,12 +364,13 @@
   return fd;
 }
 
-/* An answer that came while the process stood still is dropped and asked for again. */
+/* A response that arrived while the process was blocked for longer than silent_ms was
+ * discarded, because the timeout was checked before the socket, and requested again. */
 static void
 test_answer_that_is_there_beats_the_silence (void **state)
 {
   static const char answer[] = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-  Pair *p = *state;
+  Fixture *p = *state;
   KqHttpCallback cb = { p, client_head, client_data, NULL, client_done };
   KqHttpRequest r = { .method = "GET", .silent_ms = 300 };
   char url[64];
@@ -386,41 +391,42 @@
 }
 
 static void
-count_done (void *arg, KqHttpCall *c, KqHttpEnd end)
+count_timeout (void *arg, KqHttpCall *c, KqHttpEnd end)
 {
-  Pair *p = arg;
+  Fixture *p = arg;
   (void)c;
   assert_int_equal (end, KQ_HTTP_SILENT);
   if (p->received++ > 0)
     return;
-  ev_timer_set (&p->soon, 0.05, 0); /* before the next look for silent calls */
-  ev_timer_start (kq_loop_ev (p->loop), &p->soon);
+  ev_timer_set (&p->stop_timer, 0.05, 0); /* before the next check for timeouts */
+  ev_timer_start (kq_loop_ev (p->loop), &p->stop_timer);
 }
 
-/* A rack goes and many connections are silent at once: all calls must end together.
- * When they ended one by one, 44 calls held their slots for four more seconds. */
+/* After the loss of a rack many calls time out at the same time, and all of them must end
+ * in one check. When each check ended one call, 44 calls held their slots for 4 s longer.
+ */
 static void
 test_silent_calls_end_together (void **state)
 {
-  Pair *p = *state;
-  KqHttpCallback cb = { p, client_head, client_data, NULL, count_done };
+  Fixture *p = *state;
+  KqHttpCallback cb = { p, client_head, client_data, NULL, count_timeout };
   KqHttpRequest r = { .method = "GET", .silent_ms = 200 };
   char url[64];
   snprintf (url, sizeof url, "http://127.0.0.1:%d/never",
             kq_http_server_port (p->server));
   r.url = url;
-  ev_timer_init (&p->soon, on_guard, 0, 0);
+  ev_timer_init (&p->stop_timer, on_stop_timer, 0, 0);
   for (int i = 0; i < 4; i++)
     kq_http_call (p->client, &r, &cb);
   run (p);
   assert_int_equal (p->received, 4);
 }
 
-/* Nobody listens: no byte left, so the request provably did not run. */
+/* The connection is refused: no byte of the request was sent, so it had no effect. */
 static void
 test_refused_connection_is_not_sent (void **state)
 {
-  Pair *p = *state;
+  Fixture *p = *state;
   KqHttpCallback cb = { p, client_head, client_data, NULL, client_done };
   KqHttpRequest r = { .method = "POST", .url = "http://127.0.0.1:1/", .once = true };
   kq_http_call (p->client, &r, &cb);
@@ -429,27 +435,29 @@
   assert_int_equal (p->end, KQ_HTTP_NOT_SENT);
 }
 
-/* The caller closes while its request waits for an answer: the server side must notice
- * though MHD doesn't poll suspended connections, or the work would go on for nobody. */
+/* The client closes its connection while its request waits for the response. The server
+ * must notice it although MHD doesn't poll suspended connections; otherwise the work for
+ * the request would continue. */
 static void
 test_caller_gone_is_noticed (void **state)
 {
-  Pair *p = *state;
+  Fixture *p = *state;
   KqHttpRequest r = { .method = "GET", .silent_ms = 300 };
   start (p, "/never", &r);
   run (p);
-  p->stop_when_gone = true;
-  if (p->gone_cut == 0)
+  p->stop_on_finished = true;
+  if (p->n_incomplete == 0)
     run (p);
-  assert_int_equal (p->gone_cut, 1);
+  assert_int_equal (p->n_incomplete, 1);
 }
 
-/* A daemon is started twice by mistake: the second must fail to bind. With the library's
- * own address reuse both listened on one port and each got a part of the callers. */
+/* A daemon is started twice by mistake: the second one must fail to bind. With the
+ * address reuse that MHD sets, both listened on one port and each received a part of the
+ * connections. */
 static void
 test_port_is_not_shared (void **state)
 {
-  Pair *p = *state;
+  Fixture *p = *state;
   KqHttpHandler h = { p, server_begin, server_body, server_end, NULL, server_gone };
   int port = kq_http_server_port (p->server);
   assert_null (kq_http_server_new (p->loop, "127.0.0.1", port, &h));
--- a/src/http/server.c
+++ b/src/http/server.c
@@ -12,15 +12,16 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* A body up to this length is read and dropped behind an early answer, so that the
- * client, still sending, doesn't lose the answer to a reset; behind a longer one the
- * connection is closed. */
-#define DRAIN_MAX (1024 * 1024)
-/* Seconds without a byte before MHD closes a connection that isn't suspended. */
-#define IDLE_SECONDS 75
+/* When the handler replies in its begin callback, a body up to this length is read and
+ * discarded: if the connection were closed while the client still sends, it could be
+ * reset before the client has read the response. After the reply to a request with a
+ * longer body or one of unknown length, the connection is closed. */
+#define DRAIN_MAX_BYTES (1024 * 1024)
+/* MHD closes an inactive connection after this time, unless it is suspended. */
+#define IDLE_TIMEOUT_S 75
 #define CONNECTIONS_MAX 20000
-/* What one call of the content reader hands over at most. */
-#define READER_BLOCK (32 * 1024)
+/* The most that one call of read_content copies. */
+#define READER_BLOCK_BYTES (32 * 1024)
 
 struct KqHttpServer
 {
@@ -32,15 +33,15 @@
   ev_io ready;
   ev_timer timeout;
   ev_prepare before_poll;
-  ev_idle run; /* never started: only fed as an event */
+  ev_idle run; /* never started; only passed to ev_feed_event */
   KqHttpExchange *first;
 };
 
 typedef enum
 {
   REPLY_NONE,
-  REPLY_WHOLE,
-  REPLY_STREAM
+  REPLY_BUFFERED,
+  REPLY_STREAMED
 } ReplyKind;
 
 struct KqHttpExchange
@@ -50,23 +51,23 @@
   KqHttpExchange *prev;
   struct MHD_Connection *conn;
   char *uri;
-  KqStr method; /* owned copy */
+  KqStr method; /* a copy */
   KqHeader *headers;
   size_t n_headers;
-  bool begun;
-  bool ended;
-  bool paused; /* the handler wants no body at present */
+  bool begin_called;
+  bool body_ended;
+  bool upload_paused;
   bool suspended;
   bool aborted;
-  bool queued; /* MHD has the response */
+  bool queued; /* the response was passed to MHD_queue_response */
   ReplyKind reply;
   struct MHD_Response *response;
   int status;
-  KqBuf out;      /* streamed answer bytes not yet taken */
-  size_t taken;   /* of out */
-  int64_t length; /* announced, of a streamed answer; -1: unknown */
+  KqBuf out;       /* bytes of a streamed response */
+  size_t n_copied; /* bytes of out that MHD has copied */
+  int64_t length;  /* Content-Length of a streamed response; -1: unknown */
   bool reply_ended;
-  ev_io gone; /* while suspended: sees the client close */
+  ev_io close_watch; /* active while suspended; detects that the client closes */
   void *data;
 };
 
@@ -79,10 +80,10 @@
   ev_feed_event (kq_loop_ev (s->loop), &s->run, EV_CUSTOM);
 }
 
-/* MHD doesn't look at suspended connections, so a caller that leaves while its request
- * runs would go unnoticed and its work would not be cancelled. */
+/* MHD doesn't poll suspended connections. Without this watcher the server wouldn't notice
+ * that a client closed its connection while the request runs, nor cancel the work. */
 static void
-on_gone (struct ev_loop *ev, ev_io *w, int events)
+on_client_close (struct ev_loop *ev, ev_io *w, int events)
 {
   KqHttpExchange *x = w->data;
   char c;
@@ -104,9 +105,9 @@
   x->suspended = true;
   MHD_suspend_connection (x->conn);
   info = MHD_get_connection_info (x->conn, MHD_CONNECTION_INFO_CONNECTION_FD);
-  ev_io_init (&x->gone, on_gone, info->connect_fd, EV_READ);
-  x->gone.data = x;
-  ev_io_start (kq_loop_ev (x->server->loop), &x->gone);
+  ev_io_init (&x->close_watch, on_client_close, info->connect_fd, EV_READ);
+  x->close_watch.data = x;
+  ev_io_start (kq_loop_ev (x->server->loop), &x->close_watch);
 }
 
 static void
@@ -114,14 +115,14 @@
 {
   if (!x->suspended)
     return;
-  ev_io_stop (kq_loop_ev (x->server->loop), &x->gone);
+  ev_io_stop (kq_loop_ev (x->server->loop), &x->close_watch);
   x->suspended = false;
   MHD_resume_connection (x->conn);
   schedule_run (x->server);
 }
 
 static void *
-on_uri (void *arg, const char *uri, struct MHD_Connection *conn)
+new_exchange (void *arg, const char *uri, struct MHD_Connection *conn)
 {
   KqHttpServer *s = arg;
   KqHttpExchange *x = kq_alloc (sizeof *x);
@@ -147,7 +148,7 @@
     x->next->prev = x->prev;
   if (x->response != NULL)
     MHD_destroy_response (x->response);
-  ev_io_stop (kq_loop_ev (s->loop), &x->gone);
+  ev_io_stop (kq_loop_ev (s->loop), &x->close_watch);
   kq_buf_free (&x->out);
   free (x->uri);
   free ((char *)x->method.ptr);
@@ -161,16 +162,16 @@
 {
   KqHttpServer *s = arg;
   KqHttpExchange *x = *cls;
-  bool whole = how == MHD_REQUEST_TERMINATED_COMPLETED_OK;
+  bool complete = how == MHD_REQUEST_TERMINATED_COMPLETED_OK;
   (void)conn;
   if (x == NULL)
     return;
   *cls = NULL;
-  /* Of an answer of announced length MHD counts the bytes itself. */
-  if (x->reply == REPLY_STREAM && x->length < 0 && !x->reply_ended)
-    whole = false;
-  if (x->begun)
-    s->handler.gone (s->handler.arg, x, whole && x->reply != REPLY_NONE);
+  /* If the length was given, MHD itself checks that all bytes were sent. */
+  if (x->reply == REPLY_STREAMED && x->length < 0 && !x->reply_ended)
+    complete = false;
+  if (x->begin_called)
+    s->handler.gone (s->handler.arg, x, complete && x->reply != REPLY_NONE);
   free_exchange (x);
 }
 
@@ -196,7 +197,7 @@
 {
   KqHttpServer *s = x->server;
   int64_t length;
-  x->begun = true;
+  x->begin_called = true;
   x->method = kq_str (method);
   x->method.ptr = kq_str_dup (x->method);
   MHD_get_connection_values (x->conn, MHD_HEADER_KIND, add_header, x);
@@ -204,16 +205,16 @@
   if (x->aborted)
     return MHD_NO;
   length = kq_http_body_length (x);
-  if (x->response != NULL && (length < 0 || length > DRAIN_MAX))
+  if (x->response != NULL && (length < 0 || length > DRAIN_MAX_BYTES))
     return queue_response (x);
   return MHD_YES;
 }
 
 static enum MHD_Result
-take_body (KqHttpExchange *x, const char *bytes, size_t *size)
+deliver_body (KqHttpExchange *x, const char *bytes, size_t *size)
 {
   KqHttpServer *s = x->server;
-  if (x->response == NULL && x->paused)
+  if (x->response == NULL && x->upload_paused)
     {
       suspend (x);
       return MHD_YES;
@@ -235,13 +236,13 @@
   (void)version;
   if (x == NULL || x->aborted)
     return MHD_NO;
-  if (!x->begun)
+  if (!x->begin_called)
     return begin (x, method);
   if (*upload_size > 0)
-    return take_body (x, upload, upload_size);
-  if (!x->ended)
+    return deliver_body (x, upload, upload_size);
+  if (!x->body_ended)
     {
-      x->ended = true;
+      x->body_ended = true;
       if (x->response == NULL)
         s->handler.end (s->handler.arg, x);
     }
@@ -258,7 +259,7 @@
 {
   KqHttpExchange *x = arg;
   KqHttpServer *s = x->server;
-  size_t n = x->out.len - x->taken;
+  size_t n = x->out.len - x->n_copied;
   (void)pos;
   if (x->aborted)
     return MHD_CONTENT_READER_END_WITH_ERROR;
@@ -270,21 +271,21 @@
       return 0;
     }
   n = n < max ? n : max;
-  memcpy (to, x->out.ptr + x->taken, n);
-  x->taken += n;
-  if (x->taken == x->out.len)
+  memcpy (to, x->out.ptr + x->n_copied, n);
+  x->n_copied += n;
+  if (x->n_copied == x->out.len)
     {
       kq_buf_clear (&x->out);
-      x->taken = 0;
+      x->n_copied = 0;
     }
   if (s->handler.drained != NULL)
     s->handler.drained (s->handler.arg, x);
   return (ssize_t)n;
 }
 
-/* Paths and queries are passed on as they came; MHD must not decode them. */
+/* Prevents MHD from decoding paths and queries: they are passed on as received. */
 static size_t
-keep_escapes (void *arg, struct MHD_Connection *conn, char *text)
+keep_url_escapes (void *arg, struct MHD_Connection *conn, char *text)
 {
   (void)arg;
   (void)conn;
@@ -292,7 +293,7 @@
 }
 
 static void
-on_run (struct ev_loop *ev, ev_idle *w, int events)
+run_mhd (struct ev_loop *ev, ev_idle *w, int events)
 {
   KqHttpServer *s = w->data;
   (void)ev;
@@ -339,7 +340,7 @@
   ev_io_init (&s->ready, on_ready, info->epoll_fd, EV_READ);
   ev_timer_init (&s->timeout, on_timeout, 0, 0);
   ev_prepare_init (&s->before_poll, on_before_poll);
-  ev_idle_init (&s->run, on_run);
+  ev_idle_init (&s->run, run_mhd);
   s->ready.data = s->timeout.data = s->before_poll.data = s->run.data = s;
   ev_io_start (ev, &s->ready);
   ev_prepare_start (ev, &s->before_poll);
@@ -360,8 +361,8 @@
   s->mhd = MHD_start_daemon (
       MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, on_request, s,
       MHD_OPTION_LISTEN_SOCKET, fd, MHD_OPTION_NOTIFY_COMPLETED, on_completed, s,
-      MHD_OPTION_URI_LOG_CALLBACK, on_uri, s, MHD_OPTION_UNESCAPE_CALLBACK, keep_escapes,
-      s, MHD_OPTION_CONNECTION_TIMEOUT, (unsigned)IDLE_SECONDS,
+      MHD_OPTION_URI_LOG_CALLBACK, new_exchange, s, MHD_OPTION_UNESCAPE_CALLBACK,
+      keep_url_escapes, s, MHD_OPTION_CONNECTION_TIMEOUT, (unsigned)IDLE_TIMEOUT_S,
       MHD_OPTION_CONNECTION_LIMIT, (unsigned)CONNECTIONS_MAX, MHD_OPTION_END);
   if (s->mhd == NULL)
     {
@@ -458,16 +459,16 @@
 void
 kq_http_pause_upload (KqHttpExchange *x)
 {
-  x->paused = true;
+  x->upload_paused = true;
 }
 
 void
 kq_http_resume_upload (KqHttpExchange *x)
 {
-  if (!x->paused)
+  if (!x->upload_paused)
     return;
-  x->paused = false;
-  if (!x->ended)
+  x->upload_paused = false;
+  if (!x->body_ended)
     resume (x);
 }
 
@@ -503,7 +504,7 @@
   if (x->reply != REPLY_NONE || x->aborted)
     return;
   r = MHD_create_response_from_buffer (body.len, (void *)body.ptr, MHD_RESPMEM_MUST_COPY);
-  set_response (x, REPLY_WHOLE, status, r, headers, n_headers);
+  set_response (x, REPLY_BUFFERED, status, r, headers, n_headers);
 }
 
 void
@@ -515,19 +516,19 @@
   if (x->reply != REPLY_NONE || x->aborted)
     return;
   x->length = length;
-  r = MHD_create_response_from_callback (size, READER_BLOCK, read_content, x, NULL);
-  set_response (x, REPLY_STREAM, status, r, headers, n_headers);
+  r = MHD_create_response_from_callback (size, READER_BLOCK_BYTES, read_content, x, NULL);
+  set_response (x, REPLY_STREAMED, status, r, headers, n_headers);
 }
 
 void
 kq_http_reply_data (KqHttpExchange *x, KqStr bytes)
 {
-  if (x->reply != REPLY_STREAM || x->aborted)
+  if (x->reply != REPLY_STREAMED || x->aborted)
     return;
-  if (x->taken > x->out.len / 2)
+  if (x->n_copied > x->out.len / 2)
     {
-      kq_buf_drop (&x->out, x->taken);
-      x->taken = 0;
+      kq_buf_drop (&x->out, x->n_copied);
+      x->n_copied = 0;
     }
   kq_buf_add_str (&x->out, bytes);
   resume (x);
@@ -550,5 +551,5 @@
 size_t
 kq_http_unsent (const KqHttpExchange *x)
 {
-  return x->out.len - x->taken;
+  return x->out.len - x->n_copied;
 }
