--- a/src/http/http_test.c
+++ b/src/http/http_test.c
@@ -367,9 +367,9 @@
 /* A response that arrived while the process was blocked for longer than silent_ms was
  * discarded, because the timeout was checked before the socket, and requested again. */
 static void
-test_answer_that_is_there_beats_the_silence (void **state)
+test_arrived_response_is_not_timed_out (void **state)
 {
-  static const char answer[] = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+  static const char response[] = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
   Fixture *p = *state;
   KqHttpCallback cb = { p, client_head, client_data, NULL, client_done };
   KqHttpRequest r = { .method = "GET", .silent_ms = 300 };
@@ -381,7 +381,7 @@
   r.url = url;
   kq_http_call (p->client, &r, &cb);
   fd = accept_request (p, listener);
-  assert_int_equal (send (fd, answer, strlen (answer), 0), strlen (answer));
+  assert_int_equal (send (fd, response, strlen (response), 0), strlen (response));
   usleep (500000);
   run (p);
   close (fd);
@@ -439,7 +439,7 @@
  * must notice it although MHD doesn't poll suspended connections; otherwise the work for
  * the request would continue. */
 static void
-test_caller_gone_is_noticed (void **state)
+test_client_close_is_noticed (void **state)
 {
   Fixture *p = *state;
   KqHttpRequest r = { .method = "GET", .silent_ms = 300 };
@@ -477,12 +477,12 @@
                                      tear_down),
     cmocka_unit_test_setup_teardown (test_silent_target, set_up, tear_down),
     cmocka_unit_test_setup_teardown (test_silent_calls_end_together, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_answer_that_is_there_beats_the_silence, set_up,
+    cmocka_unit_test_setup_teardown (test_arrived_response_is_not_timed_out, set_up,
                                      tear_down),
     cmocka_unit_test_setup_teardown (test_refused_connection_is_not_sent, set_up,
                                      tear_down),
     cmocka_unit_test_setup_teardown (test_port_is_not_shared, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_caller_gone_is_noticed, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_client_close_is_noticed, set_up, tear_down),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
