--- a/src/settings/fleet_settings.c
+++ b/src/settings/fleet_settings.c
@@ -12,10 +12,10 @@
 {
   NAME,
   TEXT,
-  TEXT_OR_NONE, /* may be empty or left out */
-  NUMBER,       /* whole */
-  MILLI,        /* kept in thousandths: "0.25" is 250, seconds become milliseconds */
-  LEVEL
+  OPTIONAL_TEXT, /* may be empty or missing */
+  NUMBER,        /* an integer */
+  MILLI,         /* a decimal, stored in thousandths: "0.25" is 250, seconds become ms */
+  LOG_LEVEL
 } Kind;
 
 typedef struct
@@ -23,11 +23,11 @@
   const char *section;
   const char *key;
   Kind kind;
-  size_t at;   /* offset in KqFleetSettings */
-  size_t size; /* of a TEXT */
-  int64_t low;
-  int64_t high;
-  int64_t otherwise; /* -1: the key must be there */
+  size_t offset; /* in KqFleetSettings */
+  size_t size;   /* of the field, for TEXT and OPTIONAL_TEXT */
+  int64_t min;
+  int64_t max;
+  int64_t fallback; /* default; -1: the key is required */
 } Key;
 
 #define AT(field) offsetof (KqFleetSettings, field)
@@ -40,7 +40,7 @@
   { "fleet", "failure_domain", NAME, AT (failure_domain), 0, 0, 0, -1 },
   { "fleet", "region", NAME, AT (region), 0, 0, 0, -1 },
   { "fleet", "cpu_share", MILLI, AT (cpu_share_milli), 0, 1, 1000000, 1000 },
-  { "fleet", "log_level", LEVEL, AT (log_level), 0, 0, 0, KQ_LOG_INFO },
+  { "fleet", "log_level", LOG_LEVEL, AT (log_level), 0, 0, 0, KQ_LOG_INFO },
   { "listen", "ip", TEXT, AT (ip), SIZE (ip), 0, 0, -1 },
   { "listen", "front", TEXT, AT (front), SIZE (front), 0, 0, -1 },
   { "listen", "ready", TEXT, AT (ready), SIZE (ready), 0, 0, -1 },
@@ -48,9 +48,9 @@
   { "listen", "metrics_port", NUMBER, AT (metrics_port), 0, 0, PORT_MAX, -1 },
   { "store", "address", TEXT, AT (store), SIZE (store), 0, 0, -1 },
   { "store", "lease_min_ms", NUMBER, AT (lease_min_ms), 0, 1, HOUR_MS, 1000 },
-  { "advice", "address", TEXT_OR_NONE, AT (advice), SIZE (advice), 0, 0, 0 },
-  { "control_plane", "address", TEXT_OR_NONE, AT (control_plane), SIZE (control_plane), 0,
-    0, 0 },
+  { "advice", "address", OPTIONAL_TEXT, AT (advice), SIZE (advice), 0, 0, 0 },
+  { "control_plane", "address", OPTIONAL_TEXT, AT (control_plane), SIZE (control_plane),
+    0, 0, 0 },
   { "bounds", "runner_lease_max_ms", NUMBER, AT (runner_lease_max_ms), 0, 500, HOUR_MS,
     6000 },
   { "bounds", "maintenance_s", MILLI, AT (maintenance_ms), 0, 0, HOUR_MS, 2000 },
@@ -65,11 +65,11 @@
   KqSettingsFault *faults;
   int max;
   int n;
-  int lines[N_KEYS]; /* 0: not given */
-} Parse;
+  int lines[N_KEYS]; /* line of each key; 0: not given */
+} Parser;
 
 static void
-fault (Parse *p, KqResult code, int line, const char *section, const char *key,
+fault (Parser *p, KqResult code, int line, const char *section, const char *key,
        const char *allowed)
 {
   if (p->n < p->max)
@@ -83,7 +83,7 @@
   p->n++;
 }
 
-/* A decimal with up to three places, in thousandths. */
+/* Converts a decimal number with up to three decimals to thousandths. */
 static bool
 to_milli (KqStr s, int64_t *out)
 {
@@ -116,23 +116,23 @@
 }
 
 static void
-set_number (Parse *p, const Key *k, const KqTomlValue *v)
+set_number (Parser *p, const Key *k, const KqTomlValue *v)
 {
   int64_t n;
   if (!read_number (k, v, &n))
     fault (p, KQ_ERR_SETTINGS_TYPE, v->line, k->section, k->key, "a number");
-  else if (n < k->low || n > k->high)
+  else if (n < k->min || n > k->max)
     fault (p, KQ_ERR_SETTINGS_RANGE, v->line, k->section, k->key, "out of range");
   else
-    memcpy ((char *)p->out + k->at, &n, sizeof n);
+    memcpy ((char *)p->out + k->offset, &n, sizeof n);
 }
 
 static void
-set_text (Parse *p, const Key *k, const KqTomlValue *v)
+set_text (Parser *p, const Key *k, const KqTomlValue *v)
 {
   KqName name;
   int level;
-  char *to = (char *)p->out + k->at;
+  char *to = (char *)p->out + k->offset;
   char word[16];
   if (v->type != KQ_TOML_STRING)
     {
@@ -144,10 +144,10 @@
       name = kq_name (v->text);
       memcpy (to, &name, sizeof name);
     }
-  else if ((k->kind == TEXT_OR_NONE || (k->kind == TEXT && v->text.len > 0))
+  else if ((k->kind == OPTIONAL_TEXT || (k->kind == TEXT && v->text.len > 0))
            && v->text.len < k->size)
     kq_str_copy (v->text, to, k->size);
-  else if (k->kind == LEVEL && kq_str_copy (v->text, word, sizeof word))
+  else if (k->kind == LOG_LEVEL && kq_str_copy (v->text, word, sizeof word))
     {
       level = kq_log_level_parse (word);
       if (level < 0)
@@ -158,13 +158,13 @@
     }
   else
     fault (p, KQ_ERR_SETTINGS_RANGE, v->line, k->section, k->key,
-           "empty, too long or with other characters than a name has");
+           "empty, too long or with characters that are not allowed");
 }
 
 static void
 visit (void *data, const KqTomlValue *v)
 {
-  Parse *p = data;
+  Parser *p = data;
   if (v->type == KQ_TOML_SECTION)
     return;
   for (int i = 0; i < N_KEYS; i++)
@@ -180,26 +180,26 @@
         set_text (p, k, v);
       return;
     }
-  fault (p, KQ_ERR_SETTINGS_UNKNOWN_KEY, v->line, "", "", "not a key of a fleet's node");
+  fault (p, KQ_ERR_SETTINGS_UNKNOWN_KEY, v->line, "", "", "unknown key");
 }
 
 static void
-fill_defaults (Parse *p)
+fill_defaults (Parser *p)
 {
   for (int i = 0; i < N_KEYS; i++)
     {
       const Key *k = &keys[i];
-      int level = (int)k->otherwise;
+      int level = (int)k->fallback;
       if (p->lines[i] != 0)
         continue;
-      if (k->otherwise < 0)
+      if (k->fallback < 0)
         fault (p, KQ_ERR_SETTINGS_MISSING, 0, k->section, k->key, "must be given");
-      else if (k->kind == TEXT_OR_NONE)
+      else if (k->kind == OPTIONAL_TEXT)
         continue;
-      else if (k->kind == LEVEL)
-        memcpy ((char *)p->out + k->at, &level, sizeof level);
+      else if (k->kind == LOG_LEVEL)
+        memcpy ((char *)p->out + k->offset, &level, sizeof level);
       else
-        memcpy ((char *)p->out + k->at, &k->otherwise, sizeof k->otherwise);
+        memcpy ((char *)p->out + k->offset, &k->fallback, sizeof k->fallback);
     }
 }
 
@@ -207,7 +207,7 @@
 kq_fleet_settings_parse (KqStr text, KqFleetSettings *out, KqSettingsFault *faults,
                          int max)
 {
-  Parse p = { .out = out, .faults = faults, .max = max };
+  Parser p = { .out = out, .faults = faults, .max = max };
   char why[120];
   int line;
   *out = (KqFleetSettings){ 0 };
@@ -222,7 +222,7 @@
 }
 
 static void
-note_section (void *data, const KqTomlValue *v)
+find_fleet_section (void *data, const KqTomlValue *v)
 {
   bool *found = data;
   if (kq_str_eq (v->section, KQ_STR ("fleet")))
@@ -234,6 +234,6 @@
 {
   bool found = false;
   char why[120];
-  kq_toml_read (text, note_section, &found, why, sizeof why);
+  kq_toml_read (text, find_fleet_section, &found, why, sizeof why);
   return found;
 }
--- a/src/settings/settings.c
+++ b/src/settings/settings.c
@@ -10,10 +10,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A settings file is a page; a larger one is a wrong file. */
-#define FILE_MAX (1024 * 1024)
-/* A heartbeat lost now and then must not cost a lease: several fit in. */
-#define BEATS_PER_LEASE 4
+/* A settings file is about a page long; a file above this size is the wrong one. */
+#define FILE_BYTES_MAX (1024 * 1024)
+/* Several heartbeats fit into a lease, so that a single lost one doesn't end it. */
+#define HEARTBEATS_PER_LEASE_MIN 4
 
 typedef struct
 {
@@ -21,20 +21,21 @@
   KqSettingsFault *faults;
   int max;
   int n_faults;
-  int lines[64];       /* of each key; 0: not given. Same order as kq_setting_keys */
-  int region_lines[2]; /* of the section now open: name, shards */
-  int open_region;     /* its line; 0: none */
-  int skip_index;      /* section whose unknown name is told already */
-  KqStr skip;
+  int lines[64]; /* line of each key, in the order of kq_setting_keys; 0: not given */
+  int region_lines[2];   /* of name and shards in the current [[region]]; 0: not given */
+  int region_line;       /* line of the current [[region]]; 0: none */
+  int skipped_index;     /* index of the skipped section; -1: not in an array of tables */
+  KqStr skipped_section; /* already reported as a fault; its keys are ignored */
   bool region_seen;
-} Parse;
+} Parser;
 
-static void fault (Parse *p, KqResult code, int line, const char *key, const char *fmt,
+static void fault (Parser *p, KqResult code, int line, const char *key, const char *fmt,
                    ...) __attribute__ ((format (printf, 5, 6)));
 
-/* Faults beyond max are counted and not kept, so the caller sees that there are more. */
+/* Faults beyond max are counted but not stored, so that the caller sees how many there
+ * are. */
 static void
-fault (Parse *p, KqResult code, int line, const char *key, const char *fmt, ...)
+fault (Parser *p, KqResult code, int line, const char *key, const char *fmt, ...)
 {
   if (p->n_faults < p->max)
     {
@@ -50,7 +51,7 @@
   p->n_faults++;
 }
 
-/* "section.key" as far as it can be printed. */
+/* "section.key", shortened, with control characters replaced by '?'. */
 static void
 full_key (const KqTomlValue *v, char out[96])
 {
@@ -74,7 +75,7 @@
 }
 
 static bool
-known_section (KqStr section)
+is_known_section (KqStr section)
 {
   for (int i = 0; i < kq_n_setting_keys; i++)
     if (kq_str_eq (section, kq_str (kq_setting_keys[i].section)))
@@ -83,7 +84,7 @@
 }
 
 static void
-bad_value (Parse *p, KqResult code, int line, const KqSettingKey *k)
+value_fault (Parser *p, KqResult code, int line, const KqSettingKey *k)
 {
   char key[96];
   char allowed[120];
@@ -92,7 +93,7 @@
   fault (p, code, line, key, "%s: %s", kq_setting_type (k), allowed);
 }
 
-/* Copies a text that must hold no NUL byte. */
+/* False if the text contains a NUL byte or doesn't fit. */
 static bool
 copy_text (char *to, size_t size, KqStr s)
 {
@@ -116,7 +117,7 @@
 }
 
 static bool
-set_text (Parse *p, const KqSettingKey *k, KqStr s)
+set_text (Parser *p, const KqSettingKey *k, KqStr s)
 {
   char *field = (char *)p->out + k->offset;
   struct in_addr ip;
@@ -133,7 +134,7 @@
       return copy_text (field, 16, s) && inet_pton (AF_INET, field, &ip) == 1;
     case KQ_SETTING_URL:
       return valid_url (s) && copy_text (field, 256, s);
-    default: /* LEVEL */
+    default: /* KQ_SETTING_LOG_LEVEL */
       {
         char level[16];
         int l = copy_text (level, sizeof level, s) ? kq_log_level_parse (level) : -1;
@@ -144,7 +145,7 @@
 }
 
 static bool
-set_number (Parse *p, const KqSettingKey *k, int64_t n)
+set_number (Parser *p, const KqSettingKey *k, int64_t n)
 {
   char *field = (char *)p->out + k->offset;
   if (n < k->min || n > k->max)
@@ -157,12 +158,12 @@
 }
 
 static void
-set_depot (Parse *p, const KqSettingKey *k, const KqTomlValue *v)
+add_depot (Parser *p, const KqSettingKey *k, const KqTomlValue *v)
 {
   KqSettings *s = p->out;
   if (!kq_name_valid (v->text) || s->n_depots == KQ_DEPOTS_MAX)
     {
-      bad_value (p, KQ_ERR_SETTINGS_RANGE, v->line, k);
+      value_fault (p, KQ_ERR_SETTINGS_RANGE, v->line, k);
       return;
     }
   for (int i = 0; i < s->n_depots; i++)
@@ -176,7 +177,7 @@
 }
 
 static void
-set_region (Parse *p, const KqSettingKey *k, const KqTomlValue *v)
+set_region_value (Parser *p, const KqSettingKey *k, const KqTomlValue *v)
 {
   KqSettings *s = p->out;
   KqRegionSetting *r = &s->regions[s->n_regions - 1];
@@ -196,31 +197,31 @@
       p->region_lines[1] = v->line;
     }
   if (!ok)
-    bad_value (p, KQ_ERR_SETTINGS_RANGE, v->line, k);
+    value_fault (p, KQ_ERR_SETTINGS_RANGE, v->line, k);
 }
 
 static void
-close_region (Parse *p)
+finish_region (Parser *p)
 {
-  if (p->open_region != 0 && p->region_lines[0] == 0)
-    fault (p, KQ_ERR_SETTINGS_MISSING, p->open_region, "region.name",
+  if (p->region_line != 0 && p->region_lines[0] == 0)
+    fault (p, KQ_ERR_SETTINGS_MISSING, p->region_line, "region.name",
            "must be given in each [[region]]");
-  if (p->open_region != 0 && p->region_lines[1] == 0)
-    fault (p, KQ_ERR_SETTINGS_MISSING, p->open_region, "region.shards",
+  if (p->region_line != 0 && p->region_lines[1] == 0)
+    fault (p, KQ_ERR_SETTINGS_MISSING, p->region_line, "region.shards",
            "must be given in each [[region]]");
-  p->open_region = 0;
+  p->region_line = 0;
 }
 
 static void
-open_section (Parse *p, const KqTomlValue *v)
+start_section (Parser *p, const KqTomlValue *v)
 {
   bool region = kq_str_eq (v->section, KQ_STR ("region"));
   char key[96];
   full_key (v, key);
-  p->skip = KQ_STR ("");
-  p->skip_index = -1;
+  p->skipped_section = KQ_STR ("");
+  p->skipped_index = -1;
   p->region_seen = p->region_seen || region;
-  if (!known_section (v->section))
+  if (!is_known_section (v->section))
     fault (p, KQ_ERR_SETTINGS_UNKNOWN_KEY, v->line, key,
            "sections are node, cluster, mesh, callers, operators, store, region, "
            "host_lists, limits, log");
@@ -234,18 +235,18 @@
     fault (p, KQ_ERR_SETTINGS_RANGE, v->line, key, "at most %d regions", KQ_REGIONS_MAX);
   else
     {
-      close_region (p);
+      finish_region (p);
       p->out->n_regions++;
-      p->open_region = v->line > 0 ? v->line : 1;
+      p->region_line = v->line > 0 ? v->line : 1;
       memset (p->region_lines, 0, sizeof p->region_lines);
       return;
     }
-  p->skip = v->section;
-  p->skip_index = v->index;
+  p->skipped_section = v->section;
+  p->skipped_index = v->index;
 }
 
 static KqTomlType
-wanted_type (const KqSettingKey *k)
+expected_type (const KqSettingKey *k)
 {
   switch (k->kind)
     {
@@ -261,44 +262,45 @@
 }
 
 static void
-set_value (Parse *p, int i, const KqTomlValue *v)
+set_value (Parser *p, int i, const KqTomlValue *v)
 {
   const KqSettingKey *k = &kq_setting_keys[i];
   bool ok;
   p->lines[i] = v->line > 0 ? v->line : 1;
-  if (v->type != wanted_type (k))
+  if (v->type != expected_type (k))
     {
       if (k->kind == KQ_SETTING_REGION_NAME)
         p->region_lines[0] = v->line;
       if (k->kind == KQ_SETTING_REGION_SHARDS)
         p->region_lines[1] = v->line;
-      bad_value (p, KQ_ERR_SETTINGS_TYPE, v->line, k);
+      value_fault (p, KQ_ERR_SETTINGS_TYPE, v->line, k);
       return;
     }
   if (k->kind == KQ_SETTING_NAMES)
     return;
   if (k->kind == KQ_SETTING_REGION_NAME || k->kind == KQ_SETTING_REGION_SHARDS)
     {
-      set_region (p, k, v);
+      set_region_value (p, k, v);
       return;
     }
   ok = v->type == KQ_TOML_INTEGER ? set_number (p, k, v->number)
                                   : set_text (p, k, v->text);
   if (!ok)
-    bad_value (p, KQ_ERR_SETTINGS_RANGE, v->line, k);
+    value_fault (p, KQ_ERR_SETTINGS_RANGE, v->line, k);
 }
 
 static void
 visit (void *data, const KqTomlValue *v)
 {
-  Parse *p = data;
+  Parser *p = data;
   int i;
   if (v->type == KQ_TOML_SECTION)
     {
-      open_section (p, v);
+      start_section (p, v);
       return;
     }
-  if (p->skip.len > 0 && kq_str_eq (v->section, p->skip) && v->index == p->skip_index)
+  if (p->skipped_section.len > 0 && kq_str_eq (v->section, p->skipped_section)
+      && v->index == p->skipped_index)
     return;
   i = find_key (v->section, v->key);
   if (i < 0)
@@ -311,13 +313,13 @@
       return;
     }
   if (v->element >= 0 && kq_setting_keys[i].kind == KQ_SETTING_NAMES)
-    set_depot (p, &kq_setting_keys[i], v);
+    add_depot (p, &kq_setting_keys[i], v);
   else if (v->element < 0)
     set_value (p, i, v);
 }
 
 static void
-set_defaults (Parse *p)
+set_defaults (Parser *p)
 {
   for (int i = 0; i < kq_n_setting_keys; i++)
     {
@@ -333,27 +335,27 @@
 }
 
 static void
-check_missing (Parse *p)
+check_missing (Parser *p)
 {
   for (int i = 0; i < kq_n_setting_keys; i++)
     {
       const KqSettingKey *k = &kq_setting_keys[i];
       if (k->fallback != NULL || p->lines[i] != 0 || strcmp (k->section, "region") == 0)
         continue;
-      bad_value (p, KQ_ERR_SETTINGS_MISSING, 0, k);
+      value_fault (p, KQ_ERR_SETTINGS_MISSING, 0, k);
     }
   if (!p->region_seen)
     fault (p, KQ_ERR_SETTINGS_MISSING, 0, "region", "at least one [[region]]");
 }
 
 static int
-line_of (const Parse *p, const char *section, const char *key)
+line_of (const Parser *p, const char *section, const char *key)
 {
   return p->lines[find_key (kq_str (section), kq_str (key))];
 }
 
 static void
-check_regions (Parse *p)
+check_regions (Parser *p)
 {
   const KqSettings *s = p->out;
   for (int i = 0; i < s->n_regions; i++)
@@ -368,7 +370,7 @@
 }
 
 static bool
-same_listener (const char *ip_a, int port_a, const char *ip_b, int port_b)
+listeners_overlap (const char *ip_a, int port_a, const char *ip_b, int port_b)
 {
   bool any = strcmp (ip_a, "0.0.0.0") == 0 || strcmp (ip_b, "0.0.0.0") == 0;
   return port_a != 0 && port_a == port_b && ip_a[0] != '\0' && ip_b[0] != '\0'
@@ -376,16 +378,16 @@
 }
 
 static void
-check_listeners (Parse *p)
+check_listeners (Parser *p)
 {
   const KqSettings *s = p->out;
-  if (same_listener (s->mesh_ip, s->mesh_port, s->caller_ip, s->caller_port))
+  if (listeners_overlap (s->mesh_ip, s->mesh_port, s->caller_ip, s->caller_port))
     fault (p, KQ_ERR_SETTINGS_CONFLICT, line_of (p, "callers", "port"), "callers.port",
            "another address or port than [mesh]");
-  if (same_listener (s->mesh_ip, s->mesh_port, s->operator_ip, s->operator_port))
+  if (listeners_overlap (s->mesh_ip, s->mesh_port, s->operator_ip, s->operator_port))
     fault (p, KQ_ERR_SETTINGS_CONFLICT, line_of (p, "operators", "port"),
            "operators.port", "another address or port than [mesh]");
-  if (same_listener (s->caller_ip, s->caller_port, s->operator_ip, s->operator_port))
+  if (listeners_overlap (s->caller_ip, s->caller_port, s->operator_ip, s->operator_port))
     fault (p, KQ_ERR_SETTINGS_CONFLICT, line_of (p, "operators", "port"),
            "operators.port", "another address or port than [callers]");
   if (strcmp (s->mesh_ip, "0.0.0.0") == 0)
@@ -394,10 +396,10 @@
 }
 
 static void
-check_times (Parse *p)
+check_times (Parser *p)
 {
   const KqSettings *s = p->out;
-  if (s->heartbeat_ms * BEATS_PER_LEASE > s->node_lease_ms)
+  if (s->heartbeat_ms * HEARTBEATS_PER_LEASE_MIN > s->node_lease_ms)
     fault (p, KQ_ERR_SETTINGS_CONFLICT, line_of (p, "limits", "heartbeat_ms"),
            "limits.heartbeat_ms", "at most a quarter of node_lease_ms");
   if (s->blind_ms != 0 && s->blind_ms < s->worker_lease_ms)
@@ -405,7 +407,7 @@
            "limits.blind_ms", "0, or at least worker_lease_ms");
 }
 
-/* In the order of the file; faults of the whole file last. */
+/* Sorts by line; faults without a line come last. */
 static int
 compare_faults (const void *a, const void *b)
 {
@@ -417,11 +419,11 @@
 int
 kq_settings_parse (KqStr text, KqSettings *out, KqSettingsFault *faults, int max)
 {
-  Parse p = { .out = out, .faults = faults, .max = max, .skip_index = -1 };
+  Parser p = { .out = out, .faults = faults, .max = max, .skipped_index = -1 };
   char why[120];
   int line;
   memset (out, 0, sizeof *out);
-  p.skip = KQ_STR ("");
+  p.skipped_section = KQ_STR ("");
   set_defaults (&p);
   line = kq_toml_read (text, visit, &p, why, sizeof why);
   if (line != 0)
@@ -429,7 +431,7 @@
       fault (&p, KQ_ERR_SETTINGS_SYNTAX, line, "", "%s", why);
       return p.n_faults;
     }
-  close_region (&p);
+  finish_region (&p);
   check_missing (&p);
   check_regions (&p);
   check_listeners (&p);
@@ -444,12 +446,12 @@
 int
 kq_settings_load (const char *path, KqSettings *out, KqSettingsFault *faults, int max)
 {
-  Parse p = { .out = out, .faults = faults, .max = max };
-  char *text = kq_alloc (FILE_MAX + 1);
+  Parser p = { .out = out, .faults = faults, .max = max };
+  char *text = kq_alloc (FILE_BYTES_MAX + 1);
   FILE *f = fopen (path, "rb");
-  size_t len = f != NULL ? fread (text, 1, FILE_MAX + 1, f) : 0;
+  size_t len = f != NULL ? fread (text, 1, FILE_BYTES_MAX + 1, f) : 0;
   int n;
-  if (f == NULL || ferror (f) || len > FILE_MAX)
+  if (f == NULL || ferror (f) || len > FILE_BYTES_MAX)
     {
       memset (out, 0, sizeof *out);
       fault (&p, KQ_ERR_FILE, 0, "", "a file that can be read, at most 1 MB");
--- a/src/settings/settings_keys.c
+++ b/src/settings/settings_keys.c
@@ -56,7 +56,7 @@
     "Time between heartbeats to the nodes of the region." },
   { "limits", "stop_ms", KQ_SETTING_INT, AT (stop_ms), 1000, 3600000, "30000",
     "Limit of a planned stop; what is open then is cut and counted." },
-  { "log", "level", KQ_SETTING_LEVEL, AT (log_level), 0, 0, "info",
+  { "log", "level", KQ_SETTING_LOG_LEVEL, AT (log_level), 0, 0, "info",
     "Least important lines to log." },
 };
 
@@ -99,7 +99,7 @@
     case KQ_SETTING_URL:
       snprintf (out, size, "http:// or https:// and a host, at most 255 bytes");
       break;
-    case KQ_SETTING_LEVEL:
+    case KQ_SETTING_LOG_LEVEL:
       snprintf (out, size, "error, warn, info or debug");
       break;
     case KQ_SETTING_PORT:
--- a/src/settings/settings_test.c
+++ b/src/settings/settings_test.c
@@ -31,7 +31,7 @@
   return kq_settings_parse (kq_str (text), &settings, faults, KQ_SETTINGS_FAULTS_MAX);
 }
 
-/* The good file with `from` replaced by `to`; "" appends. */
+/* Parses the good file with `from` replaced by `to`; a `from` of "" appends `to`. */
 static int
 parse_with (const char *from, const char *to)
 {
@@ -104,8 +104,9 @@
     "host_lists.depots" },
 };
 
-/* An operator's slip of any kind: the daemon doesn't start, and the one fault names its
- * code, line and key; no other fault follows from it. */
+/* One mistake of each kind in the file gives exactly one fault, with its code, line and
+ * key. Guards against missed mistakes and against further faults that only follow from
+ * the first. */
 static void
 test_each_fault (void **state)
 {
@@ -123,7 +124,7 @@
 }
 
 static void
-test_all_faults_told (void **state)
+test_all_faults_reported (void **state)
 {
   KqBuf b = { 0 };
   (void)state;
@@ -139,8 +140,8 @@
   assert_int_equal (faults[0].code, KQ_ERR_FILE);
 }
 
-/* Bytes of a wrong or damaged file: each is either read whole or refused with faults;
- * nothing crashes (the sanitizer build tells). The seed is fixed. */
+/* A wrong or damaged file is read or refused with faults; it must not crash the parser.
+ * The sanitizer build detects invalid memory accesses. The seed is fixed. */
 static void
 test_any_bytes (void **state)
 {
@@ -158,12 +159,11 @@
     }
 }
 
-/* The operator sees a process that dies or reads nonsense at the start: the parser asked
- * whether a letter beyond ASCII is white space and reached a place it held to be
- * unreachable (found by `make fuzz`). Such letters stay allowed in comments and strings.
- */
+/* Guards against a daemon that crashes or reads wrong values at the start: toml++ tested
+ * a non-ASCII character for white space and reached code marked as unreachable (found by
+ * `make fuzz`). Such characters stay allowed in comments. */
 static void
-test_letters_beyond_ascii (void **state)
+test_non_ascii (void **state)
 {
   static const char *const wrong[] = { "\n\xc3\xa4 = 1\n",
                                        "\n[x]\na = 'b' \xc5\xbe\n",
@@ -183,12 +183,11 @@
   assert_int_equal (parse_with ("shards = 3", "shards = 3 # \xc4\x8d"), 0);
 }
 
-/* What the caller sees: a daemon of the fleet that is started with a damaged file dies or
- * reads on with nonsense instead of naming the line. The file holds a letter beyond ASCII
- * outside of a comment; the parser asks whether it is white space and has no answer. The
- * check in front of the parser holds for every reader of such a file. */
+/* The same fault in a file with a section [fleet]: a non-ASCII character outside of a
+ * comment made the daemon crash or read wrong values instead of reporting the line. The
+ * check before the parser applies to both kinds of settings file. */
 static void
-test_fleet_letters_beyond_ascii (void **state)
+test_fleet_non_ascii (void **state)
 {
   KqStr text = KQ_STR ("[fleet]\n\xef\xbb\xbe"
                        "f = 1\n");
@@ -215,13 +214,10 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_whole_file),
-    cmocka_unit_test (test_each_fault),
-    cmocka_unit_test (test_all_faults_told),
-    cmocka_unit_test (test_any_bytes),
-    cmocka_unit_test (test_reference),
-    cmocka_unit_test (test_letters_beyond_ascii),
-    cmocka_unit_test (test_fleet_letters_beyond_ascii),
+    cmocka_unit_test (test_whole_file),          cmocka_unit_test (test_each_fault),
+    cmocka_unit_test (test_all_faults_reported), cmocka_unit_test (test_any_bytes),
+    cmocka_unit_test (test_reference),           cmocka_unit_test (test_non_ascii),
+    cmocka_unit_test (test_fleet_non_ascii),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/settings/toml_check.c
+++ b/src/settings/toml_check.c
@@ -1,12 +1,12 @@
 #include "settings/toml_check.h"
 
-#define NOT_ASCII 0x80
+#define NON_ASCII_MIN 0x80
 
-/* The line without its comment: a '#' within a string opens none. */
+/* The line without its comment. A '#' within a string starts no comment. */
 static KqStr
-before_comment (KqStr line)
+without_comment (KqStr line)
 {
-  char quote = '\0'; /* that opened the string which i is in */
+  char quote = '\0'; /* the opening quote of the string around i; '\0': outside */
   for (size_t i = 0; i < line.len; i++)
     {
       char c = line.ptr[i];
@@ -22,26 +22,26 @@
   return line;
 }
 
-/* What stands wrong in one line, or NULL. */
+/* What is wrong with a line, or NULL. */
 static const char *
 check_line (KqStr line)
 {
-  KqStr before = kq_str_trim (line);
+  KqStr content = kq_str_trim (line);
   KqStr rest;
-  if (kq_str_has_prefix (before, KQ_STR ("#")))
+  if (kq_str_has_prefix (content, KQ_STR ("#")))
     return NULL;
   for (size_t i = 0; i < line.len; i++)
     {
       rest = kq_str_n (line.ptr + i, line.len - i);
       if (kq_str_has_prefix (rest, KQ_STR ("\"\"\""))
           || kq_str_has_prefix (rest, KQ_STR ("'''")))
-        return "strings of several lines are not taken";
+        return "multi-line strings are not supported";
     }
-  before = before_comment (line);
-  for (size_t i = 0; i < before.len; i++)
+  content = without_comment (line);
+  for (size_t i = 0; i < content.len; i++)
     {
-      if ((uint8_t)before.ptr[i] >= NOT_ASCII)
-        return "only comments may hold letters beyond ASCII";
+      if ((uint8_t)content.ptr[i] >= NON_ASCII_MIN)
+        return "only comments may contain non-ASCII characters";
     }
   return NULL;
 }
@@ -49,7 +49,7 @@
 int
 kq_toml_check (KqStr text, const char **why)
 {
-  /* A byte order mark may open the file. */
+  /* The file may begin with a byte order mark. */
   KqStr mark = KQ_STR ("\xef\xbb\xbf");
   if (kq_str_has_prefix (text, mark))
     text = kq_str_n (text.ptr + mark.len, text.len - mark.len);
--- a/src/settings/toml_shim.cc
+++ b/src/settings/toml_shim.cc
@@ -9,8 +9,8 @@
 #include <stdexcept>
 #include <string_view>
 
-/* The parser asserts that a key begins with a letter where a damaged file may have any
- * byte: the process would abort. As an exception it's a fault of syntax like others. */
+/* The parser asserts that a key begins with a letter, which would abort the process for a
+ * damaged file. The exception turns the failed assertion into a syntax error. */
 [[noreturn]] static void
 assertion_failed ()
 {
@@ -36,7 +36,7 @@
   return (int)n.source ().begin.line;
 }
 
-struct Walk
+struct Walker
 {
   KqTomlVisit visit;
   void *data;
@@ -70,7 +70,7 @@
   }
 
   void
-  strings (const toml::array &a)
+  string_array (const toml::array &a)
   {
     if (!a.empty () && !a.is_homogeneous (toml::node_type::string))
       {
@@ -99,14 +99,14 @@
       {
         value.key = str (key.str ());
         if (auto a = node.as_array ())
-          strings (*a);
+          string_array (*a);
         else
           scalar (node);
       }
   }
 
   void
-  top (std::string_view name, const toml::node &n)
+  top_level (std::string_view name, const toml::node &n)
   {
     if (auto t = n.as_table ())
       {
@@ -135,19 +135,19 @@
 extern "C" int
 kq_toml_read (KqStr text, KqTomlVisit visit, void *data, char *why, size_t why_size)
 {
-  const char *stray;
-  int wrong = kq_toml_check (text, &stray);
-  if (wrong != 0)
+  const char *reason;
+  int bad_line = kq_toml_check (text, &reason);
+  if (bad_line != 0)
     {
-      std::snprintf (why, why_size, "%s", stray);
-      return wrong;
+      std::snprintf (why, why_size, "%s", reason);
+      return bad_line;
     }
   try
     {
       toml::table root = toml::parse (std::string_view (text.ptr, text.len));
-      Walk walk{ visit, data, {} };
+      Walker walker{ visit, data, {} };
       for (auto &&[key, node] : root)
-        walk.top (key.str (), node);
+        walker.top_level (key.str (), node);
       return 0;
     }
   catch (const toml::parse_error &e)
