--- a/src/ctl/call.c
+++ b/src/ctl/call.c
@@ -5,16 +5,16 @@
 #include <string.h>
 
 static size_t
-take_body (char *bytes, size_t size, size_t n, void *buf)
+append_body (char *bytes, size_t size, size_t n, void *buf)
 {
   kq_buf_add (buf, bytes, size * n);
   return size * n;
 }
 
-/* The exit code that an answer's status stands for. A write of the table whose answer the
- * store lost is nobody's knowledge yet, whatever `ran` says. */
+/* Maps a response's status to an exit code. If the store's answer to a write of the table
+ * was lost, the outcome is unknown, whatever the member "ran" says. */
 static int
-exit_of (const char *method, long status, const json_t *problem)
+exit_code_of_status (const char *method, long status, const json_t *problem)
 {
   json_int_t result = json_integer_value (json_object_get (problem, "code"));
   bool lost = result == KQ_ERR_STORE_UNREACHABLE || result == KQ_ERR_COMMIT_UNKNOWN;
@@ -53,16 +53,17 @@
 }
 
 static void
-add_node (const KqCtl *c, const char *path, KqBuf *url)
+add_node_parameter (const KqCtl *c, const char *path, KqBuf *url)
 {
   if (c->node == NULL)
     return;
   kq_buf_printf (url, "%cnode=%s", strchr (path, '?') != NULL ? '&' : '?', c->node);
 }
 
-/* A request that was never sent changed nothing; one that was sent may have. */
+/* A request that was never sent changed nothing; one that was sent may have changed
+ * something. */
 static int
-exit_of_failure (CURLcode r, const char *method)
+exit_code_of_failure (CURLcode r, const char *method)
 {
   bool sent = r != CURLE_COULDNT_CONNECT && r != CURLE_COULDNT_RESOLVE_HOST
               && r != CURLE_URL_MALFORMAT && r != CURLE_UNSUPPORTED_PROTOCOL;
@@ -93,19 +94,19 @@
   CURL *h = curl_easy_init ();
   struct curl_slist *headers = make_headers (c, header);
   KqBuf url = { 0 };
-  KqBuf got = { 0 };
+  KqBuf response = { 0 };
   long status = 0;
   int code;
   *out = NULL;
   kq_buf_printf (&url, "%s%s", c->server, path);
-  add_node (c, path, &url);
+  add_node_parameter (c, path, &url);
   curl_easy_setopt (h, CURLOPT_URL, url.ptr);
   curl_easy_setopt (h, CURLOPT_CUSTOMREQUEST, method);
   curl_easy_setopt (h, CURLOPT_HTTPHEADER, headers);
   curl_easy_setopt (h, CURLOPT_TIMEOUT, (long)c->timeout_s);
   curl_easy_setopt (h, CURLOPT_NOSIGNAL, 1L);
-  curl_easy_setopt (h, CURLOPT_WRITEFUNCTION, take_body);
-  curl_easy_setopt (h, CURLOPT_WRITEDATA, &got);
+  curl_easy_setopt (h, CURLOPT_WRITEFUNCTION, append_body);
+  curl_easy_setopt (h, CURLOPT_WRITEDATA, &response);
   if (strcmp (method, "GET") != 0)
     {
       curl_easy_setopt (h, CURLOPT_POSTFIELDSIZE, (long)body.len);
@@ -115,12 +116,13 @@
   if (r != CURLE_OK)
     {
       fprintf (stderr, "kumquatctl: %s: %s\n", c->server, curl_easy_strerror (r));
-      code = exit_of_failure (r, method);
+      code = exit_code_of_failure (r, method);
       goto out;
     }
   curl_easy_getinfo (h, CURLINFO_RESPONSE_CODE, &status);
-  json_t *json = json_loadb (got.ptr != NULL ? got.ptr : "", got.len, 0, NULL);
-  code = exit_of (method, status, json);
+  json_t *json
+      = json_loadb (response.ptr != NULL ? response.ptr : "", response.len, 0, NULL);
+  code = exit_code_of_status (method, status, json);
   if (code == KQ_EXIT_OK)
     *out = json;
   else
@@ -132,7 +134,7 @@
   curl_slist_free_all (headers);
   curl_easy_cleanup (h);
   kq_buf_free (&url);
-  kq_buf_free (&got);
+  kq_buf_free (&response);
   return code;
 }
 
@@ -142,7 +144,7 @@
   int code = kq_ctl_call (c, "GET", path, NULL, KQ_STR (""), out);
   if (code != KQ_EXIT_OK || *out != NULL)
     return code;
-  fprintf (stderr, "kumquatctl: the answer isn't JSON\n");
+  fprintf (stderr, "kumquatctl: the response is not JSON\n");
   return KQ_EXIT_REFUSED;
 }
 
@@ -168,7 +170,7 @@
       continue;
     if (kq_ctl_get (&ask, path, &answer) != KQ_EXIT_OK)
       {
-        fprintf (stderr, "kumquatctl: no answer of node %s; it is left out\n", name);
+        fprintf (stderr, "kumquatctl: no answer from node %s; it is left out\n", name);
         continue;
       }
     json_array_append_new (*out,
--- a/src/ctl/cmd_account.c
+++ b/src/ctl/cmd_account.c
@@ -4,13 +4,13 @@
 #include <string.h>
 
 static void
-add_number (json_t *to, const char *key, json_int_t v)
+add_to_member (json_t *to, const char *key, json_int_t v)
 {
   json_int_t old = json_integer_value (json_object_get (to, key));
   json_object_set_new (to, key, json_integer (old + v));
 }
 
-/* Sums one node's {service: {taken, in_flight, ...}} into an object of the same form. */
+/* Adds one node's {service: {taken, in_flight, ...}} to a sum of the same form. */
 static void
 add_services (json_t *sum, const json_t *answer)
 {
@@ -20,24 +20,26 @@
   json_t *v;
   json_object_foreach ((json_t *)answer, name, service)
   {
-    json_t *line = json_object_get (sum, name);
-    if (line == NULL)
+    json_t *totals = json_object_get (sum, name);
+    if (totals == NULL)
       {
-        line = json_object ();
-        json_object_set_new (sum, name, line);
+        totals = json_object ();
+        json_object_set_new (sum, name, totals);
       }
-    json_object_foreach (service, key, v) add_number (line, key, json_integer_value (v));
+    json_object_foreach (service, key, v)
+        add_to_member (totals, key, json_integer_value (v));
   }
 }
 
-/* Taken must be what ended plus what is in flight. */
+/* Taken must equal the sum of all other members: requests that ended and that are in
+ * flight. */
 static bool
-balanced (const json_t *line)
+is_balanced (const json_t *totals)
 {
-  json_int_t left = json_integer_value (json_object_get (line, "taken"));
+  json_int_t left = json_integer_value (json_object_get (totals, "taken"));
   const char *key;
   json_t *v;
-  json_object_foreach ((json_t *)line, key, v)
+  json_object_foreach ((json_t *)totals, key, v)
   {
     if (strcmp (key, "taken") != 0)
       left -= json_integer_value (v);
@@ -50,16 +52,17 @@
 {
   json_t *sum = json_object ();
   json_t *rows = json_array ();
-  json_t *one;
-  json_t *line;
+  json_t *node_answer;
+  json_t *totals;
   const char *name;
   size_t i;
-  json_array_foreach ((json_t *)answers, i, one)
-      add_services (sum, json_object_get (one, "answer"));
-  json_object_foreach (sum, name, line)
+  json_array_foreach ((json_t *)answers, i, node_answer)
+      add_services (sum, json_object_get (node_answer, "answer"));
+  json_object_foreach (sum, name, totals)
   {
-    json_t *row = json_pack ("{s:s, s:b}", "service", name, "balanced", balanced (line));
-    json_object_update (row, line);
+    json_t *row
+        = json_pack ("{s:s, s:b}", "service", name, "balanced", is_balanced (totals));
+    json_object_update (row, totals);
     json_array_append_new (rows, row);
   }
   json_decref (sum);
@@ -70,13 +73,13 @@
 kq_account_jobs (const json_t *answers)
 {
   json_t *rows = json_array ();
-  json_t *one;
+  json_t *node_answer;
   json_t *shard;
   size_t i;
   size_t k;
-  json_array_foreach ((json_t *)answers, i, one)
+  json_array_foreach ((json_t *)answers, i, node_answer)
   {
-    json_array_foreach (json_object_get (one, "answer"), k, shard)
+    json_array_foreach (json_object_get (node_answer, "answer"), k, shard)
     {
       json_int_t left = json_integer_value (json_object_get (shard, "accepted"));
       static const char *const ends[]
@@ -119,11 +122,11 @@
 #define LEN(a) (sizeof (a) / sizeof (a)[0])
 
 int
-kq_ctl_account (KqCtl *c, int n, char **words)
+kq_ctl_account (KqCtl *c, int n, char **args)
 {
   json_t *requests = NULL;
   json_t *jobs = NULL;
-  (void)words;
+  (void)args;
   if (n > 0)
     return kq_ctl_usage ("kumquatctl account\n");
   int code = kq_ctl_get_all (c, "/v1/account/requests", &requests);
@@ -135,9 +138,9 @@
       json_t *j = kq_account_jobs (jobs);
       if (c->json)
         {
-          json_t *both = json_pack ("{s:O, s:O}", "requests", r, "jobs", j);
-          kq_ctl_print_json (both);
-          json_decref (both);
+          json_t *accounts = json_pack ("{s:O, s:O}", "requests", r, "jobs", j);
+          kq_ctl_print_json (accounts);
+          json_decref (accounts);
         }
       else
         {
--- a/src/ctl/cmd_csv.c
+++ b/src/ctl/cmd_csv.c
@@ -4,15 +4,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FILE_MAX (8 * 1024 * 1024)
+#define FILE_BYTES_MAX (8 * 1024 * 1024)
 
 int
-kq_ctl_csv_export (KqCtl *c, int n, char **words)
+kq_ctl_csv_export (KqCtl *c, int n, char **args)
 {
   KqRowKind only = KQ_ROW_KINDS;
   KqBuf out = { 0 };
   json_t *table;
-  if (n > 1 || (n == 1 && !kq_row_kind_parse (kq_str (words[0]), &only)))
+  if (n > 1 || (n == 1 && !kq_row_kind_parse (kq_str (args[0]), &only)))
     return kq_ctl_usage ("kumquatctl table export [KIND]\n");
   int code = kq_ctl_get (c, "/v1/table", &table);
   if (code != KQ_EXIT_OK)
@@ -28,20 +28,20 @@
 read_file (const char *path, KqBuf *out)
 {
   FILE *f = strcmp (path, "-") == 0 ? stdin : fopen (path, "rb");
-  char part[4096];
+  char chunk[4096];
   size_t n = 0;
   if (f == NULL)
     return false;
-  while (out->len <= FILE_MAX && (n = fread (part, 1, sizeof part, f)) > 0)
-    kq_buf_add (out, part, n);
-  bool ok = ferror (f) == 0 && out->len <= FILE_MAX;
+  while (out->len <= FILE_BYTES_MAX && (n = fread (chunk, 1, sizeof chunk, f)) > 0)
+    kq_buf_add (out, chunk, n);
+  bool ok = ferror (f) == 0 && out->len <= FILE_BYTES_MAX;
   if (f != stdin)
     fclose (f);
   return ok;
 }
 
 static void
-show_difference (const KqCtl *c, const KqCsvPlan *p)
+print_difference (const KqCtl *c, const KqCsvPlan *p)
 {
   if (c->json)
     kq_ctl_print_json (p->changes);
@@ -49,7 +49,7 @@
     fputs (p->difference.len > 0 ? p->difference.ptr : "no difference\n", stdout);
 }
 
-/* All rows go in one change: either all of them stand or none. */
+/* Sends all rows in one request, so that either all of them are written or none. */
 static int
 send_changes (const KqCtl *c, const KqCsvPlan *p)
 {
@@ -69,7 +69,7 @@
 }
 
 int
-kq_ctl_csv_import (KqCtl *c, int n, char **words)
+kq_ctl_csv_import (KqCtl *c, int n, char **args)
 {
   KqBuf csv = { 0 };
   KqCsvPlan plan = { 0 };
@@ -77,9 +77,9 @@
   int code = KQ_EXIT_USAGE;
   if (n != 1)
     return kq_ctl_usage ("kumquatctl table import FILE [--dry-run] [--prune]\n");
-  if (!read_file (words[0], &csv))
+  if (!read_file (args[0], &csv))
     {
-      fprintf (stderr, "kumquatctl: %s: can't be read, or is over 8 MB\n", words[0]);
+      fprintf (stderr, "kumquatctl: %s: can't be read, or is over 8 MB\n", args[0]);
       goto out;
     }
   code = kq_ctl_get (c, "/v1/table", &table);
@@ -92,7 +92,7 @@
       code = KQ_EXIT_USAGE;
     }
   else if (c->dry_run || json_array_size (plan.changes) == 0)
-    show_difference (c, &plan);
+    print_difference (c, &plan);
   else
     code = send_changes (c, &plan);
 out:
--- a/src/ctl/cmd_explain.c
+++ b/src/ctl/cmd_explain.c
@@ -2,14 +2,15 @@
 
 #include <string.h>
 
-/* A job's id is 16 hex digits; a request's has dashes (header X-Kq-Request). */
+/* A job's id has 16 hex digits; a request's (header X-Kq-Request) contains dashes. */
 static bool
-is_job (const char *id)
+is_job_id (const char *id)
 {
   return strlen (id) == 16 && strspn (id, "0123456789abcdef") == 16;
 }
 
-/* The entry node that took the request knows it; all are asked. */
+/* Only the entry node that accepted the request knows it, so the nodes are asked in
+ * turn. */
 static int
 explain_request (const KqCtl *c, const char *id)
 {
@@ -43,15 +44,15 @@
 }
 
 int
-kq_ctl_explain (KqCtl *c, int n, char **words)
+kq_ctl_explain (KqCtl *c, int n, char **args)
 {
   KqBuf path = { 0 };
   json_t *answer;
-  if (n != 1 || words[0][strcspn (words[0], "/?# ")] != '\0')
+  if (n != 1 || args[0][strcspn (args[0], "/?# ")] != '\0')
     return kq_ctl_usage ("kumquatctl explain JOB|REQUEST-ID\n");
-  if (!is_job (words[0]))
-    return explain_request (c, words[0]);
-  kq_buf_printf (&path, "/v1/jobs/%s/explain", words[0]);
+  if (!is_job_id (args[0]))
+    return explain_request (c, args[0]);
+  kq_buf_printf (&path, "/v1/jobs/%s/explain", args[0]);
   int code = kq_ctl_get (c, path.ptr, &answer);
   if (code == KQ_EXIT_OK)
     kq_ctl_show_object (c, answer);
--- a/src/ctl/cmd_fleet.c
+++ b/src/ctl/cmd_fleet.c
@@ -65,7 +65,7 @@
 }
 
 static int
-tell (KqCtl *c, char *node, const char *method, const char *path, const char *body)
+call_node (KqCtl *c, char *node, const char *method, const char *path, const char *body)
 {
   json_t *answer;
   c->node = node;
@@ -77,44 +77,44 @@
 }
 
 int
-kq_ctl_node (KqCtl *c, int n, char **words)
+kq_ctl_node (KqCtl *c, int n, char **args)
 {
-  const char *verb = n > 0 ? words[0] : "list";
+  const char *verb = n > 0 ? args[0] : "list";
   if (strcmp (verb, "list") == 0 && n <= 1)
     return show_list (c, "/v1/nodes", node_columns, LEN (node_columns));
   if (strcmp (verb, "show") == 0 && n <= 2)
-    return show_node (c, n == 2 ? words[1] : NULL);
+    return show_node (c, n == 2 ? args[1] : NULL);
   if (strcmp (verb, "drain") == 0 && n == 2)
-    return tell (c, words[1], "POST", "/v1/node/drain", "");
+    return call_node (c, args[1], "POST", "/v1/node/drain", "");
   if (strcmp (verb, "log-level") == 0 && n == 3)
-    return tell (c, words[1], "PUT", "/v1/node/log-level", words[2]);
+    return call_node (c, args[1], "PUT", "/v1/node/log-level", args[2]);
   return kq_ctl_usage (NODE_USAGE);
 }
 
 int
-kq_ctl_shard (KqCtl *c, int n, char **words)
+kq_ctl_shard (KqCtl *c, int n, char **args)
 {
-  if (n > 1 || (n == 1 && strcmp (words[0], "list") != 0))
+  if (n > 1 || (n == 1 && strcmp (args[0], "list") != 0))
     return kq_ctl_usage ("kumquatctl shard [list]    of the asked node's region\n");
   return show_list (c, "/v1/shards", shard_columns, LEN (shard_columns));
 }
 
-/* Each node tells the workers of the shards that it owns. */
+/* Each node lists the workers of the shards that it owns. */
 int
-kq_ctl_worker (KqCtl *c, int n, char **words)
+kq_ctl_worker (KqCtl *c, int n, char **args)
 {
   json_t *answers;
-  json_t *one;
+  json_t *node_answer;
   size_t i;
   json_t *all = json_array ();
-  if (n > 1 || (n == 1 && strcmp (words[0], "list") != 0))
+  if (n > 1 || (n == 1 && strcmp (args[0], "list") != 0))
     {
       json_decref (all);
       return kq_ctl_usage ("kumquatctl worker [list]\n");
     }
   int code = kq_ctl_get_all (c, "/v1/workers", &answers);
-  json_array_foreach (answers, i, one)
-      json_array_extend (all, json_object_get (one, "answer"));
+  json_array_foreach (answers, i, node_answer)
+      json_array_extend (all, json_object_get (node_answer, "answer"));
   if (code == KQ_EXIT_OK)
     kq_ctl_show (c, worker_columns, LEN (worker_columns), all);
   json_decref (answers);
--- a/src/ctl/cmd_job.c
+++ b/src/ctl/cmd_job.c
@@ -12,9 +12,9 @@
   "           job list [--shard N] [--limit N]\n"                                        \
   "           job cancel ID\n"
 
-#define PAGE 500
+#define JOBS_PER_PAGE 500
 
-static const KqCtlColumn columns[] = {
+static const KqCtlColumn job_columns[] = {
   { "ID", "id" },           { "STATE", "state" },   { "TEAM", "team" },
   { "CLASS", "class" },     { "PRIO", "priority" }, { "TRY", "attempt" },
   { "EVICT", "evictions" }, { "WORKER", "worker" }, { "REASON", "reason" },
@@ -34,8 +34,8 @@
     json_object_set_new (o, key, json_integer (value));
 }
 
-/* A key is made up when none is given, and shown: after a lost answer the same command
- * with that key submits no second job. */
+/* Generates an idempotency key if none is given and prints it if the outcome is unknown:
+ * repeating the command with that key doesn't submit a second job. */
 static int
 submit (KqCtl *c)
 {
@@ -65,7 +65,7 @@
     kq_ctl_show_object (c, answer);
   else if (code == KQ_EXIT_UNKNOWN)
     fprintf (stderr,
-             "kumquatctl: it may have been accepted; to repeat safely: --key %s\n",
+             "kumquatctl: the job may have been accepted; to repeat safely: --key %s\n",
              header.ptr + strlen ("Idempotency-Key: "));
   json_decref (answer);
   json_decref (o);
@@ -75,7 +75,7 @@
 }
 
 static int
-one (const KqCtl *c, const char *method, const char *id)
+call_job (const KqCtl *c, const char *method, const char *id)
 {
   KqBuf path = { 0 };
   json_t *answer;
@@ -88,7 +88,7 @@
   return code;
 }
 
-/* The answer is an array of jobs, or an object that holds one. */
+/* The answer is an array of jobs or an object that contains one. */
 static const json_t *
 jobs_of (const json_t *answer)
 {
@@ -103,8 +103,8 @@
     {
       KqBuf path = { 0 };
       json_t *answer;
-      kq_buf_printf (&path, "/v1/jobs?shard=%lld&limit=%d%s%s", (long long)shard, PAGE,
-                     after[0] != '\0' ? "&after=" : "", after);
+      kq_buf_printf (&path, "/v1/jobs?shard=%lld&limit=%d%s%s", (long long)shard,
+                     JOBS_PER_PAGE, after[0] != '\0' ? "&after=" : "", after);
       int code = kq_ctl_get (c, path.ptr, &answer);
       kq_buf_free (&path);
       if (code != KQ_EXIT_OK)
@@ -119,13 +119,13 @@
       snprintf (after, sizeof after, "%s", last != NULL ? last : "");
       json_decref (answer);
       bool enough = c->limit > 0 && json_array_size (all) >= (size_t)c->limit;
-      if (n < PAGE || last == NULL || enough)
+      if (n < JOBS_PER_PAGE || last == NULL || enough)
         return KQ_EXIT_OK;
     }
 }
 
 static int
-list (const KqCtl *c)
+list_jobs (const KqCtl *c)
 {
   json_t *shards = NULL;
   json_t *all = json_array ();
@@ -144,23 +144,23 @@
   while (c->limit > 0 && json_array_size (all) > (size_t)c->limit)
     json_array_remove (all, json_array_size (all) - 1);
   if (code == KQ_EXIT_OK)
-    kq_ctl_show (c, columns, sizeof columns / sizeof columns[0], all);
+    kq_ctl_show (c, job_columns, sizeof job_columns / sizeof job_columns[0], all);
   json_decref (shards);
   json_decref (all);
   return code;
 }
 
 int
-kq_ctl_job (KqCtl *c, int n, char **words)
+kq_ctl_job (KqCtl *c, int n, char **args)
 {
-  const char *verb = n > 0 ? words[0] : "";
+  const char *verb = n > 0 ? args[0] : "";
   if (strcmp (verb, "submit") == 0 && n == 1)
     return submit (c);
   if (strcmp (verb, "list") == 0 && n == 1)
-    return list (c);
+    return list_jobs (c);
   if (strcmp (verb, "show") == 0 && n == 2)
-    return one (c, "GET", words[1]);
+    return call_job (c, "GET", args[1]);
   if (strcmp (verb, "cancel") == 0 && n == 2)
-    return one (c, "DELETE", words[1]);
+    return call_job (c, "DELETE", args[1]);
   return kq_ctl_usage (USAGE);
 }
--- a/src/ctl/cmd_reference.c
+++ b/src/ctl/cmd_reference.c
@@ -4,16 +4,17 @@
 
 #include <string.h>
 
-/* What the program itself documents: result codes, settings, table fields. */
+/* Prints the documentation that is generated from the program: result codes, settings and
+ * table fields. */
 
 int
-kq_ctl_results (KqCtl *c, int n, char **words)
+kq_ctl_results (KqCtl *c, int n, char **args)
 {
   int count;
   const KqResultRow *rows = kq_result_rows (&count);
   (void)c;
   (void)n;
-  (void)words;
+  (void)args;
   puts ("# Result codes\n\nPrinted by `kumquatctl results --markdown` from "
         "src/base/result.c; `make pages` writes it, `make check` compares it.\n");
   puts ("| code | name | HTTP | meaning |\n| --- | --- | --- | --- |");
@@ -23,9 +24,10 @@
   return KQ_EXIT_OK;
 }
 
-/* roff: a hyphen in a name is a minus, a leading dot would be a request. */
+/* Prints a text as roff: '-' becomes a minus sign, and a leading dot or quote, which
+ * would start a request, is escaped. */
 static void
-roff (KqStr s)
+print_roff (KqStr s)
 {
   for (size_t i = 0; i < s.len; i++)
     {
@@ -38,23 +40,23 @@
 }
 
 static void
-entry (KqStr name, KqStr type, KqStr allowed, KqStr fallback, KqStr meaning)
+print_entry (KqStr name, KqStr type, KqStr allowed, KqStr fallback, KqStr meaning)
 {
   fputs (".TP\n.B ", stdout);
-  roff (name);
+  print_roff (name);
   fputs ("\n", stdout);
-  roff (meaning);
+  print_roff (meaning);
   fputs ("\n.br\n", stdout);
-  roff (type);
+  print_roff (type);
   fputs (": ", stdout);
-  roff (allowed);
+  print_roff (allowed);
   fputs ("; default ", stdout);
-  roff (fallback);
+  print_roff (fallback);
   fputs ("\n", stdout);
 }
 
 static void
-settings_page (void)
+print_settings_page (void)
 {
   KqBuf text = { 0 };
   puts (
@@ -78,7 +80,7 @@
       if (!kq_str_eq (section, last))
         printf (".SS [%.*s]\n", KQ_STR_ARG (section));
       last = section;
-      entry (key, type, allowed, fallback, line);
+      print_entry (key, type, allowed, fallback, line);
     }
   kq_buf_free (&text);
   puts (".SH WHAT MUST FIT TOGETHER\n"
@@ -98,7 +100,7 @@
 }
 
 static void
-table_page (void)
+print_table_page (void)
 {
   puts (".TH KUMQUAT-TABLE 5 \"\" kumquatfield\n.SH NAME\n"
         "kumquat\\-table \\- rows of the operators' table\n.SH DESCRIPTION\n"
@@ -120,8 +122,8 @@
           kq_row_field_text (&row, &f[i], &fallback);
           if (fallback.len == 0)
             kq_buf_printf (&fallback, "empty");
-          entry (kq_str (f[i].name), kq_str (types[f[i].type]), kq_str (allowed),
-                 kq_buf_str (&fallback), kq_str (f[i].meaning));
+          print_entry (kq_str (f[i].name), kq_str (types[f[i].type]), kq_str (allowed),
+                       kq_buf_str (&fallback), kq_str (f[i].meaning));
           kq_buf_free (&fallback);
         }
     }
@@ -129,13 +131,13 @@
 }
 
 int
-kq_ctl_reference (KqCtl *c, int n, char **words)
+kq_ctl_reference (KqCtl *c, int n, char **args)
 {
   (void)c;
-  if (n == 1 && strcmp (words[0], "settings") == 0)
-    settings_page ();
-  else if (n == 1 && strcmp (words[0], "table") == 0)
-    table_page ();
+  if (n == 1 && strcmp (args[0], "settings") == 0)
+    print_settings_page ();
+  else if (n == 1 && strcmp (args[0], "table") == 0)
+    print_table_page ();
   else
     return kq_ctl_usage ("kumquatctl reference settings|table   (manual pages, roff)\n");
   return KQ_EXIT_OK;
--- a/src/ctl/cmd_table.c
+++ b/src/ctl/cmd_table.c
@@ -16,7 +16,7 @@
   "           table wait REVISION                  until in force on every node\n"       \
   "kinds: service, class, team, worker, caller, policy\n"
 
-#define POLL_NS 200000000L
+#define POLL_PERIOD_NS 200000000L
 
 static int
 show_kind (const KqCtl *c, KqRowKind kind, const json_t *all)
@@ -43,7 +43,7 @@
 }
 
 static int
-show (const KqCtl *c, const char *kind_name)
+show_table (const KqCtl *c, const char *kind_name)
 {
   KqRowKind only = KQ_ROW_KINDS;
   json_t *all;
@@ -67,7 +67,7 @@
 }
 
 static int
-get (const KqCtl *c, KqRowKind kind, const char *name)
+get_row (const KqCtl *c, KqRowKind kind, const char *name)
 {
   KqRow row;
   int code = kq_ctl_read_row (c, kind, name, &row);
@@ -86,19 +86,19 @@
            (int)f->code, kq_result_name (f->code), f->allowed);
 }
 
-/* FIELD=VALUE words onto the row; all faults are told. */
+/* Sets the row's fields from FIELD=VALUE arguments; all faults are reported. */
 static bool
-apply_words (KqRow *row, int n, char **words)
+apply_args (KqRow *row, int n, char **args)
 {
   bool ok = true;
   KqRowFault fault = { 0 };
   for (int i = 0; i < n; i++)
     {
-      KqStr value = kq_str (words[i]);
+      KqStr value = kq_str (args[i]);
       KqStr field = kq_str_cut (&value, '=');
-      if (strchr (words[i], '=') == NULL)
+      if (strchr (args[i], '=') == NULL)
         {
-          fprintf (stderr, "kumquatctl: %s: FIELD=VALUE is wanted\n", words[i]);
+          fprintf (stderr, "kumquatctl: %s: expected FIELD=VALUE\n", args[i]);
           ok = false;
         }
       else if (kq_row_set_text (row, field, value, &fault) != KQ_OK)
@@ -145,21 +145,22 @@
   return code;
 }
 
-/* A token is hidden in what was read; it is sent only when it was given now. */
+/* The node doesn't return a row's token, so a token is sent only if it is among the
+ * arguments. */
 static const char *
-token_word (int n, char **words)
+token_arg (int n, char **args)
 {
   for (int i = 0; i < n; i++)
-    if (strncmp (words[i], "token=", 6) == 0)
-      return words[i];
+    if (strncmp (args[i], "token=", 6) == 0)
+      return args[i];
   return NULL;
 }
 
-/* The row is sent whole under the revision that it was read at: if another operator
- * changed it since, the node refuses, and nothing of theirs is undone. */
+/* Sends the whole row with the revision at which it was read, or --revision. If another
+ * operator has changed the row since, the node refuses, so their change isn't undone. */
 static int
-change (const KqCtl *c, KqRowKind kind, const char *name, int n, char **words,
-        bool removal)
+change_row (const KqCtl *c, KqRowKind kind, const char *name, int n, char **args,
+            bool removal)
 {
   KqRow row;
   char match[64];
@@ -173,23 +174,24 @@
               (unsigned long long)row.revision);
   if (removal)
     return write_row (c, "DELETE", &row, match, NULL);
-  if (!apply_words (&row, n, words))
+  if (!apply_args (&row, n, args))
     return KQ_EXIT_USAGE;
-  return write_row (c, "PUT", &row, match, token_word (n, words));
+  return write_row (c, "PUT", &row, match, token_arg (n, args));
 }
 
 static int
-add (const KqCtl *c, KqRowKind kind, const char *name, int n, char **words)
+add_row (const KqCtl *c, KqRowKind kind, const char *name, int n, char **args)
 {
   KqRow row = kq_row_default (kind, kq_str (name));
-  if (!apply_words (&row, n, words))
+  if (!apply_args (&row, n, args))
     return KQ_EXIT_USAGE;
-  return write_row (c, "PUT", &row, "If-None-Match: *", token_word (n, words));
+  return write_row (c, "PUT", &row, "If-None-Match: *", token_arg (n, args));
 }
 
-/* How many live nodes have less than the revision; -1 and *code when asking fails. */
+/* Returns how many live nodes have an older revision and appends their names; -1 if the
+ * request fails, with *code as the exit code. */
 static int
-lagging (const KqCtl *c, int64_t revision, json_t *names, int *code)
+count_lagging_nodes (const KqCtl *c, int64_t revision, json_t *names, int *code)
 {
   json_t *nodes;
   json_t *node;
@@ -209,17 +211,17 @@
 }
 
 static int
-wait_for (const KqCtl *c, const char *text)
+wait_for_revision (const KqCtl *c, const char *text)
 {
-  struct timespec pause = { 0, POLL_NS };
+  struct timespec pause = { 0, POLL_PERIOD_NS };
   int64_t revision;
   if (!kq_str_to_i64 (kq_str (text), &revision) || revision < 0)
     return kq_ctl_usage (USAGE);
-  for (int64_t left = (int64_t)c->timeout_s * 1000000000L / POLL_NS;; left--)
+  for (int64_t left = (int64_t)c->timeout_s * 1000000000L / POLL_PERIOD_NS;; left--)
     {
       json_t *names = json_array ();
       int code;
-      int n = lagging (c, revision, names, &code);
+      int n = count_lagging_nodes (c, revision, names, &code);
       if (n > 0 && left <= 0)
         {
           char *list = json_dumps (names, JSON_COMPACT);
@@ -237,28 +239,28 @@
 }
 
 int
-kq_ctl_table (KqCtl *c, int n, char **words)
+kq_ctl_table (KqCtl *c, int n, char **args)
 {
-  const char *verb = n > 0 ? words[0] : "show";
+  const char *verb = n > 0 ? args[0] : "show";
   KqRowKind kind = KQ_ROW_KINDS;
   if (strcmp (verb, "show") == 0 && n <= 2)
-    return show (c, n == 2 ? words[1] : NULL);
+    return show_table (c, n == 2 ? args[1] : NULL);
   if (strcmp (verb, "export") == 0)
-    return kq_ctl_csv_export (c, n - 1, words + 1);
+    return kq_ctl_csv_export (c, n - 1, args + 1);
   if (strcmp (verb, "import") == 0)
-    return kq_ctl_csv_import (c, n - 1, words + 1);
+    return kq_ctl_csv_import (c, n - 1, args + 1);
   if (strcmp (verb, "wait") == 0 && n == 2)
-    return wait_for (c, words[1]);
-  if (n < 3 || !kq_row_kind_parse (kq_str (words[1]), &kind)
-      || !kq_name_valid (kq_str (words[2])))
+    return wait_for_revision (c, args[1]);
+  if (n < 3 || !kq_row_kind_parse (kq_str (args[1]), &kind)
+      || !kq_name_valid (kq_str (args[2])))
     return kq_ctl_usage (USAGE);
   if (strcmp (verb, "get") == 0 && n == 3)
-    return get (c, kind, words[2]);
+    return get_row (c, kind, args[2]);
   if (strcmp (verb, "set") == 0 && n > 3)
-    return change (c, kind, words[2], n - 3, words + 3, false);
+    return change_row (c, kind, args[2], n - 3, args + 3, false);
   if (strcmp (verb, "add") == 0)
-    return add (c, kind, words[2], n - 3, words + 3);
+    return add_row (c, kind, args[2], n - 3, args + 3);
   if (strcmp (verb, "rm") == 0 && n == 3)
-    return change (c, kind, words[2], 0, NULL, true);
+    return change_row (c, kind, args[2], 0, NULL, true);
   return kq_ctl_usage (USAGE);
 }
--- a/src/ctl/cmd_top.c
+++ b/src/ctl/cmd_top.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <time.h>
 
-#define CLEAR "\033[H\033[2J"
+#define CLEAR_SCREEN "\033[H\033[2J"
 
 static const KqCtlColumn node_columns[] = {
   { "NODE", "name" },     { "STATE", "state" },
@@ -24,22 +24,22 @@
 
 #define LEN(a) (sizeof (a) / sizeof (a)[0])
 
-/* One line per node and service. */
+/* One row per node and service. */
 static json_t *
 queue_rows (const json_t *answers)
 {
   json_t *rows = json_array ();
-  json_t *one;
+  json_t *node_answer;
   json_t *service;
   size_t i;
   size_t k;
-  json_array_foreach ((json_t *)answers, i, one)
+  json_array_foreach ((json_t *)answers, i, node_answer)
   {
     const json_t *services
-        = json_object_get (json_object_get (one, "answer"), "services");
+        = json_object_get (json_object_get (node_answer, "answer"), "services");
     json_array_foreach ((json_t *)services, k, service)
     {
-      json_object_set (service, "node", json_object_get (one, "node"));
+      json_object_set (service, "node", json_object_get (node_answer, "node"));
       json_array_append (rows, service);
     }
   }
@@ -70,7 +70,7 @@
         }
       else
         {
-          printf ("%s", c->color ? CLEAR : "");
+          printf ("%s", c->color ? CLEAR_SCREEN : "");
           kq_ctl_print (stdout, c->color, node_columns, LEN (node_columns), nodes);
           printf ("\n");
           kq_ctl_print (stdout, c->color, queue_columns, LEN (queue_columns), q);
@@ -88,10 +88,10 @@
 }
 
 int
-kq_ctl_top (KqCtl *c, int n, char **words)
+kq_ctl_top (KqCtl *c, int n, char **args)
 {
   struct timespec pause = { c->interval_s, 0 };
-  (void)words;
+  (void)args;
   if (n > 0)
     return kq_ctl_usage ("kumquatctl top [--interval SECONDS] [--count N]\n");
   for (int i = 1;; i++)
--- a/src/ctl/csv.c
+++ b/src/ctl/csv.c
@@ -26,9 +26,9 @@
   *r = (KqCsvRecord){ 0 };
 }
 
-/* A cell in quotes, behind the first one; two quotes are one. */
+/* Reads a quoted cell after its opening quote; two quotes stand for one. */
 static void
-quoted (KqStr *s, KqBuf *cell, bool *bad)
+read_quoted (KqStr *s, KqBuf *cell, bool *unclosed)
 {
   while (s->len > 0)
     {
@@ -44,11 +44,11 @@
       else
         return;
     }
-  *bad = true;
+  *unclosed = true;
 }
 
 static void
-plain (KqStr *s, KqBuf *cell)
+read_plain (KqStr *s, KqBuf *cell)
 {
   size_t n = 0;
   while (n < s->len && s->ptr[n] != ',' && s->ptr[n] != '\n' && s->ptr[n] != '\r')
@@ -58,7 +58,7 @@
 }
 
 bool
-kq_csv_read (KqStr *text, KqCsvRecord *r, bool *bad)
+kq_csv_read (KqStr *text, KqCsvRecord *r, bool *unclosed)
 {
   r->n = 0;
   if (text->len == 0)
@@ -69,9 +69,9 @@
       if (text->len > 0 && text->ptr[0] == '"')
         {
           *text = kq_str_n (text->ptr + 1, text->len - 1);
-          quoted (text, cell, bad);
+          read_quoted (text, cell, unclosed);
         }
-      plain (text, cell);
+      read_plain (text, cell);
       if (text->len == 0 || text->ptr[0] != ',')
         break;
       *text = kq_str_n (text->ptr + 1, text->len - 1);
@@ -100,9 +100,9 @@
     kq_buf_add (out, "\"", 1);
 }
 
-/* Whether some exported kind before `kind` has a field of that name already. */
+/* Whether an exported kind before `kind` has a field of that name. */
 static bool
-named_before (KqRowKind kind, KqRowKind only, const char *field)
+is_exported_before (KqRowKind kind, KqRowKind only, const char *field)
 {
   for (int k = 0; k < (int)kind; k++)
     if ((only == KQ_ROW_KINDS || only == (KqRowKind)k)
@@ -111,9 +111,9 @@
   return false;
 }
 
-/* The columns behind kind and name: the union of the fields, secrets left out. */
+/* The columns after kind and name: the union of the kinds' fields, without tokens. */
 static size_t
-columns (KqRowKind only, const char **out, size_t max)
+export_columns (KqRowKind only, const char **out, size_t max)
 {
   size_t n = 0;
   for (int k = 0; k < KQ_ROW_KINDS; k++)
@@ -123,7 +123,8 @@
       if (only != KQ_ROW_KINDS && only != (KqRowKind)k)
         continue;
       for (int i = 0; i < n_fields && n < max; i++)
-        if (f[i].type != KQ_FIELD_TOKEN && !named_before ((KqRowKind)k, only, f[i].name))
+        if (f[i].type != KQ_FIELD_TOKEN
+            && !is_exported_before ((KqRowKind)k, only, f[i].name))
           out[n++] = f[i].name;
     }
   return n;
@@ -149,13 +150,13 @@
   kq_buf_add (out, "\n", 1);
 }
 
-#define COLUMNS_MAX 128
+#define EXPORT_COLUMNS_MAX 128
 
 void
 kq_csv_export (const json_t *table, KqRowKind only, KqBuf *out)
 {
-  const char *names[COLUMNS_MAX];
-  size_t n = columns (only, names, COLUMNS_MAX);
+  const char *names[EXPORT_COLUMNS_MAX];
+  size_t n = export_columns (only, names, EXPORT_COLUMNS_MAX);
   kq_buf_printf (out, "kind,name");
   for (size_t i = 0; i < n; i++)
     kq_csv_write_cell (out, kq_str (names[i]), false);
--- a/src/ctl/csv_plan.c
+++ b/src/ctl/csv_plan.c
@@ -3,15 +3,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A plan in the making. */
+/* State while a plan is made. */
 typedef struct
 {
   const json_t *table;
   KqCsvPlan *out;
   KqCsvRecord header;
   int line;
-  bool kinds[KQ_ROW_KINDS]; /* that the file has */
-  json_t *seen;             /* "kind/name" of the file's rows */
+  bool kinds[KQ_ROW_KINDS]; /* kinds that occur in the file */
+  json_t *seen;             /* a member "kind/name" for each row of the file */
 } Plan;
 
 void
@@ -48,7 +48,7 @@
   return found;
 }
 
-/* The record's cells onto the row. */
+/* Sets the row's fields from the record's cells. *token: a token was among them. */
 static bool
 apply_cells (Plan *p, const KqCsvRecord *r, KqRow *row, bool *token)
 {
@@ -74,9 +74,10 @@
   return ok;
 }
 
-/* "~ team rounds: weight 100 -> 7". Returns whether anything differs. */
+/* Adds a line such as "~ team rounds: weight 100 -> 7" for each field that differs.
+ * Returns whether there is one. */
 static bool
-compare (Plan *p, const KqRow *old, const KqRow *row)
+add_difference (Plan *p, const KqRow *old, const KqRow *row)
 {
   int n;
   const KqRowField *f = kq_row_fields (row->kind, &n);
@@ -119,24 +120,24 @@
 {
   KqRow old;
   KqRow row = kq_row_default (kind, name);
-  bool there = find_row (p, kind, name, &old);
+  bool exists = find_row (p, kind, name, &old);
   bool token = false;
-  if (there)
+  if (exists)
     row = old;
   if (!apply_cells (p, r, &row, &token))
     return;
-  if (!there)
+  if (!exists)
     {
       kq_buf_printf (&p->out->difference, "+ %s %.*s\n", kq_row_kind_name (kind),
                      KQ_STR_ARG (name));
       add_change (p, &row, 0, kq_ctl_row_fields (&row, token));
     }
-  else if (compare (p, &old, &row))
+  else if (add_difference (p, &old, &row))
     add_change (p, &row, old.revision, kq_ctl_row_fields (&row, token));
 }
 
 static void
-take_record (Plan *p, const KqCsvRecord *r)
+plan_record (Plan *p, const KqCsvRecord *r)
 {
   KqRowKind kind;
   KqBuf key = { 0 };
@@ -165,7 +166,7 @@
   kq_buf_free (&key);
 }
 
-/* Removes what the file doesn't have, of the kinds that it has. */
+/* Plans the removal of rows that the file lacks, of those kinds that occur in it. */
 static void
 prune (Plan *p)
 {
@@ -196,7 +197,7 @@
 }
 
 static bool
-good_header (const KqCsvRecord *h)
+is_valid_header (const KqCsvRecord *h)
 {
   return h->n >= 2 && kq_str_eq (kq_buf_str (&h->cells[0]), KQ_STR ("kind"))
          && kq_str_eq (kq_buf_str (&h->cells[1]), KQ_STR ("name"));
@@ -207,20 +208,20 @@
 {
   Plan p = { .table = table, .out = out, .line = 1 };
   KqCsvRecord r = { 0 };
-  bool bad = false;
+  bool unclosed = false;
   *out = (KqCsvPlan){ .changes = json_array () };
   p.seen = json_object ();
-  if (!kq_csv_read (&csv, &p.header, &bad) || !good_header (&p.header))
+  if (!kq_csv_read (&csv, &p.header, &unclosed) || !is_valid_header (&p.header))
     add_fault (&p, KQ_STR ("header"), "kind,name and the fields' names");
   else
     {
-      for (p.line = 2; kq_csv_read (&csv, &r, &bad); p.line++)
-        take_record (&p, &r);
+      for (p.line = 2; kq_csv_read (&csv, &r, &unclosed); p.line++)
+        plan_record (&p, &r);
       if (remove_others)
         prune (&p);
     }
-  if (bad)
-    add_fault (&p, KQ_STR ("quote"), "a quote that closes");
+  if (unclosed)
+    add_fault (&p, KQ_STR ("quote"), "the closing quote is missing");
   json_decref (p.seen);
   kq_csv_free (&p.header);
   kq_csv_free (&r);
--- a/src/ctl/ctl_test.c
+++ b/src/ctl/ctl_test.c
@@ -57,7 +57,7 @@
   kq_buf_free (&out);
 }
 
-/* What is exported and imported again makes no change, and shows no token. */
+/* Importing an export changes nothing, and the export contains no token. */
 static void
 test_export_import_round (void **state)
 {
@@ -87,7 +87,7 @@
   assert_string_equal (plan.difference.ptr, "~ team rounds: weight 100 -> 7\n"
                                             "+ team new\n- team seals\n");
   assert_int_equal (json_array_size (plan.changes), 3);
-  /* Under the revision that was read: who changed the row since isn't undone. */
+  /* The revision that was read, so that a change made since isn't undone. */
   json_t *c = json_array_get (plan.changes, 0);
   assert_int_equal (json_integer_value (json_object_get (c, "expect")), 4);
   c = json_array_get (plan.changes, 1);
@@ -98,7 +98,7 @@
   json_decref (table);
 }
 
-/* A file with faults: each is told with its line, and nothing may be sent. */
+/* A fault in the file is reported with its line, and nothing may be sent. */
 static void
 test_plan_faults (void **state)
 {
@@ -121,7 +121,7 @@
       KqCsvPlan plan;
       kq_csv_plan (table, kq_str (bad[i]), false, &plan);
       if (plan.faults.len == 0 || strncmp (plan.faults.ptr, "line ", 5) != 0)
-        fail_msg ("case %d was taken", (int)i);
+        fail_msg ("case %d was accepted", (int)i);
       kq_csv_plan_free (&plan);
     }
   json_decref (table);
--- a/src/ctl/main.c
+++ b/src/ctl/main.c
@@ -1,4 +1,4 @@
-/* kumquatctl: the operators' command line. */
+/* kumquatctl: the command line tool of operators. */
 
 #include "ctl/ctl.h"
 
@@ -15,7 +15,7 @@
 typedef struct
 {
   const char *name;
-  int (*run) (KqCtl *c, int n, char **words);
+  int (*run) (KqCtl *c, int n, char **args);
   const char *help;
 } Group;
 
@@ -44,7 +44,8 @@
   return b.ptr;
 }
 
-/* The token never stands on the command line, where other users could read it. */
+/* The token comes from a file or the environment, never from the command line, which
+ * other users can read. */
 static bool
 read_token (const char *path, KqCtl *c)
 {
@@ -68,18 +69,18 @@
 }
 
 static int
-run (KqCtl *c, int n, char **words)
+run_command (KqCtl *c, int n, char **args)
 {
   if (n < 1)
     return kq_ctl_usage ("kumquatctl [OPTIONS] COMMAND [WORDS]; see kumquatctl --help\n");
   for (size_t i = 0; i < sizeof groups / sizeof groups[0]; i++)
-    if (strcmp (words[0], groups[i].name) == 0)
-      return groups[i].run (c, n - 1, words + 1);
-  fprintf (stderr, "kumquatctl: %s: no such command\n", words[0]);
+    if (strcmp (args[0], groups[i].name) == 0)
+      return groups[i].run (c, n - 1, args + 1);
+  fprintf (stderr, "kumquatctl: %s: no such command\n", args[0]);
   return KQ_EXIT_USAGE;
 }
 
-/* What the command line says beside what goes into KqCtl as it stands. GLib writes
+/* Options that aren't parsed directly into KqCtl: its flags are bool, while GLib writes
  * gboolean, an int. */
 typedef struct
 {
@@ -90,10 +91,10 @@
   gboolean no_color;
   gboolean dry_run;
   gboolean prune;
-  gboolean markdown; /* `results` prints nothing else */
+  gboolean markdown; /* ignored; `results` always prints markdown */
 } Options;
 
-/* Words that begin in "-" and aren't options don't occur; GLib tells them as faults. */
+/* GLib reports any other argument that begins with "-" as an error. */
 static bool
 read_options (int *argc, char ***argv, KqCtl *c, Options *o)
 {
@@ -147,7 +148,7 @@
 }
 
 static void
-take_options (KqCtl *c, const Options *o)
+apply_options (KqCtl *c, const Options *o)
 {
   c->json = o->json;
   c->node = o->node;
@@ -176,13 +177,13 @@
       code = KQ_EXIT_OK;
       goto out;
     }
-  take_options (&c, &o);
+  apply_options (&c, &o);
   if (c.timeout_s < 1 || c.interval_s < 1)
-    fprintf (stderr, "kumquatctl: --timeout and --interval: 1 or more\n");
+    fprintf (stderr, "kumquatctl: --timeout and --interval must be at least 1\n");
   else if (read_token (o.token_file, &c))
     {
       curl_global_init (CURL_GLOBAL_DEFAULT);
-      code = run (&c, argc - 1, argv + 1);
+      code = run_command (&c, argc - 1, argv + 1);
       curl_global_cleanup ();
     }
 out:
--- a/src/ctl/print.c
+++ b/src/ctl/print.c
@@ -4,11 +4,11 @@
 #include <string.h>
 
 #define BOLD "\033[1m"
-#define PLAIN "\033[0m"
-#define GAP 2
+#define RESET "\033[0m"
+#define COLUMN_GAP 2
 
 static const json_t *
-find (const json_t *o, const char *path)
+find_path (const json_t *o, const char *path)
 {
   KqStr rest = kq_str (path);
   while (o != NULL && rest.len > 0)
@@ -21,11 +21,12 @@
   return o;
 }
 
-/* The value at a path as text: null and absent as "-", real numbers with two digits. */
+/* Appends the value at a path as text: "-" for null, an empty string or a missing member;
+ * real numbers with two decimals. */
 static void
 print_value (const json_t *o, const char *path, KqBuf *out)
 {
-  const json_t *v = find (o, path);
+  const json_t *v = find_path (o, path);
   if (json_is_string (v))
     kq_buf_add (out, json_string_value (v), json_string_length (v));
   else if (json_is_integer (v))
@@ -44,12 +45,13 @@
     kq_buf_printf (out, "-");
 }
 
+/* Width in characters of a UTF-8 text. */
 static size_t
 width_of (KqStr s)
 {
   size_t w = 0;
   for (size_t i = 0; i < s.len; i++)
-    w += ((unsigned char)s.ptr[i] & 0xc0) != 0x80; /* bytes that begin a character */
+    w += ((unsigned char)s.ptr[i] & 0xc0) != 0x80; /* not a continuation byte */
   return w;
 }
 
@@ -61,12 +63,12 @@
     fprintf (f, "%*s%.*s", pad, "", KQ_STR_ARG (s));
   else
     fprintf (f, "%.*s%*s", KQ_STR_ARG (s), last ? 0 : pad, "");
-  fprintf (f, "%*s", last ? 0 : GAP, "");
+  fprintf (f, "%*s", last ? 0 : COLUMN_GAP, "");
 }
 
-/* Width of a column, and whether all its values are numbers. */
+/* Returns the width of a column; *right: all its values are numbers or missing. */
 static size_t
-measure (const KqCtlColumn *c, const json_t *rows, bool *right)
+measure_column (const KqCtlColumn *c, const json_t *rows, bool *right)
 {
   size_t width = width_of (kq_str (c->title));
   size_t i;
@@ -78,8 +80,9 @@
     print_value (row, c->path, &b);
     size_t w = width_of (kq_buf_str (&b));
     width = w > width ? w : width;
-    *right
-        = *right && (json_is_number (find (row, c->path)) || find (row, c->path) == NULL);
+    *right = *right
+             && (json_is_number (find_path (row, c->path))
+                 || find_path (row, c->path) == NULL);
     kq_buf_free (&b);
   }
   return width;
@@ -94,11 +97,11 @@
   json_t *row;
   size_t r;
   for (size_t i = 0; i < n; i++)
-    width[i] = measure (&columns[i], rows, &right[i]);
+    width[i] = measure_column (&columns[i], rows, &right[i]);
   fprintf (f, "%s", color ? BOLD : "");
   for (size_t i = 0; i < n; i++)
     put_cell (f, kq_str (columns[i].title), width[i], right[i], i + 1 == n);
-  fprintf (f, "%s\n", color ? PLAIN : "");
+  fprintf (f, "%s\n", color ? RESET : "");
   json_array_foreach ((json_t *)rows, r, row)
   {
     for (size_t i = 0; i < n; i++)
--- a/src/ctl/rows.c
+++ b/src/ctl/rows.c
@@ -41,7 +41,7 @@
     return code;
   if (!kq_ctl_row_from_json (kind, o, out))
     {
-      fprintf (stderr, "kumquatctl: the node knows other fields than this program\n");
+      fprintf (stderr, "kumquatctl: the row has fields unknown to this version\n");
       code = KQ_EXIT_REFUSED;
     }
   json_decref (o);
