--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -1,4 +1,6 @@
-/* kumquatd: reads its settings, wires the tasks together, and runs until told to stop. */
+/* kumquatd: reads the settings file, starts the node's tasks on one event loop and runs
+ * until SIGTERM or SIGINT. A file with a section [fleet] starts a fleet node
+ * (FleetDaemon), any other file an entry host (Daemon). */
 
 #include "api/operator.h"
 #include "base/log.h"
@@ -22,19 +24,19 @@
 
 #define PART "daemon"
 #define VERSION "0.1.0"
-/* A mesh connection that was silent for this many heartbeats is replaced. */
-#define SILENT_BEATS 6
+/* A mesh connection is replaced if nothing arrived for this many heartbeat periods. */
+#define MESH_SILENCE_HEARTBEATS 6
 
-/* The settings file is looked at so often; a change needn't come with a signal. */
-#define SETTINGS_LOOK_S 2.0
+/* Period of checks for a changed settings file, so that a change needs no SIGHUP. */
+#define SETTINGS_POLL_PERIOD_S 2.0
 
 /* Exit codes; also in kumquatd(8). */
 enum
 {
-  EXIT_WHOLE = 0,
-  EXIT_CUT = 1,      /* stopped with work still open */
-  EXIT_SETTINGS = 2, /* settings or arguments are wrong */
-  EXIT_BIND = 3      /* an address can't be bound */
+  EXIT_CLEAN = 0,
+  EXIT_INCOMPLETE = 1, /* stopped while work was still in progress */
+  EXIT_SETTINGS = 2,   /* settings or arguments are wrong */
+  EXIT_BIND = 3        /* an address can't be bound */
 };
 
 typedef struct
@@ -57,26 +59,26 @@
 } Daemon;
 
 static void
-stop_now (Daemon *d, int code)
+stop_loop (Daemon *d, int code)
 {
   d->exit_code = code;
   kq_loop_stop (d->loop);
 }
 
 static void
-stopped (void *arg, bool whole)
+on_stopped (void *arg, bool clean)
 {
   Daemon *d = arg;
-  if (whole)
+  if (clean)
     kq_log (KQ_LOG_INFO, PART, "Stopped; nothing was cut.");
   else
     kq_log (KQ_LOG_ERROR, PART, "Stop limit passed. callers_cut=%zu runners_cut=%zu",
             kq_gateway_open (d->gateway), kq_runner_task_open (d->runners));
-  stop_now (d, whole ? EXIT_WHOLE : EXIT_CUT);
+  stop_loop (d, clean ? EXIT_CLEAN : EXIT_INCOMPLETE);
 }
 
-/* The first signal is a planned stop; the second one ends at once and says what it cut.
- */
+/* The first signal starts a planned stop. The second one stops at once and logs how much
+ * work is cut off. */
 static void
 on_stop_signal (struct ev_loop *ev, ev_signal *w, int events)
 {
@@ -89,9 +91,10 @@
       kq_node_task_drain (d->node, kq_time_now ());
       return;
     }
-  kq_log (KQ_LOG_ERROR, PART, "Stopped at once. callers_cut=%zu runners_cut=%zu",
+  kq_log (KQ_LOG_ERROR, PART,
+          "Stopped at once by a second signal. callers_cut=%zu runners_cut=%zu",
           kq_gateway_open (d->gateway), kq_runner_task_open (d->runners));
-  stop_now (d, EXIT_CUT);
+  stop_loop (d, EXIT_INCOMPLETE);
 }
 
 static void
@@ -100,7 +103,8 @@
   (void)ev;
   (void)w;
   (void)events;
-  kq_log (KQ_LOG_WARN, PART, "SIGHUP refused: configuration is in the table.");
+  kq_log (KQ_LOG_WARN, PART,
+          "SIGHUP ignored: configuration changes go through the table.");
 }
 
 static void
@@ -153,7 +157,7 @@
                      .secret = kq_str (s->secret),
                      .ip = s->mesh_ip,
                      .port = s->mesh_port,
-                     .silence = SILENT_BEATS * s->heartbeat_ms * KQ_MS,
+                     .silence = MESH_SILENCE_HEARTBEATS * s->heartbeat_ms * KQ_MS,
                      .counters = d->counters,
                      .receiver = kq_node_task_task (d->node) };
   d->mesh = kq_mesh_new (d->loop, &c);
@@ -161,7 +165,7 @@
 }
 
 static void
-make_ports (Daemon *d)
+make_platform_clients (Daemon *d)
 {
   KqStoreHttpConfig store = { .url = kq_str (d->settings.store_url),
                               .calls_per_second = (int)d->settings.store_calls_per_s,
@@ -228,14 +232,14 @@
 run (Daemon *d)
 {
   uint64_t incarnation = kq_rand_system ();
-  KqNodeTaskConfig nc = { .stopped = stopped, .arg = d };
+  KqNodeTaskConfig nc = { .stopped = on_stopped, .arg = d };
   curl_global_init (CURL_GLOBAL_DEFAULT);
   kq_log_set_level ((KqLogLevel)d->settings.log_level);
   d->loop = kq_loop_new ();
   d->counters = kq_counters_new ();
   nc.counters = d->counters;
   d->node = kq_node_task_new (d->loop, &nc);
-  make_ports (d);
+  make_platform_clients (d);
   if (make_mesh (d, incarnation) && make_gateway (d, incarnation))
     {
       start_node (d, incarnation);
@@ -260,12 +264,12 @@
   return d->exit_code;
 }
 
-/* A node of a fleet (settings/fleet_settings.h). */
+/* The fleet node (settings/fleet_settings.h). */
 
-/* Lines a second on standard output: a line costs some 5 us, so this is at most 1% of the
- * share of a processor that the host has. */
-#define LOG_LINES_PER_S 200
-#define LOG_LINES_PER_CORE 2000
+/* Limit of log lines on standard output. A line costs about 5 us, so 2000 lines per
+ * second and core use 1% of the node's cpu share. The minimum applies to small shares. */
+#define LOG_LINES_PER_S_MIN 200
+#define LOG_LINES_PER_S_PER_CORE 2000
 
 typedef struct
 {
@@ -276,8 +280,8 @@
   ev_signal on_int;
   ev_signal on_hup;
   int exit_code;
-  struct stat file; /* of the settings, as last looked at */
-  ev_timer look;
+  struct stat settings_stat; /* of the settings file, when it was last checked */
+  ev_timer settings_poll;
 } FleetDaemon;
 
 static bool
@@ -331,32 +335,33 @@
   return yes;
 }
 
-/* Whether the settings file differs from when it was last looked at. */
+/* Returns whether the settings file has changed since the last call. */
 static bool
-note_settings_file (FleetDaemon *d)
+check_settings_file (FleetDaemon *d)
 {
   struct stat now;
   bool differs;
   if (stat (d->path, &now) != 0)
-    return false; /* it is being replaced; the next look finds the new one */
-  differs = now.st_ino != d->file.st_ino || now.st_size != d->file.st_size
-            || now.st_mtim.tv_sec != d->file.st_mtim.tv_sec
-            || now.st_mtim.tv_nsec != d->file.st_mtim.tv_nsec;
-  d->file = now;
+    return false; /* being replaced; the next check sees the new file */
+  differs = now.st_ino != d->settings_stat.st_ino
+            || now.st_size != d->settings_stat.st_size
+            || now.st_mtim.tv_sec != d->settings_stat.st_mtim.tv_sec
+            || now.st_mtim.tv_nsec != d->settings_stat.st_mtim.tv_nsec;
+  d->settings_stat = now;
   return differs;
 }
 
 static void
-fleet_stopped (void *arg, bool whole)
+on_fleet_stopped (void *arg, bool clean)
 {
   FleetDaemon *d = arg;
-  kq_log (KQ_LOG_INFO, PART, "Stopped. whole=%d", whole);
-  d->exit_code = whole ? EXIT_WHOLE : EXIT_CUT;
+  kq_log (KQ_LOG_INFO, PART, "Stopped. whole=%d", clean);
+  d->exit_code = clean ? EXIT_CLEAN : EXIT_INCOMPLETE;
   kq_loop_stop (d->loop);
 }
 
 static void
-on_fleet_stop (struct ev_loop *ev, ev_signal *w, int events)
+on_fleet_stop_signal (struct ev_loop *ev, ev_signal *w, int events)
 {
   FleetDaemon *d = w->data;
   (void)ev;
@@ -364,8 +369,8 @@
   kq_fleet_stop (d->fleet, kq_time_now ());
 }
 
-/* The log level may change in a process's life. Everything else, addresses and bounds,
- * is in force from the next start on. */
+/* Reads the settings file again. Only the log level is applied; all other settings, such
+ * as addresses and bounds, take effect at the next start. */
 static void
 reload_fleet (FleetDaemon *d, const char *cause)
 {
@@ -383,22 +388,22 @@
 }
 
 static void
-on_fleet_reload (struct ev_loop *ev, ev_signal *w, int events)
+on_fleet_hup_signal (struct ev_loop *ev, ev_signal *w, int events)
 {
   FleetDaemon *d = w->data;
   (void)ev;
   (void)events;
   reload_fleet (d, "SIGHUP");
-  note_settings_file (d); /* or the same change would be read twice */
+  check_settings_file (d); /* so that the poll doesn't reload it again */
 }
 
 static void
-on_settings_look (struct ev_loop *ev, ev_timer *w, int events)
+on_settings_poll (struct ev_loop *ev, ev_timer *w, int events)
 {
   FleetDaemon *d = w->data;
   (void)ev;
   (void)events;
-  if (note_settings_file (d))
+  if (check_settings_file (d))
     reload_fleet (d, "file changed");
 }
 
@@ -407,29 +412,31 @@
 {
   struct ev_loop *ev = kq_loop_ev (d->loop);
   signal (SIGPIPE, SIG_IGN);
-  ev_signal_init (&d->on_term, on_fleet_stop, SIGTERM);
-  ev_signal_init (&d->on_int, on_fleet_stop, SIGINT);
-  ev_signal_init (&d->on_hup, on_fleet_reload, SIGHUP);
+  ev_signal_init (&d->on_term, on_fleet_stop_signal, SIGTERM);
+  ev_signal_init (&d->on_int, on_fleet_stop_signal, SIGINT);
+  ev_signal_init (&d->on_hup, on_fleet_hup_signal, SIGHUP);
   d->on_term.data = d->on_int.data = d->on_hup.data = d;
   ev_signal_start (ev, &d->on_term);
   ev_signal_start (ev, &d->on_int);
   ev_signal_start (ev, &d->on_hup);
-  note_settings_file (d);
-  ev_timer_init (&d->look, on_settings_look, SETTINGS_LOOK_S, SETTINGS_LOOK_S);
-  d->look.data = d;
-  ev_timer_start (ev, &d->look);
+  check_settings_file (d);
+  ev_timer_init (&d->settings_poll, on_settings_poll, SETTINGS_POLL_PERIOD_S,
+                 SETTINGS_POLL_PERIOD_S);
+  d->settings_poll.data = d;
+  ev_timer_start (ev, &d->settings_poll);
 }
 
 static int
 run_fleet (const char *path, const KqFleetSettings *s)
 {
   FleetDaemon d = { .path = path, .exit_code = EXIT_BIND };
-  KqFleetConfig c = { .settings = s, .stopped = fleet_stopped, .arg = &d };
+  KqFleetConfig c = { .settings = s, .stopped = on_fleet_stopped, .arg = &d };
   curl_global_init (CURL_GLOBAL_DEFAULT);
   kq_log_set_level ((KqLogLevel)s->log_level);
-  kq_log_to_stdout ((int)(s->cpu_share_milli * LOG_LINES_PER_CORE / 1000 > LOG_LINES_PER_S
-                              ? s->cpu_share_milli * LOG_LINES_PER_CORE / 1000
-                              : LOG_LINES_PER_S));
+  kq_log_to_stdout (
+      (int)(s->cpu_share_milli * LOG_LINES_PER_S_PER_CORE / 1000 > LOG_LINES_PER_S_MIN
+                ? s->cpu_share_milli * LOG_LINES_PER_S_PER_CORE / 1000
+                : LOG_LINES_PER_S_MIN));
   d.loop = c.loop = kq_loop_new ();
   c.counters = kq_counters_new ();
   start_fleet_signals (&d);
@@ -490,17 +497,17 @@
   else if (version)
     {
       puts ("kumquatd " VERSION);
-      code = EXIT_WHOLE;
+      code = EXIT_CLEAN;
     }
   else if (check != NULL && is_fleet (check))
     {
       if (load_fleet_settings (check, &fleet))
-        code = EXIT_WHOLE;
+        code = EXIT_CLEAN;
     }
   else if (check != NULL)
     {
       if (load_settings (check, &d.settings))
-        code = EXIT_WHOLE;
+        code = EXIT_CLEAN;
     }
   else if (settings == NULL)
     fprintf (stderr, "kumquatd: --settings FILE is needed; see --help\n");
