--- a/src/port/advice.h
+++ b/src/port/advice.h
@@ -1,16 +1,17 @@
 #ifndef KQ_PORT_ADVICE_H
 #define KQ_PORT_ADVICE_H
 
-/* advice: the port to the service that knows which runners a queue's policy allows to run
- * a step. It hands out a ticket for each; a start without one is refused by the runner.
+/* advice: the port to the advice service, which knows the runners that a queue's policy
+ * allows to run a step. It issues a ticket for each of them; a runner refuses a start
+ * without a ticket.
  *
  * The service answers one call of a host at a time and takes longer the more runners are
- * asked about; what it says of a runner stays true for the step. */
+ * asked about. Its answer for a step and a runner doesn't change. */
 
 #include "base/str.h"
 #include "base/task.h"
 
-/* Runners in one question at most. */
+/* Most runners in one call. */
 #define KQ_ADVICE_RUNNERS_MAX 100
 
 typedef struct KqAdviceCalls KqAdviceCalls;
@@ -18,8 +19,8 @@
 typedef enum
 {
   KQ_ADVICE_OK,
-  KQ_ADVICE_BUSY,   /* too many questions wait there: ask later */
-  KQ_ADVICE_UNKNOWN /* no answer, or none that can be read */
+  KQ_ADVICE_BUSY,   /* too many calls are queued there: retry later */
+  KQ_ADVICE_UNKNOWN /* no answer, or one that can't be parsed */
 } KqAdviceResult;
 
 typedef struct
@@ -33,7 +34,7 @@
   KqAdviceResult result;
   const KqAdviceRow *rows; /* the runners that may run the step */
   size_t n_rows;
-  int64_t valid_ms; /* of the tickets, from their issue */
+  int64_t valid_ms; /* lifetime of the tickets, counted from their issue */
 } KqAdviceReply;
 
 typedef struct
@@ -42,8 +43,8 @@
   void *arg;
 } KqAdviceCallback;
 
-/* step: "job.occurrence.step". The callback comes exactly once, never from within the
- * call. */
+/* step: "job.occurrence.step". The callback is called exactly once, always after this
+ * function has returned. */
 void kq_advice_ask (KqAdviceCalls *c, KqStr step, const KqStr *runners, size_t n,
                     int timeout_ms, KqAdviceCallback cb);
 
--- a/src/port/budget.c
+++ b/src/port/budget.c
@@ -2,7 +2,8 @@
 
 #include <assert.h>
 
-#define CALL ((int64_t)1000000)
+/* The token of one call, in the unit of `level`. */
+#define TOKEN ((int64_t)1000000)
 
 void
 kq_budget_init (KqBudget *b, int64_t per_second, int64_t burst, int64_t reserve,
@@ -10,11 +11,11 @@
 {
   assert (per_second >= 1 && burst >= 1);
   assert (reserve >= 0 && reserve < burst);
-  *b = (KqBudget){ per_second, burst, reserve, burst * CALL, now };
+  *b = (KqBudget){ per_second, burst, reserve, burst * TOKEN, now };
 }
 
-/* A span of a second per call of burst fills the bucket whatever the rate, and bounds
- * the product below. */
+/* The span is limited to a second for each call of burst, which fills the bucket at any
+ * rate, so that the product doesn't overflow. */
 static int64_t
 level_at (const KqBudget *b, KqTime now)
 {
@@ -24,14 +25,15 @@
     return b->level;
   if (span > b->burst * KQ_SEC)
     span = b->burst * KQ_SEC;
-  level = b->level + span * b->per_second; /* calls a second = millionths a us */
-  return level < b->burst * CALL ? level : b->burst * CALL;
+  level = b->level
+          + span * b->per_second; /* calls a second are millionths of a call a us */
+  return level < b->burst * TOKEN ? level : b->burst * TOKEN;
 }
 
 static int64_t
-floor_of (const KqBudget *b, bool urgent)
+min_level (const KqBudget *b, bool urgent)
 {
-  return urgent ? 0 : b->reserve * CALL;
+  return urgent ? 0 : b->reserve * TOKEN;
 }
 
 bool
@@ -40,25 +42,25 @@
   b->level = level_at (b, now);
   if (now > b->filled_at)
     b->filled_at = now;
-  if (b->level - floor_of (b, urgent) < CALL)
+  if (b->level - min_level (b, urgent) < TOKEN)
     return false;
-  b->level -= CALL;
+  b->level -= TOKEN;
   assert (b->level >= 0);
   return true;
 }
 
 KqTime
-kq_budget_next (const KqBudget *b, bool urgent, KqTime now)
+kq_budget_next_time (const KqBudget *b, bool urgent, KqTime now)
 {
-  int64_t missing = floor_of (b, urgent) + CALL - level_at (b, now);
+  int64_t missing = min_level (b, urgent) + TOKEN - level_at (b, now);
   if (missing <= 0)
     return now;
   return now + (missing + b->per_second - 1) / b->per_second;
 }
 
 int64_t
-kq_budget_left (const KqBudget *b, bool urgent, KqTime now)
+kq_budget_available (const KqBudget *b, bool urgent, KqTime now)
 {
-  int64_t left = level_at (b, now) - floor_of (b, urgent);
-  return left > 0 ? left / CALL : 0;
+  int64_t left = level_at (b, now) - min_level (b, urgent);
+  return left > 0 ? left / TOKEN : 0;
 }
--- a/src/port/budget.h
+++ b/src/port/budget.h
@@ -1,15 +1,17 @@
 #ifndef KQ_PORT_BUDGET_H
 #define KQ_PORT_BUDGET_H
 
-/* budget: a node's share of the store's call rate, as a token bucket with a reserve.
+/* budget: limits a node to its share of the store's call rate, by a token bucket with a
+ * reserve.
  *
- * Load pattern: hundreds of commits a second wanted by a node while the store, shared by
- * all nodes, takes several hundred writes and two thousand reads a second in total.
- * Without it: one busy node uses up the whole store, the lease renewals of all nodes are
- * refused by the store or come late, and owners step down although nothing failed.
- * Grounds: a bucket of one second's calls lets a burst (a takeover's reads) through at
- * once and keeps the mean; normal calls may not take the last `reserve` tokens, so an
- * urgent or lease call finds one at once unless such calls alone pass the rate. */
+ * The store is shared by all nodes and takes several hundred writes and two thousand
+ * reads a second in total; one node may want hundreds of commits a second. Without a
+ * limit, one busy node overloads the store, lease renewals of all nodes are refused or
+ * late, and owners step down although nothing has failed.
+ *
+ * A bucket of one second's calls admits a burst (the reads of a takeover) at once and
+ * bounds the mean rate. Normal calls can't take the last `reserve` tokens, so urgent and
+ * lease calls find a token at once unless such calls alone exceed the rate. */
 
 #include "base/time.h"
 
@@ -18,20 +20,20 @@
 typedef struct
 {
   int64_t per_second; /* calls */
-  int64_t burst;      /* tokens the bucket holds, in calls */
-  int64_t reserve;    /* of these, kept for urgent calls; below burst */
-  int64_t level;      /* in millionths of a call */
-  KqTime filled_at;
+  int64_t burst;      /* size of the bucket, in calls */
+  int64_t reserve;    /* part of burst that only urgent calls may use; below burst */
+  int64_t level;      /* tokens in the bucket, in millionths of a call */
+  KqTime filled_at;   /* time of `level` */
 } KqBudget;
 
-/* The bucket starts full. per_second and burst at least 1, 0 <= reserve < burst. */
+/* The bucket starts full. Needs per_second >= 1, burst >= 1, 0 <= reserve < burst. */
 void kq_budget_init (KqBudget *b, int64_t per_second, int64_t burst, int64_t reserve,
                      KqTime now);
-/* Takes one call's token when there is one for the class. */
+/* Takes the token of one call; false when none is available to this kind of call. */
 bool kq_budget_take (KqBudget *b, bool urgent, KqTime now);
-/* When a token for the class will be there; `now` when there is one already. */
-KqTime kq_budget_next (const KqBudget *b, bool urgent, KqTime now);
-/* Whole calls that could be made now. */
-int64_t kq_budget_left (const KqBudget *b, bool urgent, KqTime now);
+/* When a token will be available to this kind of call; `now` when one is already. */
+KqTime kq_budget_next_time (const KqBudget *b, bool urgent, KqTime now);
+/* Number of calls of this kind that could be made now. */
+int64_t kq_budget_available (const KqBudget *b, bool urgent, KqTime now);
 
 #endif
--- a/src/port/budget_test.c
+++ b/src/port/budget_test.c
@@ -15,22 +15,23 @@
   return n;
 }
 
-/* A burst of normal calls takes all but the reserve; lease renewals that come behind it
- * still find a token at once, so that no lease lapses because of our own load. */
+/* A burst of normal calls takes all tokens except the reserve. Lease renewals after it
+ * still get a token at once; otherwise leases would expire because of the node's own
+ * load. */
 static void
 test_burst_leaves_the_reserve (void **state)
 {
   KqBudget b;
   (void)state;
   kq_budget_init (&b, 100, 100, 25, 0);
-  assert_int_equal (kq_budget_left (&b, false, 0), 75);
+  assert_int_equal (kq_budget_available (&b, false, 0), 75);
   assert_int_equal (take_all (&b, false, 0), 75);
   assert_int_equal (take_all (&b, true, 0), 25);
-  assert_int_equal (kq_budget_left (&b, true, 0), 0);
+  assert_int_equal (kq_budget_available (&b, true, 0), 0);
 }
 
-/* Overload for a long time: what is let through is the rate, not more, and the next
- * token is foretold to the microsecond. */
+/* Under a long overload the calls admitted are exactly the rate, and the time of the next
+ * token is right to the microsecond. */
 static void
 test_rate_under_overload (void **state)
 {
@@ -41,7 +42,7 @@
   take_all (&b, false, 0);
   for (KqTime now = 0; now < 60 * KQ_SEC;)
     {
-      KqTime next = kq_budget_next (&b, false, now);
+      KqTime next = kq_budget_next_time (&b, false, now);
       assert_true (next > now);
       assert_false (kq_budget_take (&b, false, next - 1));
       now = next;
@@ -51,8 +52,8 @@
   assert_int_equal (n, 6000);
 }
 
-/* After a pause of years the bucket is full, not overflowed; a clock that stands still
- * or a `now` from before gives nothing. */
+/* After a pause of years the bucket is full and its level hasn't overflowed; without
+ * progress of the clock, or with an earlier `now`, no token is added. */
 static void
 test_long_pause_and_no_time (void **state)
 {
@@ -62,7 +63,7 @@
   assert_int_equal (take_all (&b, true, 5 * KQ_SEC), 500);
   assert_int_equal (take_all (&b, true, 4 * KQ_SEC), 0);
   assert_int_equal (take_all (&b, true, KQ_TIME_NEVER / 2), 500);
-  assert_int_equal (kq_budget_next (&b, true, KQ_TIME_NEVER / 2),
+  assert_int_equal (kq_budget_next_time (&b, true, KQ_TIME_NEVER / 2),
                     KQ_TIME_NEVER / 2 + 2 * KQ_MS);
 }
 
--- a/src/port/front.h
+++ b/src/port/front.h
@@ -1,18 +1,19 @@
 #ifndef KQ_PORT_FRONT_H
 #define KQ_PORT_FRONT_H
 
-/* front: the port to client accounts: what they ask about jobs of steps, and the answers.
+/* front: the port to client accounts: their requests about jobs of steps, and the
+ * answers.
  */
 
 #include "base/task.h"
 #include "steps/spec.h"
 
-typedef struct KqAsk KqAsk; /* one request that awaits its answer */
+typedef struct KqAsk KqAsk; /* a request that has not been answered yet */
 
 typedef enum
 {
   KQ_FRONT_SUBMIT,
-  KQ_FRONT_READ, /* a job's state, or with the queue's own path what waits in it */
+  KQ_FRONT_READ, /* a job's state; with a queue's path, the number of its waiting jobs */
   KQ_FRONT_CANCEL
 } KqFrontKind;
 
@@ -21,7 +22,7 @@
   KqFrontKind kind;
   KqStr host;
   KqStr path;
-  KqSpec *spec; /* SUBMIT: steps, text and times are filled in; NULL: not readable */
+  KqSpec *spec;        /* SUBMIT: with steps, text and times; NULL: couldn't be parsed */
   int64_t deadline_ms; /* how long the client waits for the answer */
 } KqFrontRequest;
 
@@ -32,10 +33,10 @@
   KQ_REPLY_WAITING,
   KQ_REPLY_NO_JOB,
   KQ_REPLY_NO_QUEUE,
-  KQ_REPLY_REFUSED, /* not done and never will be: the client may come back later */
+  KQ_REPLY_REFUSED, /* not done and never will be: the client may retry later */
   KQ_REPLY_BAD,
   KQ_REPLY_TOO_LARGE,
-  KQ_REPLY_UNKNOWN /* it may have been done: the client should ask again at once */
+  KQ_REPLY_UNKNOWN /* it may have been done: the client should retry at once */
 } KqReplyKind;
 
 typedef struct
@@ -43,25 +44,26 @@
   KqReplyKind kind;
   int state;        /* KqJobState */
   int64_t waiting;  /* jobs */
-  int64_t retry_ms; /* REFUSED: when to come back */
-  const char *why;  /* REFUSED, BAD: a few words; NULL: none */
+  int64_t retry_ms; /* REFUSED: delay before a retry */
+  const char *why;  /* REFUSED, BAD: the reason, a few words; NULL: none */
 } KqFrontReply;
 
-/* Answers; the ask is gone afterwards. The client may have left: then nothing is sent. */
+/* Answers the request and frees `a`. Sends nothing if the client has disconnected. */
 void kq_ask_reply (KqAsk *a, const KqFrontReply *r);
 
 typedef struct
 {
   void *arg;
-  /* Every request gets one kq_ask_reply, at once or later. */
+  /* Must lead to exactly one kq_ask_reply, at once or later. */
   void (*request) (void *arg, KqAsk *a, const KqFrontRequest *r, KqTime now);
-  bool (*ready) (void *arg, KqTime now);
-  bool (*leaving) (void *arg); /* connections are to be closed after their answers */
-  int64_t (*body_max) (void *arg);
+  bool (*ready) (void *arg, KqTime now); /* answer of the readiness check */
+  bool (*leaving) (void *arg);     /* connections are to be closed after their answers */
+  int64_t (*body_max) (void *arg); /* longest accepted request body, in bytes */
 } KqFrontOwner;
 
 typedef struct KqFront KqFront;
-/* Listens at both "ip:port" addresses; NULL when one can't be bound. */
+/* Listens at both "ip:port" addresses (for requests and for readiness checks); NULL when
+ * one can't be bound. */
 KqFront *kq_front_new (KqLoop *loop, KqStr front, KqStr ready, const KqFrontOwner *owner);
 void kq_front_ports (const KqFront *f, int *front, int *ready);
 void kq_front_free (KqFront *f);
--- a/src/port/hosts.c
+++ b/src/port/hosts.c
@@ -5,8 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Above any host's; keeps sums over a fleet far from the limit of 64 bits. */
-#define SIZE_MAX_FIELD ((int64_t)1 << 40)
+/* More than any host has; sums over a fleet stay far below the limit of 64 bits. */
+#define SIZE_FIELD_MAX ((int64_t)1 << 40)
 #define SLOTS_MAX 100000
 
 void
@@ -28,7 +28,7 @@
 }
 
 static KqName
-needed_name (KqJsonReader *r, const char *key)
+read_required_name (KqJsonReader *r, const char *key)
 {
   KqName n = kq_json_name (r, key);
   r->bad = r->bad || n.len == 0;
@@ -54,7 +54,7 @@
 static void
 read_runner (KqJsonReader *r, KqHostRunner *to)
 {
-  to->name = needed_name (r, "name");
+  to->name = read_required_name (r, "name");
   to->address = kq_str_own (kq_json_str (r, "address"));
   to->slots = (int)kq_json_i64 (r, "slots", 0, SLOTS_MAX);
   to->connections = (int)kq_json_i64 (r, "connections", 0, SLOTS_MAX);
@@ -69,7 +69,7 @@
     return KQ_HOST_LIVE;
   if (kq_str_eq (s, KQ_STR ("leaving")))
     return KQ_HOST_LEAVING;
-  /* "gone" lets a task start elsewhere, so nothing else may be read as it. */
+  /* On "gone" the host's tasks are started elsewhere, so any other text is an error. */
   if (!kq_str_eq (s, KQ_STR ("gone")))
     r->bad = true;
   return KQ_HOST_GONE;
@@ -81,23 +81,23 @@
   KqJsonReader size = kq_json_object (r, "size");
   size_t n;
   const json_t *runners = kq_json_array (r, "runners", &n);
-  to->name = needed_name (r, "name");
+  to->name = read_required_name (r, "name");
   to->id = kq_str_hash (kq_name_str (&to->name));
-  to->region = needed_name (r, "region");
-  to->depot = needed_name (r, "depot");
-  to->rack = needed_name (r, "rack");
+  to->region = read_required_name (r, "region");
+  to->depot = read_required_name (r, "depot");
+  to->rack = read_required_name (r, "rack");
   to->address = kq_str_own (kq_json_str (r, "address"));
   to->state = read_state (r);
-  to->whole.cpu_milli = kq_json_i64 (&size, "cpu_milli", 0, SIZE_MAX_FIELD);
-  to->whole.memory_mb = kq_json_i64 (&size, "memory_mb", 0, SIZE_MAX_FIELD);
-  to->whole.accelerators = kq_json_i64 (&size, "accelerators", 0, SIZE_MAX_FIELD);
-  kq_json_join (r, &size);
+  to->whole.cpu_milli = kq_json_i64 (&size, "cpu_milli", 0, SIZE_FIELD_MAX);
+  to->whole.memory_mb = kq_json_i64 (&size, "memory_mb", 0, SIZE_FIELD_MAX);
+  to->whole.accelerators = kq_json_i64 (&size, "accelerators", 0, SIZE_FIELD_MAX);
+  kq_json_propagate (r, &size);
   to->runners = kq_alloc ((n + 1) * sizeof *to->runners);
   for (; to->n_runners < n; to->n_runners++)
     {
       KqJsonReader e = kq_json_element (runners, to->n_runners);
       read_runner (&e, &to->runners[to->n_runners]);
-      kq_json_join (r, &e);
+      kq_json_propagate (r, &e);
     }
 }
 
@@ -115,7 +115,7 @@
     {
       KqJsonReader e = kq_json_element (list, out->n_hosts);
       read_host (&e, &out->hosts[out->n_hosts]);
-      kq_json_join (&r, &e);
+      kq_json_propagate (&r, &e);
     }
   json_decref (j);
   if (!r.bad)
--- a/src/port/hosts.h
+++ b/src/port/hosts.h
@@ -1,8 +1,8 @@
 #ifndef KQ_PORT_HOSTS_H
 #define KQ_PORT_HOSTS_H
 
-/* hosts: the platform's lagging list of live and leaving hosts, read into structs.
- * The text's form is stated in docs/PLATFORM.md. */
+/* hosts: parses the platform's host list, which may lag behind the true state. The
+ * format is given in docs/PLATFORM.md. */
 
 #include "base/result.h"
 #include "port/worker.h"
@@ -13,7 +13,7 @@
   KqStr address; /* base URL for requests, no trailing slash */
   int slots;
   int connections;
-  KqName *services; /* what it serves; none: every service */
+  KqName *services; /* the services it serves; none: all */
   size_t n_services;
 } KqHostRunner;
 
@@ -21,7 +21,7 @@
 {
   KQ_HOST_LIVE,
   KQ_HOST_LEAVING,
-  KQ_HOST_GONE /* proof that nothing runs there any more */
+  KQ_HOST_GONE /* guarantees that nothing runs there any more */
 } KqHostState;
 
 typedef struct
@@ -33,7 +33,7 @@
   KqName rack;
   KqStr address; /* base URL of the worker's task interface */
   KqHostState state;
-  KqSize whole;
+  KqSize whole; /* the host's capacity */
   KqHostRunner *runners;
   size_t n_runners;
 } KqHost;
@@ -44,9 +44,10 @@
   size_t n_hosts;
 } KqHostList;
 
-/* Reads the platform's text. On KQ_ERR_PLATFORM_FORMAT *out is empty. */
+/* Parses the platform's JSON. KQ_OK or KQ_ERR_PLATFORM_FORMAT; then *out is empty. */
 KqResult kq_hosts_parse (KqStr text, KqHostList *out);
 void kq_hosts_free (KqHostList *l);
-KqHost kq_host_copy (const KqHost *h); /* owns its strings and lists */
+/* A deep copy. */
+KqHost kq_host_copy (const KqHost *h);
 
 #endif
--- a/src/port/hosts_test.c
+++ b/src/port/hosts_test.c
@@ -54,9 +54,9 @@
   return r;
 }
 
-/* A list that can't be read whole is refused whole: a host left out would look as if it
- * had never been there, and a state read wrongly as "gone" would be taken as the proof
- * that its tasks stopped, so a task would run twice. */
+/* A list with any invalid part is refused. If a host were left out, it would seem not to
+ * exist; if a state were read as "gone" by mistake, the host's tasks would count as
+ * stopped and would run twice. */
 static void
 test_refuses_what_it_cannot_read (void **state)
 {
--- a/src/port/kept.c
+++ b/src/port/kept.c
@@ -7,10 +7,10 @@
 typedef struct
 {
   KqBuf tag;
-  KqBuf text;
+  KqBuf body;
 } Entry;
 
-struct KqKept
+struct KqEtagCache
 {
   GHashTable *entries; /* key -> Entry */
 };
@@ -20,61 +20,61 @@
 {
   Entry *e = p;
   kq_buf_free (&e->tag);
-  kq_buf_free (&e->text);
+  kq_buf_free (&e->body);
   free (e);
 }
 
-KqKept *
-kq_kept_new (void)
+KqEtagCache *
+kq_etag_cache_new (void)
 {
-  KqKept *k = kq_alloc (sizeof *k);
-  k->entries = g_hash_table_new_full (g_str_hash, g_str_equal, free, free_entry);
-  return k;
+  KqEtagCache *c = kq_alloc (sizeof *c);
+  c->entries = g_hash_table_new_full (g_str_hash, g_str_equal, free, free_entry);
+  return c;
 }
 
 void
-kq_kept_free (KqKept *k)
+kq_etag_cache_free (KqEtagCache *c)
 {
-  g_hash_table_destroy (k->entries);
-  free (k);
+  g_hash_table_destroy (c->entries);
+  free (c);
 }
 
 static const Entry *
-find (const KqKept *k, KqStr key)
+find (const KqEtagCache *c, KqStr key)
 {
   char *name = kq_str_dup (key);
-  const Entry *e = g_hash_table_lookup (k->entries, name);
+  const Entry *e = g_hash_table_lookup (c->entries, name);
   free (name);
   return e;
 }
 
 KqStr
-kq_kept_tag (const KqKept *k, KqStr key)
+kq_etag_cache_tag (const KqEtagCache *c, KqStr key)
 {
-  const Entry *e = find (k, key);
+  const Entry *e = find (c, key);
   return e != NULL ? kq_buf_str (&e->tag) : kq_str ("");
 }
 
 KqStr
-kq_kept_text (const KqKept *k, KqStr key)
+kq_etag_cache_body (const KqEtagCache *c, KqStr key)
 {
-  const Entry *e = find (k, key);
-  return e != NULL ? kq_buf_str (&e->text) : kq_str ("");
+  const Entry *e = find (c, key);
+  return e != NULL ? kq_buf_str (&e->body) : kq_str ("");
 }
 
 void
-kq_kept_put (KqKept *k, KqStr key, KqStr tag, KqStr text)
+kq_etag_cache_put (KqEtagCache *c, KqStr key, KqStr tag, KqStr body)
 {
   char *name = kq_str_dup (key);
   Entry *e;
   if (tag.len == 0)
     {
-      g_hash_table_remove (k->entries, name);
+      g_hash_table_remove (c->entries, name);
       free (name);
       return;
     }
   e = kq_alloc (sizeof *e);
   kq_buf_add_str (&e->tag, tag);
-  kq_buf_add_str (&e->text, text);
-  g_hash_table_replace (k->entries, name, e);
+  kq_buf_add_str (&e->body, body);
+  g_hash_table_replace (c->entries, name, e);
 }
--- a/src/port/kept.h
+++ b/src/port/kept.h
@@ -1,24 +1,25 @@
 #ifndef KQ_PORT_KEPT_H
 #define KQ_PORT_KEPT_H
 
-/* kept: the last answer by key with its entity tag, for conditional HTTP reads.
+/* kept: a cache of the last answer for each key with its entity tag (ETag), for
+ * conditional HTTP reads.
  *
- * The host list of a depot is asked for every two seconds and changes some tens of times
- * a day. Read whole each time it was the largest stream of bytes of a node (about 115
- * bytes a second and host of the depot, docs/CAPACITY-SHARDS.md). With the tag in
- * If-None-Match the platform answers 304 without a body while nothing has changed; one
- * that gives no tags answers whole as before. */
+ * The host list of a depot is read every two seconds and changes some tens of times a
+ * day. Transferred in full each time, it was the largest part of a node's traffic (about
+ * 115 bytes a second for each host of the depot, docs/CAPACITY-SHARDS.md). With the tag
+ * in If-None-Match the platform answers 304 without a body while the list is unchanged; a
+ * platform without entity tags sends the full list. */
 
 #include "base/str.h"
 
-typedef struct KqKept KqKept;
+typedef struct KqEtagCache KqEtagCache;
 
-KqKept *kq_kept_new (void);
-void kq_kept_free (KqKept *k);
-/* The tag to ask with; "" when nothing is kept for the key. */
-KqStr kq_kept_tag (const KqKept *k, KqStr key);
-KqStr kq_kept_text (const KqKept *k, KqStr key);
-/* An empty tag forgets the key. */
-void kq_kept_put (KqKept *k, KqStr key, KqStr tag, KqStr text);
+KqEtagCache *kq_etag_cache_new (void);
+void kq_etag_cache_free (KqEtagCache *c);
+/* The key's tag and body, valid until the next put; "" when the key isn't cached. */
+KqStr kq_etag_cache_tag (const KqEtagCache *c, KqStr key);
+KqStr kq_etag_cache_body (const KqEtagCache *c, KqStr key);
+/* Stores copies. An empty tag removes the key. */
+void kq_etag_cache_put (KqEtagCache *c, KqStr key, KqStr tag, KqStr body);
 
 #endif
--- a/src/port/kv.h
+++ b/src/port/kv.h
@@ -3,9 +3,9 @@
 
 /* kv: the port to a key-value store with transactions, leases and watches.
  *
- * Every call ends in exactly one callback, never before the call has returned. A reply
- * and all that it points to are valid during the callback only. The store counts and
- * prices each call; a lease renewal is the cheapest. */
+ * Each function leads to exactly one callback, always after it has returned. A reply and
+ * all that it points to are valid only during the callback. Each call has a price at the
+ * store; a lease renewal is the cheapest. */
 
 #include "base/str.h"
 #include "base/task.h"
@@ -18,8 +18,9 @@
   KQ_KV_NOT_FOUND, /* get: no such key; lease calls: the lease has ended */
   KQ_KV_CONFLICT,  /* txn: a check failed, nothing was written; items are the checked keys
                       as they are now */
-  KQ_KV_COMPACTED, /* watch: the history asked for is gone; list anew */
-  KQ_KV_REFUSED,   /* overloaded or turned away: provably nothing was done */
+  KQ_KV_COMPACTED, /* watch: the requested history has been compacted; read the range
+                      again */
+  KQ_KV_REFUSED,   /* refused, e.g. for overload: certainly nothing was done */
   KQ_KV_UNKNOWN    /* no answer: a write may have happened or may still happen */
 } KqKvResult;
 
@@ -37,12 +38,12 @@
   KqKvResult result;
   const KqKvItem *items;
   size_t n_items;
-  bool more;         /* range: continue behind the last item's key */
-  bool cut;          /* KQ_KV_UNKNOWN: the answer had begun */
-  uint64_t revision; /* the store's revision; after a txn that of the write */
-  uint64_t lease;    /* of a grant */
+  bool more;         /* range: there are more keys after the last item's key */
+  bool cut;          /* KQ_KV_UNKNOWN: part of the answer had arrived */
+  uint64_t revision; /* the store's revision; of a txn: the revision of its write */
+  uint64_t lease;    /* of a grant: the lease's id */
   int64_t ttl_ms;    /* of a grant or a renewal */
-  KqTime sent_at;    /* a lease is counted from here by its holder */
+  KqTime sent_at;    /* the holder of a lease counts its ttl from here */
 } KqKvReply;
 
 typedef struct
@@ -54,17 +55,18 @@
 typedef struct
 {
   KqStr key;
-  uint64_t revision; /* 0: the key must not exist */
+  uint64_t revision; /* the key's expected revision; 0: the key must not exist */
 } KqKvCheck;
 
 typedef struct
 {
   KqStr key;
   KqStr value;
-  uint64_t lease; /* 0: the key stays */
+  uint64_t lease; /* the key is deleted when this lease ends; 0: never */
 } KqKvPut;
 
-/* All or nothing. The store takes at most KQ_KV_TXN_MAX rows of all three together. */
+/* A transaction: all or nothing. The store takes at most KQ_KV_TXN_MAX checks, puts and
+ * removes together. */
 #define KQ_KV_TXN_MAX 32
 typedef struct
 {
@@ -77,17 +79,20 @@
 } KqKvTxn;
 
 void kq_kv_get (KqKv *kv, KqStr key, int timeout_ms, KqKvCallback cb);
-/* One page of the keys under prefix, behind the key `after` ("" for the first). Pages
- * don't make up a snapshot. The answer begins within answer_ms or is given up; once it
- * has begun, it is taken in as long as it comes. */
+/* One page of the keys under prefix, starting after the key `after` ("" for the first
+ * page). The pages together aren't a snapshot. answer_ms limits the time until the first
+ * byte of the answer; after that the call goes on as long as bytes arrive. */
 void kq_kv_range (KqKv *kv, KqStr prefix, KqStr after, int answer_ms, KqKvCallback cb);
-/* Changes under prefix with a revision above `after`, as soon as there is one; without
- * any for wait_ms the reply has no items. Go on from the reply's revision. An answer that
- * has begun is taken in as that of a range is. */
+/* Answers with the changes under prefix above the revision `after`, as soon as there is
+ * one; without a change for wait_ms the reply has no items. The next watch continues from
+ * the reply's revision. An answer that has begun is received like that of a range. */
 void kq_kv_watch (KqKv *kv, KqStr prefix, uint64_t after, int wait_ms, KqKvCallback cb);
 void kq_kv_txn (KqKv *kv, const KqKvTxn *t, int timeout_ms, KqKvCallback cb);
+/* Grants a lease. */
 void kq_kv_lease (KqKv *kv, int64_t ttl_ms, int timeout_ms, KqKvCallback cb);
+/* Renews a lease. */
 void kq_kv_keep (KqKv *kv, uint64_t lease, int timeout_ms, KqKvCallback cb);
+/* Revokes a lease; its keys are deleted. */
 void kq_kv_lease_end (KqKv *kv, uint64_t lease, int timeout_ms, KqKvCallback cb);
 
 #endif
--- a/src/port/mail.h
+++ b/src/port/mail.h
@@ -1,7 +1,8 @@
 #ifndef KQ_PORT_MAIL_H
 #define KQ_PORT_MAIL_H
 
-/* mail: what tasks of one process send each other (see base/task.h). */
+/* mail: the messages between the tasks of one process (base/task.h); messages between
+ * nodes are in wire/msg.h. */
 
 #include "base/task.h"
 #include "port/hosts.h"
@@ -10,19 +11,19 @@
 
 typedef enum
 {
-  KQ_MAIL_OUT,          /* to a port's task: carry this out */
-  KQ_MAIL_MSG,          /* from the mesh: a message came from `peer` */
-  KQ_MAIL_PEER,         /* from the mesh: the connection to `peer` came up or went */
+  KQ_MAIL_OUT,          /* to a port's task: carry out this call, or send this message */
+  KQ_MAIL_MSG,          /* from the mesh: a message has arrived from `peer` */
+  KQ_MAIL_PEER,         /* from the mesh: the connection to `peer` went up or down */
   KQ_MAIL_STORE_REPLY,  /* from the store's task */
   KQ_MAIL_WORKER_REPLY, /* from the workers' task */
-  KQ_MAIL_HOSTS,        /* to the workers' task: addresses of all workers we own */
-  KQ_MAIL_SHARD_HOSTS,  /* to the runners' task: the hosts of a shard we own */
-  KQ_MAIL_SHARD_GONE,   /* to the runners' task: the shard is no longer ours */
-  KQ_MAIL_TABLE,        /* from the node's task: a new table is in force */
-  KQ_MAIL_NODE,         /* from the node's task: a node's state changed */
-  KQ_MAIL_SERVICES,     /* from the runners' task: its digest, one line a service */
-  KQ_MAIL_DRAIN,        /* take no new work */
-  KQ_MAIL_DRAINED       /* from a task that was told to: nothing is left open */
+  KQ_MAIL_HOSTS,       /* to the workers' task: addresses of all workers this node owns */
+  KQ_MAIL_SHARD_HOSTS, /* to the runners' task: the hosts of a shard this node owns */
+  KQ_MAIL_SHARD_GONE,  /* to the runners' task: this node no longer owns the shard */
+  KQ_MAIL_TABLE,       /* from the node's task: a new table is in force */
+  KQ_MAIL_NODE,        /* from the node's task: a node's state changed */
+  KQ_MAIL_SERVICES,    /* from the runners' task: its digest, an entry per service */
+  KQ_MAIL_DRAIN,       /* accept no new work */
+  KQ_MAIL_DRAINED      /* from a task that has drained: it has no open work left */
 } KqMailKind;
 
 typedef struct
@@ -30,14 +31,16 @@
   KqNodeId peer;
   uint64_t incarnation;
   bool up;
-  bool was_up; /* down: false means that nothing sent since the last `down` has left */
-  KqResult reason; /* of going down */
+  bool was_up; /* down: false means that nothing given to the mesh since the last `down`
+                  has been sent */
+  KqResult reason; /* down: why */
 } KqMailPeer;
 
 typedef struct
 {
   uint32_t shard;
-  bool taken_over;  /* we don't know what runs there: the former owner didn't tell */
+  bool
+      taken_over; /* without a handover by the former owner: what runs there is unknown */
   KqHostList hosts; /* owned */
 } KqMailShardHosts;
 
@@ -47,7 +50,7 @@
   KqName region;
   KqName depot;
   bool usable; /* alive and not draining */
-  bool gone;   /* forget it */
+  bool gone;   /* it has left the cluster; all state about it can be dropped */
 } KqMailNode;
 
 typedef struct
@@ -69,15 +72,15 @@
       KqMsg *msg; /* owned */
     } msg;
     KqMailPeer peer;
-    KqStoreReply store_reply;   /* owns what it points at */
-    KqWorkerReply worker_reply; /* owns what it points at */
+    KqStoreReply store_reply;   /* owns what it points to */
+    KqWorkerReply worker_reply; /* owns what it points to */
     KqHostList hosts;           /* owned */
     KqMailShardHosts shard_hosts;
     uint32_t shard_gone;
     KqTable *table; /* a reference */
     KqMailNode node;
     KqMailServices services;
-    const char *drained; /* who */
+    const char *drained; /* the task's name */
   } u;
 };
 
@@ -85,9 +88,9 @@
 void kq_mail_free (KqMail *m);
 KqMail *kq_mail_out (KqOut *item); /* takes over what the item owns */
 KqMail *kq_mail_msg (KqNodeId peer, const KqMsg *msg);
-/* Has the mesh send a copy of the message to the node `to`. */
+/* Makes the mesh send a copy of the message to the node `to`. */
 void kq_mail_send_msg (KqTask *mesh, KqNodeId to, const KqMsg *msg);
-/* Answers a QUERY: JSON, or with another code than KQ_OK what is wrong. */
+/* Answers a QUERY. text: JSON when code is KQ_OK, otherwise an error message. */
 void kq_mail_send_answer (KqTask *mesh, KqNodeId to, uint64_t call, KqResult code,
                           KqStr text);
 KqMail *kq_mail_store_reply (const KqStoreReply *r);   /* deep copy */
--- a/src/port/maintenance.h
+++ b/src/port/maintenance.h
@@ -1,12 +1,12 @@
 #ifndef KQ_PORT_MAINTENANCE_H
 #define KQ_PORT_MAINTENANCE_H
 
-/* maintenance: the port to the control plane that takes target hosts down for their
- * maintenance, and the waves of it that operators ask for.
+/* maintenance: the port to the control plane that takes target hosts down for
+ * maintenance, and the waves of maintenance that operators request.
  *
- * A wave names hosts; each of them needs one maintenance, in time, with a bounded number
- * down at once. When a host goes down, all that runs there ends at once; a new runner
- * comes up on it by itself. */
+ * A wave lists hosts. Each of them needs one maintenance before the wave's time is over,
+ * with a bounded number of hosts down at once. When a host goes down, all that runs there
+ * ends at once; afterwards the platform starts a new runner on it. */
 
 #include "base/str.h"
 #include "base/task.h"
@@ -18,18 +18,18 @@
   int64_t number;
   const KqStr *hosts;
   size_t n_hosts;
-  int64_t duration_ms;
-  int32_t cap; /* most hosts down at once */
+  int64_t duration_ms; /* time in which all its hosts must be done */
+  int32_t cap;         /* maximum number of hosts down at once */
 } KqWaveInfo;
 
 typedef enum
 {
-  KQ_MAINTENANCE_OK,      /* it has begun, or was done already */
+  KQ_MAINTENANCE_OK,      /* maintenance has begun, or was done already */
   KQ_MAINTENANCE_FENCED,  /* a higher fencing token has been used for that host */
   KQ_MAINTENANCE_BUSY,    /* the host isn't up */
-  KQ_MAINTENANCE_FOREIGN, /* the host isn't of that wave, or there is no such host */
+  KQ_MAINTENANCE_FOREIGN, /* the host isn't in that wave, or doesn't exist */
   KQ_MAINTENANCE_LIMITED, /* too many calls: nothing was done */
-  KQ_MAINTENANCE_UNKNOWN  /* no answer: it may have begun */
+  KQ_MAINTENANCE_UNKNOWN  /* no answer: maintenance may have begun */
 } KqMaintenanceResult;
 
 /* For logs. */
@@ -41,8 +41,9 @@
   void *arg;
 } KqMaintenanceCallback;
 
-/* holder and token say who orders, for each host separately. The callback comes exactly
- * once, never from within the call. */
+/* Begins the maintenance of a host. holder and token identify the caller; each host is
+ * fenced separately. The callback is called exactly once, always after this function has
+ * returned. */
 void kq_maintenance_begin (KqMaintenanceCalls *c, KqStr host, int64_t wave, KqStr holder,
                            uint64_t token, int timeout_ms, KqMaintenanceCallback cb);
 
--- a/src/port/meter.c
+++ b/src/port/meter.c
@@ -2,13 +2,14 @@
 
 #include <stdio.h>
 
-/* From a store's millisecond to the longest timeout; the last bucket has no bound. */
+/* From the latency of a fast store to the longest timeout; the last bucket is unbounded.
+ */
 static const int bounds_ms[KQ_METER_BUCKETS - 1]
     = { 1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000 };
 
 static uint64_t *
-find (KqMeter *m, const char *name, const char *label, const char *value,
-      const char *help)
+counter (KqMeter *m, const char *name, const char *label, const char *value,
+         const char *help)
 {
   char full[64];
   char labels[128];
@@ -31,29 +32,29 @@
         snprintf (bound, sizeof bound, "%d", bounds_ms[i]);
       else
         snprintf (bound, sizeof bound, "+Inf");
-      m->buckets[i] = find (m, "latency_ms_bucket", "le", bound,
-                            "Calls answered within so many milliseconds");
+      m->buckets[i] = counter (m, "latency_ms_bucket", "le", bound,
+                               "Calls answered within so many milliseconds");
     }
-  m->sum_us = find (m, "latency_us_sum", NULL, NULL, "Microseconds of all calls");
-  m->bytes_out = find (m, "body_bytes_total", "way", "out", "Bytes of bodies");
-  m->bytes_in = find (m, "body_bytes_total", "way", "in", "Bytes of bodies");
+  m->sum_us = counter (m, "latency_us_sum", NULL, NULL, "Microseconds of all calls");
+  m->bytes_out = counter (m, "body_bytes_total", "way", "out", "Bytes of bodies");
+  m->bytes_in = counter (m, "body_bytes_total", "way", "in", "Bytes of bodies");
 }
 
-/* Results are few for each kind, so a short list found by scan is enough; the last
- * place takes what finds no room. */
+/* A kind of call has few results, so the list is searched linearly. If it is full, the
+ * last entry also counts the results that have none. */
 static void
 count_result (KqMeter *m, KqResult r)
 {
   int i = 0;
   while (i < m->n_results && m->results[i].result != r)
     i++;
-  if (i == KQ_METER_RESULTS)
+  if (i == KQ_METER_RESULTS_MAX)
     i--;
   if (i == m->n_results)
     {
       m->results[i].result = r;
-      m->results[i].count = find (m, "calls_total", "result", kq_result_name (r),
-                                  "Calls answered, by kind and result");
+      m->results[i].count = counter (m, "calls_total", "result", kq_result_name (r),
+                                     "Calls answered, by kind and result");
       m->n_results++;
     }
   (*m->results[i].count)++;
--- a/src/port/outbox.h
+++ b/src/port/outbox.h
@@ -1,11 +1,12 @@
 #ifndef KQ_PORT_OUTBOX_H
 #define KQ_PORT_OUTBOX_H
 
-/* outbox: what a decision module wants done, in order.
+/* outbox: a queue of the calls and messages that a decision module wants sent.
  *
- * Decision modules have no socket: they append store calls, messages to nodes (also to
- * their own node) and worker calls here, and the driver (the daemon's tasks, or a test
- * with fakes) carries them out and brings the replies back as arguments. */
+ * Decision modules do no input or output: they append store calls, messages to nodes
+ * (also to their own node) and worker calls here. The driver (the daemon's tasks, or a
+ * test with fakes) carries them out in order and passes the replies to the module's
+ * functions. */
 
 #include "port/store.h"
 #include "port/worker.h"
@@ -33,7 +34,7 @@
   } u;
 } KqOut;
 
-/* A queue in one array: items stand from `first` to `len`. */
+/* A queue in one array: the items are those from `first` to before `len`. */
 typedef struct
 {
   KqOut *items;
@@ -49,8 +50,10 @@
 void kq_outbox_send (KqOutbox *o, KqNodeId to, const KqMsg *msg); /* copies */
 void kq_outbox_worker (KqOutbox *o, const KqWorkerCall *call);    /* copies */
 void kq_outbox_move (KqOutbox *o, KqOut *item); /* takes over what the item owns */
-/* Takes the oldest item; false when there is none. The taker calls kq_out_clear. */
+/* Removes the oldest item; false when there is none. The caller frees what it owns by
+ * kq_out_clear or passes it on. */
 bool kq_outbox_take (KqOutbox *o, KqOut *item);
+/* Frees what the item owns. */
 void kq_out_clear (KqOut *item);
 
 #endif
--- a/src/port/runner.h
+++ b/src/port/runner.h
@@ -1,11 +1,11 @@
 #ifndef KQ_PORT_RUNNER_H
 #define KQ_PORT_RUNNER_H
 
-/* runner: the port to the runners that execute tasks, and what they say of themselves.
+/* runner: the port to the runners, which execute tasks, and what they report.
  *
- * A runner keeps the highest fencing token (epoch) it has seen and refuses lower ones.
- * All that runs on it ends when its lease lapses; the lease's end is a time on the
- * runner's own steady clock, which may be 2% slow. */
+ * A runner stores the highest fencing token (epoch) it has seen and refuses lower ones.
+ * All that runs on it ends when its lease expires. The lease's end is a time on the
+ * runner's own monotonic clock, which may be 2% slow. */
 
 #include "base/str.h"
 #include "base/task.h"
@@ -19,7 +19,7 @@
   int64_t gpus;
 } KqRoom;
 
-/* What a runner has put into the store about itself. */
+/* A runner's description of itself in the store. */
 typedef struct
 {
   KqStr id;
@@ -28,21 +28,21 @@
   KqStr failure_domain;
   KqStr kind;
   KqStr rack;
-  KqStr host;      /* the host it lives on; "" when not told */
-  bool draining;   /* leaves soon; gets nothing new */
-  int64_t left_ms; /* while draining: at least so long it stays; 0: not told */
-  int64_t born_ms; /* start of this life, Unix time; 0: not told */
-  KqRoom room;
+  KqStr host;      /* the host it runs on; "" if not given */
+  bool draining;   /* will end soon; gets no new tasks */
+  int64_t left_ms; /* while draining: it stays at least for so long; 0: not given */
+  int64_t born_ms; /* start of the runner's process, Unix time; 0: not given */
+  KqRoom room;     /* its capacity */
 } KqRunnerEntry;
 
 typedef enum
 {
   KQ_END_DONE,
-  KQ_END_FAILED,  /* by its own fault or the runner's */
+  KQ_END_FAILED,  /* an error of the task or of the runner */
   KQ_END_STOPPED, /* by a stop order */
-  KQ_END_LAPSED,  /* the runner's lease ran out */
-  KQ_END_BROKEN,  /* another member of its gang ended */
-  KQ_END_ALONE    /* the other members of its gang didn't come */
+  KQ_END_LAPSED,  /* the runner's lease expired */
+  KQ_END_BROKEN,  /* another member of its gang (tasks that run together) ended */
+  KQ_END_ALONE    /* the other members of its gang weren't started in time */
 } KqEndHow;
 
 typedef struct
@@ -50,14 +50,14 @@
   KqStr task;
   uint32_t run;
   KqStr checkpoint; /* "": none */
-  int percent;      /* progress; of a lasting task 100 means that it serves */
-  int load;         /* serving task: latency tail in ms; any other: cpu in use, in
-                       thousandths of a core; -1: not told */
+  int percent;      /* progress; of a lasting task: 100 means that it serves */
+  int load;         /* serving task: tail latency in ms; any other: cpu in use, in
+                       thousandths of a core; -1: not reported */
 } KqRunRow;
 
 typedef struct
 {
-  uint64_t number; /* counts from 1 in each life of the runner */
+  uint64_t number; /* counts from 1 in each process of the runner */
   KqStr task;
   uint32_t run;
   KqEndHow how;
@@ -67,15 +67,15 @@
 typedef enum
 {
   KQ_ORDER_OK,
-  KQ_ORDER_FENCED,  /* a higher epoch has been there */
+  KQ_ORDER_FENCED,  /* the runner has seen a higher epoch */
   KQ_ORDER_OLD_RUN, /* that run, or a later one, has been stopped or has ended there */
-  KQ_ORDER_LATE,    /* the lease's end that came along has passed */
+  KQ_ORDER_LATE,    /* the lease's end in the order has passed */
   KQ_ORDER_NO_ROOM,
   KQ_ORDER_NO_TICKET,
   KQ_ORDER_UNHEALTHY,  /* refused without doing anything */
   KQ_ORDER_OTHER_LIFE, /* another runner answers at that address */
   KQ_ORDER_BAD,
-  KQ_ORDER_UNKNOWN /* no answer: done, not done, or done seconds later */
+  KQ_ORDER_UNKNOWN /* no answer: done, not done, or done some seconds later */
 } KqOrderResult;
 
 /* For logs. */
@@ -85,16 +85,18 @@
 typedef struct
 {
   KqOrderResult result;
-  int64_t clock_ms; /* the runner's steady clock; -1: not told */
-  int64_t born_ms;  /* 0: not told */
+  int64_t clock_ms; /* the runner's monotonic clock; -1: not given */
+  int64_t born_ms;  /* start of the runner's process, Unix time; 0: not given */
   const KqRunRow *running;
   size_t n_running;
   const KqEndRow *ended;
   size_t n_ended;
-  bool ended_cut; /* more ends wait behind those listed */
-  bool unsent;    /* UNHEALTHY as the call never left; else the runner said so */
-  KqTime sent_at;
-  KqTime left_at; /* when the call left, on a connection opened by then; 0: it hasn't */
+  bool ended_cut; /* there are more ends than those listed */
+  bool unsent;    /* UNHEALTHY because the call was never sent; false: the runner answered
+                     so */
+  KqTime sent_at; /* when the call was made; it may have waited for a connection */
+  KqTime left_at; /* when its first byte was sent, on a connection that was open by then;
+                     0: never sent */
 } KqRunnerReply;
 
 typedef struct
@@ -109,9 +111,10 @@
   KqStr id;
   uint64_t epoch;
   int timeout_ms;
-  /* Not 0: only on a connection opened by then, otherwise UNHEALTHY without having left.
-   * With the time at which an earlier call left that the runner has answered, the order
-   * reaches the life that gave that answer, or nobody: connections end with a life. */
+  /* Not 0: the call is sent only on a connection opened at or before this time; if there
+   * is none, the result is UNHEALTHY with `unsent`. Set to the left_at of a call that the
+   * runner has answered, this makes the order reach the process that gave that answer or
+   * none at all, because a process's connections end with it. */
   KqTime opened_before;
 } KqRunnerAim;
 
@@ -120,11 +123,12 @@
                       KqRunnerCallback cb);
 void kq_runner_stop (KqRunnerCalls *c, const KqRunnerAim *a, KqStr task, uint32_t run,
                      KqRunnerCallback cb);
-/* Lets the task work at a share of its speed, 0 to 100. */
+/* Sets the task's pace: a percentage of its full speed, 0 to 100. */
 void kq_runner_pace (KqRunnerCalls *c, const KqRunnerAim *a, KqStr task, uint32_t run,
                      int percent, KqRunnerCallback cb);
-/* Renews the lease (lease_end_ms < 0: only looks), forgets ends up to ends_seen, and
- * lists runs and ends. Waits up to wait_ms for an end. */
+/* Renews the lease (not if lease_end_ms < 0), drops the ends up to number ends_seen from
+ * the runner's list, and returns its runs and ends. Without an end the runner answers
+ * after wait_ms at the latest. */
 void kq_runner_renew (KqRunnerCalls *c, const KqRunnerAim *a, int64_t lease_end_ms,
                       uint64_t ends_seen, int wait_ms, KqRunnerCallback cb);
 
--- a/src/port/source.h
+++ b/src/port/source.h
@@ -1,30 +1,30 @@
 #ifndef KQ_PORT_SOURCE_H
 #define KQ_PORT_SOURCE_H
 
-/* source: where the operators' configuration and the runners' entries lie in the store,
- * and how they are read. */
+/* source: the keys of the operators' configuration, the maintenance waves and the
+ * runners' entries in the store, and how their values are parsed. */
 
 #include "port/maintenance.h"
 #include "port/runner.h"
 #include "steps/queues.h"
 
-/* Prefixes of the store's keys to follow. */
+/* Prefixes of the store's keys to watch. */
 KqStr kq_source_config_prefix (void);
 KqStr kq_source_runners_prefix (void);
 
-/* A new table from what lies under the configuration's prefix; NULL: the key isn't the
- * configuration, or can't be read (then *bad is set). */
+/* Parses the operators' configuration into a new table, owned by the caller. NULL: the
+ * key isn't that of the configuration, or the value is invalid (then *bad is set). */
 KqQueueTable *kq_source_config (KqStr key, KqStr value, bool *bad);
-/* Waves of maintenance: where they lie, and where what has become of them is told. */
+/* The prefix of the maintenance waves that operators request. */
 KqStr kq_source_waves_prefix (void);
-/* Calls take with the wave; false: no wave, or one that can't be read. */
+/* Parses a wave and calls take with it; false: not a wave, or an invalid one. */
 bool kq_source_wave (KqStr key, KqStr value,
                      void (*take) (void *arg, const KqWaveInfo *w), void *arg);
-/* What tells that a wave goes on, or is over. The texts are appended. */
+/* Appends the key and value that report the state of a wave: in progress or completed. */
 void kq_source_wave_state (int64_t number, bool completed, KqBuf *key, KqBuf *value);
 
-/* Reads a runner's entry and calls take with it; false: it names no runner to use. *id
- * receives the runner's id in both cases. */
+/* Parses a runner's entry and calls take with it; false: it describes no usable runner.
+ * *id receives the runner's id in both cases. */
 bool kq_source_runner (KqStr key, KqStr value, KqStr *id,
                        void (*take) (void *arg, const KqRunnerEntry *e), void *arg);
 
--- a/src/port/store.h
+++ b/src/port/store.h
@@ -4,11 +4,11 @@
 /* store: the port to the platform's key-value service.
  *
  * Decision modules put a KqStoreOp into their outbox and later receive the KqStoreReply
- * that carries the same part and token. Only src/port/store_http.c knows HTTP;
- * src/port/store_fake.c answers from memory for tests, with faults.
+ * with the same part and token. store_http.c carries the calls out over HTTP;
+ * store_fake.c is an in-memory store with injected faults, for tests.
  *
- * A revision is the store's own number of the last write of a key; it grows with every
- * write of any key. Revision 0 means "the key must not exist". */
+ * The store numbers all writes with one growing counter; a key's revision is the number
+ * of its last write. As an expected revision, 0 means that the key must not exist. */
 
 #include "base/result.h"
 #include "base/str.h"
@@ -16,26 +16,26 @@
 
 #include <stdint.h>
 
-/* A value longer than this is refused by the store (the brief: up to a megabyte). */
+/* Longest value the store accepts, in bytes. */
 #define KQ_STORE_VALUE_MAX 1000000
 
 typedef enum
 {
   KQ_STORE_GET,          /* key -> value, revision; NOT_FOUND */
-  KQ_STORE_PUT,          /* compare-and-swap: revision must be `expect`; CONFLICT gives
-                            the present value and revision in the reply */
+  KQ_STORE_PUT,          /* compare-and-swap: the key's revision must be `expect`; on
+                            CONFLICT the reply holds the current value and revision */
   KQ_STORE_DELETE,       /* compare-and-swap as for PUT */
   KQ_STORE_LIST,         /* all keys under the prefix `key`, with values */
-  KQ_STORE_LEASE_GRANT,  /* -> lease id; lives lease_ms from the store's answer */
-  KQ_STORE_LEASE_RENEW,  /* lease; LEASE_LOST when it has lapsed */
-  KQ_STORE_LEASE_REVOKE, /* lease; its keys go at once */
-  KQ_STORE_WATCH,        /* waits until something under prefix `key` is newer than
-                            `expect`, or wait_ms pass; answers like LIST */
-  KQ_STORE_HOSTS         /* the lagging list of hosts of depot `key`; the answer is the
-                            platform's text in `value` */
+  KQ_STORE_LEASE_GRANT,  /* -> lease id; it expires lease_ms after the store's answer */
+  KQ_STORE_LEASE_RENEW,  /* lease; LEASE_LOST when it has expired */
+  KQ_STORE_LEASE_REVOKE, /* lease; its keys are deleted at once */
+  KQ_STORE_WATCH,        /* waits until a key under the prefix `key` has a revision above
+                            `expect`, or for wait_ms; answers like LIST */
+  KQ_STORE_HOSTS /* the platform's host list of depot `key`, as JSON in `value`; it
+                    may lag behind the true state (hosts.h) */
 } KqStoreOpKind;
 
-/* Which module asked: the reply goes back to it. */
+/* The module that made the call and gets the reply. */
 typedef enum
 {
   KQ_PART_MEMBER,
@@ -45,7 +45,8 @@
   KQ_PART_COUNT
 } KqPart;
 
-/* Which budget pays for the call: urgent and lease calls have a reserve. */
+/* Priority in the node's call budget; urgent and lease calls may use its reserve
+ * (budget.h). */
 typedef enum
 {
   KQ_STORE_NORMAL,
@@ -57,11 +58,11 @@
   KqStoreOpKind kind;
   KqStoreClass call_class;
   KqPart part;
-  uint64_t token; /* chosen by the asker, echoed */
+  uint64_t token; /* chosen by the caller, echoed in the reply */
   KqStr key;      /* copied by kq_outbox_store */
-  KqStr value;    /* copied too */
+  KqStr value;    /* likewise */
   uint64_t expect;
-  uint64_t lease; /* PUT: the key goes when this lease lapses; 0: it stays */
+  uint64_t lease; /* PUT: the key is deleted when this lease expires; 0: never */
   int lease_ms;
   int wait_ms;
 } KqStoreOp;
@@ -75,7 +76,7 @@
 
 /* Valid only during the call that delivers it. result: KQ_OK, KQ_ERR_STORE_* or
  * KQ_ERR_PLATFORM_FORMAT. After UNREACHABLE a write may or may not have taken effect:
- * the asker reads back and compares its own write id, it never assumes. */
+ * the caller must read the key and look for its own write id in the value. */
 typedef struct
 {
   KqStoreOpKind kind;
@@ -87,7 +88,7 @@
   uint64_t lease;
   KqStoreItem *items; /* LIST and WATCH */
   size_t n_items;
-  KqTime sent_at; /* when the request left; leases count from here at the holder */
+  KqTime sent_at; /* when the request was sent; holders count their lease from here */
 } KqStoreReply;
 
 #endif
--- a/src/port/store_fake.c
+++ b/src/port/store_fake.c
@@ -11,8 +11,8 @@
 {
   EV_ARRIVE,    /* a call reaches the store */
   EV_ANSWER,    /* an answer reaches its client */
-  EV_WATCH_END, /* a watch has waited long enough */
-  EV_EXPIRE     /* a lease may have lapsed */
+  EV_WATCH_END, /* a watch has waited for its wait_ms */
+  EV_EXPIRE     /* a lease may have expired */
 } EventKind;
 
 /* op and reply own their strings. */
@@ -22,11 +22,11 @@
   KqTime at;
   uint64_t serial;
   int client;
-  uint64_t call; /* which call: ties a waiting watch to its end */
-  KqTime half;   /* half the latency drawn for the call */
+  uint64_t call;       /* number of the call: identifies the watch of a WATCH_END */
+  KqTime half_latency; /* half of the latency drawn for the call */
   KqTime answer_delay;
   KqFate fate;
-  bool mute; /* no answer: the client was already told UNREACHABLE */
+  bool no_answer; /* the client gets UNREACHABLE from another event, or has gone */
   KqStoreOp op;
   KqStoreReply reply;
   uint64_t lease;
@@ -44,7 +44,7 @@
   size_t n_heap, heap_capacity;
   Event **watches; /* waiting */
   size_t n_watches, watches_capacity;
-  Event *delivered; /* the answer given out last */
+  Event *delivered; /* the answer returned last */
   bool script_on;
   KqStoreOpKind script_kind;
   char *script_prefix;
@@ -164,7 +164,7 @@
   return top;
 }
 
-/* The answer as LIST gives it: the rows under the prefix and the highest revision. */
+/* Fills in the answer of LIST: the rows under the prefix and the highest revision. */
 static void
 fill_list (KqStoreFake *s, KqStr prefix, KqStoreReply *r)
 {
@@ -178,7 +178,7 @@
 static void
 answer (KqStoreFake *s, Event *e)
 {
-  if (e->mute)
+  if (e->no_answer)
     {
       free_event (e);
       return;
@@ -186,19 +186,20 @@
   if (e->fate == KQ_FATE_DUPLICATE && e->op.kind != KQ_STORE_LIST
       && e->op.kind != KQ_STORE_WATCH)
     {
-      Event *twin = kq_alloc (sizeof *twin);
-      *twin = *e;
-      twin->op.key = kq_fake_copy (e->op.key);
-      twin->op.value = kq_fake_copy (e->op.value);
-      twin->reply.value = kq_fake_copy (e->reply.value);
-      twin->kind = EV_ANSWER;
-      push (s, twin, e->at + e->half + e->answer_delay + s->faults.timeout / 2);
+      Event *duplicate = kq_alloc (sizeof *duplicate);
+      *duplicate = *e;
+      duplicate->op.key = kq_fake_copy (e->op.key);
+      duplicate->op.value = kq_fake_copy (e->op.value);
+      duplicate->reply.value = kq_fake_copy (e->reply.value);
+      duplicate->kind = EV_ANSWER;
+      push (s, duplicate,
+            e->at + e->half_latency + e->answer_delay + s->faults.timeout / 2);
     }
   e->kind = EV_ANSWER;
-  push (s, e, e->at + e->half + e->answer_delay);
+  push (s, e, e->at + e->half_latency + e->answer_delay);
 }
 
-/* Wakes the watches over a key that changed just now. */
+/* Answers the watches on a key that has just changed. */
 static void
 wake_watches (KqStoreFake *s, KqStr key, KqTime at)
 {
@@ -227,11 +228,11 @@
   wake_watches (s, row->key, at);
 }
 
-/* Ends a lease: its keys go. */
+/* Ends a lease and deletes its keys. */
 static void
 drop_lease (KqStoreFake *s, uint64_t id, KqTime at)
 {
-  KqFakeLease *l = kq_fake_keys_lease (&s->keys, id);
+  KqFakeLease *l = kq_fake_keys_find_lease (&s->keys, id);
   if (l == NULL)
     return;
   *l = s->keys.leases[--s->keys.n_leases];
@@ -256,20 +257,20 @@
   const KqStoreOp *op = &e->op;
   KqStoreReply *r = &e->reply;
   KqFakeRow *row = kq_fake_keys_find (&s->keys, op->key);
-  uint64_t have = row != NULL && row->present ? row->revision : 0;
+  uint64_t current = row != NULL && row->present ? row->revision : 0;
   if (op->value.len > KQ_STORE_VALUE_MAX)
     r->result = KQ_ERR_STORE_TOO_LARGE;
-  else if (have != op->expect)
+  else if (current != op->expect)
     {
       r->result = KQ_ERR_STORE_CONFLICT;
-      r->revision = have;
-      if (have != 0)
+      r->revision = current;
+      if (current != 0)
         r->value = kq_fake_copy (row->value);
       s->count.get_bytes += r->value.len;
     }
-  else if (op->kind == KQ_STORE_DELETE && have == 0)
+  else if (op->kind == KQ_STORE_DELETE && current == 0)
     r->result = KQ_ERR_STORE_NOT_FOUND;
-  else if (op->lease != 0 && kq_fake_keys_lease (&s->keys, op->lease) == NULL)
+  else if (op->lease != 0 && kq_fake_keys_find_lease (&s->keys, op->lease) == NULL)
     r->result = KQ_ERR_STORE_LEASE_LOST;
   else
     {
@@ -293,7 +294,7 @@
 static void
 do_lease (KqStoreFake *s, Event *e)
 {
-  KqFakeLease *l = kq_fake_keys_lease (&s->keys, e->op.lease);
+  KqFakeLease *l = kq_fake_keys_find_lease (&s->keys, e->op.lease);
   e->reply.lease = e->op.lease;
   e->reply.result = l != NULL ? KQ_OK : KQ_ERR_STORE_LEASE_LOST;
   if (l != NULL && e->op.kind == KQ_STORE_LEASE_RENEW)
@@ -302,11 +303,11 @@
     drop_lease (s, e->op.lease, e->at);
 }
 
-/* True: answered; false: the watch waits. */
+/* True: the reply is filled in; false: the watch waits. */
 static bool
 do_watch (KqStoreFake *s, Event *e)
 {
-  for (size_t i = kq_fake_keys_from (&s->keys, e->op.key);
+  for (size_t i = kq_fake_keys_lower_bound (&s->keys, e->op.key);
        i < s->keys.n_rows && kq_str_has_prefix (s->keys.rows[i].key, e->op.key); i++)
     if (s->keys.rows[i].revision > e->op.expect && !s->faults.watches_silent)
       {
@@ -462,17 +463,17 @@
   KqTime jitter = s->faults.jitter > 0
                       ? (KqTime)kq_rand_below (&s->rand, (uint64_t)s->faults.jitter + 1)
                       : 0;
-  KqTime half = (s->faults.latency + jitter) / 2;
+  KqTime half_latency = (s->faults.latency + jitter) / 2;
   KqTime limit = s->faults.timeout;
   if (op->kind == KQ_STORE_WATCH)
     limit += op->wait_ms * KQ_MS;
-  if (fate == KQ_FATE_NONE && 2 * half > limit)
+  if (fate == KQ_FATE_NONE && 2 * half_latency > limit)
     fate = KQ_FATE_LOST_AFTER;
   count_call (s, op);
   s->next_call++;
 
-  bool told = fate != KQ_FATE_NONE && fate != KQ_FATE_DUPLICATE;
-  if (told)
+  bool unreachable = fate != KQ_FATE_NONE && fate != KQ_FATE_DUPLICATE;
+  if (unreachable)
     {
       Event *e = new_call (s, client, op, now);
       e->kind = EV_ANSWER;
@@ -484,16 +485,18 @@
   Event *e = new_call (s, client, op, now);
   e->kind = EV_ARRIVE;
   e->fate = fate;
-  e->half = half;
-  e->mute = told && fate != KQ_FATE_LATE_ANSWER;
+  e->half_latency = half_latency;
+  e->no_answer = unreachable && fate != KQ_FATE_LATE_ANSWER;
   e->answer_delay = fate == KQ_FATE_LATE_ANSWER ? limit + limit / 2 : 0;
-  push (s, e, fate == KQ_FATE_LATE_EFFECT ? now + limit + 3 * half : now + half);
+  push (s, e,
+        fate == KQ_FATE_LATE_EFFECT ? now + limit + 3 * half_latency
+                                    : now + half_latency);
 }
 
 static void
-check_lease (KqStoreFake *s, const Event *e)
+expire_lease (KqStoreFake *s, const Event *e)
 {
-  const KqFakeLease *l = kq_fake_keys_lease (&s->keys, e->lease);
+  const KqFakeLease *l = kq_fake_keys_find_lease (&s->keys, e->lease);
   if (l != NULL && l->expires <= e->at)
     drop_lease (s, e->lease, e->at);
 }
@@ -527,7 +530,7 @@
           free_event (e);
           break;
         case EV_EXPIRE:
-          check_lease (s, e);
+          expire_lease (s, e);
           free_event (e);
           break;
         }
@@ -558,13 +561,13 @@
           continue;
         }
       uint64_t serial = old[i]->serial;
-      old[i]->mute |= own;
+      old[i]->no_answer |= own;
       push (s, old[i], old[i]->at);
       old[i]->serial = serial;
     }
   free (old);
   for (size_t i = 0; i < s->n_watches; i++)
-    s->watches[i]->mute |= s->watches[i]->client == client;
+    s->watches[i]->no_answer |= s->watches[i]->client == client;
 }
 
 void
--- a/src/port/store_fake.h
+++ b/src/port/store_fake.h
@@ -1,17 +1,18 @@
 #ifndef KQ_PORT_STORE_FAKE_H
 #define KQ_PORT_STORE_FAKE_H
 
-/* store_fake: the platform's store in memory, in simulated time, with seeded faults.
+/* store_fake: an in-memory store for tests and benches, in simulated time, with seeded
+ * faults; it uses no sockets and no clock.
  *
- * For tests and benches; no socket, no clock. Several clients share one store. A call
- * takes effect half a latency after it was sent and is answered another half later:
+ * Several clients share one store. A call takes effect half a latency after it was sent
+ * and is answered another half later:
  *
  *   kq_store_fake_call (s, client, &op, now);
  *   while (kq_store_fake_next (s, now, &client, &reply)) ...
  *
  * The same seed and the same calls give the same run. Calls with equal times are
- * carried out in the order of sending. Leases lapse in simulated time, also during an
- * outage (the worst that a real store may do to their holders). */
+ * carried out in the order of sending. Leases expire during an outage too, which is the
+ * worst case for their holders that a real store allows. */
 
 #include "port/store.h"
 
@@ -19,28 +20,30 @@
 
 #define KQ_STORE_FAKE_CLIENTS 16
 
+/* What happens to a call. */
 typedef enum
 {
   KQ_FATE_NONE,        /* carried out and answered */
   KQ_FATE_LOST_BEFORE, /* never reaches the store; UNREACHABLE after the timeout */
   KQ_FATE_LOST_AFTER,  /* takes effect; UNREACHABLE after the timeout */
-  KQ_FATE_LATE_EFFECT, /* UNREACHABLE after the timeout, takes effect only after that */
-  KQ_FATE_LATE_ANSWER, /* UNREACHABLE after the timeout, the true answer after that */
+  KQ_FATE_LATE_EFFECT, /* UNREACHABLE after the timeout; takes effect after that */
+  KQ_FATE_LATE_ANSWER, /* UNREACHABLE after the timeout; the real answer after that */
   KQ_FATE_DUPLICATE,   /* answered twice */
   KQ_FATE_COUNT
 } KqFate;
 
 typedef struct
 {
-  KqTime latency;                       /* there and back; 2 ms by default */
-  KqTime jitter;                        /* added, 0 to this, drawn for each call */
+  KqTime latency;                       /* round trip; 2 ms by default */
+  KqTime jitter;                        /* largest random addition to the latency */
   KqTime timeout;                       /* of the client; 1 s by default */
-  double p[KQ_FATE_COUNT];              /* chance of each fate but NONE */
+  double p[KQ_FATE_COUNT];              /* probability of each fate except NONE */
   bool down;                            /* outage: calls that arrive are lost */
   bool watches_silent;                  /* watches never answer before their timeout */
   bool cut_to[KQ_STORE_FAKE_CLIENTS];   /* the client's calls don't arrive */
   bool cut_from[KQ_STORE_FAKE_CLIENTS]; /* answers don't reach the client */
-  KqTime paused_until[KQ_STORE_FAKE_CLIENTS]; /* answers wait until the client wakes */
+  KqTime paused_until[KQ_STORE_FAKE_CLIENTS]; /* answers to the client are
+                                                 held back until then */
 } KqStoreFaults;
 
 typedef struct
@@ -49,35 +52,35 @@
   uint64_t writes; /* PUT, DELETE and lease calls */
   uint64_t puts;
   uint64_t put_bytes;
-  uint64_t get_bytes; /* values answered */
+  uint64_t get_bytes; /* of values in answers */
 } KqStoreFakeCount;
 
 typedef struct KqStoreFake KqStoreFake;
 
 KqStoreFake *kq_store_fake_new (uint64_t seed);
 void kq_store_fake_free (KqStoreFake *s);
-/* To be changed at any time. */
+/* May be changed at any time. */
 KqStoreFaults *kq_store_fake_faults (KqStoreFake *s);
-/* Gives `fate` to the next call of this kind whose key starts with `prefix`, after
- * letting `skip` such calls pass. One script at a time; kept as a copy. */
+/* Gives `fate` to one call: of the calls of this kind whose key starts with `prefix`, the
+ * one after the next `skip`. Replaces an earlier script; copies `prefix`. */
 void kq_store_fake_script (KqStoreFake *s, KqStoreOpKind kind, const char *prefix,
                            int skip, KqFate fate);
-/* True once the script's call was made. */
+/* True after the script's call has been made. */
 bool kq_store_fake_script_done (const KqStoreFake *s);
 
 void kq_store_fake_call (KqStoreFake *s, int client, const KqStoreOp *op, KqTime now);
 /* The next answer due by `now`; valid until the next call of any function here. */
 bool kq_store_fake_next (KqStoreFake *s, KqTime now, int *client, KqStoreReply *out);
-/* When the next thing happens in the store; KQ_TIME_NEVER: nothing will. */
+/* Time of the store's next event; KQ_TIME_NEVER: there is none. */
 KqTime kq_store_fake_due (const KqStoreFake *s);
-/* Drops the answers still on their way to a client (its process died). Its calls still
- * take effect. */
+/* Drops the answers that have not reached the client yet, as when its process has died.
+ * Its calls still take effect. */
 void kq_store_fake_forget (KqStoreFake *s, int client);
 
 /* Ends a lease before its time. */
 void kq_store_fake_lapse (KqStoreFake *s, uint64_t lease, KqTime now);
 
-/* Looks and changes from outside, at once; for the tests themselves. */
+/* Reads and writes without a call, latency or faults. */
 bool kq_store_fake_get (const KqStoreFake *s, KqStr key, KqStr *value,
                         uint64_t *revision);
 void kq_store_fake_set (KqStoreFake *s, KqStr key, KqStr value, KqTime now);
--- a/src/port/store_fake_keys.c
+++ b/src/port/store_fake_keys.c
@@ -10,7 +10,7 @@
 }
 
 size_t
-kq_fake_keys_from (const KqFakeKeys *k, KqStr key)
+kq_fake_keys_lower_bound (const KqFakeKeys *k, KqStr key)
 {
   size_t lo = 0;
   size_t hi = k->n_rows;
@@ -28,14 +28,14 @@
 KqFakeRow *
 kq_fake_keys_find (const KqFakeKeys *k, KqStr key)
 {
-  size_t i = kq_fake_keys_from (k, key);
+  size_t i = kq_fake_keys_lower_bound (k, key);
   return i < k->n_rows && kq_str_eq (k->rows[i].key, key) ? &k->rows[i] : NULL;
 }
 
 KqFakeRow *
 kq_fake_keys_add (KqFakeKeys *k, KqStr key)
 {
-  size_t i = kq_fake_keys_from (k, key);
+  size_t i = kq_fake_keys_lower_bound (k, key);
   if (i < k->n_rows && kq_str_eq (k->rows[i].key, key))
     return &k->rows[i];
   if (k->n_rows == k->capacity)
@@ -66,7 +66,7 @@
   KqStoreItem *items = NULL;
   size_t capacity = 0;
   *n = 0;
-  for (size_t i = kq_fake_keys_from (k, prefix);
+  for (size_t i = kq_fake_keys_lower_bound (k, prefix);
        i < k->n_rows && kq_str_has_prefix (k->rows[i].key, prefix); i++)
     {
       const KqFakeRow *row = &k->rows[i];
@@ -84,7 +84,7 @@
 }
 
 KqFakeLease *
-kq_fake_keys_lease (KqFakeKeys *k, uint64_t id)
+kq_fake_keys_find_lease (KqFakeKeys *k, uint64_t id)
 {
   for (size_t i = 0; i < k->n_leases; i++)
     if (k->leases[i].id == id)
--- a/src/port/store_fake_keys.h
+++ b/src/port/store_fake_keys.h
@@ -7,8 +7,8 @@
 
 #include <stdbool.h>
 
-/* A key once written stays as a row; a deleted one keeps the revision of its end, so
- * that watches see it. */
+/* The row of a deleted key stays, with the revision of the deletion, so that watches
+ * report it. */
 typedef struct
 {
   KqStr key;
@@ -36,18 +36,19 @@
   uint64_t last_lease;
 } KqFakeKeys;
 
-KqStr kq_fake_copy (KqStr s); /* "" is not allocated */
+KqStr kq_fake_copy (KqStr s); /* "" isn't allocated */
 /* Index of the first row whose key is not below `key`. */
-size_t kq_fake_keys_from (const KqFakeKeys *k, KqStr key);
+size_t kq_fake_keys_lower_bound (const KqFakeKeys *k, KqStr key);
 KqFakeRow *kq_fake_keys_find (const KqFakeKeys *k, KqStr key);
-KqFakeRow *kq_fake_keys_add (KqFakeKeys *k, KqStr key); /* or finds it */
-/* Writes or deletes under the next revision. */
+/* The key's row, created if there is none. */
+KqFakeRow *kq_fake_keys_add (KqFakeKeys *k, KqStr key);
+/* Writes or deletes (present: false) the row with the next revision. */
 void kq_fake_keys_set (KqFakeKeys *k, KqFakeRow *row, KqStr value, uint64_t lease,
                        bool present);
-/* Copies of the rows present under a prefix; NULL when there are none. */
+/* Copies of the present rows under a prefix; NULL when there are none. */
 KqStoreItem *kq_fake_keys_list (const KqFakeKeys *k, KqStr prefix, size_t *n);
-KqFakeLease *kq_fake_keys_lease (KqFakeKeys *k, uint64_t id); /* NULL: none */
-KqFakeLease *kq_fake_keys_grant (KqFakeKeys *k);              /* with a new id */
+KqFakeLease *kq_fake_keys_find_lease (KqFakeKeys *k, uint64_t id); /* NULL: none */
+KqFakeLease *kq_fake_keys_grant (KqFakeKeys *k);                   /* with a new id */
 void kq_fake_keys_free (KqFakeKeys *k);
 
 #endif
--- a/src/port/store_fake_test.c
+++ b/src/port/store_fake_test.c
@@ -8,9 +8,9 @@
 
 #include <cmocka.h>
 
-#define NEVER_MS 100000
+#define LONG_WAIT_MS 100000
 
-/* Runs the store until it answers client 0 and returns the answer. */
+/* Runs the store until its next answer and returns that. */
 static KqStoreReply
 reply_of (KqStoreFake *s, KqTime *now)
 {
@@ -71,7 +71,7 @@
             (KqStoreOp){ .kind = KQ_STORE_WATCH,
                          .key = KQ_STR ("n/"),
                          .expect = rev,
-                         .wait_ms = NEVER_MS },
+                         .wait_ms = LONG_WAIT_MS },
             &now);
   assert_int_equal (r.result, KQ_OK);
   assert_int_equal (r.n_items, 0);
@@ -80,16 +80,16 @@
   kq_store_fake_free (s);
 }
 
-/* The caller of a write sees UNREACHABLE under each of four fates; whether the value is
- * there, and when, differs. Modules must read back instead of assuming either. */
+/* With each of four faults the caller of a write gets UNREACHABLE; whether and when the
+ * value is written differs. Modules must read the key instead of assuming either. */
 static void
 test_fates (void **state)
 {
   static const struct
   {
     KqFate fate;
-    bool there;
-    bool there_later;
+    bool written;
+    bool written_later;
   } cases[] = { { KQ_FATE_LOST_BEFORE, false, false },
                 { KQ_FATE_LOST_AFTER, true, true },
                 { KQ_FATE_LATE_EFFECT, false, true },
@@ -108,11 +108,11 @@
           = { .kind = KQ_STORE_PUT, .key = KQ_STR ("k"), .value = KQ_STR ("v") };
       assert_int_equal (call (s, put, &now).result, KQ_ERR_STORE_UNREACHABLE);
       assert_true (kq_store_fake_script_done (s));
-      assert_int_equal (kq_store_fake_get (s, KQ_STR ("k"), &v, &rev), cases[i].there);
+      assert_int_equal (kq_store_fake_get (s, KQ_STR ("k"), &v, &rev), cases[i].written);
       bool late = kq_store_fake_next (s, now + 10 * KQ_SEC, &client, &r);
       assert_int_equal (late, cases[i].fate == KQ_FATE_LATE_ANSWER);
       assert_int_equal (kq_store_fake_get (s, KQ_STR ("k"), &v, &rev),
-                        cases[i].there_later);
+                        cases[i].written_later);
       kq_store_fake_free (s);
     }
 }
--- a/src/port/store_http.c
+++ b/src/port/store_http.c
@@ -18,26 +18,26 @@
 
 /* Watches open at once, each on a connection of its own; a node needs one or two. */
 #define WATCHES_MAX 8
-/* An answer longer than this isn't kept: a list of the largest journal fits. */
-#define ANSWER_MAX (64 * 1024 * 1024)
-#define KINDS (KQ_STORE_HOSTS + 1)
+/* A longer answer is an error; a list of the largest journal is shorter. */
+#define ANSWER_MAX_BYTES (64 * 1024 * 1024)
+#define N_KINDS (KQ_STORE_HOSTS + 1)
 
-static const char *const kind_names[KINDS]
+static const char *const kind_names[N_KINDS]
     = { "get",         "put",          "delete", "list", "lease_grant",
         "lease_renew", "lease_revoke", "watch",  "hosts" };
 
-/* A call that waits for the budget, or is open. */
+/* A call that is queued or open (sent and not yet answered). */
 typedef struct
 {
   GList link;
   KqStorePort *port;
   KqOut out; /* owns key and value */
-  KqTime taken_at;
+  KqTime queued_at;
   KqTime sent_at;
   int status;
   bool has_revision;
   uint64_t revision;
-  KqBuf tag; /* of the answer; "" without one */
+  KqBuf tag; /* the answer's entity tag; "": none */
   KqBuf body;
   bool too_long;
 } Call;
@@ -50,16 +50,16 @@
   KqStoreHttpConfig config;
   char *url;
   KqBudget budget;
-  KqKept *hosts; /* the last host lists */
-  GQueue urgent; /* of Call, in order of arrival */
+  KqEtagCache *host_lists; /* last host list of each depot */
+  GQueue urgent;           /* of Call, first in first out */
   GQueue normal;
   GQueue open;
   int watches;
   KqTime answered_at;
-  KqTime fresh_until; /* until then pooled connections aren't trusted */
+  KqTime no_reuse_until; /* until then calls use new connections */
   KqTime logged_at;
-  ev_timer pump;
-  KqMeter meters[KINDS];
+  ev_timer send_timer; /* when to look at the queues again */
+  KqMeter meters[N_KINDS];
   uint64_t *bytes_out;
   uint64_t *bytes_in;
 };
@@ -154,8 +154,8 @@
   free (r->items);
 }
 
-/* {"revision": n, "items": [{"key", "value" in base64, "revision"}]}. The items point
- * into j. */
+/* {"revision": n, "items": [{"key", "value" (base64), "revision"}]}. The items' keys
+ * point into j; free_items frees the values. */
 static KqResult
 read_items (const json_t *j, KqStoreReply *r)
 {
@@ -168,7 +168,7 @@
     {
       KqJsonReader e = kq_json_element (list, r->n_items);
       read_item (&e, &r->items[r->n_items]);
-      kq_json_join (&reader, &e);
+      kq_json_propagate (&reader, &e);
     }
   return reader.bad ? KQ_ERR_PLATFORM_FORMAT : KQ_OK;
 }
@@ -182,7 +182,7 @@
 }
 
 static KqResult
-need_revision (const Call *c, KqResult result, KqStoreReply *r)
+require_revision (const Call *c, KqResult result, KqStoreReply *r)
 {
   r->revision = c->revision;
   return c->has_revision ? result : KQ_ERR_PLATFORM_FORMAT;
@@ -192,18 +192,20 @@
 read_hosts (const Call *c, KqStoreReply *r)
 {
   r->value = kq_buf_str (&c->body);
-  kq_kept_put (c->port->hosts, c->out.u.store.key, kq_buf_str (&c->tag), r->value);
+  kq_etag_cache_put (c->port->host_lists, c->out.u.store.key, kq_buf_str (&c->tag),
+                     r->value);
   return KQ_OK;
 }
 
-/* A 304 to a question without a tag is no answer. */
+/* A 304 to a request without a tag is invalid. */
 static KqResult
 read_unchanged (const Call *c, KqStoreReply *r)
 {
   KqStr key = c->out.u.store.key;
-  if (c->out.u.store.kind != KQ_STORE_HOSTS || kq_kept_tag (c->port->hosts, key).len == 0)
+  if (c->out.u.store.kind != KQ_STORE_HOSTS
+      || kq_etag_cache_tag (c->port->host_lists, key).len == 0)
     return KQ_ERR_STORE_UNREACHABLE;
-  r->value = kq_kept_text (c->port->hosts, key);
+  r->value = kq_etag_cache_body (c->port->host_lists, key);
   return KQ_OK;
 }
 
@@ -215,10 +217,10 @@
     {
     case KQ_STORE_GET:
       r->value = kq_buf_str (&c->body);
-      return need_revision (c, KQ_OK, r);
+      return require_revision (c, KQ_OK, r);
     case KQ_STORE_PUT:
     case KQ_STORE_DELETE:
-      return need_revision (c, KQ_OK, r);
+      return require_revision (c, KQ_OK, r);
     case KQ_STORE_LIST:
     case KQ_STORE_WATCH:
       return read_items (j, r);
@@ -250,12 +252,12 @@
       return KQ_ERR_STORE_NOT_FOUND;
     case 409:
       r->value = kq_buf_str (&c->body);
-      return need_revision (c, KQ_ERR_STORE_CONFLICT, r);
+      return require_revision (c, KQ_ERR_STORE_CONFLICT, r);
     case 410:
       return KQ_ERR_STORE_LEASE_LOST;
     case 413:
       return KQ_ERR_STORE_TOO_LARGE;
-    case 429: /* the store's own rate limit: no effect */
+    case 429: /* the store's rate limit; nothing was done */
       return KQ_ERR_STORE_BUSY;
     default:
       return KQ_ERR_STORE_UNREACHABLE;
@@ -268,9 +270,9 @@
   return k == KQ_STORE_LIST || k == KQ_STORE_WATCH || k == KQ_STORE_LEASE_GRANT;
 }
 
-/* One line a second at most: a store that answers nonsense does so at every call. */
+/* Logs at most once a second, because a faulty store may fail every call. */
 static void
-log_fault (KqStorePort *p, const Call *c, KqResult result, KqTime now)
+log_invalid_answer (KqStorePort *p, const Call *c, KqResult result, KqTime now)
 {
   if (result != KQ_ERR_PLATFORM_FORMAT || now - p->logged_at < KQ_SEC)
     return;
@@ -301,11 +303,12 @@
   r.result = read_answer (c, end, j, &r);
   if (r.result != KQ_ERR_STORE_UNREACHABLE && r.result != KQ_ERR_PLATFORM_FORMAT)
     p->answered_at = now;
-  /* What lost track of one connection has lost track of its pooled neighbours too: each
-   * would cost a timeout. All are older than this span when they may be used again. */
+  /* What broke one connection has probably broken the other pooled ones too, and each
+   * would cost a timeout. When this time is over, they have been idle for longer than
+   * idle_ms and aren't reused. */
   if (end != KQ_HTTP_DONE)
-    p->fresh_until = now + p->config.idle_ms * KQ_MS + KQ_SEC;
-  log_fault (p, c, r.result, now);
+    p->no_reuse_until = now + p->config.idle_ms * KQ_MS + KQ_SEC;
+  log_invalid_answer (p, c, r.result, now);
   kq_meter_answered (&p->meters[kind], r.result, now - c->sent_at, c->body.len);
   send_reply (c, &r);
   free_items (&r);
@@ -332,14 +335,14 @@
     }
 }
 
-/* The condition of a read of the host list; the header's value is put into *h. */
+/* Fills in *h with the condition of a host list read; returns the number of headers. */
 static size_t
 add_condition (const KqStorePort *p, const KqStoreOp *op, KqHeader *h)
 {
   if (op->kind != KQ_STORE_HOSTS)
     return 0;
   h->name = KQ_STR ("If-None-Match");
-  h->value = kq_kept_tag (p->hosts, op->key);
+  h->value = kq_etag_cache_tag (p->host_lists, op->key);
   return h->value.len > 0;
 }
 
@@ -348,13 +351,14 @@
 {
   Call *c = arg;
   (void)http;
-  c->too_long = c->too_long || !kq_buf_add_most (&c->body, chunk, ANSWER_MAX);
+  c->too_long = c->too_long || !kq_buf_add_most (&c->body, chunk, ANSWER_MAX_BYTES);
 }
 
-/* libcurl repeats a request by itself when a reused connection closes before any answer
- * byte: a compare-and-swap done twice is answered CONFLICT although it took effect, and
- * an owner would step down for nothing. It can't repeat a streamed body that has begun
- * to leave; a write without a body gets a connection of its own. */
+/* libcurl resends a request when a reused connection closes before the first byte of the
+ * answer. A compare-and-swap that is done twice is answered CONFLICT although it took
+ * effect, and an owner would step down without need. libcurl can't resend a streamed
+ * body of which a part has been sent, so writes with a body are streamed; other writes
+ * use a new connection, except lease renewals, which may be repeated. */
 static void
 send_call (KqStorePort *p, Call *c)
 {
@@ -367,15 +371,15 @@
 
   r.headers = &condition;
   r.n_headers = add_condition (p, op, &condition);
-  r.method = kq_store_target (p->url, op, &url);
+  r.method = kq_store_request_url (p->url, op, &url);
   r.url = url.ptr;
   r.total_ms = timeout_ms (p, op);
   r.streamed = op->kind == KQ_STORE_PUT && op->value.len > 0;
   r.body_length = (int64_t)op->value.len;
   c->sent_at = kq_time_now ();
-  r.once = (is_write (op->kind) && !r.streamed) || c->sent_at < p->fresh_until;
+  r.once = (is_write (op->kind) && !r.streamed) || c->sent_at < p->no_reuse_until;
   if (op->kind == KQ_STORE_LEASE_RENEW)
-    r.once = c->sent_at < p->fresh_until; /* twice does no harm */
+    r.once = c->sent_at < p->no_reuse_until;
   if (op->kind == KQ_STORE_WATCH)
     p->watches++;
   g_queue_push_tail_link (&p->open, &c->link);
@@ -398,20 +402,21 @@
   int open = (int)p->open.length - p->watches;
   if (c->out.u.store.kind == KQ_STORE_WATCH)
     return true;
-  /* Slow normal calls must not hold every connection while a lease runs out. */
+  /* Slow normal calls must not occupy all connections while a lease expires. */
   return open < (urgent ? p->config.connections : p->config.connections * 3 / 4);
 }
 
-/* Sends from the queue while budget and connections allow; drops what waited too long.
- * Returns when to look again. */
+/* Sends queued calls while budget and connections allow; refuses those that have waited
+ * too long. Returns when to call it again; KQ_TIME_NEVER: when the next call ends or is
+ * queued. */
 static KqTime
-pump_queue (KqStorePort *p, GQueue *q, bool urgent, KqTime now)
+send_queued (KqStorePort *p, GQueue *q, bool urgent, KqTime now)
 {
   GList *l;
   while ((l = g_queue_peek_head_link (q)) != NULL)
     {
       Call *c = l->data;
-      KqTime until = c->taken_at + p->config.read_ms * KQ_MS;
+      KqTime until = c->queued_at + p->config.read_ms * KQ_MS;
       if (now >= until)
         {
           g_queue_unlink (q, l);
@@ -428,7 +433,7 @@
         return until;
       if (!kq_budget_take (&p->budget, urgent, now))
         {
-          KqTime next = kq_budget_next (&p->budget, urgent, now);
+          KqTime next = kq_budget_next_time (&p->budget, urgent, now);
           return next < until ? next : until;
         }
       g_queue_unlink (q, l);
@@ -441,19 +446,19 @@
 schedule (KqStorePort *p, KqTime now)
 {
   struct ev_loop *ev = kq_loop_ev (p->loop);
-  KqTime a = pump_queue (p, &p->urgent, true, now);
-  KqTime b = pump_queue (p, &p->normal, false, now);
+  KqTime a = send_queued (p, &p->urgent, true, now);
+  KqTime b = send_queued (p, &p->normal, false, now);
   KqTime next = a < b ? a : b;
-  ev_timer_stop (ev, &p->pump);
+  ev_timer_stop (ev, &p->send_timer);
   if (next == KQ_TIME_NEVER)
     return;
   ev_now_update (ev);
-  ev_timer_set (&p->pump, (double)(next > now ? next - now : 0) / 1e6, 0);
-  ev_timer_start (ev, &p->pump);
+  ev_timer_set (&p->send_timer, (double)(next > now ? next - now : 0) / 1e6, 0);
+  ev_timer_start (ev, &p->send_timer);
 }
 
 static void
-on_pump (struct ev_loop *ev, ev_timer *w, int events)
+on_send_timer (struct ev_loop *ev, ev_timer *w, int events)
 {
   (void)ev;
   (void)events;
@@ -478,7 +483,7 @@
   c = kq_alloc (sizeof *c);
   c->link.data = c;
   c->port = p;
-  c->taken_at = c->sent_at = now;
+  c->queued_at = c->sent_at = now;
   c->out = mail->u.out;
   mail->u.out = (KqOut){ .kind = KQ_OUT_STORE };
   kq_mail_free (mail);
@@ -516,18 +521,18 @@
   set_default (&c->watch_margin_ms, 1000);
   set_default (&c->idle_ms, 5000);
   p->loop = loop;
-  p->hosts = kq_kept_new ();
+  p->host_lists = kq_etag_cache_new ();
   p->url = kq_str_dup (config->url);
   p->client = kq_http_client_new (loop, c->connections + WATCHES_MAX, c->idle_ms);
   kq_budget_init (&p->budget, c->calls_per_second, c->burst, c->reserve, kq_time_now ());
-  for (int i = 0; i < KINDS; i++)
+  for (int i = 0; i < N_KINDS; i++)
     kq_meter_init (&p->meters[i], c->counters, "store", kind_names[i]);
   p->bytes_out = kq_counter (config->counters, "kq_store_bytes_out_total", "",
                              "Bytes to the store, heads and bodies.");
   p->bytes_in = kq_counter (config->counters, "kq_store_bytes_in_total", "",
                             "Bytes from the store, heads and bodies.");
-  ev_timer_init (&p->pump, on_pump, 0, 0);
-  p->pump.data = p;
+  ev_timer_init (&p->send_timer, on_send_timer, 0, 0);
+  p->send_timer.data = p;
   kq_task_init (&p->task, loop, "store", p, handle);
   return p;
 }
@@ -546,12 +551,12 @@
   if (p == NULL)
     return;
   kq_task_close (&p->task);
-  ev_timer_stop (kq_loop_ev (p->loop), &p->pump);
+  ev_timer_stop (kq_loop_ev (p->loop), &p->send_timer);
   kq_http_client_free (p->client);
   free_queue (&p->urgent);
   free_queue (&p->normal);
   free_queue (&p->open);
-  kq_kept_free (p->hosts);
+  kq_etag_cache_free (p->host_lists);
   free (p->url);
   free (p);
 }
@@ -563,13 +568,13 @@
 }
 
 int
-kq_store_http_open (const KqStorePort *p)
+kq_store_http_open_calls (const KqStorePort *p)
 {
   return (int)p->open.length;
 }
 
 int
-kq_store_http_queued (const KqStorePort *p)
+kq_store_http_queued_calls (const KqStorePort *p)
 {
   return (int)(p->urgent.length + p->normal.length);
 }
--- a/src/port/store_http_test.c
+++ b/src/port/store_http_test.c
@@ -14,7 +14,8 @@
 
 #define REPLIES_MAX 64
 
-/* A store that answers by key, the port, and a task that keeps its replies. */
+/* A store server whose answers depend on the key, the port, and a task that collects the
+ * port's replies. */
 typedef struct
 {
   KqLoop *loop;
@@ -26,11 +27,11 @@
   int n_replies;
   int wanted;
   int requests;
-  int unchanged;    /* answers of 304 */
-  const char *list; /* the host list; its tag is its text */
+  int unchanged;    /* number of 304 answers */
+  const char *list; /* the host list; also its entity tag */
   char last[256];   /* method and URL of the last request */
   KqBuf body;
-  const char *raw; /* the answer to a list of "raw" */
+  const char *raw; /* the answer to a LIST of prefix "raw" */
 } Rig;
 
 static void
@@ -184,7 +185,7 @@
   kq_outbox_free (&o);
 }
 
-/* Runs until that many replies are there in total. */
+/* Runs the loop until n replies have arrived in total. */
 static void
 await (Rig *r, int n)
 {
@@ -277,10 +278,10 @@
   free_rig (r);
 }
 
-/* Nothing changed on the platform: its answer has no body, and the asker still gets the
- * whole list; a change comes whole at the next question, and another depot's list is
- * another one. Otherwise a node would take an unchanged list for an empty one and give
- * up all workers. */
+/* For an unchanged host list the platform answers 304 without a body, and the caller
+ * still gets the full list; a changed list is sent in full, and each depot's list is
+ * cached separately. Otherwise a node would take an unchanged list for an empty one and
+ * drop all workers. */
 static void
 test_unchanged_hosts (void **state)
 {
@@ -301,8 +302,8 @@
   free_rig (r);
 }
 
-/* The store answers nonsense: the asker is told so, the counter shows it, and the next
- * call works as before. */
+/* An answer that can't be parsed is reported to the caller and counted, and the next call
+ * works. */
 static void
 test_malformed_answers (void **state)
 {
@@ -335,8 +336,8 @@
   free_rig (r);
 }
 
-/* The store accepts and never answers: reads and writes end by their timeouts, a watch
- * by its wait plus the margin, each with "may have happened". */
+/* The store accepts connections and never answers: reads and writes end at their
+ * timeouts, a watch after its wait plus the margin, all with UNREACHABLE. */
 static void
 test_silent_store (void **state)
 {
@@ -350,16 +351,16 @@
   await (r, 3);
   for (int i = 0; i < 3; i++)
     assert_int_equal (r->replies[i]->u.store_reply.result, KQ_ERR_STORE_UNREACHABLE);
-  assert_int_equal (kq_store_http_open (r->port), 0);
+  assert_int_equal (kq_store_http_open_calls (r->port), 0);
   assert_int_equal (kq_store_http_answered_at (r->port), 0);
   assert_int_equal (result_of (r, KQ_STORE_GET, "cut"), KQ_ERR_STORE_UNREACHABLE);
   assert_int_equal (result_of (r, KQ_STORE_GET, "a/b c"), KQ_OK);
   free_rig (r);
 }
 
-/* The first write leaves a pooled connection; the store takes the second write on it and
- * closes without an answer. libcurl would send it again by itself: the second effect
- * would answer CONFLICT and an owner would step down. It must arrive once. */
+/* The second write reuses the connection of the first, and the store closes it without an
+ * answer. libcurl would resend the write on a new connection; if it had taken effect, the
+ * answer would be CONFLICT and an owner would step down. It must be sent just once. */
 static void
 test_write_arrives_once (void **state)
 {
@@ -380,9 +381,9 @@
     }
 }
 
-/* Overload by normal calls: the bucket of 4 with a reserve of 2 lets two through, one
- * waits, the next is refused at once and never sent. An urgent call and a lease renewal
- * pass at once. The one that waited longer than its timeout is refused too. */
+/* Overload by normal calls: of four, a bucket of 4 with a reserve of 2 admits two, one
+ * waits, and one is refused at once and never sent. An urgent call and a lease renewal
+ * are sent at once. The waiting call is refused after its timeout. */
 static void
 test_budget_keeps_a_reserve (void **state)
 {
@@ -400,7 +401,7 @@
   assert_int_equal (r->replies[0]->u.store_reply.result, KQ_ERR_STORE_BUSY);
   for (int i = 1; i < 5; i++)
     assert_int_equal (r->replies[i]->u.store_reply.result, KQ_OK);
-  assert_int_equal (kq_store_http_queued (r->port), 1);
+  assert_int_equal (kq_store_http_queued_calls (r->port), 1);
   await (r, 6);
   assert_int_equal (r->replies[5]->u.store_reply.token, 3);
   assert_int_equal (r->replies[5]->u.store_reply.result, KQ_ERR_STORE_BUSY);
@@ -408,8 +409,8 @@
   free_rig (r);
 }
 
-/* Normal calls that the store doesn't answer hold their connections; a renewal must
- * still leave at once, or the node's lease lapses while the store is only slow. */
+/* Normal calls without an answer occupy their connections. A renewal must still be sent
+ * at once, or the node's lease expires although the store is only slow. */
 static void
 test_slow_calls_leave_room_for_leases (void **state)
 {
@@ -422,8 +423,8 @@
   await (r, 1);
   assert_int_equal (r->replies[0]->u.store_reply.token, 6);
   assert_int_equal (r->replies[0]->u.store_reply.result, KQ_OK);
-  assert_int_equal (kq_store_http_open (r->port), 3);
-  assert_int_equal (kq_store_http_queued (r->port), 7);
+  assert_int_equal (kq_store_http_open_calls (r->port), 3);
+  assert_int_equal (kq_store_http_queued_calls (r->port), 7);
   free_rig (r);
 }
 
--- a/src/port/store_target.c
+++ b/src/port/store_target.c
@@ -3,7 +3,7 @@
 #include "port/text.h"
 
 const char *
-kq_store_target (const char *base, const KqStoreOp *op, KqBuf *url)
+kq_store_request_url (const char *base, const KqStoreOp *op, KqBuf *url)
 {
   unsigned long long expect = op->expect;
   unsigned long long lease = op->lease;
--- a/src/port/store_target.h
+++ b/src/port/store_target.h
@@ -3,7 +3,8 @@
 
 #include "port/store.h"
 
-/* Appends the URL for the call and returns its method; docs/PLATFORM.md lists them. */
-const char *kq_store_target (const char *base, const KqStoreOp *op, KqBuf *url);
+/* Appends the URL of the call and returns its HTTP method; docs/PLATFORM.md lists them.
+ */
+const char *kq_store_request_url (const char *base, const KqStoreOp *op, KqBuf *url);
 
 #endif
--- a/src/port/text.c
+++ b/src/port/text.c
@@ -145,7 +145,7 @@
 }
 
 void
-kq_json_join (KqJsonReader *r, const KqJsonReader *inner)
+kq_json_propagate (KqJsonReader *r, const KqJsonReader *inner)
 {
   r->bad = r->bad || inner->bad;
 }
--- a/src/port/text.h
+++ b/src/port/text.h
@@ -1,12 +1,12 @@
 #ifndef KQ_PORT_TEXT_H
 #define KQ_PORT_TEXT_H
 
-/* text: reading the platform's JSON, and writing keys into URLs.
+/* text: reads the fields of the platform's JSON, and escapes keys in URLs.
  *
- * A reader never fails in between: the first field that is missing, of the wrong type or
- * out of range sets `bad`, later reads give zero, and the caller checks `bad` once at
- * the end. Numbers of 64 bits without sign travel as decimal strings, because JSON's
- * numbers don't hold them everywhere. */
+ * A field that is missing, of the wrong type or out of range reads as zero or empty and
+ * sets the reader's `bad`, which the caller checks once at the end. Unsigned 64-bit
+ * numbers are decimal strings in the JSON, because many JSON readers hold numbers as
+ * doubles. */
 
 #include "base/str.h"
 
@@ -18,7 +18,7 @@
   bool bad;
 } KqJsonReader;
 
-/* NULL when the text isn't one JSON object. Freed by json_decref. */
+/* NULL when the text isn't a JSON object. Freed by json_decref. */
 json_t *kq_json_parse (KqStr text);
 bool kq_json_has (const KqJsonReader *r, const char *key);
 KqStr kq_json_str (KqJsonReader *r, const char *key);    /* points into the JSON */
@@ -28,16 +28,16 @@
 double kq_json_double (KqJsonReader *r, const char *key);
 bool kq_json_bool (KqJsonReader *r, const char *key);
 KqJsonReader kq_json_object (KqJsonReader *r, const char *key);
-/* An array's elements; their number goes to *n. */
+/* The field's array; *n receives the number of its elements. */
 const json_t *kq_json_array (KqJsonReader *r, const char *key, size_t *n);
 /* The i-th element, which must be an object. */
 KqJsonReader kq_json_element (const json_t *array, size_t i);
-/* Takes over the fault of an inner reader. */
-void kq_json_join (KqJsonReader *r, const KqJsonReader *inner);
+/* Sets r->bad if the inner reader's is set. */
+void kq_json_propagate (KqJsonReader *r, const KqJsonReader *inner);
 
-/* Appends s with every byte but a-z A-Z 0-9 . _ - ~ / written as %XX. */
+/* Appends s with every byte except a-z A-Z 0-9 . _ - ~ / written as %XX. */
 void kq_url_escape (KqBuf *out, KqStr s);
-/* Appends s with each %XX turned back; a broken escape is copied as it is. */
+/* Appends s with each %XX decoded; an invalid escape is copied unchanged. */
 void kq_url_unescape (KqBuf *out, KqStr s);
 
 #endif
--- a/src/port/worker.h
+++ b/src/port/worker.h
@@ -3,11 +3,11 @@
 
 /* worker: the port to the platform's workers (machines that run tasks under leases).
  *
- * A worker grants one lease to one shard owner. One LEASE call per period renews it,
- * tells what runs, what finished, the usage reports and the state of the worker's
- * runners, and acknowledges finished tasks. Commands carry the owner's epoch; the
- * worker refuses an older epoch than the highest it has seen, and a start whose attempt
- * is not above the highest it has seen for that job. */
+ * A worker grants one lease to one shard owner. A LEASE call per period renews it and
+ * acknowledges ended tasks; its answer lists the running and ended tasks, the usage
+ * reports and the state of the worker's runners. Each call carries the owner's epoch. The
+ * worker refuses an epoch below the highest it has seen, and a start whose attempt isn't
+ * above the highest it has seen for that job. */
 
 #include "base/result.h"
 #include "base/str.h"
@@ -48,20 +48,20 @@
   KqWorkerId worker;
   uint32_t shard;
   uint64_t epoch;
-  uint64_t token; /* echoed */
+  uint64_t token; /* chosen by the caller, echoed in the reply */
   /* LEASE */
-  uint64_t echo_stamp; /* the stamp of the worker's last answer; 0: first contact */
+  uint64_t echo_stamp; /* the stamp of the worker's last answer; 0: none yet */
   int lease_ms;
-  KqTaskKey *acks; /* finished tasks whose end is committed; owned by the call */
+  KqTaskKey *acks; /* ended tasks whose end is committed; owned by the call */
   size_t n_acks;
-  uint64_t list_stamp; /* of the port (worker_list.h): decision modules leave it 0 */
+  uint64_t list_stamp; /* set by the port (worker_list.h); decision modules leave it 0 */
   /* START, STOP, CHECKPOINT, THROTTLE */
   KqTaskKey task;
   KqSize size;
   KqName class_name;
-  KqName checkpoint;     /* START: resume from here; "" from the beginning */
+  KqName checkpoint;     /* START: resume from here; "": from the beginning */
   bool latency_critical; /* START */
-  int64_t run_ms;        /* START: declared run time, informative; 0: unknown */
+  int64_t run_ms;        /* START: declared run time, for information; 0: unknown */
   int throttle_percent;  /* THROTTLE: share of its processors the task may use */
 } KqWorkerCall;
 
@@ -74,26 +74,26 @@
   KQ_TASK_STOPPED
 } KqTaskState;
 
-/* One task in the answer to a LEASE call. Ended tasks stay listed until acknowledged. */
+/* A task in the answer to a LEASE call. Ended tasks are listed until acknowledged. */
 typedef struct
 {
   KqTaskKey task;
   KqTaskState state;
   KqName checkpoint;
-  int64_t run_us; /* of a running task: as of its last change, not of now */
+  int64_t run_us; /* time run; of a running task: as of its last change of state */
   KqSize size;    /* what the task was started with */
   KqName class_name;
   bool latency_critical;
 } KqTaskReport;
 
-/* A usage report: what a task used and suffered at a time in the past. */
+/* A usage report: a task's resource use and slowdown in a past interval. */
 typedef struct
 {
   KqTaskKey task;
   int64_t age_us; /* how long ago the measured interval ended */
   int64_t cpu_milli;
   int64_t memory_mb;
-  double slowdown; /* measured time over the time alone; 1.0 is undisturbed */
+  double slowdown; /* measured time over the time without other tasks; 1.0: none */
 } KqUsageReport;
 
 /* The state of one of the worker's runners (a back end that serves requests). */
@@ -108,7 +108,7 @@
 
 /* Valid only during the call that delivers it. result: KQ_OK,
  * KQ_ERR_WORKER_UNREACHABLE (the command may have been carried out),
- * KQ_ERR_WORKER_REFUSED (it was not), KQ_ERR_OLD_EPOCH, KQ_ERR_OLD_ATTEMPT,
+ * KQ_ERR_WORKER_REFUSED (it was not carried out), KQ_ERR_OLD_EPOCH, KQ_ERR_OLD_ATTEMPT,
  * KQ_ERR_NO_LEASE, KQ_ERR_NO_ROOM, KQ_ERR_PLATFORM_FORMAT. */
 typedef struct
 {
@@ -121,14 +121,14 @@
   KqTime sent_at;
   KqTaskKey task;
   KqName checkpoint;     /* CHECKPOINT */
-  uint64_t stamp;        /* LEASE: the worker's own time, to be echoed */
-  uint64_t worker_epoch; /* the highest the worker has seen */
-  bool lease_live;       /* LEASE: false after the first step of the handshake */
+  uint64_t stamp;        /* LEASE: the worker's time, to be echoed in the next call */
+  uint64_t worker_epoch; /* the highest epoch the worker has seen */
+  bool lease_live; /* LEASE: the caller's lease is in force; needs a valid echo_stamp */
   bool leaving;
-  KqSize whole;        /* the worker's size */
-  KqTaskReport *tasks; /* all of the worker's, in every answer that a port gives out */
+  KqSize whole;        /* the worker's capacity */
+  KqTaskReport *tasks; /* all tasks of the worker, in every reply of a port */
   size_t n_tasks;
-  uint64_t tasks_since; /* of the port, as list_tag: worker_list.h */
+  uint64_t tasks_since; /* used by the port, like list_tag (worker_list.h) */
   uint64_t list_tag;
   KqUsageReport *usage;
   size_t n_usage;
--- a/src/port/worker_fake.c
+++ b/src/port/worker_fake.c
@@ -63,8 +63,8 @@
       free (t);
     }
   g_hash_table_destroy (w->attempts);
-  free (w->shown.list);
-  free (w->coming.list);
+  free (w->reported.list);
+  free (w->next_reported.list);
 }
 
 static KqWorkerFakeTask *
@@ -116,8 +116,8 @@
       if (t->report.state == KQ_TASK_RUNNING && lapsed)
         end_task (w, t, KQ_TASK_STOPPED);
     }
-  if (lapsed && w->stamps_from < w->lease_until)
-    w->stamps_from = w->lease_until;
+  if (lapsed && w->stamps_valid_from < w->lease_until)
+    w->stamps_valid_from = w->lease_until;
 }
 
 static KqSize
@@ -159,9 +159,10 @@
     }
 }
 
-/* A renewal that was delayed in the network carries an old stamp, so it extends the
- * lease only to what its sender still counts on; a stamp from before a lapse or of a
- * former epoch extends nothing. */
+/* The lease runs from the echoed stamp, which is never later than the sender counts it,
+ * so that a renewal delayed in the network doesn't extend it beyond what the sender
+ * assumes. A stamp from before an expiry of the lease or from an earlier epoch extends
+ * nothing. */
 static void
 renew (KqWorkerFake *w, const KqWorkerCall *c, KqTime now)
 {
@@ -169,17 +170,17 @@
   KqTime until = stamp + c->lease_ms * KQ_MS;
   for (size_t i = 0; i < c->n_acks; i++)
     acknowledge (w, c->acks[i]);
-  if (c->echo_stamp == 0 || stamp < w->stamps_from || stamp > now || until <= now)
+  if (c->echo_stamp == 0 || stamp < w->stamps_valid_from || stamp > now || until <= now)
     return;
   w->live_epoch = c->epoch;
   if (until > w->lease_until)
     w->lease_until = until;
 }
 
-/* Every attempt that came under a present epoch counts as seen, also a refused one, so
- * that a refusal is proof that it never starts. */
+/* Records the attempt; false: not above the highest seen. Refused attempts of the current
+ * epoch are recorded too, so that a refusal guarantees that the attempt never starts. */
 static bool
-see_attempt (KqWorkerFake *w, KqTaskKey key)
+record_attempt (KqWorkerFake *w, KqTaskKey key)
 {
   uint32_t seen = GPOINTER_TO_UINT (find_job (w->attempts, key.job));
   if (key.attempt > seen)
@@ -187,9 +188,10 @@
   return key.attempt > seen;
 }
 
-/* A checkpoint id is "c.JOB.ATTEMPT.LEFT_US": any worker can go on from it. */
+/* The run time of a new task in us. A checkpoint id is "c.JOB.ATTEMPT.LEFT_US", with the
+ * remaining run time, so any worker can resume from it. */
 static int64_t
-left_of (const KqWorkerCall *c)
+run_time_us (const KqWorkerCall *c)
 {
   KqStr id = kq_name_str (&c->checkpoint);
   int64_t left = -1;
@@ -206,13 +208,14 @@
   KqWorkerFakeEffect *f = effect_of (w->effects, c->task.job);
   KqWorkerFakeTask *t = kq_alloc (sizeof *t);
   if (f->worker != NULL)
-    kq_worker_fake_advance (f->worker, now); /* its task may have ended by now */
+    kq_worker_fake_advance (f->worker,
+                            now); /* the job's last task may have ended by now */
   t->report = (KqTaskReport){ .task = c->task,
                               .state = KQ_TASK_RUNNING,
                               .size = c->size,
                               .class_name = c->class_name,
                               .latency_critical = c->latency_critical };
-  t->left_us = left_of (c);
+  t->left_us = run_time_us (c);
   t->throttle_percent = 100;
   t->updated = t->changed = now;
   t->next = w->tasks;
@@ -230,7 +233,7 @@
 static KqResult
 start (KqWorkerFake *w, const KqWorkerCall *c, KqTime now)
 {
-  if (!see_attempt (w, c->task))
+  if (!record_attempt (w, c->task))
     return KQ_ERR_OLD_ATTEMPT;
   if (w->live_epoch != c->epoch || w->lease_until <= now)
     return KQ_ERR_NO_LEASE;
@@ -242,7 +245,7 @@
   return KQ_OK;
 }
 
-/* A repeat is answered as the first time: the first answer may have been lost. */
+/* A repeated call gets the same answer, because the first may have been lost. */
 static KqResult
 checkpoint (KqWorkerFake *w, const KqWorkerCall *c, KqWorkerReply *r)
 {
@@ -261,13 +264,13 @@
   return KQ_OK;
 }
 
-/* Stopping what isn't here succeeds too: its start, if it comes later, is refused. */
+/* Stopping an unknown task succeeds: if its start arrives later, it is refused. */
 static KqResult
 command (KqWorkerFake *w, const KqWorkerCall *c, KqWorkerReply *r)
 {
   KqWorkerFakeTask *t = find_task (w, c->task);
   bool running = t != NULL && t->report.state == KQ_TASK_RUNNING;
-  see_attempt (w, c->task);
+  record_attempt (w, c->task);
   if (c->kind == KQ_WORKER_CHECKPOINT)
     return checkpoint (w, c, r);
   if (c->kind == KQ_WORKER_STOP && running)
@@ -279,7 +282,8 @@
   return KQ_OK;
 }
 
-/* A task slows down by half of the share of the worker that the others use. */
+/* Model: a task's slowdown is 1 plus half of the share of the worker's cpu that the other
+ * tasks use. */
 static void
 take_usage (const KqWorkerFake *w, KqWorkerFakeUsage *to, KqTime now)
 {
@@ -305,29 +309,31 @@
     }
 }
 
-/* A report is told until a stamp comes back that was given with it or later: told once
- * only, a lost answer would lose it; told always, it would count several times. */
+/* Reports are repeated until the caller echoes a stamp that was sent with them or later.
+ * Sent just once, they would be lost with a lost answer; sent always, they would be
+ * counted several times. */
 static void
 report_usage (KqWorkerFake *w, const KqWorkerCall *c, KqTime now, KqWorkerReply *r)
 {
   bool known;
-  if (now - w->coming.taken_at >= w->effects->usage_lag)
+  if (now - w->next_reported.taken_at >= w->effects->usage_lag)
     {
-      free (w->shown.list);
-      w->shown = w->coming;
-      take_usage (w, &w->coming, now);
-      w->shown_from = now;
+      free (w->reported.list);
+      w->reported = w->next_reported;
+      take_usage (w, &w->next_reported, now);
+      w->reported_from = now;
     }
-  known = c->echo_stamp >= w->effects->stamp_base + (uint64_t)w->shown_from;
-  r->usage = kq_alloc ((w->shown.n + 1) * sizeof *r->usage);
-  for (; !known && r->n_usage < w->shown.n; r->n_usage++)
+  known = c->echo_stamp >= w->effects->stamp_base + (uint64_t)w->reported_from;
+  r->usage = kq_alloc ((w->reported.n + 1) * sizeof *r->usage);
+  for (; !known && r->n_usage < w->reported.n; r->n_usage++)
     {
-      r->usage[r->n_usage] = w->shown.list[r->n_usage];
-      r->usage[r->n_usage].age_us = now - w->shown.taken_at;
+      r->usage[r->n_usage] = w->reported.list[r->n_usage];
+      r->usage[r->n_usage].age_us = now - w->reported.taken_at;
     }
 }
 
-/* The whole list, or what changed since the answer from which the caller keeps it. */
+/* The full list, or the tasks that changed since the answer that the caller's list is
+ * from. */
 static void
 report_tasks (const KqWorkerFake *w, const KqWorkerCall *c, KqTime now, KqWorkerReply *r)
 {
@@ -364,14 +370,14 @@
 }
 
 static KqResult
-carry_out (KqWorkerFake *w, const KqWorkerCall *c, KqTime now, KqWorkerReply *r)
+execute (KqWorkerFake *w, const KqWorkerCall *c, KqTime now, KqWorkerReply *r)
 {
   if (c->epoch < w->epoch)
     return KQ_ERR_OLD_EPOCH;
   if (c->epoch > w->epoch)
     {
       w->epoch = c->epoch;
-      w->stamps_from = now;
+      w->stamps_valid_from = now;
     }
   if (c->kind == KQ_WORKER_START)
     return start (w, c, now);
@@ -392,6 +398,6 @@
                         .token = c->token,
                         .task = c->task };
   kq_worker_fake_advance (w, now);
-  r->result = carry_out (w, c, now, r);
+  r->result = execute (w, c, now, r);
   r->worker_epoch = w->epoch;
 }
--- a/src/port/worker_fake.h
+++ b/src/port/worker_fake.h
@@ -1,9 +1,9 @@
 #ifndef KQ_PORT_WORKER_FAKE_H
 #define KQ_PORT_WORKER_FAKE_H
 
-/* worker_fake: one worker in memory: its lease, its tasks and what it has seen; the
- * rules of docs/PLATFORM.md, "Worker". No socket and no clock. The stand-in program puts
- * HTTP before it; tests call it directly. */
+/* worker_fake: an in-memory worker that follows the rules of docs/PLATFORM.md, "Worker":
+ * its lease, its tasks, and the epochs and attempts it has seen. It uses no sockets and
+ * no clock. The stand-in program serves it over HTTP; tests call it directly. */
 
 #include "port/worker.h"
 
@@ -13,10 +13,10 @@
 {
   struct KqWorkerFakeTask *next;
   KqTaskReport report;
-  int64_t left_us; /* work left; below 0: runs until stopped */
+  int64_t left_us; /* remaining run time at full speed; below 0: runs until stopped */
   int throttle_percent;
-  KqTime updated;
-  KqTime changed; /* started or ended */
+  KqTime updated; /* up to when it has been run */
+  KqTime changed; /* when it started or ended */
 } KqWorkerFakeTask;
 
 typedef struct
@@ -39,9 +39,9 @@
 typedef struct
 {
   GHashTable *jobs;    /* job -> KqWorkerFakeEffect */
-  uint64_t stamp_base; /* random: voids the stamps of a former process */
+  uint64_t stamp_base; /* random: makes the stamps of an earlier process invalid */
   KqTime usage_lag;
-  int overcommits; /* times a worker held more than its size: must stay 0 */
+  int overcommits; /* times a worker ran more than its capacity: must stay 0 */
 } KqWorkerFakeEffects;
 
 typedef struct KqWorkerFake
@@ -50,16 +50,16 @@
   KqTime now; /* of the last call */
   KqSize whole;
   bool leaving;
-  bool fails;          /* every task fails at once */
-  uint64_t epoch;      /* the highest seen */
-  uint64_t live_epoch; /* whose lease runs until lease_until */
+  bool fails;          /* every task fails at its start */
+  uint64_t epoch;      /* highest seen */
+  uint64_t live_epoch; /* epoch of the lease's holder */
   KqTime lease_until;
-  KqTime stamps_from; /* stamps given before are void */
+  KqTime stamps_valid_from; /* earlier stamps renew nothing */
   KqWorkerFakeTask *tasks;
-  GHashTable *attempts;    /* job -> highest attempt seen */
-  KqWorkerFakeUsage shown; /* reports lag by one to two times usage_lag */
-  KqWorkerFakeUsage coming;
-  KqTime shown_from; /* an echoed stamp of then or later: the caller has them */
+  GHashTable *attempts;       /* job -> highest attempt seen */
+  KqWorkerFakeUsage reported; /* delayed by one to two times usage_lag */
+  KqWorkerFakeUsage next_reported;
+  KqTime reported_from; /* a caller that echoes a stamp from then on has `reported` */
 } KqWorkerFake;
 
 void kq_worker_fake_effects_init (KqWorkerFakeEffects *e, uint64_t stamp_base,
@@ -67,9 +67,9 @@
 void kq_worker_fake_effects_free (KqWorkerFakeEffects *e);
 void kq_worker_fake_init (KqWorkerFake *w, KqWorkerFakeEffects *e, KqSize whole);
 void kq_worker_fake_free (KqWorkerFake *w);
-/* Runs the tasks up to now; stops them where the lease lapsed. */
+/* Runs the tasks up to now; stops them at the end of the lease if it has expired. */
 void kq_worker_fake_advance (KqWorkerFake *w, KqTime now);
-/* Carries the call out. Fills *r but for the runners; its arrays are freed by
+/* Carries the call out. Fills *r except for the runners; its arrays are freed by
  * kq_worker_answer_free (worker_json.h). */
 void kq_worker_fake_call (KqWorkerFake *w, const KqWorkerCall *c, KqTime now,
                           KqWorkerReply *r);
--- a/src/port/worker_fake_test.c
+++ b/src/port/worker_fake_test.c
@@ -15,8 +15,8 @@
 #define LEASE_MS 9000
 #define LEASE (LEASE_MS * KQ_MS)
 
-/* Two workers of 4 cores; each call and answer passes the JSON of the platform, so that
- * the codec is judged by what both sides see. */
+/* Two workers of 4 cores. Each call and answer is encoded to JSON and decoded again, so
+ * that these tests cover worker_json.c too. */
 typedef struct
 {
   KqWorkerFakeEffects effects;
@@ -114,9 +114,9 @@
   return command (g, worker, KQ_WORKER_START, (KqTaskKey){ job, attempt });
 }
 
-/* An owner renews, its renewal is held back in the network, it gives the lease up, and
- * the renewal arrives: it must extend nothing, or the worker would run a task that the
- * successor has already started elsewhere. After the lapse the same stamp is void too. */
+/* An owner's renewal is delayed in the network and arrives after the owner has given the
+ * lease up. It must extend nothing, or the worker would run a task that the successor has
+ * already started elsewhere. After the expiry the same stamp is invalid too. */
 static void
 test_late_renewal_extends_nothing (void **state)
 {
@@ -137,13 +137,13 @@
   renew (g, 0, 1, 0);
   renew (g, 0, 1, g->r.stamp);
   assert_true (g->r.lease_live);
-  renew (g, 0, 1, g->r.stamp + KQ_SEC); /* from the future: of another process */
+  renew (g, 0, 1, g->r.stamp + KQ_SEC); /* later than now: of another process */
   assert_true (g->r.lease_live);
   assert_true (g->w[0].lease_until <= g->now + LEASE);
 }
 
-/* The owner dies and the worker hears nothing: its tasks stop where the lease lapsed,
- * not where somebody asks again. */
+/* Without renewals (the owner has died) the tasks stop when the lease expires, not when
+ * the next call arrives. */
 static void
 test_tasks_stop_with_the_lease (void **state)
 {
@@ -159,9 +159,8 @@
   assert_true (kq_str_eq (kq_name_str (&g->r.tasks[0].class_name), KQ_STR ("roster")));
 }
 
-/* A successor with a higher epoch shuts the old owner out at once, its calls of any kind
- * are refused; running tasks go on; the stamp that the old owner got doesn't serve the
- * new one. */
+/* After a call with a higher epoch the worker refuses all calls of the earlier owner.
+ * Running tasks go on; a stamp from before the new epoch renews nothing. */
 static void
 test_higher_epoch_shuts_out (void **state)
 {
@@ -186,8 +185,8 @@
   assert_int_equal (g->r.tasks[0].state, KQ_TASK_RUNNING);
 }
 
-/* Starts that are repeated, that come after their own stop, or that were refused once
- * never run: a refusal is proof for the next attempt. Nothing above the size starts. */
+/* A start that is repeated, arrives after its own stop, or was refused before never runs,
+ * so that the next attempt is safe. No start exceeds the worker's capacity. */
 static void
 test_attempts_and_room (void **state)
 {
@@ -204,13 +203,13 @@
   assert_int_equal (start (g, 0, 13, 1), KQ_ERR_NO_ROOM);
   assert_int_equal (start (g, 0, 13, 1), KQ_ERR_OLD_ATTEMPT);
   g->w[0].leaving = true;
-  g->now += 4 * KQ_SEC; /* all have finished */
+  g->now += 4 * KQ_SEC; /* all tasks have finished */
   assert_int_equal (start (g, 0, 14, 1), KQ_ERR_WORKER_REFUSED);
 }
 
-/* Evicted after a quarter, resumed on another worker, throttled to half: it finishes
- * after what was left, twice as long. The answers may be lost, so repeats give the same;
- * ended tasks stay listed until acknowledged. */
+/* A task is evicted after a quarter of its run time and resumed on another worker,
+ * throttled to half: it takes twice the remaining run time. Repeated calls get the same
+ * answer, as the first may have been lost. Ended tasks are listed until acknowledged. */
 static void
 test_checkpoint_resumes_elsewhere (void **state)
 {
@@ -248,14 +247,14 @@
   assert_int_equal (g->r.n_tasks, 0);
 }
 
-/* Reports come one to two lags late and tell what ran then. Each is told again until a
- * stamp shows that its answer came, and then no more: it would count twice. */
+/* Usage reports are delayed by one to two times the lag. Each is repeated until an echoed
+ * stamp shows that it has arrived, and not after that: it would count twice. */
 static void
 test_usage_comes_late_and_counts_once (void **state)
 {
   Rig *g = *state;
   uint64_t stamp;
-  int told = 0;
+  int reported = 0;
   g->run_ms = 60000;
   take_lease (g, 0, 1);
   stamp = g->r.stamp;
@@ -267,7 +266,7 @@
       renew (g, 0, 1, stamp); /* the answers of odd rounds are lost */
       if (i % 2 == 0)
         stamp = g->r.stamp;
-      told += g->r.n_usage > 0;
+      reported += g->r.n_usage > 0;
       for (size_t k = 0; k < g->r.n_usage; k++)
         {
           assert_true (g->r.usage[k].age_us >= 5 * KQ_SEC);
@@ -275,7 +274,7 @@
           assert_true (g->r.usage[k].slowdown == 1.125);
         }
     }
-  assert_int_equal (told, 2); /* once lost, once told */
+  assert_int_equal (reported, 2); /* one answer lost, one received */
 }
 
 static bool
@@ -296,7 +295,7 @@
   return n == r->n_tasks;
 }
 
-/* A renewal with list; the acks stay in c until an answer comes. */
+/* A renewal that updates l; the acks stay in c until an answer arrives. */
 static KqResult
 renew_list (Rig *g, KqWorkerList *l, KqWorkerCall *c, bool lost)
 {
@@ -316,10 +315,10 @@
   return result;
 }
 
-/* Starts, stops, evictions, finishes, acknowledgements, lost answers, lapses and
- * restarts of the worker in any order: a list that is given out is always the worker's
- * own, and one that can't be is refused once and whole the next time. A task missing
- * from the list counts as stopped and would run twice. */
+/* Random starts, stops, evictions, acknowledgements, lost answers, lease expiries and
+ * restarts of the worker: a merged list always equals the worker's own, and if it can't,
+ * it is refused once and the next answer has the full list. A task that is missing from
+ * the list counts as stopped and would run twice. */
 static void
 test_list_of_changes_is_the_whole_list (void **state)
 {
@@ -337,7 +336,7 @@
       uint64_t what = kq_rand_below (&rand, 100);
       KqTaskKey key = { job - kq_rand_below (&rand, 4), 1 };
       g->now += (KqTime)kq_rand_below (&rand, 300) * KQ_MS * (what != 1 ? 1 : 100);
-      if (what == 0) /* a new process: its stamps are others */
+      if (what == 0) /* a restarted worker, in half of the cases with other stamps */
         {
           kq_worker_fake_free (&g->w[0]);
           kq_worker_fake_init (&g->w[0], &g->effects, (KqSize){ 4000, 8000, 1 });
@@ -363,8 +362,8 @@
   assert_in_range (refused, 1, 300); /* restarts only */
 }
 
-/* Changes for a list that isn't kept, or with a tag that doesn't fit, are refused; a
- * worker that gives no tag is asked for whole lists. */
+/* Changes to a list that isn't cached, or with a tag that differs, are refused; a worker
+ * that sends no tag is asked for full lists. */
 static void
 test_list_that_does_not_fit (void **state)
 {
@@ -379,7 +378,7 @@
   c.list_stamp = l.stamp;
   assert_int_equal (send (g, 0, c), KQ_OK);
   assert_int_equal (g->r.tasks_since, l.stamp);
-  assert_int_equal (g->r.n_tasks, 1); /* started at the stamp's own instant */
+  assert_int_equal (g->r.n_tasks, 1); /* started at the time of the stamp */
   g->r.list_tag++;
   assert_int_equal (kq_worker_list_apply (&l, &c, &g->r), KQ_ERR_PLATFORM_FORMAT);
   assert_int_equal (l.stamp, 0);
--- a/src/port/worker_http.c
+++ b/src/port/worker_http.c
@@ -13,32 +13,32 @@
 #include <assert.h>
 #include <stdlib.h>
 
-/* A worker with 16 tasks answers in some 5 KB; a thousand times that is a fault. */
-#define ANSWER_MAX (4 * 1024 * 1024)
-/* How often waiting calls are looked over for having waited too long. */
-#define EXPIRE_S 0.1
-#define KINDS (KQ_WORKER_THROTTLE + 1)
+/* A worker with 16 tasks answers some 5 KB; an answer 800 times as long is an error. */
+#define ANSWER_MAX_BYTES (4 * 1024 * 1024)
+/* Interval of the check for calls that have waited too long. */
+#define EXPIRE_INTERVAL_S 0.1
+#define N_KINDS (KQ_WORKER_THROTTLE + 1)
 
 typedef struct
 {
   KqWorkerId id;
   char *url;
-  int open;
-  GQueue waiting; /* of Call */
-  GList busy;     /* in the port's list of workers with waiting calls */
-  bool listed;    /* in that list */
-  bool gone;      /* freed with its last open call */
-  KqTime fresh_until;
+  int open;              /* calls sent and not yet answered */
+  GQueue waiting;        /* of Call */
+  GList pending_link;    /* in the port's list of workers with waiting calls */
+  bool pending;          /* in that list */
+  bool gone;             /* removed; freed with its last open call */
+  KqTime no_reuse_until; /* until then calls use new connections */
   KqWorkerList list;
-} Target;
+} Worker;
 
 typedef struct
 {
   GList link;
   KqWorkerPort *port;
-  Target *target;
+  Worker *worker;
   KqOut out; /* owns the acks */
-  KqTime taken_at;
+  KqTime queued_at;
   KqTime sent_at;
   int status;
   KqBuf body;
@@ -51,12 +51,12 @@
   KqLoop *loop;
   KqHttpClient *client;
   KqWorkerHttpConfig config;
-  GHashTable *targets; /* id -> Target */
-  GQueue busy;         /* Targets with waiting calls, in turn */
+  GHashTable *workers; /* id -> Worker */
+  GQueue pending;      /* workers with waiting calls, served in turn */
   GQueue open;         /* of Call */
   KqTime logged_at;
-  ev_timer expire;
-  KqMeter meters[KINDS];
+  ev_timer expire_timer;
+  KqMeter meters[N_KINDS];
   uint64_t *bytes_out;
   uint64_t *bytes_in;
 };
@@ -70,12 +70,12 @@
 }
 
 static void
-free_target (Target *t)
+free_worker (Worker *worker)
 {
-  assert (t->open == 0 && t->waiting.length == 0 && !t->listed);
-  kq_worker_list_free (&t->list);
-  free (t->url);
-  free (t);
+  assert (worker->open == 0 && worker->waiting.length == 0 && !worker->pending);
+  kq_worker_list_free (&worker->list);
+  free (worker->url);
+  free (worker);
 }
 
 static void
@@ -115,18 +115,18 @@
     return KQ_ERR_PLATFORM_FORMAT;
   result = kq_worker_answer_read (kq_buf_str (&c->body), c->status == 200, call, r);
   if (result == KQ_OK && call->kind == KQ_WORKER_LEASE)
-    result = kq_worker_list_apply (&c->target->list, call, r);
+    result = kq_worker_list_apply (&c->worker->list, call, r);
   return result;
 }
 
-static void pump (KqWorkerPort *p);
+static void send_pending (KqWorkerPort *p);
 
 static void
-leave_target (Target *t)
+end_call (Worker *worker)
 {
-  t->open--;
-  if (t->gone && t->open == 0)
-    free_target (t);
+  worker->open--;
+  if (worker->gone && worker->open == 0)
+    free_worker (worker);
 }
 
 static void
@@ -139,23 +139,24 @@
   (void)http;
   g_queue_unlink (&p->open, &c->link);
   r.result = read_answer (c, end, &r);
-  /* The pooled connections to a worker share their way with the one that failed; all
-   * are older than this span when they may be used again. */
+  /* What broke one connection to the worker has probably broken the other pooled ones
+   * too. When this time is over, they have been idle for longer than idle_ms and aren't
+   * reused. */
   if (end != KQ_HTTP_DONE)
-    c->target->fresh_until = now + p->config.idle_ms * KQ_MS + KQ_SEC;
+    c->worker->no_reuse_until = now + p->config.idle_ms * KQ_MS + KQ_SEC;
   if (r.result == KQ_ERR_PLATFORM_FORMAT && now - p->logged_at >= KQ_SEC)
     {
       p->logged_at = now;
       kq_log (KQ_LOG_WARN, "worker", "Answer can't be read. url=%s status=%d bytes=%zu",
-              c->target->url, c->status, c->body.len);
+              c->worker->url, c->status, c->body.len);
     }
   kq_meter_answered (&p->meters[c->out.u.worker.kind], r.result, now - c->sent_at,
                      c->body.len);
-  leave_target (c->target);
+  end_call (c->worker);
   send_reply (c, &r);
   kq_worker_answer_free (&r);
   free_call (c);
-  pump (p);
+  send_pending (p);
 }
 
 static void
@@ -175,11 +176,12 @@
 {
   Call *c = arg;
   (void)http;
-  c->too_long = c->too_long || !kq_buf_add_most (&c->body, chunk, ANSWER_MAX);
+  c->too_long = c->too_long || !kq_buf_add_most (&c->body, chunk, ANSWER_MAX_BYTES);
 }
 
-/* The body is streamed because libcurl can't repeat it by itself then: a START carried
- * out twice would be answered OLD_ATTEMPT although the task runs. */
+/* libcurl resends a request when a reused connection closes before the first byte of the
+ * answer. A START that is carried out twice would be answered OLD_ATTEMPT although the
+ * task runs, so the body is streamed, which libcurl can't resend. */
 static void
 send_call (KqWorkerPort *p, Call *c)
 {
@@ -190,17 +192,17 @@
   KqHttpCall *http;
   char *body;
 
-  call->list_stamp = c->target->list.stamp;
+  call->list_stamp = c->worker->list.stamp;
   body = kq_worker_call_json (call);
-  kq_buf_printf (&url, "%s/v1/%s", c->target->url, kq_worker_call_name (call->kind));
+  kq_buf_printf (&url, "%s/v1/%s", c->worker->url, kq_worker_call_name (call->kind));
   r.url = url.ptr;
   r.body_length = (int64_t)kq_str (body).len;
   r.connect_ms = p->config.connect_ms;
   r.silent_ms = p->config.silent_ms;
   r.total_ms = p->config.call_ms;
   c->sent_at = kq_time_now ();
-  r.once = c->sent_at < c->target->fresh_until;
-  c->target->open++;
+  r.once = c->sent_at < c->worker->no_reuse_until;
+  c->worker->open++;
   g_queue_push_tail_link (&p->open, &c->link);
   http = kq_http_call (p->client, &r, &cb);
   kq_http_call_feed (http, kq_str (body), true);
@@ -210,48 +212,48 @@
 }
 
 static void
-unlist (KqWorkerPort *p, Target *t)
+remove_pending (KqWorkerPort *p, Worker *worker)
 {
-  if (t->listed)
-    g_queue_unlink (&p->busy, &t->busy);
-  t->listed = false;
+  if (worker->pending)
+    g_queue_unlink (&p->pending, &worker->pending_link);
+  worker->pending = false;
 }
 
-/* One call for each worker in turn, so that a worker with many waiting calls doesn't
- * use up the total for the others. */
+/* Sends waiting calls, one for each worker in turn, so that a worker with many waiting
+ * calls doesn't use up the total. */
 static void
-pump (KqWorkerPort *p)
+send_pending (KqWorkerPort *p)
 {
-  guint idle = 0; /* workers seen since the last call sent */
-  while (idle < p->busy.length && (int)p->open.length < p->config.total)
+  guint skipped = 0; /* workers since the last call sent */
+  while (skipped < p->pending.length && (int)p->open.length < p->config.total)
     {
-      Target *t = g_queue_pop_head_link (&p->busy)->data;
-      t->listed = false;
-      idle++;
-      if (t->open < p->config.per_worker)
+      Worker *worker = g_queue_pop_head_link (&p->pending)->data;
+      worker->pending = false;
+      skipped++;
+      if (worker->open < p->config.per_worker)
         {
-          send_call (p, g_queue_pop_head_link (&t->waiting)->data);
-          idle = 0;
+          send_call (p, g_queue_pop_head_link (&worker->waiting)->data);
+          skipped = 0;
         }
-      if (t->waiting.length > 0)
+      if (worker->waiting.length > 0)
         {
-          g_queue_push_tail_link (&p->busy, &t->busy);
-          t->listed = true;
+          g_queue_push_tail_link (&p->pending, &worker->pending_link);
+          worker->pending = true;
         }
     }
 }
 
 static void
-refuse_waiting (Target *t, KqTime taken_before)
+refuse_waiting (Worker *worker, KqTime queued_before)
 {
   GList *next;
-  for (GList *l = t->waiting.head; l != NULL; l = next)
+  for (GList *l = worker->waiting.head; l != NULL; l = next)
     {
       Call *c = l->data;
       next = l->next;
-      if (c->taken_at > taken_before)
+      if (c->queued_at > queued_before)
         continue;
-      g_queue_unlink (&t->waiting, l);
+      g_queue_unlink (&worker->waiting, l);
       refuse (c);
     }
 }
@@ -266,73 +268,73 @@
   (void)events;
   *p->bytes_out = kq_http_client_bytes_out (p->client);
   *p->bytes_in = kq_http_client_bytes_in (p->client);
-  for (GList *l = p->busy.head; l != NULL; l = next)
+  for (GList *l = p->pending.head; l != NULL; l = next)
     {
-      Target *t = l->data;
+      Worker *worker = l->data;
       next = l->next;
-      refuse_waiting (t, before);
-      if (t->waiting.length == 0)
-        unlist (p, t);
+      refuse_waiting (worker, before);
+      if (worker->waiting.length == 0)
+        remove_pending (p, worker);
     }
 }
 
-static Target *
-find_target (const KqWorkerPort *p, KqWorkerId id)
+static Worker *
+find_worker (const KqWorkerPort *p, KqWorkerId id)
 {
-  return g_hash_table_lookup (p->targets, &id);
+  return g_hash_table_lookup (p->workers, &id);
 }
 
 static void
-take_call (KqWorkerPort *p, Call *c)
+queue_call (KqWorkerPort *p, Call *c)
 {
   const KqWorkerCall *call = &c->out.u.worker;
-  Target *t = find_target (p, call->worker);
-  c->target = t;
-  if (t == NULL || (int)t->waiting.length >= p->config.queue_max)
+  Worker *worker = find_worker (p, call->worker);
+  c->worker = worker;
+  if (worker == NULL || (int)worker->waiting.length >= p->config.queue_max)
     {
       refuse (c);
       return;
     }
   if (call->kind == KQ_WORKER_LEASE)
-    g_queue_push_head_link (&t->waiting, &c->link);
+    g_queue_push_head_link (&worker->waiting, &c->link);
   else
-    g_queue_push_tail_link (&t->waiting, &c->link);
-  if (!t->listed)
-    g_queue_push_tail_link (&p->busy, &t->busy);
-  t->listed = true;
-  pump (p);
+    g_queue_push_tail_link (&worker->waiting, &c->link);
+  if (!worker->pending)
+    g_queue_push_tail_link (&p->pending, &worker->pending_link);
+  worker->pending = true;
+  send_pending (p);
 }
 
 static void
-forget (KqWorkerPort *p, Target *t)
+remove_worker (KqWorkerPort *p, Worker *worker)
 {
-  refuse_waiting (t, KQ_TIME_NEVER);
-  unlist (p, t);
-  g_hash_table_steal (p->targets, &t->id);
-  t->gone = true;
-  if (t->open == 0)
-    free_target (t);
+  refuse_waiting (worker, KQ_TIME_NEVER);
+  remove_pending (p, worker);
+  g_hash_table_steal (p->workers, &worker->id);
+  worker->gone = true;
+  if (worker->open == 0)
+    free_worker (worker);
 }
 
 static void
-take_host (KqWorkerPort *p, const KqHost *h)
+update_worker (KqWorkerPort *p, const KqHost *h)
 {
-  Target *t = find_target (p, h->id);
+  Worker *worker = find_worker (p, h->id);
   if (h->state == KQ_HOST_GONE)
     {
-      if (t != NULL)
-        forget (p, t);
+      if (worker != NULL)
+        remove_worker (p, worker);
       return;
     }
-  if (t == NULL)
+  if (worker == NULL)
     {
-      t = kq_alloc (sizeof *t);
-      t->id = h->id;
-      t->busy.data = t;
-      g_hash_table_insert (p->targets, &t->id, t);
+      worker = kq_alloc (sizeof *worker);
+      worker->id = h->id;
+      worker->pending_link.data = worker;
+      g_hash_table_insert (p->workers, &worker->id, worker);
     }
-  free (t->url);
-  t->url = kq_str_dup (h->address);
+  free (worker->url);
+  worker->url = kq_str_dup (h->address);
 }
 
 static void
@@ -342,17 +344,17 @@
   if (mail->kind == KQ_MAIL_HOSTS)
     {
       for (size_t i = 0; i < mail->u.hosts.n_hosts; i++)
-        take_host (p, &mail->u.hosts.hosts[i]);
+        update_worker (p, &mail->u.hosts.hosts[i]);
     }
   else if (mail->kind == KQ_MAIL_OUT && mail->u.out.kind == KQ_OUT_WORKER)
     {
       Call *c = kq_alloc (sizeof *c);
       c->link.data = c;
       c->port = p;
-      c->taken_at = c->sent_at = now;
+      c->queued_at = c->sent_at = now;
       c->out = mail->u.out;
       mail->u.out = (KqOut){ .kind = KQ_OUT_WORKER };
-      take_call (p, c);
+      queue_call (p, c);
     }
   kq_mail_free (mail);
 }
@@ -380,17 +382,17 @@
   set_default (&c->idle_ms, 5000);
   p->loop = loop;
   p->client = kq_http_client_new (loop, c->total, c->idle_ms);
-  p->targets = g_hash_table_new (g_int64_hash, g_int64_equal);
-  for (int i = 0; i < KINDS; i++)
+  p->workers = g_hash_table_new (g_int64_hash, g_int64_equal);
+  for (int i = 0; i < N_KINDS; i++)
     kq_meter_init (&p->meters[i], c->counters, "worker",
                    kq_worker_call_name ((KqWorkerCallKind)i));
   p->bytes_out = kq_counter (c->counters, "kq_worker_bytes_out_total", "",
                              "Bytes to workers, heads and bodies.");
   p->bytes_in = kq_counter (c->counters, "kq_worker_bytes_in_total", "",
                             "Bytes from workers, heads and bodies.");
-  ev_timer_init (&p->expire, on_expire, EXPIRE_S, EXPIRE_S);
-  p->expire.data = p;
-  ev_timer_start (kq_loop_ev (loop), &p->expire);
+  ev_timer_init (&p->expire_timer, on_expire, EXPIRE_INTERVAL_S, EXPIRE_INTERVAL_S);
+  p->expire_timer.data = p;
+  ev_timer_start (kq_loop_ev (loop), &p->expire_timer);
   kq_task_init (&p->task, loop, "worker", p, handle);
   return p;
 }
@@ -403,7 +405,7 @@
     {
       Call *c = l->data;
       if (q == &c->port->open)
-        leave_target (c->target);
+        end_call (c->worker);
       free_call (c);
     }
 }
@@ -416,18 +418,18 @@
   if (p == NULL)
     return;
   kq_task_close (&p->task);
-  ev_timer_stop (kq_loop_ev (p->loop), &p->expire);
+  ev_timer_stop (kq_loop_ev (p->loop), &p->expire_timer);
   kq_http_client_free (p->client);
   free_calls (&p->open);
-  g_hash_table_iter_init (&it, p->targets);
+  g_hash_table_iter_init (&it, p->workers);
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
-      Target *t = value;
-      free_calls (&t->waiting);
-      t->listed = false;
-      free_target (t);
+      Worker *worker = value;
+      free_calls (&worker->waiting);
+      worker->pending = false;
+      free_worker (worker);
     }
-  g_hash_table_destroy (p->targets);
+  g_hash_table_destroy (p->workers);
   free (p);
 }
 
@@ -438,13 +440,13 @@
 }
 
 int
-kq_worker_http_open (const KqWorkerPort *p)
+kq_worker_http_open_calls (const KqWorkerPort *p)
 {
   return (int)p->open.length;
 }
 
 int
-kq_worker_http_known (const KqWorkerPort *p)
+kq_worker_http_n_workers (const KqWorkerPort *p)
 {
-  return (int)g_hash_table_size (p->targets);
+  return (int)g_hash_table_size (p->workers);
 }
--- a/src/port/worker_http.h
+++ b/src/port/worker_http.h
@@ -4,20 +4,21 @@
 /* worker_http: the task that carries out worker calls over HTTP (docs/PLATFORM.md).
  *
  * Takes KQ_MAIL_OUT with KQ_OUT_WORKER items and sends exactly one
- * KQ_MAIL_WORKER_REPLY for each to the receiver. Takes KQ_MAIL_HOSTS: a whole host list
- * of one depot or of several; workers it names get its addresses, workers it lists as
- * gone are forgotten, others stay as they are.
+ * KQ_MAIL_WORKER_REPLY for each to the receiver. Takes KQ_MAIL_HOSTS, the host list
+ * of one or more depots: sets the addresses of its workers and removes the workers that
+ * it lists as gone; workers that aren't in it stay unchanged.
  *
- * A call to a worker that no list has named is answered KQ_ERR_WORKER_UNREACHABLE at
- * once. At most `per_worker` calls are in flight to one worker and `total` to all; up to
- * `queue_max` wait for each worker, one beyond is answered KQ_ERR_WORKER_UNREACHABLE and
- * never sent. A LEASE call goes before waiting commands: it keeps tasks alive. A call
- * that waited longer than call_ms is answered so too.
+ * A call to an unknown worker is answered KQ_ERR_WORKER_UNREACHABLE at once. At most
+ * `per_worker` calls are in flight to one worker and `total` to all. Up to `queue_max`
+ * calls wait for each worker; when that queue is full, or after a wait of call_ms, a call
+ * is answered KQ_ERR_WORKER_UNREACHABLE and never sent. A LEASE call is sent before
+ * waiting commands, because the worker's tasks end with its lease.
  *
- * A connection on which nothing came for silent_ms is closed and the call answered
- * KQ_ERR_WORKER_UNREACHABLE; the next call to that worker uses a fresh connection. Each
- * answer must carry the token, epoch and kind of its call: one that doesn't is
- * KQ_ERR_PLATFORM_FORMAT, so a mixed-up connection can't settle another call. */
+ * A connection without a byte for silent_ms is closed and its call answered
+ * KQ_ERR_WORKER_UNREACHABLE; calls to that worker for some time after it use new
+ * connections. Each answer must carry the token, epoch and kind of its call, otherwise
+ * the result is KQ_ERR_PLATFORM_FORMAT: the answer to another call is never taken for it.
+ */
 
 #include "base/counter.h"
 #include "base/task.h"
@@ -25,14 +26,14 @@
 
 typedef struct
 {
-  /* 0 takes the default given here. */
+  /* 0 selects the default, given for each. */
   int per_worker; /* 4 */
   int total;      /* 512 */
   int queue_max;  /* 64, for each worker */
   int connect_ms; /* 300 */
   int silent_ms;  /* 1000 */
-  int call_ms;    /* 3000: the whole call */
-  int idle_ms;    /* age of an idle connection that is still used: 5000 */
+  int call_ms;    /* 3000, for the whole call */
+  int idle_ms;    /* an idle connection is reused for so long; 5000 */
   KqCounters *counters;
   KqTask *receiver;
 } KqWorkerHttpConfig;
@@ -40,11 +41,13 @@
 typedef struct KqWorkerPort KqWorkerPort;
 
 KqWorkerPort *kq_worker_http_new (KqLoop *loop, const KqWorkerHttpConfig *c);
-/* Ends open calls without replies. */
+/* Drops open calls without replies. */
 void kq_worker_http_free (KqWorkerPort *p);
 /* Takes KQ_MAIL_OUT with KQ_OUT_WORKER items, and KQ_MAIL_HOSTS. */
 KqTask *kq_worker_http_task (KqWorkerPort *p);
-int kq_worker_http_open (const KqWorkerPort *p);
-int kq_worker_http_known (const KqWorkerPort *p);
+/* Number of calls sent and not yet answered. */
+int kq_worker_http_open_calls (const KqWorkerPort *p);
+/* Number of known workers. */
+int kq_worker_http_n_workers (const KqWorkerPort *p);
 
 #endif
--- a/src/port/worker_http_test.c
+++ b/src/port/worker_http_test.c
@@ -15,7 +15,8 @@
 
 #define REPLIES_MAX 64
 
-/* Workers that answer what the test wants, the port, and a task that keeps replies. */
+/* A server for the workers with answers set by the test, the port, and a task that
+ * collects the port's replies. */
 typedef struct
 {
   KqLoop *loop;
@@ -31,9 +32,9 @@
   int max_open;
   int status;
   const char *answer; /* NULL: none; %T and %E stand for the call's token and epoch */
-  int cut_from;       /* requests from this one on are cut; 0: none */
+  int cut_from;       /* requests from this number on are aborted; 0: none */
   KqBuf body;
-  char order[256]; /* paths' last parts as they came */
+  char order[256]; /* last segments of the paths, in order of arrival */
 } Rig;
 
 static void
@@ -289,8 +290,8 @@
   free_rig (r);
 }
 
-/* A worker answers nonsense, or an answer to another call comes on this connection: it
- * must not settle this call, as a start taken for done would lose its task. */
+/* An invalid answer, or the answer to another call, must not be taken for the answer: if
+ * a start counted as done by mistake, its task would never run. */
 static void
 test_malformed_and_mixed_up_answers (void **state)
 {
@@ -330,8 +331,8 @@
   free_rig (r);
 }
 
-/* A worker that no list has named, or that the list says is gone, is answered for at
- * once; nothing leaves. */
+/* Calls to a worker that is in no host list, or is listed as gone, are answered at once
+ * and never sent. */
 static void
 test_unknown_and_gone_workers (void **state)
 {
@@ -340,19 +341,20 @@
   (void)state;
   c.worker = id_of ("w2");
   assert_int_equal (ask (r, c, 200, NULL)->result, KQ_ERR_WORKER_UNREACHABLE);
-  assert_int_equal (kq_worker_http_known (r->port), 1);
+  assert_int_equal (kq_worker_http_n_workers (r->port), 1);
   name_host (r, "w1", KQ_HOST_GONE);
   c.worker = id_of ("w1");
   assert_int_equal (ask (r, c, 200, NULL)->result, KQ_ERR_WORKER_UNREACHABLE);
-  assert_int_equal (kq_worker_http_known (r->port), 0);
+  assert_int_equal (kq_worker_http_n_workers (r->port), 0);
   assert_int_equal (r->requests, 0);
   free_rig (r);
 }
 
-/* The worker accepts and says nothing. Each call ends by the silence limit; those in
- * flight are bounded, the lease renewal goes before waiting commands, what waits too
- * long or finds no place is answered without having left. A list that says the worker
- * is gone ends the waiting one while two are still in flight. */
+/* The worker accepts connections and never answers. Each call ends after silent_ms; the
+ * number of calls in flight is bounded, the lease renewal is sent before waiting
+ * commands, and a call that finds the queue full is answered without being sent. A host
+ * list that says the worker is gone ends the waiting call while two are still in flight.
+ */
 static void
 test_silent_worker (void **state)
 {
@@ -362,25 +364,25 @@
   for (int i = 0; i < 4; i++)
     call (r, a_call (KQ_WORKER_STOP));
   call (r, a_call (KQ_WORKER_LEASE));
-  call (r, a_call (KQ_WORKER_STOP)); /* finds the queue full */
+  call (r, a_call (KQ_WORKER_STOP)); /* the queue is full */
   await (r, 1);
-  assert_int_equal (kq_worker_http_open (r->port), 2);
+  assert_int_equal (kq_worker_http_open_calls (r->port), 2);
   await (r, 3);
-  assert_int_equal (kq_worker_http_open (r->port), 2);
+  assert_int_equal (kq_worker_http_open_calls (r->port), 2);
   name_host (r, "w1", KQ_HOST_GONE);
   await (r, 4);
-  assert_int_equal (kq_worker_http_open (r->port), 2);
+  assert_int_equal (kq_worker_http_open_calls (r->port), 2);
   await (r, 6);
   assert_int_equal (r->max_open, 2);
   for (int i = 0; i < 6; i++)
     assert_int_equal (r->replies[i]->u.worker_reply.result, KQ_ERR_WORKER_UNREACHABLE);
   assert_non_null (strstr (r->order, "stop stop lease "));
-  assert_int_equal (kq_worker_http_open (r->port), 0);
+  assert_int_equal (kq_worker_http_open_calls (r->port), 0);
   free_rig (r);
 }
 
-/* Calls that wait behind a silent worker longer than a whole call may take are answered
- * and never sent: a command that leaves long after its decision is wrong by then. */
+/* Calls that have waited for call_ms behind an unanswered one are answered and never
+ * sent, because a command sent long after its decision may be wrong by then. */
 static void
 test_waiting_ends (void **state)
 {
@@ -394,9 +396,9 @@
   free_rig (r);
 }
 
-/* The worker takes the second start on a pooled connection and closes it without an
- * answer: libcurl must not send it again, or the repeat would be answered OLD_ATTEMPT
- * while the task runs. The total is bounded over all workers. */
+/* The second start is sent on a reused connection, which the worker closes without an
+ * answer. libcurl must not resend it: the answer to that would be OLD_ATTEMPT while the
+ * task runs. Also, the total of calls in flight to all workers is bounded. */
 static void
 test_start_arrives_once (void **state)
 {
--- a/src/port/worker_json.c
+++ b/src/port/worker_json.c
@@ -5,9 +5,9 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define SIZE_MAX_FIELD ((int64_t)1 << 40)
+#define SIZE_FIELD_MAX ((int64_t)1 << 40)
 #define SLOTS_MAX 100000
-/* As microseconds it still fits 64 bits. */
+/* Fits 64 bits in microseconds too. */
 #define RUN_MS_MAX (INT64_MAX / 4000)
 
 static const char *const call_names[]
@@ -25,7 +25,7 @@
                { "no_room", KQ_ERR_NO_ROOM },
                { "refused", KQ_ERR_WORKER_REFUSED } };
 
-/* The index of the name; -1 when it isn't there. */
+/* The name's index; -1: not found. */
 static int
 index_of (KqStr name, const char *const *names, int n)
 {
@@ -162,10 +162,10 @@
 read_size (KqJsonReader *outer, const char *key)
 {
   KqJsonReader r = kq_json_object (outer, key);
-  KqSize s = { kq_json_i64 (&r, "cpu_milli", 0, SIZE_MAX_FIELD),
-               kq_json_i64 (&r, "memory_mb", 0, SIZE_MAX_FIELD),
-               kq_json_i64 (&r, "accelerators", 0, SIZE_MAX_FIELD) };
-  kq_json_join (outer, &r);
+  KqSize s = { kq_json_i64 (&r, "cpu_milli", 0, SIZE_FIELD_MAX),
+               kq_json_i64 (&r, "memory_mb", 0, SIZE_FIELD_MAX),
+               kq_json_i64 (&r, "accelerators", 0, SIZE_FIELD_MAX) };
+  kq_json_propagate (outer, &r);
   return s;
 }
 
@@ -183,7 +183,7 @@
     {
       KqJsonReader e = kq_json_element (acks, c->n_acks);
       c->acks[c->n_acks] = read_key (&e);
-      kq_json_join (r, &e);
+      kq_json_propagate (r, &e);
     }
 }
 
@@ -321,7 +321,7 @@
       t->size = read_size (&r, "size");
       t->class_name = kq_json_name (&r, "class");
       t->latency_critical = kq_json_bool (&r, "latency_critical");
-      kq_json_join (outer, &r);
+      kq_json_propagate (outer, &r);
     }
 }
 
@@ -337,10 +337,10 @@
       KqUsageReport *u = &to->usage[to->n_usage];
       u->task = read_key (&r);
       u->age_us = kq_json_i64 (&r, "age_us", 0, INT64_MAX);
-      u->cpu_milli = kq_json_i64 (&r, "cpu_milli", 0, SIZE_MAX_FIELD);
-      u->memory_mb = kq_json_i64 (&r, "memory_mb", 0, SIZE_MAX_FIELD);
+      u->cpu_milli = kq_json_i64 (&r, "cpu_milli", 0, SIZE_FIELD_MAX);
+      u->memory_mb = kq_json_i64 (&r, "memory_mb", 0, SIZE_FIELD_MAX);
       u->slowdown = kq_json_double (&r, "slowdown");
-      kq_json_join (outer, &r);
+      kq_json_propagate (outer, &r);
     }
 }
 
@@ -359,7 +359,7 @@
       u->slots_busy = (int)kq_json_i64 (&r, "slots_busy", 0, SLOTS_MAX);
       u->connections = (int)kq_json_i64 (&r, "connections", 0, SLOTS_MAX);
       u->leaving = kq_json_bool (&r, "leaving");
-      kq_json_join (outer, &r);
+      kq_json_propagate (outer, &r);
     }
 }
 
@@ -406,7 +406,7 @@
     read_lease (&reader, r);
   else if (c->kind == KQ_WORKER_CHECKPOINT)
     {
-      /* Without an id the work since the beginning would be done again. */
+      /* Without an id the task would have to be repeated from its beginning. */
       r->checkpoint = kq_json_name (&reader, "checkpoint");
       reader.bad = reader.bad || r->checkpoint.len == 0;
     }
--- a/src/port/worker_list.c
+++ b/src/port/worker_list.c
@@ -47,7 +47,7 @@
   *at = *t;
 }
 
-/* The worker drops an ended task with its acknowledgement. */
+/* The worker removes an ended task from its list when it is acknowledged. */
 static void
 acknowledge (KqWorkerList *l, KqTaskKey key)
 {
@@ -69,7 +69,7 @@
 }
 
 static void
-give_out (const KqWorkerList *l, KqWorkerReply *r)
+copy_list (const KqWorkerList *l, KqWorkerReply *r)
 {
   free (r->tasks);
   r->tasks = kq_alloc ((l->n + 1) * sizeof *r->tasks);
@@ -94,8 +94,9 @@
       for (size_t i = 0; i < r->n_tasks; i++)
         set (l, &r->tasks[i]);
     }
-  /* A worker without tags doesn't know this form; it is never asked for changes. */
+  /* A worker that sends no tag doesn't support partial lists; with stamp 0 the next call
+   * asks for a full one. */
   l->stamp = r->list_tag != 0 ? r->stamp : 0;
-  give_out (l, r);
+  copy_list (l, r);
   return KQ_OK;
 }
--- a/src/port/worker_list.h
+++ b/src/port/worker_list.h
@@ -1,19 +1,19 @@
 #ifndef KQ_PORT_WORKER_LIST_H
 #define KQ_PORT_WORKER_LIST_H
 
-/* worker_list: a worker's tasks, kept from answer to answer, so that a renewal carries
- * only what changed since.
+/* worker_list: a cached copy of a worker's task list, so that the answer to a renewal
+ * carries only the tasks that changed.
  *
- * Load pattern: a renewal a worker and period, nearly all of them without news. Without
- * it each repeats the whole list: 16 tasks are 3.5 KB, 41 workers every 3 s 48 KB a
- * second for one node, which may spend 20 (make bench-platform).
+ * Most renewals find no change. If each answer carried the full list, 16 tasks would be
+ * 3.5 KB, and 41 workers renewed every 3 s would cost a node 48 KB a second, of an
+ * allowed 20 (make bench-platform).
  *
- * A LEASE call names the stamp of the answer from which the port keeps the list; the
- * worker may answer with the tasks that changed at that stamp or later. The answer's tag
- * is over the worker's whole list: only when the merged list has the same tag is it
- * given out, for a task that is missing from a list counts as stopped, and one wrongly
- * missing would run twice. A tag that doesn't fit drops the kept list, so that the next
- * answer is whole. */
+ * A LEASE call carries the stamp of the answer that the cached list is from; the worker
+ * may answer with just the tasks that changed at that stamp or later. The answer's tag is
+ * a hash over the worker's full list. The merged list is used only if its tag is the
+ * same: a task that is missing from a list counts as stopped and is started again, so one
+ * that is missing by mistake would run twice. If the tags differ, the cached list is
+ * dropped and the next answer is a full list. */
 
 #include "port/worker.h"
 
@@ -22,14 +22,15 @@
   KqTaskReport *tasks;
   size_t n;
   size_t capacity;
-  uint64_t stamp; /* of the answer it is from; 0: nothing is kept */
+  uint64_t stamp; /* of the answer it is from; 0: nothing is cached */
 } KqWorkerList;
 
 void kq_worker_list_free (KqWorkerList *l);
-/* Over job, attempt and state of each task, in any order; never 0. */
+/* A hash over job, attempt and state of the tasks, independent of their order; never 0.
+ */
 uint64_t kq_worker_list_tag (const KqTaskReport *tasks, size_t n);
-/* Takes in the answer to the LEASE call and puts the whole list into r->tasks. KQ_OK or
- * KQ_ERR_PLATFORM_FORMAT. */
+/* Updates the list by the answer to the LEASE call and replaces r->tasks by the full
+ * list. KQ_OK or KQ_ERR_PLATFORM_FORMAT. */
 KqResult kq_worker_list_apply (KqWorkerList *l, const KqWorkerCall *c, KqWorkerReply *r);
 
 #endif
