--- a/src/port/front.h
+++ b/src/port/front.h
@@ -2,8 +2,7 @@
 #define KQ_PORT_FRONT_H
 
 /* front: the port to client accounts: their requests about jobs of steps, and the
- * answers.
- */
+ * answers. */
 
 #include "base/task.h"
 #include "steps/spec.h"
--- a/src/port/hosts_test.c
+++ b/src/port/hosts_test.c
@@ -58,7 +58,7 @@
  * exist; if a state were read as "gone" by mistake, the host's tasks would count as
  * stopped and would run twice. */
 static void
-test_refuses_what_it_cannot_read (void **state)
+test_refuses_invalid_lists (void **state)
 {
   static const char *const changes[][2] = { { "\"w1\"", "\"\"" },
                                             { "\"w1\"", "\"a b\"" },
@@ -87,7 +87,7 @@
 }
 
 static void
-test_every_cut_is_refused (void **state)
+test_every_truncation_is_refused (void **state)
 {
   KqHostList l;
   (void)state;
@@ -122,8 +122,8 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_reads_a_host),
-    cmocka_unit_test (test_refuses_what_it_cannot_read),
-    cmocka_unit_test (test_every_cut_is_refused),
+    cmocka_unit_test (test_refuses_invalid_lists),
+    cmocka_unit_test (test_every_truncation_is_refused),
     cmocka_unit_test (test_url_escapes),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/src/port/mail.h
+++ b/src/port/mail.h
@@ -16,14 +16,14 @@
   KQ_MAIL_PEER,         /* from the mesh: the connection to `peer` went up or down */
   KQ_MAIL_STORE_REPLY,  /* from the store's task */
   KQ_MAIL_WORKER_REPLY, /* from the workers' task */
-  KQ_MAIL_HOSTS,       /* to the workers' task: addresses of all workers this node owns */
-  KQ_MAIL_SHARD_HOSTS, /* to the runners' task: the hosts of a shard this node owns */
-  KQ_MAIL_SHARD_GONE,  /* to the runners' task: this node no longer owns the shard */
-  KQ_MAIL_TABLE,       /* from the node's task: a new table is in force */
-  KQ_MAIL_NODE,        /* from the node's task: a node's state changed */
-  KQ_MAIL_SERVICES,    /* from the runners' task: its digest, an entry per service */
-  KQ_MAIL_DRAIN,       /* accept no new work */
-  KQ_MAIL_DRAINED      /* from a task that has drained: it has no open work left */
+  KQ_MAIL_HOSTS,        /* to the workers' task: addresses of all owned workers */
+  KQ_MAIL_SHARD_HOSTS,  /* to the runners' task: the hosts of a shard this node owns */
+  KQ_MAIL_SHARD_GONE,   /* to the runners' task: this node no longer owns the shard */
+  KQ_MAIL_TABLE,        /* from the node's task: a new table is in force */
+  KQ_MAIL_NODE,         /* from the node's task: a node's state changed */
+  KQ_MAIL_SERVICES,     /* from the runners' task: its digest, an entry per service */
+  KQ_MAIL_DRAIN,        /* accept no new work */
+  KQ_MAIL_DRAINED       /* from a task that has drained: it has no open work left */
 } KqMailKind;
 
 typedef struct
@@ -39,8 +39,7 @@
 typedef struct
 {
   uint32_t shard;
-  bool
-      taken_over; /* without a handover by the former owner: what runs there is unknown */
+  bool taken_over;  /* without a handover, so what runs there is unknown */
   KqHostList hosts; /* owned */
 } KqMailShardHosts;
 
--- a/src/port/meter.c
+++ b/src/port/meter.c
@@ -2,8 +2,7 @@
 
 #include <stdio.h>
 
-/* From the latency of a fast store to the longest timeout; the last bucket is unbounded.
- */
+/* From a fast store's latency to the longest timeout; the last bucket is unbounded. */
 static const int bounds_ms[KQ_METER_BUCKETS - 1]
     = { 1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000 };
 
--- a/src/port/runner.h
+++ b/src/port/runner.h
@@ -12,6 +12,7 @@
 
 typedef struct KqRunnerCalls KqRunnerCalls;
 
+/* An amount of resources. */
 typedef struct
 {
   int64_t cpu_milli; /* thousandths of a core */
@@ -42,9 +43,10 @@
   KQ_END_STOPPED, /* by a stop order */
   KQ_END_LAPSED,  /* the runner's lease expired */
   KQ_END_BROKEN,  /* another member of its gang (tasks that run together) ended */
-  KQ_END_ALONE    /* the other members of its gang weren't started in time */
+  KQ_END_ALONE    /* the other members of its gang didn't start */
 } KqEndHow;
 
+/* A run in progress. */
 typedef struct
 {
   KqStr task;
@@ -55,6 +57,7 @@
                        thousandths of a core; -1: not reported */
 } KqRunRow;
 
+/* The end of a run. */
 typedef struct
 {
   uint64_t number; /* counts from 1 in each process of the runner */
@@ -105,6 +108,7 @@
   void *arg;
 } KqRunnerCallback;
 
+/* The runner that is called, and the conditions of the call. */
 typedef struct
 {
   KqStr address;
--- a/src/port/store.h
+++ b/src/port/store.h
@@ -31,8 +31,8 @@
   KQ_STORE_LEASE_REVOKE, /* lease; its keys are deleted at once */
   KQ_STORE_WATCH,        /* waits until a key under the prefix `key` has a revision above
                             `expect`, or for wait_ms; answers like LIST */
-  KQ_STORE_HOSTS /* the platform's host list of depot `key`, as JSON in `value`; it
-                    may lag behind the true state (hosts.h) */
+  KQ_STORE_HOSTS         /* the platform's host list of depot `key`, as JSON in `value`;
+                            it may lag behind the true state (hosts.h) */
 } KqStoreOpKind;
 
 /* The module that made the call and gets the reply. */
--- a/src/port/store_fake.h
+++ b/src/port/store_fake.h
@@ -42,8 +42,7 @@
   bool watches_silent;                  /* watches never answer before their timeout */
   bool cut_to[KQ_STORE_FAKE_CLIENTS];   /* the client's calls don't arrive */
   bool cut_from[KQ_STORE_FAKE_CLIENTS]; /* answers don't reach the client */
-  KqTime paused_until[KQ_STORE_FAKE_CLIENTS]; /* answers to the client are
-                                                 held back until then */
+  KqTime paused_until[KQ_STORE_FAKE_CLIENTS]; /* answers are held back */
 } KqStoreFaults;
 
 typedef struct
--- a/src/port/store_fake_test.c
+++ b/src/port/store_fake_test.c
@@ -83,7 +83,7 @@
 /* With each of four faults the caller of a write gets UNREACHABLE; whether and when the
  * value is written differs. Modules must read the key instead of assuming either. */
 static void
-test_fates (void **state)
+test_faults_of_writes (void **state)
 {
   static const struct
   {
@@ -140,7 +140,7 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_swap_and_list),
     cmocka_unit_test (test_lease_lapse_wakes_watch),
-    cmocka_unit_test (test_fates),
+    cmocka_unit_test (test_faults_of_writes),
     cmocka_unit_test (test_outage_and_silent_watch),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/src/port/store_http.c
+++ b/src/port/store_http.c
@@ -58,7 +58,7 @@
   KqTime answered_at;
   KqTime no_reuse_until; /* until then calls use new connections */
   KqTime logged_at;
-  ev_timer send_timer; /* when to look at the queues again */
+  ev_timer send_timer; /* next run of schedule () */
   KqMeter meters[N_KINDS];
   uint64_t *bytes_out;
   uint64_t *bytes_in;
--- a/src/port/store_http.h
+++ b/src/port/store_http.h
@@ -53,8 +53,7 @@
 int kq_store_http_open_calls (const KqStorePort *p);
 /* Number of calls that wait to be sent. */
 int kq_store_http_queued_calls (const KqStorePort *p);
-/* When the last valid answer (none of UNREACHABLE and PLATFORM_FORMAT) arrived; 0: never.
- */
+/* When the last answer other than UNREACHABLE and PLATFORM_FORMAT arrived; 0: never. */
 KqTime kq_store_http_answered_at (const KqStorePort *p);
 
 #endif
--- a/src/port/store_target.h
+++ b/src/port/store_target.h
@@ -3,8 +3,7 @@
 
 #include "port/store.h"
 
-/* Appends the URL of the call and returns its HTTP method; docs/PLATFORM.md lists them.
- */
+/* Appends the call's URL and returns its HTTP method; docs/PLATFORM.md lists them. */
 const char *kq_store_request_url (const char *base, const KqStoreOp *op, KqBuf *url);
 
 #endif
--- a/src/port/worker.h
+++ b/src/port/worker.h
@@ -93,7 +93,7 @@
   int64_t age_us; /* how long ago the measured interval ended */
   int64_t cpu_milli;
   int64_t memory_mb;
-  double slowdown; /* measured time over the time without other tasks; 1.0: none */
+  double slowdown; /* measured time over the time without other tasks; 1.0: undisturbed */
 } KqUsageReport;
 
 /* The state of one of the worker's runners (a back end that serves requests). */
--- a/src/port/worker_fake_test.c
+++ b/src/port/worker_fake_test.c
@@ -365,7 +365,7 @@
 /* Changes to a list that isn't cached, or with a tag that differs, are refused; a worker
  * that sends no tag is asked for full lists. */
 static void
-test_list_that_does_not_fit (void **state)
+test_list_with_a_wrong_tag (void **state)
 {
   Rig *g = *state;
   KqWorkerList l = { 0 };
@@ -407,7 +407,7 @@
                                      tear_down),
     cmocka_unit_test_setup_teardown (test_list_of_changes_is_the_whole_list, set_up,
                                      tear_down),
-    cmocka_unit_test_setup_teardown (test_list_that_does_not_fit, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_list_with_a_wrong_tag, set_up, tear_down),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/port/worker_http.c
+++ b/src/port/worker_http.c
@@ -13,7 +13,7 @@
 #include <assert.h>
 #include <stdlib.h>
 
-/* A worker with 16 tasks answers some 5 KB; an answer 800 times as long is an error. */
+/* A worker with 16 tasks answers some 5 KB; one some 800 times as long is an error. */
 #define ANSWER_MAX_BYTES (4 * 1024 * 1024)
 /* Interval of the check for calls that have waited too long. */
 #define EXPIRE_INTERVAL_S 0.1
--- a/src/port/worker_http.h
+++ b/src/port/worker_http.h
@@ -17,8 +17,7 @@
  * A connection without a byte for silent_ms is closed and its call answered
  * KQ_ERR_WORKER_UNREACHABLE; calls to that worker for some time after it use new
  * connections. Each answer must carry the token, epoch and kind of its call, otherwise
- * the result is KQ_ERR_PLATFORM_FORMAT: the answer to another call is never taken for it.
- */
+ * the result is KQ_ERR_PLATFORM_FORMAT: no call takes the answer to another. */
 
 #include "base/counter.h"
 #include "base/task.h"
--- a/src/port/worker_http_test.c
+++ b/src/port/worker_http_test.c
@@ -119,7 +119,7 @@
 }
 
 static void
-name_host (Rig *r, const char *name, KqHostState state)
+send_host_list (Rig *r, const char *name, KqHostState state)
 {
   KqMail *m = kq_mail_new (KQ_MAIL_HOSTS);
   char address[64];
@@ -147,7 +147,7 @@
   config.counters = r->counters;
   config.receiver = &r->receiver;
   r->port = kq_worker_http_new (r->loop, &config);
-  name_host (r, "w1", KQ_HOST_LIVE);
+  send_host_list (r, "w1", KQ_HOST_LIVE);
   return r;
 }
 
@@ -193,7 +193,7 @@
 }
 
 static KqWorkerCall
-a_call (KqWorkerCallKind kind)
+make_call (KqWorkerCallKind kind)
 {
   return (KqWorkerCall){ .kind = kind,
                          .worker = id_of ("w1"),
@@ -238,7 +238,7 @@
 {
   Rig *r = new_rig ((KqWorkerHttpConfig){ 0 });
   KqTaskKey acks[2] = { { 5, 1 }, { 6, 4 } };
-  KqWorkerCall c = a_call (KQ_WORKER_LEASE);
+  KqWorkerCall c = make_call (KQ_WORKER_LEASE);
   const KqWorkerReply *a;
   KqTime before = kq_time_now ();
   (void)state;
@@ -266,7 +266,7 @@
 test_results (void **state)
 {
   Rig *r = new_rig ((KqWorkerHttpConfig){ 0 });
-  KqWorkerCall s = a_call (KQ_WORKER_START);
+  KqWorkerCall s = make_call (KQ_WORKER_START);
   const KqWorkerReply *a;
   (void)state;
   a = ask (r, s, 200, ANSWER ("start", ""));
@@ -284,7 +284,7 @@
   assert_int_equal (a->result, KQ_ERR_WORKER_REFUSED);
   a = ask (r, s, 503, "{}");
   assert_int_equal (a->result, KQ_ERR_WORKER_UNREACHABLE);
-  a = ask (r, a_call (KQ_WORKER_CHECKPOINT), 200,
+  a = ask (r, make_call (KQ_WORKER_CHECKPOINT), 200,
            "{\"kind\":\"checkpoint\"," HEAD ",\"checkpoint\":\"c.7\"}");
   assert_true (kq_str_eq (kq_name_str (&a->checkpoint), KQ_STR ("c.7")));
   free_rig (r);
@@ -307,7 +307,7 @@
       = { "\"stamp\"", "\"lease_live\"", "\"whole\"", "\"tasks\"",  "\"attempt\"",
           "\"state\"", "\"run_us\"",     "\"usage\"", "\"age_us\"", "\"runners\"" };
   Rig *r = new_rig ((KqWorkerHttpConfig){ 0 });
-  KqWorkerCall s = a_call (KQ_WORKER_START);
+  KqWorkerCall s = make_call (KQ_WORKER_START);
   (void)state;
   for (size_t i = 0; i < sizeof starts / sizeof starts[0]; i++)
     {
@@ -320,14 +320,15 @@
     {
       char text[] = LEASE;
       strstr (text, cuts[i])[1] = 'X';
-      if (ask (r, a_call (KQ_WORKER_LEASE), 200, text)->result != KQ_ERR_PLATFORM_FORMAT)
+      if (ask (r, make_call (KQ_WORKER_LEASE), 200, text)->result
+          != KQ_ERR_PLATFORM_FORMAT)
         fail_msg ("read without %s", cuts[i]);
     }
-  assert_int_equal (ask (r, a_call (KQ_WORKER_CHECKPOINT), 200,
+  assert_int_equal (ask (r, make_call (KQ_WORKER_CHECKPOINT), 200,
                          ANSWER ("checkpoint", ",\"checkpoint\":\"\""))
                         ->result,
                     KQ_ERR_PLATFORM_FORMAT);
-  assert_int_equal (ask (r, a_call (KQ_WORKER_LEASE), 200, LEASE)->result, KQ_OK);
+  assert_int_equal (ask (r, make_call (KQ_WORKER_LEASE), 200, LEASE)->result, KQ_OK);
   free_rig (r);
 }
 
@@ -337,12 +338,12 @@
 test_unknown_and_gone_workers (void **state)
 {
   Rig *r = new_rig ((KqWorkerHttpConfig){ 0 });
-  KqWorkerCall c = a_call (KQ_WORKER_STOP);
+  KqWorkerCall c = make_call (KQ_WORKER_STOP);
   (void)state;
   c.worker = id_of ("w2");
   assert_int_equal (ask (r, c, 200, NULL)->result, KQ_ERR_WORKER_UNREACHABLE);
   assert_int_equal (kq_worker_http_n_workers (r->port), 1);
-  name_host (r, "w1", KQ_HOST_GONE);
+  send_host_list (r, "w1", KQ_HOST_GONE);
   c.worker = id_of ("w1");
   assert_int_equal (ask (r, c, 200, NULL)->result, KQ_ERR_WORKER_UNREACHABLE);
   assert_int_equal (kq_worker_http_n_workers (r->port), 0);
@@ -353,8 +354,7 @@
 /* The worker accepts connections and never answers. Each call ends after silent_ms; the
  * number of calls in flight is bounded, the lease renewal is sent before waiting
  * commands, and a call that finds the queue full is answered without being sent. A host
- * list that says the worker is gone ends the waiting call while two are still in flight.
- */
+ * list that says the worker is gone ends the waiting call while two are in flight. */
 static void
 test_silent_worker (void **state)
 {
@@ -362,14 +362,14 @@
       .per_worker = 2, .queue_max = 3, .silent_ms = 200, .call_ms = 5000 });
   (void)state;
   for (int i = 0; i < 4; i++)
-    call (r, a_call (KQ_WORKER_STOP));
-  call (r, a_call (KQ_WORKER_LEASE));
-  call (r, a_call (KQ_WORKER_STOP)); /* the queue is full */
+    call (r, make_call (KQ_WORKER_STOP));
+  call (r, make_call (KQ_WORKER_LEASE));
+  call (r, make_call (KQ_WORKER_STOP)); /* the queue is full */
   await (r, 1);
   assert_int_equal (kq_worker_http_open_calls (r->port), 2);
   await (r, 3);
   assert_int_equal (kq_worker_http_open_calls (r->port), 2);
-  name_host (r, "w1", KQ_HOST_GONE);
+  send_host_list (r, "w1", KQ_HOST_GONE);
   await (r, 4);
   assert_int_equal (kq_worker_http_open_calls (r->port), 2);
   await (r, 6);
@@ -384,13 +384,13 @@
 /* Calls that have waited for call_ms behind an unanswered one are answered and never
  * sent, because a command sent long after its decision may be wrong by then. */
 static void
-test_waiting_ends (void **state)
+test_waiting_calls_time_out (void **state)
 {
   Rig *r = new_rig (
       (KqWorkerHttpConfig){ .per_worker = 1, .silent_ms = 10000, .call_ms = 300 });
   (void)state;
   for (int i = 0; i < 8; i++)
-    call (r, a_call (KQ_WORKER_STOP));
+    call (r, make_call (KQ_WORKER_STOP));
   await (r, 8);
   assert_true (r->requests < 8);
   free_rig (r);
@@ -403,7 +403,7 @@
 test_start_arrives_once (void **state)
 {
   Rig *r = new_rig ((KqWorkerHttpConfig){ .total = 1 });
-  KqWorkerCall s = a_call (KQ_WORKER_START);
+  KqWorkerCall s = make_call (KQ_WORKER_START);
   (void)state;
   r->cut_from = 2;
   assert_int_equal (ask (r, s, 200, ANSWER ("start", ""))->result, KQ_OK);
@@ -412,7 +412,7 @@
   r->cut_from = 0;
   r->max_open = 0;
   r->answer = ANSWER ("start", "");
-  name_host (r, "w2", KQ_HOST_LIVE);
+  send_host_list (r, "w2", KQ_HOST_LIVE);
   drop_replies (r);
   for (int i = 0; i < 6; i++)
     {
@@ -435,7 +435,7 @@
     cmocka_unit_test (test_malformed_and_mixed_up_answers),
     cmocka_unit_test (test_unknown_and_gone_workers),
     cmocka_unit_test (test_silent_worker),
-    cmocka_unit_test (test_waiting_ends),
+    cmocka_unit_test (test_waiting_calls_time_out),
     cmocka_unit_test (test_start_arrives_once),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/src/port/worker_json.h
+++ b/src/port/worker_json.h
@@ -14,8 +14,7 @@
 char *kq_worker_call_json (const KqWorkerCall *c);
 /* Parses a request body; false: invalid. The caller frees c->acks in both cases. */
 bool kq_worker_call_read (KqStr text, KqWorkerCallKind kind, KqWorkerCall *c);
-/* The answer's body; freed by free (). Its HTTP status is 200 for KQ_OK, otherwise 409.
- */
+/* The answer's body; freed by free (). The HTTP status is 200 for KQ_OK, else 409. */
 char *kq_worker_answer_json (const KqWorkerReply *r);
 /* Parses the answer to the call; ok: its status was 200. Fills the fields of *r that come
  * from the worker (not those that repeat the call) and returns the result;
--- a/src/port/worker_list.h
+++ b/src/port/worker_list.h
@@ -26,8 +26,7 @@
 } KqWorkerList;
 
 void kq_worker_list_free (KqWorkerList *l);
-/* A hash over job, attempt and state of the tasks, independent of their order; never 0.
- */
+/* A hash over job, attempt and state of the tasks, not of their order; never 0. */
 uint64_t kq_worker_list_tag (const KqTaskReport *tasks, size_t n);
 /* Updates the list by the answer to the LEASE call and replaces r->tasks by the full
  * list. KQ_OK or KQ_ERR_PLATFORM_FORMAT. */
