--- a/src/port/store_fake.c
+++ b/src/port/store_fake.c
@@ -22,8 +22,8 @@
   KqTime at;
   uint64_t serial;
   int client;
-  uint64_t call;       /* number of the call: identifies the watch of a WATCH_END */
-  KqTime half_latency; /* half of the latency drawn for the call */
+  uint64_t call;  /* number of the call: identifies the watch of a WATCH_END */
+  KqTime one_way; /* half of the round trip drawn for the call */
   KqTime answer_delay;
   KqFate fate;
   bool no_answer; /* the client gets UNREACHABLE from another event, or has gone */
@@ -186,17 +186,16 @@
   if (e->fate == KQ_FATE_DUPLICATE && e->op.kind != KQ_STORE_LIST
       && e->op.kind != KQ_STORE_WATCH)
     {
-      Event *duplicate = kq_alloc (sizeof *duplicate);
-      *duplicate = *e;
-      duplicate->op.key = kq_fake_copy (e->op.key);
-      duplicate->op.value = kq_fake_copy (e->op.value);
-      duplicate->reply.value = kq_fake_copy (e->reply.value);
-      duplicate->kind = EV_ANSWER;
-      push (s, duplicate,
-            e->at + e->half_latency + e->answer_delay + s->faults.timeout / 2);
+      Event *copy = kq_alloc (sizeof *copy);
+      *copy = *e;
+      copy->op.key = kq_fake_copy (e->op.key);
+      copy->op.value = kq_fake_copy (e->op.value);
+      copy->reply.value = kq_fake_copy (e->reply.value);
+      copy->kind = EV_ANSWER;
+      push (s, copy, e->at + e->one_way + e->answer_delay + s->faults.timeout / 2);
     }
   e->kind = EV_ANSWER;
-  push (s, e, e->at + e->half_latency + e->answer_delay);
+  push (s, e, e->at + e->one_way + e->answer_delay);
 }
 
 /* Answers the watches on a key that has just changed. */
@@ -463,11 +462,11 @@
   KqTime jitter = s->faults.jitter > 0
                       ? (KqTime)kq_rand_below (&s->rand, (uint64_t)s->faults.jitter + 1)
                       : 0;
-  KqTime half_latency = (s->faults.latency + jitter) / 2;
+  KqTime one_way = (s->faults.latency + jitter) / 2;
   KqTime limit = s->faults.timeout;
   if (op->kind == KQ_STORE_WATCH)
     limit += op->wait_ms * KQ_MS;
-  if (fate == KQ_FATE_NONE && 2 * half_latency > limit)
+  if (fate == KQ_FATE_NONE && 2 * one_way > limit)
     fate = KQ_FATE_LOST_AFTER;
   count_call (s, op);
   s->next_call++;
@@ -485,12 +484,10 @@
   Event *e = new_call (s, client, op, now);
   e->kind = EV_ARRIVE;
   e->fate = fate;
-  e->half_latency = half_latency;
+  e->one_way = one_way;
   e->no_answer = unreachable && fate != KQ_FATE_LATE_ANSWER;
   e->answer_delay = fate == KQ_FATE_LATE_ANSWER ? limit + limit / 2 : 0;
-  push (s, e,
-        fate == KQ_FATE_LATE_EFFECT ? now + limit + 3 * half_latency
-                                    : now + half_latency);
+  push (s, e, fate == KQ_FATE_LATE_EFFECT ? now + limit + 3 * one_way : now + one_way);
 }
 
 static void
