--- a/bench/lives.c
+++ b/bench/lives.c
@@ -96,7 +96,7 @@
 {
   KqOrder o = { .kind = KQ_ORDER_TAKE };
   o.u.take.address = kq_str (r->address);
-  o.u.take.taking = 1;
+  o.u.take.assignment = 1;
   order (l, r, &o);
 }
 
--- a/bench/sched_desk.c
+++ b/bench/sched_desk.c
@@ -6,9 +6,9 @@
 #include <string.h>
 
 static uint64_t *
-taking (KqSchedDesk *d, KqStr runner)
+assignment (KqSchedDesk *d, KqStr runner)
 {
-  return &d->taking[(size_t)(runner.ptr[1] - '0') % 3];
+  return &d->assignment[(size_t)(runner.ptr[1] - '0') % 3];
 }
 
 static void
@@ -30,7 +30,7 @@
   if (o->kind == KQ_ORDER_DROP)
     d->drops++;
   if (o->kind == KQ_ORDER_TAKE)
-    *taking (d, o->runner) = o->u.take.taking;
+    *assignment (d, o->runner) = o->u.take.assignment;
   if (o->kind == KQ_ORDER_PACE)
     {
       d->paces++;
@@ -81,7 +81,7 @@
   l.born_ms = d->born_ms;
   l.lease_left_ms = 5000;
   l.order = d->results;
-  l.taking = *taking (d, kq_str (runner));
+  l.assignment = *assignment (d, kq_str (runner));
   kq_sched_list (d->sched, d->agent, kq_str (runner), &l, d->now);
 }
 
@@ -127,7 +127,7 @@
                        .result = result,
                        .order = ++d->results,
                        .lease_left_ms = -1,
-                       .taking = *taking (d, kq_str (runner)) };
+                       .assignment = *assignment (d, kq_str (runner)) };
   kq_sched_outcome (d->sched, d->agent, kq_str (runner), &o, d->now);
 }
 
@@ -147,7 +147,7 @@
 kq_sched_desk_unreached (KqSchedDesk *d, int agent, const char *runner,
                          int64_t lease_left_ms)
 {
-  kq_sched_unreached (d->sched, agent, kq_str (runner), *taking (d, kq_str (runner)),
+  kq_sched_unreached (d->sched, agent, kq_str (runner), *assignment (d, kq_str (runner)),
                       lease_left_ms, d->now);
 }
 
@@ -225,8 +225,8 @@
 kq_sched_desk_store_known (KqSchedDesk *d)
 {
   kq_buf_clear (&d->known);
-  kq_sched_known_pack (d->sched, &d->known);
-  kq_sched_known_stored (d->sched);
+  kq_sched_used_runners_pack (d->sched, &d->known);
+  kq_sched_used_runners_stored (d->sched);
 }
 
 void
@@ -235,7 +235,7 @@
   kq_sched_free (d->sched);
   d->results = 0;
   new_sched (d, 20);
-  kq_sched_known (d->sched, kq_buf_str (&d->known), d->now);
+  kq_sched_used_runners (d->sched, kq_buf_str (&d->known), d->now);
   tell_entries (d);
 }
 
--- a/bench/sched_desk.h
+++ b/bench/sched_desk.h
@@ -40,10 +40,10 @@
   uint64_t seen;       /* ends that the last order SEEN names */
   GArray *starts_out;  /* KqSchedDeskStart, without an outcome */
   uint64_t results;
-  uint64_t taking[3]; /* of r0 to r2, as ordered last */
-  KqBuf known;        /* the stored list of runners */
-  int64_t born_ms;    /* of the life that lists come from; 1 at first */
-  int drops;          /* orders to look after a runner no longer, so far */
+  uint64_t assignment[3]; /* of r0 to r2, as ordered last */
+  KqBuf known;            /* the stored list of runners */
+  int64_t born_ms;        /* of the life that lists come from; 1 at first */
+  int drops;              /* orders to look after a runner no longer, so far */
 } KqSchedDesk;
 
 /* cmocka's set-up and tear-down; *state is the desk. */
--- a/bench/sched_load.c
+++ b/bench/sched_load.c
@@ -63,7 +63,7 @@
 {
   char id[16];
   int agent;
-  uint64_t taking;
+  uint64_t assignment;
   uint64_t results;
   uint64_t halt;
   uint64_t next_end;
@@ -172,8 +172,8 @@
     case KQ_ORDER_TAKE:
       r->held = true;
       r->agent = agent;
-      r->taking = o->u.take.taking;
-      r->halt = o->u.take.taking;
+      r->assignment = o->u.take.assignment;
+      r->halt = o->u.take.assignment;
       r->list_at = l->now + TICK;
       break;
     case KQ_ORDER_DROP:
@@ -400,7 +400,7 @@
                          .run = o->run,
                          .result = KQ_ORDER_OK,
                          .order = ++r->results,
-                         .taking = r->taking,
+                         .assignment = r->assignment,
                          .lease_left_ms = LEASE_MS };
   guint at;
   Run *run = find_run (r, o, &at);
@@ -436,7 +436,7 @@
   KqRunnerList list = { .born_ms = 1,
                         .lease_left_ms = LEASE_MS,
                         .order = r->results,
-                        .taking = r->taking,
+                        .assignment = r->assignment,
                         .halt = r->halt,
                         .running = rows,
                         .n_running = n,
@@ -479,10 +479,10 @@
       kq_sched_stored (l->sched, true, l->now);
       l->stored_at = 0;
     }
-  if (kq_sched_known_pending (l->sched))
+  if (kq_sched_used_runners_pending (l->sched))
     {
-      kq_sched_known_pack (l->sched, &known);
-      kq_sched_known_stored (l->sched);
+      kq_sched_used_runners_pack (l->sched, &known);
+      kq_sched_used_runners_stored (l->sched);
       kq_buf_free (&known);
     }
   if (l->stored_at == 0 && kq_sched_store_due (l->sched) <= l->now
--- a/bench/sched_rig.c
+++ b/bench/sched_rig.c
@@ -154,11 +154,11 @@
   size_t n;
   if (r->now < r->store_down_until)
     return;
-  if (kq_sched_known_pack (r->sched, &b))
+  if (kq_sched_used_runners_pack (r->sched, &b))
     {
       g_byte_array_set_size (r->known, 0);
       g_byte_array_append (r->known, (const guint8 *)b.ptr, (guint)b.len);
-      kq_sched_known_stored (r->sched);
+      kq_sched_used_runners_stored (r->sched);
       r->revision++;
     }
   kq_buf_free (&b);
@@ -275,8 +275,8 @@
     kq_sched_rig_link_new_leader (r, i);
   kq_sched_run (r->sched, r->now, r->now / KQ_MS);
   if (r->known->len > 0)
-    kq_sched_known (r->sched, kq_str_n ((const char *)r->known->data, r->known->len),
-                    r->now);
+    kq_sched_used_runners (
+        r->sched, kq_str_n ((const char *)r->known->data, r->known->len), r->now);
   tell_jobs (r);
   tell_entries (r);
   kq_sched_loaded (r->sched, r->now);
--- a/bench/sched_rig.h
+++ b/bench/sched_rig.h
@@ -66,9 +66,9 @@
 {
   bool held;
   uint64_t epoch;
-  uint64_t serial; /* of this taking */
-  uint64_t taking; /* the leader's number of it */
-  uint64_t halt;   /* nothing is granted before the leader names this; 0: no halt */
+  uint64_t serial;     /* of this taking */
+  uint64_t assignment; /* the leader's number of it */
+  uint64_t halt;       /* nothing is granted before the leader names this; 0: no halt */
   bool asking;
   bool watched;
   KqTime ask_at; /* unless asking */
--- a/bench/sched_rig_agent.c
+++ b/bench/sched_rig_agent.c
@@ -126,7 +126,7 @@
     return;
   h->told_at = r->now;
   h->halt = ++r->agents[agent].serial;
-  i.u.unreached.taking = h->taking;
+  i.u.unreached.assignment = h->assignment;
   i.u.unreached.lease_left_ms = kq_lease_left_ms (&h->lease, r->now);
   kq_sched_rig_trace_runner (r, runner, agent, "tells silence, lease left",
                              i.u.unreached.lease_left_ms);
@@ -149,7 +149,7 @@
   h->ends_told = i.u.list.n_ended > 0 ? i.u.list.ended[i.u.list.n_ended - 1].number : 0;
   i.u.list.lease_left_ms = kq_lease_left_ms (&h->lease, r->now);
   i.u.list.order = c->order;
-  i.u.list.taking = h->taking;
+  i.u.list.assignment = h->assignment;
   i.u.list.halt = h->halt;
   kq_sched_rig_trace_runner (r, c->runner, c->agent, "tells list, lease left",
                              i.u.list.lease_left_ms);
@@ -195,7 +195,7 @@
                                   .run = c->run,
                                   .result = e->result,
                                   .order = ++h->results,
-                                  .taking = h->taking,
+                                  .assignment = h->assignment,
                                   .lease_left_ms = kq_lease_left_ms (&h->lease, r->now) };
   kq_sched_rig_trace (r, c->task, "outcome", r->runners[c->runner].id, c->run, e->result);
   kq_sched_rig_tell_leader (r, c->agent, h->epoch, &i);
@@ -214,14 +214,14 @@
 }
 
 static void
-take (KqSchedRig *r, int agent, int runner, uint64_t epoch, uint64_t taking)
+take (KqSchedRig *r, int agent, int runner, uint64_t epoch, uint64_t assignment)
 {
   KqSchedRigHeld *h = held_of (r, agent, runner);
   KqSchedRigHeld old = *h;
   *h = (KqSchedRigHeld){ .held = true,
                          .epoch = epoch,
                          .serial = ++r->agents[agent].serial,
-                         .taking = taking,
+                         .assignment = assignment,
                          .ask_at = r->now };
   h->halt = h->serial;
   kq_lease_init (&h->lease);
@@ -269,7 +269,7 @@
   kq_sched_rig_agent_heard (r, agent, epoch);
   if (o->kind == KQ_ORDER_TAKE)
     {
-      take (r, agent, runner, epoch, o->u.take.taking);
+      take (r, agent, runner, epoch, o->u.take.assignment);
       return;
     }
   h = held_of (r, agent, runner);
--- a/bench/sched_rig_link.c
+++ b/bench/sched_rig_link.c
@@ -172,7 +172,7 @@
       kq_sched_outcome (r->sched, number, i->runner, &i->u.outcome, r->now);
       break;
     case KQ_CREW_UNREACHED:
-      kq_sched_unreached (r->sched, number, i->runner, i->u.unreached.taking,
+      kq_sched_unreached (r->sched, number, i->runner, i->u.unreached.assignment,
                           i->u.unreached.lease_left_ms, r->now);
       break;
     default:
--- a/src/crew/agent.c
+++ b/src/crew/agent.c
@@ -16,7 +16,7 @@
   h->address = kq_str_dup (o->u.take.address);
   h->epoch = epoch;
   h->serial = h->halt = ++a->serial;
-  h->assignment = o->u.take.taking;
+  h->assignment = o->u.take.assignment;
   kq_lease_init (&h->lease);
   h->run_delta = kq_told_new ();
   ev_timer_init (&h->poll_timer, kq_agent_runner_on_poll_timer, 0, 0);
--- a/src/crew/agent_test.c
+++ b/src/crew/agent_test.c
@@ -32,7 +32,7 @@
   KqOrderResult result; /* of the last outcome */
   bool confirms;        /* the leader answers lists */
   KqAgentItemKind last_item;
-  uint64_t taking;
+  uint64_t assignment;
   uint64_t halt;
   int64_t lease_left_ms;
   int unreached;
@@ -112,18 +112,18 @@
   t.last_item = i->kind;
   if (i->kind == KQ_CREW_OUTCOME)
     {
-      t.taking = i->u.outcome.taking;
+      t.assignment = i->u.outcome.assignment;
       t.result = i->u.outcome.result;
       t.lease_left_ms = i->u.outcome.lease_left_ms;
     }
   else if (i->kind == KQ_CREW_UNREACHED)
     {
-      t.taking = i->u.unreached.taking;
+      t.assignment = i->u.unreached.assignment;
       t.unreached++;
     }
   else if (i->kind == KQ_CREW_LIST)
     {
-      t.taking = i->u.list.taking;
+      t.assignment = i->u.list.assignment;
       t.halt = i->u.list.halt;
       t.lease_left_ms = i->u.list.lease_left_ms;
       if (t.confirms && t.halt != 0)
@@ -186,11 +186,11 @@
 }
 
 static void
-assign_runner (uint64_t taking)
+assign_runner (uint64_t assignment)
 {
   KqOrder o = { .kind = KQ_ORDER_TAKE, .runner = KQ_STR ("r") };
   o.u.take.address = KQ_STR ("127.0.0.1:1");
-  o.u.take.taking = taking;
+  o.u.take.assignment = assignment;
   kq_crew_agent_order (t.agent, EPOCH, &o, kq_time_now ());
   /* Calls of an earlier assignment. */
   if (t.poll.done != NULL)
@@ -344,15 +344,15 @@
   assign_runner (8);
   answer_poll (KQ_ORDER_OK, 1, 1000, now);
   assert_int_equal (t.last_item, KQ_CREW_LIST);
-  assert_int_equal (t.taking, 8);
+  assert_int_equal (t.assignment, 8);
   assign_runner (9);
   answer_poll (KQ_ORDER_OTHER_LIFE, 0, -1, now);
   assert_int_equal (t.last_item, KQ_CREW_UNREACHED);
-  assert_int_equal (t.taking, 9);
+  assert_int_equal (t.assignment, 9);
   start_task (now);
   answer_start (-1, now, now);
   assert_int_equal (t.last_item, KQ_CREW_OUTCOME);
-  assert_int_equal (t.taking, 9);
+  assert_int_equal (t.assignment, 9);
 }
 
 /* A task runs twice: a lease's end is computed from the clock of a runner's process
--- a/src/crew/frame.c
+++ b/src/crew/frame.c
@@ -14,7 +14,7 @@
     {
     case KQ_ORDER_TAKE:
       kq_pack_str (p, o->u.take.address);
-      kq_pack_u64 (p, o->u.take.taking);
+      kq_pack_u64 (p, o->u.take.assignment);
       break;
     case KQ_ORDER_DROP:
       break;
@@ -80,7 +80,7 @@
     {
     case KQ_ORDER_TAKE:
       o->u.take.address = kq_read_str (r);
-      o->u.take.taking = kq_read_u64 (r);
+      o->u.take.assignment = kq_read_u64 (r);
       return true;
     case KQ_ORDER_DROP:
       return true;
@@ -123,7 +123,7 @@
   kq_pack_u64 (p, o->run);
   kq_pack_i64 (p, o->result);
   kq_pack_u64 (p, o->order);
-  kq_pack_u64 (p, o->taking);
+  kq_pack_u64 (p, o->assignment);
   kq_pack_i64 (p, o->lease_left_ms);
 }
 
@@ -141,7 +141,7 @@
   o->kind = (KqOrderKind)kind;
   o->result = (KqOrderResult)result;
   o->order = kq_read_u64 (r);
-  o->taking = kq_read_u64 (r);
+  o->assignment = kq_read_u64 (r);
   o->lease_left_ms = kq_read_i64 (r);
 }
 
@@ -187,7 +187,7 @@
     case KQ_CREW_UNREACHED:
       kq_pack_i64 (p, i->u.unreached.lease_left_ms);
       kq_pack_bool (p, i->u.unreached.gone);
-      kq_pack_u64 (p, i->u.unreached.taking);
+      kq_pack_u64 (p, i->u.unreached.assignment);
       break;
     case KQ_CREW_ASK:
       kq_pack_u64 (p, i->u.ask.call);
@@ -258,7 +258,7 @@
     case KQ_CREW_UNREACHED:
       i->u.unreached.lease_left_ms = kq_read_i64 (r);
       i->u.unreached.gone = kq_read_bool (r);
-      i->u.unreached.taking = kq_read_u64 (r);
+      i->u.unreached.assignment = kq_read_u64 (r);
       return;
     case KQ_CREW_ASK:
       i->u.ask.call = kq_read_u64 (r);
--- a/src/crew/frame.h
+++ b/src/crew/frame.h
@@ -97,7 +97,7 @@
     {
       int64_t lease_left_ms;
       bool gone; /* another runner answers at that address */
-      uint64_t taking;
+      uint64_t assignment;
     } unreached;
     struct
     {
--- a/src/crew/frame_rows.c
+++ b/src/crew/frame_rows.c
@@ -11,7 +11,7 @@
   kq_pack_i64 (p, l->born_ms);
   kq_pack_i64 (p, l->lease_left_ms);
   kq_pack_u64 (p, l->order);
-  kq_pack_u64 (p, l->taking);
+  kq_pack_u64 (p, l->assignment);
   kq_pack_u64 (p, l->halt);
   kq_pack_bool (p, l->ended_cut);
 }
@@ -22,7 +22,7 @@
   l->born_ms = kq_read_i64 (r);
   l->lease_left_ms = kq_read_i64 (r);
   l->order = kq_read_u64 (r);
-  l->taking = kq_read_u64 (r);
+  l->assignment = kq_read_u64 (r);
   l->halt = kq_read_u64 (r);
   l->ended_cut = kq_read_bool (r);
 }
--- a/src/crew/frame_test.c
+++ b/src/crew/frame_test.c
@@ -39,7 +39,7 @@
   assert_int_equal (o.u.list.born_ms, 99);
   assert_int_equal (o.u.list.lease_left_ms, 5000);
   assert_int_equal (o.u.list.order, 3);
-  assert_int_equal (o.u.list.taking, 4);
+  assert_int_equal (o.u.list.assignment, 4);
   assert_int_equal (o.u.list.halt, 8);
   assert_true (o.u.list.ended_cut);
   assert_int_equal (o.u.list.n_running, 1);
@@ -100,9 +100,9 @@
   assert_true (kq_str_eq (o.u.order.u.start.checkpoint, KQ_STR ("cp")));
   i.u.order.kind = KQ_ORDER_TAKE;
   i.u.order.u.take.address = KQ_STR ("127.0.0.1:1");
-  i.u.order.u.take.taking = 5;
+  i.u.order.u.take.assignment = 5;
   o = round_trip (&i, &b);
-  assert_int_equal (o.u.order.u.take.taking, 5);
+  assert_int_equal (o.u.order.u.take.assignment, 5);
   i.u.order.kind = KQ_ORDER_SEEN;
   i.u.order.u.seen.ends = 12;
   i.u.order.u.seen.born_ms = 34;
@@ -134,21 +134,21 @@
   KqCrewItem o;
   (void)state;
   i.u.outcome = (KqOrderOutcome){
-    .result = KQ_ORDER_OLD_RUN, .order = 3, .taking = 4, .lease_left_ms = 4900
+    .result = KQ_ORDER_OLD_RUN, .order = 3, .assignment = 4, .lease_left_ms = 4900
   };
   o = round_trip (&i, &b);
   assert_int_equal (o.u.outcome.result, KQ_ORDER_OLD_RUN);
   assert_int_equal (o.u.outcome.order, 3);
-  assert_int_equal (o.u.outcome.taking, 4);
+  assert_int_equal (o.u.outcome.assignment, 4);
   assert_int_equal (o.u.outcome.lease_left_ms, 4900);
   i = (KqCrewItem){ .kind = KQ_CREW_UNREACHED };
   i.u.unreached.lease_left_ms = -1;
   i.u.unreached.gone = true;
-  i.u.unreached.taking = 6;
+  i.u.unreached.assignment = 6;
   o = round_trip (&i, &b);
   assert_int_equal (o.u.unreached.lease_left_ms, -1);
   assert_true (o.u.unreached.gone);
-  assert_int_equal (o.u.unreached.taking, 6);
+  assert_int_equal (o.u.unreached.assignment, 6);
   kq_buf_free (&b);
 }
 
--- a/src/crew/held.c
+++ b/src/crew/held.c
@@ -128,7 +128,7 @@
   KqCrewItem i = { .kind = KQ_CREW_OUTCOME };
   i.u.outcome = *o;
   i.u.outcome.order = ++h->outcomes_sent;
-  i.u.outcome.taking = h->assignment;
+  i.u.outcome.assignment = h->assignment;
   i.u.outcome.lease_left_ms = kq_lease_left_ms (&h->lease, now);
   kq_agent_runner_notify (h, &i);
 }
--- a/src/crew/renew.c
+++ b/src/crew/renew.c
@@ -33,7 +33,7 @@
   h->halt = ++h->agent->serial;
   i.u.unreached.lease_left_ms = kq_lease_left_ms (&h->lease, now);
   i.u.unreached.gone = gone;
-  i.u.unreached.taking = h->assignment;
+  i.u.unreached.assignment = h->assignment;
   kq_agent_runner_notify (h, &i);
 }
 
@@ -65,7 +65,7 @@
                              .lease_left_ms = kq_lease_left_ms (&h->lease, now),
                              .order = c->outcomes_sent,
                              .halt = h->halt,
-                             .taking = h->assignment,
+                             .assignment = h->assignment,
                              .running = r->running,
                              .n_running = r->n_running,
                              .ended = r->ended,
--- a/src/fleet/batch.c
+++ b/src/fleet/batch.c
@@ -82,8 +82,9 @@
     return KQ_TIME_NEVER;
   if (b->batch_open || !b->sequence_known || b->runners.len > 0)
     return b->retry_at;
-  due = kq_sched_known_pending (b->config.sched) ? 0
-                                                 : kq_sched_store_due (b->config.sched);
+  due = kq_sched_used_runners_pending (b->config.sched)
+            ? 0
+            : kq_sched_store_due (b->config.sched);
   return due > b->retry_at ? due : b->retry_at;
 }
 
@@ -98,7 +99,7 @@
     {
       kq_buf_clear (&b->runners);
       b->runners_sent = false;
-      kq_sched_known_stored (b->config.sched);
+      kq_sched_used_runners_stored (b->config.sched);
     }
   kq_sched_stored (b->config.sched, true, now);
 }
@@ -255,7 +256,7 @@
   if (!b->batch_open)
     {
       if (b->runners.len == 0)
-        kq_sched_known_pack (b->config.sched, &b->runners);
+        kq_sched_used_runners_pack (b->config.sched, &b->runners);
       b->n = kq_sched_store_begin (b->config.sched, b->rows, ROWS_MAX, now);
       b->batch_open = b->n > 0;
     }
--- a/src/fleet/leader.c
+++ b/src/fleet/leader.c
@@ -297,7 +297,7 @@
     return kq_sched_waves_stored (l->sched, value);
   if (l->phase == LOAD_LEARNED)
     return kq_sched_learned (l->sched, value);
-  return kq_sched_known (l->sched, value, now);
+  return kq_sched_used_runners (l->sched, value, now);
 }
 
 static void
@@ -542,9 +542,10 @@
       break;
     case KQ_CREW_UNREACHED:
       if (i->u.unreached.gone)
-        kq_sched_runner_over (l->sched, agent, i->runner, i->u.unreached.taking, now);
+        kq_sched_runner_replaced (l->sched, agent, i->runner, i->u.unreached.assignment,
+                                  now);
       else
-        kq_sched_unreached (l->sched, agent, i->runner, i->u.unreached.taking,
+        kq_sched_unreached (l->sched, agent, i->runner, i->u.unreached.assignment,
                             i->u.unreached.lease_left_ms, now);
       break;
     case KQ_CREW_FENCED:
--- a/src/fleet/link.c
+++ b/src/fleet/link.c
@@ -44,7 +44,7 @@
 typedef struct
 {
   char *runner;
-  uint64_t taking;
+  uint64_t assignment;
   KqTold *runs;
 } RunnerReport;
 
@@ -116,15 +116,15 @@
 }
 
 static KqTold *
-reported_runs (KqPeer *p, KqStr runner, uint64_t taking)
+reported_runs (KqPeer *p, KqStr runner, uint64_t assignment)
 {
   char *id = kq_str_dup (runner);
   RunnerReport *t = g_hash_table_lookup (p->reports, id);
-  if (t == NULL || t->taking != taking)
+  if (t == NULL || t->assignment != assignment)
     {
       t = kq_alloc (sizeof *t);
       t->runner = id;
-      t->taking = taking;
+      t->assignment = assignment;
       t->runs = kq_told_new ();
       g_hash_table_replace (p->reports, t->runner, t);
     }
@@ -139,7 +139,7 @@
 {
   KqLink *l = p->link;
   KqCrewItem list = { .kind = KQ_CREW_LIST, .runner = i->runner };
-  KqTold *runs = reported_runs (p, i->runner, i->u.changes.list.taking);
+  KqTold *runs = reported_runs (p, i->runner, i->u.changes.list.assignment);
   KqRunRow *rows = NULL;
   if (!kq_told_apply (runs, &i->u.changes.running))
     {
--- a/src/fleet/link_test.c
+++ b/src/fleet/link_test.c
@@ -222,7 +222,7 @@
 changes (uint64_t serial, const KqToldRow *rows, size_t n)
 {
   KqCrewItem i = { .kind = KQ_CREW_CHANGES, .runner = KQ_STR ("r") };
-  i.u.changes.list.taking = 1;
+  i.u.changes.list.assignment = 1;
   i.u.changes.running = (KqToldChanges){ .serial = serial, .rows = rows, .n_rows = n };
   return i;
 }
--- a/src/sched/adopted_pace_test.c
+++ b/src/sched/adopted_pace_test.c
@@ -31,7 +31,7 @@
 /* A task that an earlier leader has slowed must be set to full speed; the new leader
  * would otherwise take it for one at full speed, and the job would stall. */
 static void
-test_slow_task_of_an_earlier_leader_is_released (void **state)
+test_slowed_task_of_an_earlier_leader_is_set_to_full_speed (void **state)
 {
   KqSchedDesk *d = *state;
   adopt_filling_task (d, 20);
@@ -40,7 +40,7 @@
 }
 
 static void
-test_task_at_full_speed_needs_no_call (void **state)
+test_task_at_full_speed_needs_no_order (void **state)
 {
   KqSchedDesk *d = *state;
   adopt_filling_task (d, 950);
@@ -50,11 +50,12 @@
 int
 main (void)
 {
-  const struct CMUnitTest tests[] = {
-    cmocka_unit_test_setup_teardown (test_slow_task_of_an_earlier_leader_is_released,
-                                     kq_sched_desk_set_up, kq_sched_desk_tear_down),
-    cmocka_unit_test_setup_teardown (test_task_at_full_speed_needs_no_call,
-                                     kq_sched_desk_set_up, kq_sched_desk_tear_down)
-  };
+  const struct CMUnitTest tests[]
+      = { cmocka_unit_test_setup_teardown (
+              test_slowed_task_of_an_earlier_leader_is_set_to_full_speed,
+              kq_sched_desk_set_up, kq_sched_desk_tear_down),
+          cmocka_unit_test_setup_teardown (test_task_at_full_speed_needs_no_order,
+                                           kq_sched_desk_set_up,
+                                           kq_sched_desk_tear_down) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/sched/agents.c
+++ b/src/sched/agents.c
@@ -105,7 +105,7 @@
 }
 
 bool
-kq_agents_overfull (const KqAgents *a, int agent, int total)
+kq_agents_overloaded (const KqAgents *a, int agent, int total)
 {
   const KqAgentState *g = &a->list[agent];
   bool include_leader = count_usable (a, false) == 0;
--- a/src/sched/agents.h
+++ b/src/sched/agents.h
@@ -25,8 +25,8 @@
   KqAgentInfo info;
   bool up;
   int runners;
-  int unlisted;  /* of them, whose first list hasn't arrived */
-  int questions; /* unanswered requests to the advice service */
+  int unlisted;        /* of them, whose first list hasn't arrived */
+  int advice_requests; /* unanswered requests to the advice service */
 } KqAgentState;
 
 #define KQ_AGENTS_MAX 512
@@ -53,6 +53,6 @@
 int kq_agents_pick (const KqAgents *a, KqStr failure_domain);
 /* Whether the agent has so much more than its proportional number of the total runners
  * that a runner should move to another one. */
-bool kq_agents_overfull (const KqAgents *a, int agent, int total);
+bool kq_agents_overloaded (const KqAgents *a, int agent, int total);
 
 #endif
--- a/src/sched/book.c
+++ b/src/sched/book.c
@@ -18,7 +18,7 @@
 }
 
 bool
-kq_book_task (const KqSched *s, KqStr name, KqTaskRef *out)
+kq_book_find_task (const KqSched *s, KqStr name, KqTaskRef *out)
 {
   KqStr rest = name;
   KqStr id = kq_str_cut (&rest, '.');
@@ -48,7 +48,7 @@
 }
 
 KqTaskState *
-kq_book_state (const KqRun *r)
+kq_book_task_state (const KqRun *r)
 {
   return r->occurrence == NULL ? NULL : &r->occurrence->steps[r->step].tasks[r->index];
 }
@@ -86,7 +86,7 @@
         open = open && o->steps[p->after[k]].done == spec->steps[p->after[k]].width;
       o->steps[i].open = open;
     }
-  o->chain_left_ms = longest_chain_ms (o);
+  o->critical_path_ms = longest_chain_ms (o);
 }
 
 KqOccurrence *
@@ -174,14 +174,14 @@
 }
 
 void
-kq_book_task_runs (KqSched *s, KqJob *j, KqTaskState *t, KqTime now)
+kq_book_mark_has_run (KqSched *s, KqJob *j, KqTaskState *t, KqTime now)
 {
   t->has_run = true;
   mark_dirty (s, j, now, false);
 }
 
 bool
-kq_book_lost_waits (const KqStepState *st, const KqStep *p)
+kq_book_has_lost_waiting (const KqStepState *st, const KqStep *p)
 {
   for (int32_t i = 0; p->lasting && i < p->width; i++)
     if (st->tasks[i].phase == KQ_TASK_WAITING && st->tasks[i].has_run)
@@ -258,7 +258,7 @@
   if (p->done < o->job->spec.steps[step].width)
     return;
   o->steps_done++;
-  s->work = true;
+  s->pass_needed = true;
   if (o->steps_done == o->job->spec.n_steps)
     finish_occurrence (s, o, now);
   else
@@ -313,7 +313,7 @@
 #define OCCURRENCE_DELAY_MS 100
 
 void
-kq_book_due (KqSched *s, KqJob *j, KqTime now)
+kq_book_create_due (KqSched *s, KqJob *j, KqTime now)
 {
   int64_t wall = s->wall_minus_now_ms + now / KQ_MS;
   while (j->created < kq_spec_occurrences (&j->spec) && j->state < KQ_JOB_COMPLETED)
@@ -328,7 +328,7 @@
         }
       kq_book_add_occurrence (j, j->created, at);
       j->created++;
-      s->work = true;
+      s->pass_needed = true;
     }
 }
 
--- a/src/sched/disturb_test.c
+++ b/src/sched/disturb_test.c
@@ -37,7 +37,7 @@
  * queue grows without bound. After some hundred comparisons the two harmful pairs must be
  * found, and no other. */
 static void
-test_harmful_pairs_stand_out (void **state)
+test_harmful_pairs_are_found (void **state)
 {
   KqDisturb *d = kq_disturb_new ();
   KqRand r = kq_rand (7);
@@ -75,7 +75,7 @@
 }
 
 static void
-test_unknown_images_are_taken_for_harmless (void **state)
+test_unknown_images_count_as_harmless (void **state)
 {
   KqDisturb *d = kq_disturb_new ();
   (void)state;
@@ -113,9 +113,9 @@
   assert_int_equal (a.list[0].runners, 0);
   assert_in_range (a.list[1].runners, 9, 13);
   assert_in_range (a.list[2].runners, 27, 31);
-  assert_false (kq_agents_overfull (&a, 1, 40));
+  assert_false (kq_agents_overloaded (&a, 1, 40));
   a.list[1].runners = 30;
-  assert_true (kq_agents_overfull (&a, 1, 40));
+  assert_true (kq_agents_overloaded (&a, 1, 40));
   kq_agents_down (&a, 1, false);
   kq_agents_down (&a, 2, false);
   assert_int_equal (kq_agents_pick (&a, KQ_STR ("n")), 0);
@@ -125,8 +125,8 @@
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (test_harmful_pairs_stand_out),
-          cmocka_unit_test (test_unknown_images_are_taken_for_harmless),
+      = { cmocka_unit_test (test_harmful_pairs_are_found),
+          cmocka_unit_test (test_unknown_images_count_as_harmless),
           cmocka_unit_test (test_runners_go_to_hosts_by_share) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/sched/harm.c
+++ b/src/sched/harm.c
@@ -5,7 +5,7 @@
  * beside filling tasks of some images only. Both are seen through noisy reports that are
  * half a second old. A difference between tasks of one step at the same time is
  * attributed to the filling tasks beside them (sched/disturb.h); what they have in common
- * is the load of the step, which is tracked and extrapolated (sched/swing.h). */
+ * is the load of the step, which is tracked and extrapolated (sched/load_trend.h). */
 
 #include "sched/harm.h"
 
--- a/src/sched/harm_test.c
+++ b/src/sched/harm_test.c
@@ -122,7 +122,7 @@
  * rises for all of its tasks just when the filling task starts; the task without a
  * filling neighbour shows that the load is the cause. */
 static void
-test_common_load_is_not_blamed_on_what_fills (void **state)
+test_common_load_is_not_attributed_to_filling_tasks (void **state)
 {
   KqSchedDesk *d = *state;
   Setup s;
@@ -143,7 +143,7 @@
  * beside it is over its target whenever the load is high; this must be found within the
  * first two periods of the load. */
 static void
-test_harm_beside_one_task_is_seen (void **state)
+test_disturbing_filling_task_is_slowed (void **state)
 {
   KqSchedDesk *d = *state;
   Setup s;
@@ -163,9 +163,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test_setup_teardown (test_common_load_is_not_blamed_on_what_fills,
+    cmocka_unit_test_setup_teardown (test_common_load_is_not_attributed_to_filling_tasks,
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
-    cmocka_unit_test_setup_teardown (test_harm_beside_one_task_is_seen,
+    cmocka_unit_test_setup_teardown (test_disturbing_filling_task_is_slowed,
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/src/sched/lists.c
+++ b/src/sched/lists.c
@@ -54,13 +54,13 @@
 {
   KqTaskRef t;
   KqRun *run;
-  if (!kq_book_task (s, row->task, &t))
+  if (!kq_book_find_task (s, row->task, &t))
     {
       KqOrder o = { .kind = KQ_ORDER_STOP, .runner = kq_str (r->id) };
       kq_log (KQ_LOG_WARN, PART,
               "Stopping a run of an unknown job. task=%.*s run=%u runner=%s",
               KQ_STR_ARG (row->task), row->run, r->id);
-      r->foreign = true;
+      r->has_unknown_run = true;
       o.u.stop.task = row->task;
       o.u.stop.run = row->run;
       s->config.order (s->config.arg, r->agent, &o);
@@ -69,8 +69,8 @@
   run = find_run (r, &t, row->run);
   if (run == NULL)
     run = adopt (s, r, &t, row->run, now);
-  run->marked = true;
-  run->unsure = run->stopped = false;
+  run->in_list = true;
+  run->outcome_unknown = run->stopped = false;
   run->confirmed = order + 1;
   if (run->phase == KQ_RUN_SENDING)
     {
@@ -121,7 +121,7 @@
 {
   KqOccurrence *o = t->occurrence;
   KqTaskState *state;
-  kq_runners_score (r, true, now);
+  kq_runners_record_end (r, true, now);
   if (run != NULL)
     update_slowness (s, r, run, now);
   if (o == NULL)
@@ -148,7 +148,7 @@
 static bool
 start_may_arrive (const KqRun *run)
 {
-  return run->unsure || (run->waiting && run->phase != KQ_RUN_STOPPING);
+  return run->outcome_unknown || (run->order_pending && run->phase != KQ_RUN_STOPPING);
 }
 
 static void
@@ -158,7 +158,7 @@
   KqRun *run;
   bool ours;
   ++*s->ends[e->how];
-  if (!kq_book_task (s, e->task, &t))
+  if (!kq_book_find_task (s, e->task, &t))
     return;
   run = find_run (r, &t, e->run);
   ours = run != NULL && run->occurrence != NULL;
@@ -181,11 +181,11 @@
       kq_run_stop (s, run, "ended while a start is under way", now);
     }
   else if (run != NULL)
-    kq_run_over (s, run, now);
+    kq_run_end (s, run, now);
   if (e->how != KQ_END_FAILED)
     return;
   if (ours || t.occurrence != NULL)
-    kq_runners_score (r, false, now);
+    kq_runners_record_end (r, false, now);
   if (t.occurrence != NULL)
     kq_book_task_failed (s, t.occurrence, t.step, t.index, e->run, r, now);
 }
@@ -199,7 +199,8 @@
   for (KqRun *run = r->runs; run != NULL; run = next)
     {
       next = run->next;
-      if (run->marked || run->confirmed == 0 || run->confirmed > order + 1 || run->unsure)
+      if (run->in_list || run->confirmed == 0 || run->confirmed > order + 1
+          || run->outcome_unknown)
         continue;
       if (run->phase == KQ_RUN_RUNNING)
         {
@@ -210,7 +211,7 @@
                   run->number, r->id);
           ++*s->runs_lost;
         }
-      kq_run_over (s, run, now);
+      kq_run_end (s, run, now);
     }
 }
 
@@ -230,13 +231,13 @@
 {
   KqRunnerState *r = kq_runners_find (s, runner);
   KqTime lease = now + l->lease_left_ms * KQ_MS;
-  if (r == NULL || !kq_runners_heard_of_by (s, r, agent, l->taking, "list"))
+  if (r == NULL || !kq_runners_is_current_agent (s, r, agent, l->assignment, "list"))
     return;
   if (l->born_ms != 0 && r->born_ms != 0 && l->born_ms != r->born_ms)
     {
-      kq_runners_reborn (s, r, l->order, now);
+      kq_runners_restarted (s, r, l->order, now);
       r->ends_seen = r->ends_stored = r->ends_batch = 0;
-      r->fails = r->dones = 0;
+      r->failed_count = r->done_count = 0;
       r->suspect_until = 0;
     }
   if (l->born_ms != 0)
@@ -257,7 +258,7 @@
     r->listed = true;
   r->silent = false;
   r->heard_at = now;
-  kq_runners_extend (r, lease, "list");
+  kq_runners_extend_lease (r, lease, "list");
   for (size_t i = 0; i < l->n_ended; i++)
     if (l->ended[i].number > r->ends_seen)
       {
@@ -265,15 +266,15 @@
         s->ends_dirty = true;
         apply_end_row (s, r, &l->ended[i], now);
       }
-  r->foreign = false;
+  r->has_unknown_run = false;
   for (KqRun *run = r->runs; run != NULL; run = run->next)
-    run->marked = false;
+    run->in_list = false;
   for (size_t i = 0; i < l->n_running; i++)
     apply_run_row (s, r, &l->running[i], l->order, now);
   if (!l->ended_cut)
     drop_unlisted (s, r, l->order, now);
   if (r->n_serving > 0)
-    kq_pace_runner (s, r, now);
+    kq_pace_update (s, r, now);
   else if (r->filling > 0)
     kq_pace_release (s, r, now);
   if (l->halt != 0)
@@ -285,9 +286,9 @@
 apply_start_refusal (KqSched *s, KqRun *run, KqOrderResult result, KqTime now)
 {
   KqRunnerState *r = run->runner;
-  KqTaskState *t = kq_book_state (run);
+  KqTaskState *t = kq_book_task_state (run);
   if (result == KQ_ORDER_UNHEALTHY)
-    kq_runners_score (r, false, now);
+    kq_runners_record_end (r, false, now);
   if (result == KQ_ORDER_NO_ROOM)
     ++*s->no_room;
   /* Only this repeat of the start was refused: the runner accepted an earlier one and
@@ -304,10 +305,10 @@
         kq_tickets_refused (run->occurrence, run->step, r);
     }
   /* An earlier copy of this start may still be in flight; only a stop rules that out. */
-  if (run->unsure)
+  if (run->outcome_unknown)
     kq_run_stop (s, run, "refused", now);
   else
-    kq_run_over (s, run, now);
+    kq_run_end (s, run, now);
 }
 
 static void
@@ -316,7 +317,7 @@
   switch (o->result)
     {
     case KQ_ORDER_OK:
-      run->unsure = false;
+      run->outcome_unknown = false;
       run->confirmed = o->order + 1;
       if (run->phase == KQ_RUN_SENDING)
         {
@@ -331,12 +332,12 @@
       break;
     case KQ_ORDER_UNKNOWN:
     case KQ_ORDER_LATE:
-      run->unsure = true;
+      run->outcome_unknown = true;
       run->stopped = false;
       break; /* kq_watch_progress sends it again */
     case KQ_ORDER_OLD_RUN:
       /* The run has already ended at the runner: its end is listed, or it was stopped. */
-      run->unsure = false;
+      run->outcome_unknown = false;
       run->confirmed = o->order + 1;
       break;
     case KQ_ORDER_FENCED:
@@ -355,7 +356,7 @@
 {
   if (o->result == KQ_ORDER_OK || o->result == KQ_ORDER_OLD_RUN)
     {
-      run->unsure = false;
+      run->outcome_unknown = false;
       run->stopped = true;
       run->confirmed = o->order + 1;
     }
@@ -383,12 +384,12 @@
   KqRunnerState *r = kq_runners_find (s, runner);
   KqTaskRef t;
   KqRun *run;
-  if (r == NULL || !kq_runners_heard_of_by (s, r, agent, o->taking, "outcome")
-      || !kq_book_task (s, o->task, &t))
+  if (r == NULL || !kq_runners_is_current_agent (s, r, agent, o->assignment, "outcome")
+      || !kq_book_find_task (s, o->task, &t))
     return;
   ++*s->results[o->result];
   if (o->lease_left_ms >= 0)
-    kq_runners_extend (r, now + o->lease_left_ms * KQ_MS, "outcome");
+    kq_runners_extend_lease (r, now + o->lease_left_ms * KQ_MS, "outcome");
   run = find_run (r, &t, o->run);
   if (o->result != KQ_ORDER_OK)
     kq_log (KQ_LOG_INFO, PART,
@@ -396,16 +397,16 @@
             "believed=%s unsure=%d",
             KQ_STR_ARG (o->task), o->run, r->id, kq_order_kind_name (o->kind),
             kq_order_result_name (o->result), run_phase_name (run),
-            run != NULL && run->unsure);
+            run != NULL && run->outcome_unknown);
   if (run == NULL || o->kind == KQ_ORDER_PACE)
     return;
-  run->waiting = false;
+  run->order_pending = false;
   if (o->kind == KQ_ORDER_START)
     {
-      kq_run_start_gone (s, run);
+      kq_run_close_start (s, run);
       apply_start_result (s, run, o, now);
     }
   else
     apply_stop_result (run, o);
-  s->work = true;
+  s->pass_needed = true;
 }
--- a/src/sched/swing.c
+++ b/src/sched/load_trend.c
@@ -1,4 +1,4 @@
-#include "sched/swing.h"
+#include "sched/load_trend.h"
 
 #include <math.h>
 
--- a/src/sched/swing.h
+++ b/src/sched/load_trend.h
@@ -1,8 +1,8 @@
-#ifndef KQ_SCHED_SWING_H
-#define KQ_SCHED_SWING_H
+#ifndef KQ_SCHED_LOAD_TREND_H
+#define KQ_SCHED_LOAD_TREND_H
 
-/* swing: tracks the load of a serving step over time, as the slack that it leaves to the
- * step's tasks without any filling task.
+/* load_trend: tracks the load of a serving step over time, as the slack that it leaves to
+ * the step's tasks without any filling task.
  *
  * Slack is the latency target divided by the tail latency: at 1 the tail is at its
  * target, and more load leaves proportionally less. By 52,000 reports of two fleets, all
--- a/src/sched/swing_test.c
+++ b/src/sched/load_trend_test.c
@@ -1,5 +1,5 @@
 #include "base/rand.h"
-#include "sched/swing.h"
+#include "sched/load_trend.h"
 
 #include <math.h>
 #include <setjmp.h>
@@ -30,7 +30,7 @@
  * smaller by a fifth than that of the last report, and smaller than that of the level
  * without a slope. */
 static void
-test_swing_is_foretold (void **state)
+test_load_trend_predicts_the_slack (void **state)
 {
   KqLoadTrend s = { 0 };
   KqRand r = kq_rand (11);
@@ -58,7 +58,7 @@
  * the whole step: all filling tasks beside the step's tasks would be stopped for seconds.
  */
 static void
-test_one_wild_report_is_held_down (void **state)
+test_one_outlier_has_a_bounded_effect (void **state)
 {
   KqLoadTrend s = { 0 };
   KqTime now = KQ_SEC;
@@ -70,7 +70,7 @@
 }
 
 static void
-test_low_is_remembered_and_fades (void **state)
+test_recorded_low_decays (void **state)
 {
   KqLoadTrend s = { 0 };
   KqTime now = KQ_SEC;
@@ -89,8 +89,8 @@
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (test_swing_is_foretold),
-          cmocka_unit_test (test_one_wild_report_is_held_down),
-          cmocka_unit_test (test_low_is_remembered_and_fades) };
+      = { cmocka_unit_test (test_load_trend_predicts_the_slack),
+          cmocka_unit_test (test_one_outlier_has_a_bounded_effect),
+          cmocka_unit_test (test_recorded_low_decays) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/sched/maintenance.c
+++ b/src/sched/maintenance.c
@@ -113,9 +113,9 @@
 kq_sched_wave (KqSched *s, const KqWaveInfo *info, KqTime now)
 {
   KqWave *w = get_or_add_wave (s, info->number);
-  if (w->asked)
+  if (w->requested)
     return;
-  w->asked = true;
+  w->requested = true;
   w->cap = info->cap;
   w->duration_ms = info->duration_ms;
   if (w->ends_wall_ms == 0)
@@ -248,10 +248,10 @@
 begin_drain (KqSched *s, const KqWave *w, KqWaveHost *h, KqTime now)
 {
   KqRunnerState *r = runner_on (s, h->host);
-  h->phase = KQ_HOST_EMPTYING;
+  h->phase = KQ_HOST_DRAINING;
   h->since = now;
   if (r != NULL)
-    r->leaving = true;
+    r->host_leaving = true;
   kq_log (KQ_LOG_INFO, PART,
           "Draining a host for maintenance. wave=%lld host=%s runner=%s runs=%d",
           (long long)w->number, h->host, r != NULL ? r->id : "-",
@@ -264,7 +264,7 @@
   const KqRunnerState *r = runner_on (s, h->host);
   free (h->old_runner);
   h->old_runner = r != NULL ? kq_str_dup (kq_str (r->id)) : NULL;
-  h->phase = KQ_HOST_ASKED;
+  h->phase = KQ_HOST_CALLED;
   h->since = now;
   h->again_at = KQ_TIME_NEVER; /* until the answer */
   s->config.maintenance (s->config.arg, kq_str (h->host), w->number);
@@ -283,10 +283,10 @@
   KqRunnerState *r = runner_on (s, h->host);
   if (r != NULL)
     {
-      r->leaving = false;
+      r->host_leaving = false;
       kq_runners_changed (s, r);
     }
-  s->work = true;
+  s->pass_needed = true;
 }
 
 /* Whether the host can be used again. A new runner doesn't prove it before the duration
@@ -312,11 +312,11 @@
     case KQ_HOST_WAITING:
     case KQ_HOST_BACK:
       break;
-    case KQ_HOST_EMPTYING:
+    case KQ_HOST_DRAINING:
       if (r == NULL || drain_host (s, r, h->since, now))
         call_maintenance (s, w, h, now);
       break;
-    case KQ_HOST_ASKED:
+    case KQ_HOST_CALLED:
       if (now >= h->again_at)
         call_maintenance (s, w, h, now);
       break;
@@ -355,14 +355,14 @@
 }
 
 void
-kq_maintenance_look (KqSched *s, KqTime now)
+kq_maintenance_update (KqSched *s, KqTime now)
 {
   if (s->config.maintenance == NULL || now - s->started_at < FIRST_CALL_DELAY)
     return;
   for (guint i = 0; i < s->waves->len; i++)
     {
       KqWave *w = g_ptr_array_index (s->waves, i);
-      if (w->asked)
+      if (w->requested)
         update_wave (s, w, now);
     }
 }
@@ -387,7 +387,7 @@
   KqWaveHost *h = w != NULL ? find_host (w, host) : NULL;
   kq_log (KQ_LOG_INFO, PART, "Maintenance call answered. wave=%lld host=%.*s result=%s",
           (long long)wave, KQ_STR_ARG (host), kq_maintenance_result_name (result));
-  if (h == NULL || h->phase != KQ_HOST_ASKED)
+  if (h == NULL || h->phase != KQ_HOST_CALLED)
     return;
   switch (result)
     {
@@ -464,7 +464,7 @@
   for (guint i = 0; i < s->waves->len; i++)
     {
       const KqWave *w = g_ptr_array_index (s->waves, i);
-      if (w->asked)
+      if (w->requested)
         take (arg, w->number, w->completed);
     }
 }
--- a/src/sched/maintenance_test.c
+++ b/src/sched/maintenance_test.c
@@ -233,9 +233,9 @@
 {
   KqBuf list = { 0 };
   bool found;
-  assert_true (kq_sched_known_pack (d->sched, &list));
+  assert_true (kq_sched_used_runners_pack (d->sched, &list));
   found = memmem (list.ptr, list.len, id, strlen (id)) != NULL;
-  kq_sched_known_stored (d->sched);
+  kq_sched_used_runners_stored (d->sched);
   kq_buf_free (&list);
   return found;
 }
@@ -295,11 +295,11 @@
   KqRunnerEntry e = draining_entry ();
   kq_sched_entry (d->sched, &e, d->now);
   kq_sched_desk_run (d, SETTLE);
-  assert_true (kq_sched_known_pending (d->sched));
+  assert_true (kq_sched_used_runners_pending (d->sched));
   assert_false (is_in_stored_list (d, "r0"));
   e.draining = false; /* it stays: it must be in the list again before any start */
   kq_sched_entry (d->sched, &e, d->now);
-  assert_true (kq_sched_known_pending (d->sched));
+  assert_true (kq_sched_used_runners_pending (d->sched));
   assert_true (is_in_stored_list (d, "r0"));
 }
 
@@ -316,7 +316,7 @@
   kq_sched_desk_list (d, "r0", &end, 1);
   kq_sched_entry (d->sched, &e, d->now);
   kq_sched_desk_run (d, SETTLE);
-  assert_false (kq_sched_known_pending (d->sched)); /* it is in the list */
+  assert_false (kq_sched_used_runners_pending (d->sched)); /* it is in the list */
 }
 
 #define DESK(test)                                                                       \
--- a/src/sched/orders_test.c
+++ b/src/sched/orders_test.c
@@ -63,7 +63,7 @@
   end.run = d->run;
   kq_sched_desk_list (d, runner, &end, 1);
   assert_int_equal (d->stops, 1);
-  before.taking = d->taking[strcmp (runner, "r0") == 0 ? 0 : 1];
+  before.assignment = d->assignment[strcmp (runner, "r0") == 0 ? 0 : 1];
   /* Nothing else ends at the runner: each list was requested 1.5 s before it arrives. */
   for (int i = 0; i < 5 * 15 && d->starts == 1; i++)
     {
@@ -81,7 +81,7 @@
 }
 
 static void
-test_failed_end_while_a_start_is_out (void **state)
+test_failed_end_while_a_start_is_in_flight (void **state)
 {
   KqSchedDesk *d = *state;
   expect_stop_before_the_next_run (d, KQ_END_FAILED);
@@ -91,7 +91,7 @@
 
 /* As above, but the task is done: it must not run again at all. */
 static void
-test_done_end_while_a_start_is_out (void **state)
+test_done_end_while_a_start_is_in_flight (void **state)
 {
   KqSchedDesk *d = *state;
   expect_stop_before_the_next_run (d, KQ_END_DONE);
@@ -134,7 +134,7 @@
 {
   KqSchedDesk *d = *state;
   KqRunnerList l = { .born_ms = 1, .lease_left_ms = 300, .halt = 9 };
-  l.taking = d->taking[0];
+  l.assignment = d->assignment[0];
   kq_sched_desk_unreached (d, d->agent, "r0", 500);
   assert_int_equal (d->renewals, 0);
   kq_sched_list (d->sched, d->agent, KQ_STR ("r0"), &l, d->now);
@@ -201,7 +201,7 @@
  * one is below the target by chance. When each such report counted as a recovery, filling
  * tasks were placed there for 4 s. The mean of the reports decides. */
 static void
-test_rough_reports_about_the_target (void **state)
+test_noisy_reports_about_the_target (void **state)
 {
   static const int tails[] = { 108, 94, 109, 93, 108, 94, 110, 94 };
   KqSchedDesk *d = *state;
@@ -309,7 +309,7 @@
 /* Guards against a task that runs twice: its start reached a restarted runner after that
  * runner's first list. */
 static void
-test_start_in_a_new_life (void **state)
+test_start_run_after_a_restart (void **state)
 {
   KqSchedDesk *d = *state;
   KqRunRow row = { .checkpoint = KQ_STR (""), .percent = 1 };
@@ -387,30 +387,30 @@
                       .service = KQ_STR ("desk"),
                       .address = KQ_STR ("127.0.0.1:2"),
                       .room = { 4000, 16000, 0 } };
-  uint64_t before = d->taking[0];
+  uint64_t before = d->assignment[0];
   kq_sched_entry (d->sched, &e, d->now);
   kq_sched_desk_run (d, 300 * KQ_MS);
-  assert_true (d->taking[0] > before);
+  assert_true (d->assignment[0] > before);
 }
 
 /* Guards against a task that runs twice: a list from an earlier assignment of its runner,
  * made before the task's start, is applied. */
 static void
-test_list_of_an_earlier_taking (void **state)
+test_list_of_an_earlier_assignment (void **state)
 {
   KqSchedDesk *d = *state;
   uint64_t earlier_results = d->results;
-  uint64_t earlier = d->taking[0];
+  uint64_t earlier = d->assignment[0];
   uint64_t current;
   start_on_r0 (d);
   reassign_r0 (d);
-  current = d->taking[0];
-  d->taking[0] = earlier;
+  current = d->assignment[0];
+  d->assignment[0] = earlier;
   d->results = earlier_results;
   kq_sched_desk_list (d, "r0", NULL, 0);
   kq_sched_desk_run (d, KQ_SEC);
   assert_int_equal (d->starts, 1);
-  d->taking[0] = current;
+  d->assignment[0] = current;
   d->results = 0;
   kq_sched_desk_list (d, "r0", NULL, 0); /* a list of the current assignment counts */
   kq_sched_desk_run (d, KQ_SEC);
@@ -423,15 +423,15 @@
 test_outcome_of_an_earlier_assignment (void **state)
 {
   KqSchedDesk *d = *state;
-  uint64_t earlier = d->taking[0];
+  uint64_t earlier = d->assignment[0];
   uint64_t current;
   start_on_r0 (d);
   reassign_r0 (d);
-  current = d->taking[0];
-  d->taking[0] = earlier;
+  current = d->assignment[0];
+  d->assignment[0] = earlier;
   d->results = 20;
   kq_sched_desk_outcome (d, KQ_ORDER_START, "r0", d->task, d->run, KQ_ORDER_OK);
-  d->taking[0] = current;
+  d->assignment[0] = current;
   d->results = 0;
   kq_sched_desk_list (d, "r0", NULL, 0);
   kq_sched_desk_run (d, KQ_SEC);
@@ -470,13 +470,13 @@
   kq_sched_entry (d->sched, &e, d->now);
   kq_sched_entry_gone (d->sched, KQ_STR ("r1"), d->now);
   kq_sched_desk_run (d, 300 * KQ_MS);
-  assert_true (kq_sched_known_pending (d->sched));
+  assert_true (kq_sched_used_runners_pending (d->sched));
   kq_sched_desk_store_known (d);
   kq_sched_desk_submit (d, "aa", kq_sched_desk_step (), false);
   row.task = KQ_STR ("aa.0.0.0");
   kq_sched_desk_list_runs (d, "r0", &row, 1);
   kq_sched_desk_run (d, 300 * KQ_MS);
-  assert_true (kq_sched_known_pending (d->sched));
+  assert_true (kq_sched_used_runners_pending (d->sched));
 }
 
 /* Guards against a done task that runs again: its end is not in the cut list that the new
@@ -507,7 +507,7 @@
 /* Guards against a task that runs twice: a leader starts a job that arrives after its own
  * lease may have ended, and the next leader starts it too. */
 static void
-test_job_learned_in_doubt_waits (void **state)
+test_job_waits_while_lead_is_uncertain (void **state)
 {
   KqSchedDesk *d = *state;
   kq_sched_lead_until (d->sched, d->now);
@@ -542,27 +542,27 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test_setup_teardown (test_answered_stop_is_not_repeated,
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
-    cmocka_unit_test_setup_teardown (test_failed_end_while_a_start_is_out,
+    cmocka_unit_test_setup_teardown (test_failed_end_while_a_start_is_in_flight,
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
-    cmocka_unit_test_setup_teardown (test_done_end_while_a_start_is_out,
+    cmocka_unit_test_setup_teardown (test_done_end_while_a_start_is_in_flight,
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
     cmocka_unit_test_setup_teardown (test_start_is_not_repeated_at_a_runner_that_leaves,
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
     cmocka_unit_test_setup_teardown (test_list_after_silence_lets_its_agent_renew,
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
-    cmocka_unit_test_setup_teardown (test_rough_reports_about_the_target,
+    cmocka_unit_test_setup_teardown (test_noisy_reports_about_the_target,
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
     cmocka_unit_test_setup_teardown (test_lost_lasting_task_gets_the_next_room,
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
     cmocka_unit_test_setup_teardown (test_nothing_fills_beside_a_task_over_its_target,
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
-    cmocka_unit_test_setup_teardown (test_start_in_a_new_life, kq_sched_desk_set_up,
+    cmocka_unit_test_setup_teardown (test_start_run_after_a_restart, kq_sched_desk_set_up,
                                      kq_sched_desk_tear_down),
     cmocka_unit_test_setup_teardown (test_start_run_before_a_restart,
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
     cmocka_unit_test_setup_teardown (test_lease_of_a_runner_that_another_may_renew,
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
-    cmocka_unit_test_setup_teardown (test_job_learned_in_doubt_waits,
+    cmocka_unit_test_setup_teardown (test_job_waits_while_lead_is_uncertain,
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
     cmocka_unit_test_setup_teardown (test_late_run_adds_its_runner_to_stored_list,
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
@@ -570,8 +570,8 @@
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
     cmocka_unit_test_setup_teardown (test_lost_agents_are_known, kq_sched_desk_set_up,
                                      kq_sched_desk_tear_down),
-    cmocka_unit_test_setup_teardown (test_list_of_an_earlier_taking, kq_sched_desk_set_up,
-                                     kq_sched_desk_tear_down),
+    cmocka_unit_test_setup_teardown (test_list_of_an_earlier_assignment,
+                                     kq_sched_desk_set_up, kq_sched_desk_tear_down),
     cmocka_unit_test_setup_teardown (test_outcome_of_an_earlier_assignment,
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
     cmocka_unit_test_setup_teardown (test_lease_of_a_runner_given_to_another_agent,
--- a/src/sched/pace.c
+++ b/src/sched/pace.c
@@ -4,7 +4,7 @@
  * Most pairs of images don't disturb each other and some do strongly, and the load of a
  * serving step changes within seconds. So only filling tasks are slowed that the
  * disturbance model (sched/disturb.h) makes responsible, and no further than the load
- * predicted for the serving step (sched/swing.h) requires. */
+ * predicted for the serving step (sched/load_trend.h) requires. */
 
 #include "sched/pace.h"
 #include "sched/harm.h"
@@ -158,7 +158,7 @@
 }
 
 void
-kq_pace_runner (KqSched *s, KqRunnerState *r, KqTime now)
+kq_pace_update (KqSched *s, KqRunnerState *r, KqTime now)
 {
   if (now - r->paced_at < UPDATE_INTERVAL_MIN)
     return;
--- a/src/sched/pace_test.c
+++ b/src/sched/pace_test.c
@@ -10,7 +10,7 @@
 /* Pace 0 must always be ordered. Filling tasks at 12% beside a serving task over its
  * target were left at 12%, as the change to 0 counted as too small for an order. */
 static void
-test_standing_still_is_always_ordered (void **state)
+test_pace_zero_is_always_ordered (void **state)
 {
   (void)state;
   for (int ordered = 1; ordered <= 100; ordered++)
@@ -19,7 +19,7 @@
 }
 
 static void
-test_small_steps_are_saved (void **state)
+test_small_changes_are_not_ordered (void **state)
 {
   (void)state;
   assert_false (kq_pace_worth_order (50, 50));
@@ -33,7 +33,7 @@
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (test_standing_still_is_always_ordered),
-          cmocka_unit_test (test_small_steps_are_saved) };
+      = { cmocka_unit_test (test_pace_zero_is_always_ordered),
+          cmocka_unit_test (test_small_changes_are_not_ordered) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/sched/pass.c
+++ b/src/sched/pass.c
@@ -78,7 +78,7 @@
     return starved ? FOR_ANY : FOR_FILLING;
   if (!p->lasting)
     return FOR_RESERVED;
-  return starved || t->occurrence->steps[t->step].lost_at != 0 ? FOR_ANY : FOR_LASTING;
+  return starved || t->occurrence->steps[t->step].lost_since != 0 ? FOR_ANY : FOR_LASTING;
 }
 
 static bool
@@ -113,7 +113,7 @@
 {
   const KqSpec *spec = &o->job->spec;
   KqTime objective = kq_spec_objective_ms (spec) * KQ_MS;
-  KqTime end = now + o->chain_left_ms * KQ_MS;
+  KqTime end = now + o->critical_path_ms * KQ_MS;
   WaitingStep t = { o, step, RANK_IN_TIME, o->due_at + objective, false };
   if (spec->steps[step].lasting)
     t.rank = RANK_LASTING;
@@ -129,7 +129,7 @@
 {
   if (st->waits_since != 0)
     j->spent.waited += now - st->waits_since;
-  st->lost_at = st->waits_since = 0;
+  st->lost_since = st->waits_since = 0;
 }
 
 /* Whether the job's tasks may not be started yet. Either another leader may have taken
@@ -140,7 +140,7 @@
 start_forbidden (KqSched *s, const KqJob *j)
 {
   bool leader_uncertain = j->learned_at >= s->lead_until;
-  s->held_back = s->held_back || leader_uncertain;
+  s->job_held_back = s->job_held_back || leader_uncertain;
   return leader_uncertain || (!s->settled && j->revision < s->config.epoch);
 }
 
@@ -166,9 +166,9 @@
                                   j->spec.steps[i].width - st->done - st->active);
             t = make_waiting_step (o, i, now);
             g_array_append_val (waiting, t);
-            if (st->lost_at != 0 && !kq_book_lost_waits (st, &j->spec.steps[i]))
-              st->lost_at = 0;
-            if (st->lost_at != 0 && now - st->lost_at >= LOST_WAIT_MAX)
+            if (st->lost_since != 0 && !kq_book_has_lost_waiting (st, &j->spec.steps[i]))
+              st->lost_since = 0;
+            if (st->lost_since != 0 && now - st->lost_since >= LOST_WAIT_MAX)
               {
                 t.rank = RANK_LOST;
                 t.lost = true;
@@ -317,7 +317,7 @@
           kq_run_send_start (s, runs[i], now);
         }
       else
-        kq_run_over (s, runs[i], now);
+        kq_run_end (s, runs[i], now);
     }
   if (n == p->width)
     {
@@ -344,7 +344,7 @@
   s->window_logged_at = now;
   kq_log (KQ_LOG_INFO, PART,
           "Start orders wait for answers to earlier ones. under_way=%d window=%d",
-          s->window.under_way, s->window.size);
+          s->window.unanswered, s->window.size);
 }
 
 void
@@ -373,9 +373,10 @@
         note_no_room (&no_room, t, now);
     }
   log_closed_window (s, now);
-  if (waiting->len > 0 && (s->work_at == 0 || s->work_at > now + PASS_INTERVAL_MAX))
-    s->work_at = now + PASS_INTERVAL_MAX;
+  if (waiting->len > 0
+      && (s->next_pass_at == 0 || s->next_pass_at > now + PASS_INTERVAL_MAX))
+    s->next_pass_at = now + PASS_INTERVAL_MAX;
   g_array_free (waiting, TRUE);
   s->in_pass = false;
-  s->work = false;
+  s->pass_needed = false;
 }
--- a/src/sched/place.c
+++ b/src/sched/place.c
@@ -104,8 +104,9 @@
 static bool
 accepts_tasks (const KqRunnerState *r, KqTime now)
 {
-  return r->in_store && r->known_stored && r->listed && !r->silent && !r->foreign
-         && !r->draining && !r->leaving && r->agent >= 0 && now >= r->suspect_until;
+  return r->in_store && r->in_stored_list && r->listed && !r->silent
+         && !r->has_unknown_run && !r->draining && !r->host_leaving && r->agent >= 0
+         && now >= r->suspect_until;
 }
 
 /* Share of the runner's serving tasks that have another image, less the share that have
@@ -156,7 +157,7 @@
   double mean
       = s->slowness_mean > SLOWNESS_MEAN_MIN ? s->slowness_mean : SLOWNESS_MEAN_MIN;
   double slow = r->slowness / mean;
-  double sum = W_FAILS * r->fails;
+  double sum = W_FAILS * r->failed_count;
   if (slow > SLOW_RATIO_MIN)
     sum += W_SLOW * (slow - 1);
   if (p->rack.len > 0 && !kq_str_eq (p->rack, kq_str (r->rack)))
@@ -241,7 +242,7 @@
   for (guint i = 0; i < s->runner_list->len; i++)
     {
       KqRunnerState *r = g_ptr_array_index (s->runner_list, i);
-      if (kq_place_may_take (s, r, o, step, o->steps[step].lost_at != 0, now))
+      if (kq_place_may_take (s, r, o, step, o->steps[step].lost_since != 0, now))
         list[n++] = (Candidate){ r, kq_place_score (s, r, o, step) };
     }
   qsort (list, (size_t)n, sizeof *list, by_score);
--- a/src/sched/placing_test.c
+++ b/src/sched/placing_test.c
@@ -23,7 +23,7 @@
 /* In a burst the leader of a large fleet would fall behind if it scored every runner for
  * each task. */
 static void
-test_a_task_looks_at_a_small_part_of_a_large_fleet (void **state)
+test_a_task_searches_a_small_part_of_a_large_fleet (void **state)
 {
   (void)state;
   assert_true (looks_per_start (1600, 1.3) < 1600.0 / 8);
@@ -32,7 +32,7 @@
 /* A waiting task must be placed when its room becomes free, not only at the next search
  * of all runners. */
 static void
-test_room_that_becomes_free_is_seen_at_once (void **state)
+test_freed_room_is_used_at_once (void **state)
 {
   KqSchedDesk *d = *state;
   KqStep step = kq_sched_desk_step ();
@@ -64,8 +64,8 @@
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (test_a_task_looks_at_a_small_part_of_a_large_fleet),
-          cmocka_unit_test_setup_teardown (test_room_that_becomes_free_is_seen_at_once,
+      = { cmocka_unit_test (test_a_task_searches_a_small_part_of_a_large_fleet),
+          cmocka_unit_test_setup_teardown (test_freed_room_is_used_at_once,
                                            kq_sched_desk_set_up,
                                            kq_sched_desk_tear_down) };
   kq_log_set_level (KQ_LOG_ERROR);
--- a/src/sched/pools.c
+++ b/src/sched/pools.c
@@ -41,7 +41,7 @@
 }
 
 KqPool *
-kq_pools_need (KqSched *s, KqStr service)
+kq_pools_get (KqSched *s, KqStr service)
 {
   KqPool *p;
   for (guint i = 0; i < s->pools->len; i++)
@@ -71,7 +71,7 @@
       p->demand_milli += r->used.cpu_milli - r->lasting;
       if (r->n_lasting == 0)
         p->demand_milli += r->filling;
-      if (!r->in_store || r->draining || r->leaving || r->silent)
+      if (!r->in_store || r->draining || r->host_leaving || r->silent)
         continue;
       p->room_milli += r->room.cpu_milli;
       p->used_milli += r->used.cpu_milli;
--- a/src/sched/progress.c
+++ b/src/sched/progress.c
@@ -204,7 +204,7 @@
   if (!r.bad && state >= KQ_JOB_COMPLETED && state <= KQ_JOB_CANCELLED)
     {
       kq_book_end_job (s, j, (KqJobState)state, now);
-      j->shown = j->state;
+      j->stored_state = j->state;
       j->dirty = false;
     }
   j->created = (int32_t)kq_read_i64 (&r);
--- a/src/sched/repeat_test.c
+++ b/src/sched/repeat_test.c
@@ -87,7 +87,7 @@
 /* Guards against a task that runs twice: its start was sent twice, and the first copy
  * arrives after a restart of the runner. */
 static void
-test_repeated_start_is_stopped_in_the_next_life (void **state)
+test_repeated_start_is_stopped_after_a_restart (void **state)
 {
   KqSchedDesk *d = *state;
   Start s;
@@ -120,7 +120,7 @@
   kq_sched_desk_run (d, 500 * KQ_MS);
   o.task = kq_str (d->task);
   o.run = d->run;
-  o.taking = d->taking[strcmp (runner, "r0") == 0 ? 0 : 1];
+  o.assignment = d->assignment[strcmp (runner, "r0") == 0 ? 0 : 1];
   kq_sched_outcome (d->sched, d->agent, kq_str (runner), &o, d->now);
   kq_sched_desk_run (d, 4900 * KQ_MS);
   assert_int_equal (d->starts, 1);
@@ -131,7 +131,7 @@
 /* Guards against a task that runs twice: a start is in flight to a runner that its agent
  * can't reach, and the runner begins it after a restart. */
 static void
-test_start_under_way_to_a_silent_runner (void **state)
+test_start_in_flight_to_an_unreached_runner (void **state)
 {
   KqSchedDesk *d = *state;
   kq_sched_desk_submit (d, "aa", kq_sched_desk_step (), false);
@@ -149,11 +149,11 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test_setup_teardown (test_refused_repeat_of_a_listed_run,
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
-    cmocka_unit_test_setup_teardown (test_repeated_start_is_stopped_in_the_next_life,
+    cmocka_unit_test_setup_teardown (test_repeated_start_is_stopped_after_a_restart,
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
     cmocka_unit_test_setup_teardown (test_refused_repeat_of_a_stopped_run,
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
-    cmocka_unit_test_setup_teardown (test_start_under_way_to_a_silent_runner,
+    cmocka_unit_test_setup_teardown (test_start_in_flight_to_an_unreached_runner,
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
     cmocka_unit_test_setup_teardown (test_start_answered_by_an_unreached_runner,
                                      kq_sched_desk_set_up, kq_sched_desk_tear_down),
--- a/src/sched/room_test.c
+++ b/src/sched/room_test.c
@@ -87,7 +87,7 @@
 /* A job without any run must get one, even beside filling tasks of other jobs on all
  * runners, as hardly any room is reserved. */
 static void
-test_job_without_a_run_gets_one_beside_what_fills (void **state)
+test_job_without_a_run_gets_one_beside_filling_tasks (void **state)
 {
   KqSchedRig *r = kq_sched_rig_new (2, (KqRoom){ 16000, 64000, 0 }, 1);
   KqStep fills = kq_sched_rig_step (30, 2000, 400);
@@ -109,6 +109,6 @@
   const struct CMUnitTest tests[]
       = { cmocka_unit_test (test_large_short_tasks_find_room_beside_lasting),
           cmocka_unit_test (test_lasting_task_lost_in_a_change_of_leader),
-          cmocka_unit_test (test_job_without_a_run_gets_one_beside_what_fills) };
+          cmocka_unit_test (test_job_without_a_run_gets_one_beside_filling_tasks) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/sched/runners.c
+++ b/src/sched/runners.c
@@ -68,7 +68,7 @@
 kq_runners_changed (KqSched *s, KqRunnerState *r)
 {
   r->changed = ++s->changes;
-  s->work = true;
+  s->pass_needed = true;
   if (s->changed_last == r)
     return;
   unlink_changed (s, r);
@@ -102,7 +102,7 @@
 }
 
 void
-kq_runners_extend (KqRunnerState *r, KqTime ends, const char *from)
+kq_runners_extend_lease (KqRunnerState *r, KqTime ends, const char *from)
 {
   if (ends <= r->lease_ends)
     return;
@@ -111,12 +111,12 @@
 }
 
 bool
-kq_runners_heard_of_by (const KqSched *s, KqRunnerState *r, int agent, uint64_t taking,
-                        const char *what)
+kq_runners_is_current_agent (const KqSched *s, KqRunnerState *r, int agent,
+                             uint64_t assignment, const char *what)
 {
-  if (r->agent == agent && r->taking == taking)
+  if (r->agent == agent && r->assignment == assignment)
     return true;
-  if (!r->passed_over)
+  if (!r->stale_logged)
     {
       KqStr from = agent_node (s, agent);
       KqStr current = agent_node (s, r->agent);
@@ -125,7 +125,7 @@
               "agent=%.*s",
               r->id, what, KQ_STR_ARG (from), KQ_STR_ARG (current));
     }
-  r->passed_over = true;
+  r->stale_logged = true;
   return false;
 }
 
@@ -140,7 +140,7 @@
   if (s->agents.list[r->agent].up)
     s->config.order (s->config.arg, r->agent, &drop);
   r->agent = -1;
-  kq_runners_extend (r, ends, "agent changed");
+  kq_runners_extend_lease (r, ends, "agent changed");
 }
 
 void
@@ -161,9 +161,9 @@
 extend_for_starts (const KqSched *s, KqRunnerState *r)
 {
   for (const KqRun *run = r->runs; run != NULL; run = run->next)
-    if (run->unsure || (run->waiting && run->phase == KQ_RUN_SENDING))
-      kq_runners_extend (r, run->retry_at + START_IN_FLIGHT_MAX + longest_lease (s),
-                         "start");
+    if (run->outcome_unknown || (run->order_pending && run->phase == KQ_RUN_SENDING))
+      kq_runners_extend_lease (r, run->retry_at + START_IN_FLIGHT_MAX + longest_lease (s),
+                               "start");
 }
 
 static KqRunnerState *
@@ -172,7 +172,7 @@
   KqRunnerState *r = kq_alloc (sizeof *r);
   r->id = kq_str_dup (id);
   set_string (&r->service, KQ_STR (""));
-  r->pool = kq_pools_need (s, KQ_STR (""));
+  r->pool = kq_pools_get (s, KQ_STR (""));
   set_string (&r->address, KQ_STR (""));
   set_string (&r->domain, KQ_STR (""));
   set_string (&r->rack, KQ_STR (""));
@@ -206,7 +206,7 @@
             r->id, KQ_STR_ARG (e->address), e->draining, (long long)e->born_ms,
             (long long)e->left_ms);
   set_string (&r->service, e->service);
-  r->pool = kq_pools_need (s, e->service);
+  r->pool = kq_pools_get (s, e->service);
   set_string (&r->address, e->address);
   set_string (&r->domain, e->failure_domain);
   set_string (&r->rack, e->rack);
@@ -214,17 +214,17 @@
   set_string (&r->host, e->host);
   r->room = e->room;
   r->in_store = true;
-  if (r->over && e->born_ms != r->born_ms)
+  if (r->gone && e->born_ms != r->born_ms)
     {
-      r->over = r->taken_down = false;
-      r->known_stored = r->known_sent;
+      r->gone = r->taken_down = false;
+      r->in_stored_list = r->in_sent_list;
     }
-  if (r->draining && !e->draining && !r->known_sent)
-    r->known_stored = false; /* no start before it is in the stored list again */
+  if (r->draining && !e->draining && !r->in_sent_list)
+    r->in_stored_list = false; /* no start before it is in the stored list again */
   if (e->draining && !r->draining)
     r->drain_ends = now + e->left_ms * KQ_MS;
   r->draining = e->draining;
-  if (!r->known_stored)
+  if (!r->in_stored_list)
     s->known_dirty = true;
   if (moved && r->agent >= 0)
     drop_agent (s, r, now);
@@ -262,9 +262,9 @@
       kq_log (KQ_LOG_DEBUG, PART, "Run is lost. task=%s run=%u runner=%s", name,
               r->runs->number, r->id);
       ++*s->runs_lost;
-      kq_run_over (s, r->runs, now);
+      kq_run_end (s, r->runs, now);
     }
-  r->foreign = false;
+  r->has_unknown_run = false;
 }
 
 /* All runs from before the restart are over, with two exceptions. An unanswered start may
@@ -273,13 +273,13 @@
  * started elsewhere. And a start that was answered after the request for this list was
  * sent may run after the restart: the next list shows whether it does. */
 void
-kq_runners_reborn (KqSched *s, KqRunnerState *r, uint64_t order, KqTime now)
+kq_runners_restarted (KqSched *s, KqRunnerState *r, uint64_t order, KqTime now)
 {
   KqRun *next;
   kq_log (KQ_LOG_WARN, PART, "Runner has restarted. runner=%s runs=%d", r->id, r->n_runs);
   for (KqRun *run = r->runs; run != NULL; run = next)
     {
-      bool under_way = run->unsure || run->waiting || run->resent;
+      bool under_way = run->outcome_unknown || run->order_pending || run->resent;
       next = run->next;
       if (!under_way && run->confirmed > order + 1)
         continue;
@@ -289,9 +289,9 @@
       if (under_way && run->phase != KQ_RUN_STOPPING)
         kq_run_stop (s, run, "its runner has restarted", now);
       else if (!under_way)
-        kq_run_over (s, run, now);
+        kq_run_end (s, run, now);
     }
-  r->foreign = false;
+  r->has_unknown_run = false;
 }
 
 static void
@@ -311,18 +311,18 @@
   if (r->agent >= 0)
     drop_agent (s, r, now);
   r->agent = agent;
-  r->watched = r->passed_over = false;
+  r->watched = r->stale_logged = false;
   r->listed = false; /* the new agent knows neither the runner's clock nor its runs */
   s->agents.list[agent].runners++;
   s->agents.list[agent].unlisted++;
-  r->taking = ++s->takings;
+  r->assignment = ++s->assignments;
   o.u.take.address = kq_str (r->address);
-  o.u.take.taking = r->taking;
+  o.u.take.assignment = r->assignment;
   s->config.order (s->config.arg, agent, &o);
   /* The new agent doesn't know the orders that the earlier one was given. */
   for (KqRun *run = r->runs; run != NULL; run = run->next)
     {
-      kq_run_unanswered (s, run);
+      kq_run_orders_lost (s, run);
       run->stopped = false;
       run->confirmed = 0;
       if (run->phase == KQ_RUN_RUNNING)
@@ -360,9 +360,9 @@
     {
       KqRunnerState *r = g_ptr_array_index (s->runner_list, i);
       int agent;
-      if (r->address[0] == '\0' || !r->known_stored)
+      if (r->address[0] == '\0' || !r->in_stored_list)
         continue;
-      if (r->agent >= 0 && !kq_agents_overfull (&s->agents, r->agent, total))
+      if (r->agent >= 0 && !kq_agents_overloaded (&s->agents, r->agent, total))
         continue;
       agent = kq_agents_pick (&s->agents, kq_str (r->domain));
       if (agent >= 0 && agent != r->agent)
@@ -375,7 +375,7 @@
 {
   int n = kq_agents_up (&s->agents, info);
   (void)now;
-  s->work = true;
+  s->pass_needed = true;
   return n;
 }
 
@@ -408,13 +408,13 @@
       if (r->agent != agent)
         continue;
       r->agent = -1;
-      kq_runners_extend (r, ends, "lost agent");
+      kq_runners_extend_lease (r, ends, "lost agent");
       for (KqRun *run = r->runs; run != NULL; run = run->next)
-        kq_run_unanswered (s, run);
+        kq_run_orders_lost (s, run);
     }
   s->agents.list[agent].runners = 0;
   kq_tickets_agent_down (s, agent);
-  s->work = true;
+  s->pass_needed = true;
 }
 
 bool
@@ -430,7 +430,7 @@
 end_taken_down (KqSched *s, KqRunnerState *r, KqTime now)
 {
   end_lost_runs (s, r, "its host was taken down", now);
-  r->over = true;
+  r->gone = true;
   r->lease_ends = now;
   r->lease_from = "host taken down";
   s->known_dirty = true;
@@ -448,12 +448,13 @@
 }
 
 void
-kq_sched_unreached (KqSched *s, int agent, KqStr runner, uint64_t taking,
+kq_sched_unreached (KqSched *s, int agent, KqStr runner, uint64_t assignment,
                     int64_t lease_left_ms, KqTime now)
 {
   KqRunnerState *r = kq_runners_find (s, runner);
   KqTime ends = now + lease_left_ms * KQ_MS;
-  if (r == NULL || r->over || !kq_runners_heard_of_by (s, r, agent, taking, "silence"))
+  if (r == NULL || r->gone
+      || !kq_runners_is_current_agent (s, r, agent, assignment, "silence"))
     return;
   s->assign_soon = s->assign_soon || !r->listed;
   if (!r->silent)
@@ -462,17 +463,18 @@
             r->n_runs, (long long)lease_left_ms);
   r->silent = true;
   if (lease_left_ms >= 0)
-    kq_runners_extend (r, ends, "silence");
+    kq_runners_extend_lease (r, ends, "silence");
   extend_for_starts (s, r);
   if (r->taken_down)
     end_taken_down (s, r, now);
 }
 
 void
-kq_sched_runner_over (KqSched *s, int agent, KqStr runner, uint64_t taking, KqTime now)
+kq_sched_runner_replaced (KqSched *s, int agent, KqStr runner, uint64_t assignment,
+                          KqTime now)
 {
   KqRunnerState *r = kq_runners_find (s, runner);
-  if (r == NULL || !kq_runners_heard_of_by (s, r, agent, taking, "other runner"))
+  if (r == NULL || !kq_runners_is_current_agent (s, r, agent, assignment, "other runner"))
     return;
   end_lost_runs (s, r, "another runner at its address", now);
   r->listed = false;
@@ -520,20 +522,20 @@
 bool
 kq_runners_may_run (const KqRunnerState *r)
 {
-  bool drained = r->draining && r->n_runs == 0 && r->listed && !r->foreign
+  bool drained = r->draining && r->n_runs == 0 && r->listed && !r->has_unknown_run
                  && r->ends_seen == r->ends_stored;
-  return !r->over && !drained;
+  return !r->gone && !drained;
 }
 
 void
-kq_runners_look (KqSched *s, KqTime now)
+kq_runners_check_leases (KqSched *s, KqTime now)
 {
   for (guint i = 0; i < s->runner_list->len; i++)
     {
       KqRunnerState *r = g_ptr_array_index (s->runner_list, i);
       /* An agent that hasn't reported yet may be renewing the lease. */
       bool unreachable = r->agent < 0 || r->silent;
-      if (r->known_sent != kq_runners_may_run (r))
+      if (r->in_sent_list != kq_runners_may_run (r))
         s->known_dirty = true;
       if (!unreachable || now < r->lease_ends + LEASE_MARGIN || now >= s->lead_until)
         continue;
@@ -564,9 +566,9 @@
         continue;
       for (KqOccurrence *o = j->occurrences; o != NULL; o = o->next)
         for (int32_t i = 0; i < j->spec.n_steps; i++)
-          if (o->steps[i].lost_at == 0
-              && kq_book_lost_waits (&o->steps[i], &j->spec.steps[i]))
-            o->steps[i].lost_at = now;
+          if (o->steps[i].lost_since == 0
+              && kq_book_has_lost_waiting (&o->steps[i], &j->spec.steps[i]))
+            o->steps[i].lost_since = now;
     }
 }
 
@@ -575,7 +577,7 @@
  * Until then a task of an earlier job may be running unknown to this leader, and starting
  * it could run it twice. Jobs stored in this leader's term can't have runs yet. */
 void
-kq_runners_settle (KqSched *s, KqTime now)
+kq_runners_check_settled (KqSched *s, KqTime now)
 {
   if (s->settled || !s->loaded || now >= s->lead_until)
     return;
@@ -583,13 +585,13 @@
     {
       const KqRunnerState *r = g_ptr_array_index (s->runner_list, i);
       bool unreachable = r->agent < 0 || r->silent;
-      if (r->listed || !r->earlier || r->over)
+      if (r->listed || !r->used_by_earlier_leader || r->gone)
         continue;
       if (!unreachable || now < r->lease_ends + LEASE_MARGIN)
         return;
     }
   s->settled = true;
-  s->work = true;
+  s->pass_needed = true;
   mark_lost_lasting (s, now);
   kq_log (KQ_LOG_INFO, PART,
           "All runs of earlier leaders are accounted for. after_ms=%lld",
--- a/src/sched/runs.c
+++ b/src/sched/runs.c
@@ -18,7 +18,7 @@
 }
 
 bool
-kq_run_serves (const KqRun *run)
+kq_run_is_serving (const KqRun *run)
 {
   const KqStep *p = kq_run_step (run);
   return p->target_ms > 0 && !p->filling;
@@ -82,7 +82,7 @@
   run->share = (double)kq_run_step (run)->cpu_milli
                / (double)(r->room.cpu_milli > 0 ? r->room.cpu_milli : 1);
   run->placed_at = run->moved_at = now;
-  if (kq_run_serves (run))
+  if (kq_run_is_serving (run))
     {
       run->serving = kq_alloc (sizeof *run->serving);
       run->serving->next = r->serving_runs;
@@ -103,14 +103,14 @@
   j->run_list = run;
   if (o != NULL)
     {
-      KqTaskState *t = kq_book_state (run);
+      KqTaskState *t = kq_book_task_state (run);
       t->phase = KQ_TASK_ACTIVE;
       t->run = run;
       if (number > t->last_run)
         t->last_run = number;
       o->steps[step].active++;
       if (kq_run_step (run)->lasting && !t->has_run)
-        kq_book_task_runs (s, j, t, now);
+        kq_book_mark_has_run (s, j, t, now);
     }
   return run;
 }
@@ -137,37 +137,37 @@
 }
 
 void
-kq_run_start_gone (KqSched *s, KqRun *run)
+kq_run_close_start (KqSched *s, KqRun *run)
 {
-  if (run->start_out)
-    kq_window_gone (&s->window);
-  run->start_out = false;
+  if (run->start_in_window)
+    kq_window_done (&s->window);
+  run->start_in_window = false;
 }
 
 void
-kq_run_unanswered (KqSched *s, KqRun *run)
+kq_run_orders_lost (KqSched *s, KqRun *run)
 {
-  if (run->waiting)
-    run->unsure = true;
-  run->waiting = false;
-  kq_run_start_gone (s, run);
+  if (run->order_pending)
+    run->outcome_unknown = true;
+  run->order_pending = false;
+  kq_run_close_start (s, run);
 }
 
 void
-kq_run_over (KqSched *s, KqRun *run, KqTime now)
+kq_run_end (KqSched *s, KqRun *run, KqTime now)
 {
   KqRunnerState *r = run->runner;
-  KqTaskState *t = kq_book_state (run);
+  KqTaskState *t = kq_book_task_state (run);
   KqJob *j = run->job;
-  kq_run_start_gone (s, run);
+  kq_run_close_start (s, run);
   if (t != NULL && t->run == run)
     {
       KqStepState *st = &run->occurrence->steps[run->step];
       t->run = NULL;
       t->phase = KQ_TASK_WAITING;
       st->active--;
-      if (kq_run_step (run)->lasting && st->lost_at == 0)
-        st->lost_at = now;
+      if (kq_run_step (run)->lasting && st->lost_since == 0)
+        st->lost_since = now;
       if (run->checkpoint != NULL && kq_run_step (run)->checkpoints)
         {
           free (t->checkpoint);
@@ -202,7 +202,7 @@
 send_order (KqSched *s, KqRun *run, KqOrder *o, KqTime now)
 {
   o->runner = kq_str (run->runner->id);
-  run->waiting = true;
+  run->order_pending = true;
   run->retry_at = now + ORDER_RETRY_INTERVAL;
   s->config.order (s->config.arg, run->runner->agent, o);
 }
@@ -213,7 +213,7 @@
 kq_run_send_start (KqSched *s, KqRun *run, KqTime now)
 {
   char name[96];
-  const KqTaskState *t = kq_book_state (run);
+  const KqTaskState *t = kq_book_task_state (run);
   KqOrder o = { .kind = KQ_ORDER_START };
   if (run->runner->agent < 0)
     return;
@@ -227,9 +227,9 @@
     o.u.start.ticket
         = kq_str (kq_tickets_find (run->occurrence, run->step, run->runner, now));
   ++*s->starts;
-  if (!run->start_out)
+  if (!run->start_in_window)
     kq_window_sent (&s->window);
-  run->start_out = true;
+  run->start_in_window = true;
   send_order (s, run, &o, now);
 }
 
--- a/src/sched/sched.c
+++ b/src/sched/sched.c
@@ -97,7 +97,7 @@
   s->pools = kq_pools_new ();
   s->batch = g_ptr_array_new ();
   s->waves = kq_maintenance_new_waves ();
-  s->started_at = s->look_at = s->stored_at = now;
+  s->started_at = s->next_check_at = s->stored_at = now;
   s->store_due = s->lead_until = KQ_TIME_NEVER;
   s->slowness_mean = 1;
   s->disturb = kq_disturb_new ();
@@ -125,8 +125,8 @@
 kq_sched_lead_until (KqSched *s, KqTime until)
 {
   s->lead_until = until;
-  s->work = s->work || s->held_back;
-  s->held_back = false;
+  s->pass_needed = s->pass_needed || s->job_held_back;
+  s->job_held_back = false;
 }
 
 /* Looks up the place of each step's image in the disturbance model. */
@@ -194,7 +194,7 @@
     }
   j->revision = revision;
   j->learned_at = now;
-  j->pool = kq_pools_need (s, j->spec.service);
+  j->pool = kq_pools_get (s, j->spec.service);
   find_images (s, j);
   age = wall - j->spec.accepted_ms;
   j->accepted_at = now - (age > 0 && s->wall_minus_now_ms != 0 ? age : 0) * KQ_MS;
@@ -211,7 +211,7 @@
               KQ_STR_ARG (j->spec.id), KQ_STR_ARG (j->spec.queue), job_kind (&j->spec),
               j->spec.n_steps, count_tasks (&j->spec), largest_task_milli (&j->spec),
               (long long)kq_spec_objective_ms (&j->spec), (unsigned long long)revision);
-      kq_book_due (s, j, now);
+      kq_book_create_due (s, j, now);
     }
   return true;
 }
@@ -225,7 +225,7 @@
   j->cancelled = true;
   kq_book_end_job (s, j, KQ_JOB_CANCELLED, now);
   if (j->state == KQ_JOB_CANCELLED)
-    j->shown = j->state; /* the cancellation itself is in the store */
+    j->stored_state = j->state; /* the cancellation itself is in the store */
 }
 
 bool
@@ -242,7 +242,7 @@
 }
 
 bool
-kq_sched_known (KqSched *s, KqStr stored, KqTime now)
+kq_sched_used_runners (KqSched *s, KqStr stored, KqTime now)
 {
   KqUnpacked u;
   KqReader r;
@@ -265,7 +265,8 @@
           kq_sched_entry (s, &e, now);
           known = kq_runners_find (s, e.id);
           known->in_store = false; /* until its entry is seen */
-          known->known_stored = known->known_sent = known->earlier = true;
+          known->in_stored_list = known->in_sent_list = known->used_by_earlier_leader
+              = true;
         }
     }
   good = !r.bad;
@@ -290,10 +291,10 @@
 kq_sched_loaded (KqSched *s, KqTime now)
 {
   s->loaded = true;
-  s->work = true;
+  s->pass_needed = true;
   for (KqJob *j = s->open; j != NULL; j = j->next)
     if (j->created == 0 || j->spec.times > 0)
-      kq_book_due (s, j, now);
+      kq_book_create_due (s, j, now);
   for (KqJob *j = s->open; j != NULL; j = j->next)
     if (j->state < KQ_JOB_COMPLETED && j->finished == kq_spec_occurrences (&j->spec))
       kq_book_end_job (s, j, KQ_JOB_COMPLETED, now);
@@ -310,7 +311,7 @@
     {
       next = j->next;
       if (j->spec.times > 0)
-        kq_book_due (s, j, now);
+        kq_book_create_due (s, j, now);
       if (j->state < KQ_JOB_COMPLETED || j->runs > 0)
         continue;
       kq_book_unlink (s, j);
@@ -323,25 +324,25 @@
   s->wall_minus_now_ms = wall_ms - now / KQ_MS;
   if (!s->loaded)
     return now + CHECK_INTERVAL;
-  if (s->assign_soon || now >= s->look_at)
+  if (s->assign_soon || now >= s->next_check_at)
     kq_runners_assign (s, now);
-  if (now >= s->look_at)
+  if (now >= s->next_check_at)
     {
-      s->look_at = now + CHECK_INTERVAL;
-      kq_runners_look (s, now);
+      s->next_check_at = now + CHECK_INTERVAL;
+      kq_runners_check_leases (s, now);
       kq_watch_progress (s, now);
       update_jobs (s, now);
-      kq_maintenance_look (s, now);
+      kq_maintenance_update (s, now);
     }
-  kq_runners_settle (s, now);
-  if (s->work_at != 0 && now >= s->work_at)
+  kq_runners_check_settled (s, now);
+  if (s->next_pass_at != 0 && now >= s->next_pass_at)
     {
-      s->work_at = 0;
-      s->work = true;
+      s->next_pass_at = 0;
+      s->pass_needed = true;
     }
-  if (s->work)
+  if (s->pass_needed)
     kq_pass (s, now);
-  return s->look_at;
+  return s->next_check_at;
 }
 
 KqJobState
@@ -351,8 +352,8 @@
   if (j == NULL)
     return KQ_JOB_UNKNOWN;
   /* An end is reported only once it is stored; until then a new leader wouldn't know. */
-  if (j->shown >= KQ_JOB_COMPLETED)
-    return j->shown;
+  if (j->stored_state >= KQ_JOB_COMPLETED)
+    return j->stored_state;
   return j->begun ? KQ_JOB_RUNNING : KQ_JOB_WAITING;
 }
 
@@ -384,7 +385,7 @@
   gauge = kq_counter (c, "kq_runners_known", "", "Runners known to the leader.");
   *gauge = s->runner_list->len;
   gauge = kq_counter (c, "kq_run_starts_under_way", "", "Starts without an answer yet.");
-  *gauge = (uint64_t)s->window.under_way;
+  *gauge = (uint64_t)s->window.unanswered;
   gauge = kq_counter (c, "kq_run_starts_window", "",
                       "How many starts may be under way at once.");
   *gauge = (uint64_t)s->window.size;
--- a/src/sched/sched.h
+++ b/src/sched/sched.h
@@ -58,7 +58,7 @@
     struct
     {
       KqStr address;
-      uint64_t taking; /* assignment number, carried by the agent's messages */
+      uint64_t assignment; /* assignment number, carried by the agent's messages */
     } take;
     struct
     {
@@ -114,7 +114,7 @@
   uint32_t run;
   KqOrderResult result;
   uint64_t order;
-  uint64_t taking;       /* of the order TAKE; `order` starts again with each */
+  uint64_t assignment;   /* of the order TAKE; `order` starts again with each */
   int64_t lease_left_ms; /* as in a list, as the runner may have restarted; -1: unknown */
 } KqOrderOutcome;
 
@@ -123,7 +123,7 @@
   int64_t born_ms;
   int64_t lease_left_ms; /* time left of the granted lease, adjusted for clock error */
   uint64_t order;        /* results sent before this list was requested */
-  uint64_t taking;
+  uint64_t assignment;
   uint64_t halt; /* not 0: no lease is granted until an order RENEW with this number */
   const KqRunRow *running;
   size_t n_running;
@@ -157,9 +157,9 @@
 void kq_sched_cancel (KqSched *s, KqStr id, KqTime now);
 /* Progress in the stored form of an earlier leader. False: it can't be read. */
 bool kq_sched_progress (KqSched *s, KqStr id, KqStr stored, KqTime now);
-/* The stored list of runners that earlier leaders used (kq_sched_known_pack). False: it
- * can't be read. */
-bool kq_sched_known (KqSched *s, KqStr stored, KqTime now);
+/* The stored list of runners that earlier leaders used (kq_sched_used_runners_pack).
+ * False: it can't be read. */
+bool kq_sched_used_runners (KqSched *s, KqStr stored, KqTime now);
 /* The disturbance model of an earlier leader (kq_sched_learned_pack); before any job.
  * False: it can't be read. */
 bool kq_sched_learned (KqSched *s, KqStr stored);
@@ -186,14 +186,14 @@
 bool kq_sched_agents_lost (const KqSched *s);
 
 /* Messages of an agent on a runner carry the number of the runner's assignment
- * (`taking`). Those of an earlier assignment may arrive late and are ignored. */
+ * (`assignment`). Those of an earlier assignment may arrive late and are ignored. */
 void kq_sched_list (KqSched *s, int agent, KqStr runner, const KqRunnerList *l,
                     KqTime now);
 void kq_sched_outcome (KqSched *s, int agent, KqStr runner, const KqOrderOutcome *o,
                        KqTime now);
 /* The agent gets no answer from the runner; the lease that it granted ends in
  * lease_left_ms. */
-void kq_sched_unreached (KqSched *s, int agent, KqStr runner, uint64_t taking,
+void kq_sched_unreached (KqSched *s, int agent, KqStr runner, uint64_t assignment,
                          int64_t lease_left_ms, KqTime now);
 
 /* The answer to an order KQ_ORDER_ADVISE. */
@@ -201,8 +201,8 @@
 
 /* Another runner answers at this one's address: its process is gone, and all its runs
  * with it. */
-void kq_sched_runner_over (KqSched *s, int agent, KqStr runner, uint64_t taking,
-                           KqTime now);
+void kq_sched_runner_replaced (KqSched *s, int agent, KqStr runner, uint64_t assignment,
+                               KqTime now);
 
 /* A maintenance wave that operators request; one that is known is left alone. */
 void kq_sched_wave (KqSched *s, const KqWaveInfo *info, KqTime now);
@@ -252,8 +252,8 @@
 KqTime kq_sched_store_due (const KqSched *s);
 /* The runners in use, which are stored before a new one gets its first order. _pending:
  * they have changed since the last _stored. */
-bool kq_sched_known_pending (const KqSched *s);
-bool kq_sched_known_pack (KqSched *s, KqBuf *out);
-void kq_sched_known_stored (KqSched *s);
+bool kq_sched_used_runners_pending (const KqSched *s);
+bool kq_sched_used_runners_pack (KqSched *s, KqBuf *out);
+void kq_sched_used_runners_stored (KqSched *s);
 
 #endif
--- a/src/sched/sched_test.c
+++ b/src/sched/sched_test.c
@@ -41,7 +41,7 @@
 }
 
 static void
-test_room_is_kept (void **state)
+test_room_is_not_exceeded (void **state)
 {
   KqSchedRig *r = new_rig (2, 1);
   KqStep s = kq_sched_rig_step (20, 1500, 300);
@@ -291,7 +291,7 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_steps_run_in_order),
-    cmocka_unit_test (test_room_is_kept),
+    cmocka_unit_test (test_room_is_not_exceeded),
     cmocka_unit_test (test_attempts_end_a_job),
     cmocka_unit_test (test_cancel_stops_at_once),
     cmocka_unit_test (test_lasting_task_moves_after_its_runners_lease),
--- a/src/sched/spent_test.c
+++ b/src/sched/spent_test.c
@@ -26,7 +26,7 @@
 /* The totals of a job must show why it is late, even when the log lines of its runs have
  * been left out. */
 static void
-test_failed_runs_and_waits_are_told (void **state)
+test_failed_runs_and_waits_are_explained (void **state)
 {
   KqSchedDesk *d = *state;
   KqEndRow end = { .number = 1, .how = KQ_END_FAILED, .checkpoint = KQ_STR ("") };
@@ -65,7 +65,7 @@
 }
 
 static void
-test_time_below_full_speed_is_told (void **state)
+test_time_below_full_speed_is_explained (void **state)
 {
   KqSchedDesk *d = *state;
   char serving[96];
@@ -134,9 +134,9 @@
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test_setup_teardown (test_failed_runs_and_waits_are_told,
+      = { cmocka_unit_test_setup_teardown (test_failed_runs_and_waits_are_explained,
                                            kq_sched_desk_set_up, kq_sched_desk_tear_down),
-          cmocka_unit_test_setup_teardown (test_time_below_full_speed_is_told,
+          cmocka_unit_test_setup_teardown (test_time_below_full_speed_is_explained,
                                            kq_sched_desk_set_up, kq_sched_desk_tear_down),
           cmocka_unit_test_setup_teardown (test_starts_of_a_step_share_lines,
                                            kq_sched_desk_set_up,
--- a/src/sched/state.h
+++ b/src/sched/state.h
@@ -12,9 +12,9 @@
 #include "base/histogram.h"
 #include "base/log.h"
 #include "sched/disturb.h"
+#include "sched/load_trend.h"
 #include "sched/sched.h"
 #include "sched/spent.h"
-#include "sched/swing.h"
 #include "sched/window.h"
 
 #include <glib.h>
@@ -70,7 +70,7 @@
   int32_t done;
   int32_t active;
   KqTickets *advice;  /* of an advised step; NULL: never asked */
-  KqTime lost_at;     /* since when lost lasting tasks wait; 0: none */
+  KqTime lost_since;  /* since when lost lasting tasks wait; 0: none */
   KqTime waits_since; /* since when some task is ready and not started; 0: none is */
   /* The last search of all runners that found none for a task of the step. 0 in
    * searched_at: there was none. */
@@ -90,7 +90,7 @@
   int32_t number;
   int32_t steps_done;
   KqTime due_at; /* objectives are measured from here */
-  int64_t chain_left_ms;
+  int64_t critical_path_ms;
   KqStepState *steps;
   struct KqOccurrence *next;
 } KqOccurrence;
@@ -103,8 +103,8 @@
   KqPool *pool;      /* of its service */
   KqTime learned_at;
   KqJobState state;
-  KqJobState shown; /* the last state that has been stored */
-  bool begun;       /* some task has been started */
+  KqJobState stored_state; /* the last state that has been stored */
+  bool begun;              /* some task has been started */
   bool cancelled;
   bool dirty; /* progress differs from what is stored */
   KqTime accepted_at;
@@ -154,11 +154,11 @@
   int32_t index;
   uint32_t number;
   KqRunPhase phase;
-  bool unsure;    /* an order was not answered: it may still be carried out */
-  bool waiting;   /* the agent has an order that is not answered yet */
-  bool start_out; /* its start order is counted in the window */
-  bool resent;    /* its start order was sent more than once: one may still arrive */
-  bool stopped;   /* its runner has answered a stop order, and not listed the run since */
+  bool outcome_unknown; /* an order was not answered: it may still be carried out */
+  bool order_pending;   /* the agent has an order that is not answered yet */
+  bool start_in_window; /* its start order is counted in the window */
+  bool resent;  /* its start order was sent more than once: one may still arrive */
+  bool stopped; /* its runner has answered a stop order, and not listed the run since */
   uint64_t confirmed; /* agent's count of results when the runner last reported the run;
                          0: never */
   KqTime placed_at;
@@ -171,7 +171,7 @@
   int pace;           /* last ordered pace, in percent */
   bool pace_unknown;  /* an earlier leader may have ordered another pace */
   KqTime slowed_at;   /* since when its pace is below 100; 0: it isn't */
-  bool marked;        /* found in the list being read */
+  bool in_list;       /* found in the list being read */
   KqServing *serving; /* of a task with a latency target; else NULL */
   char *checkpoint;
   KqRunnerState *runner;
@@ -205,36 +205,36 @@
   char *domain;
   char *rack;
   char *kind;
-  char *host;   /* its target host; "": not known */
-  bool leaving; /* its host will be taken down for maintenance soon */
+  char *host;        /* its target host; "": not known */
+  bool host_leaving; /* its host will be taken down for maintenance soon */
   KqRoom room;
   KqRoom used;     /* reserved by all runs that may exist there */
   int64_t filling; /* cpu that its filling runs ask for */
   int64_t born_ms;
-  bool in_store;     /* it has an entry in the store now */
-  bool known_stored; /* it is in the stored list of runners in use */
-  bool known_sent;   /* it is in that list as it is being stored */
-  bool earlier;      /* an earlier leader may have started runs there */
-  bool taken_down;   /* its host has been taken down for maintenance */
-  bool over;         /* taken down and unreachable: no run is left there */
+  bool in_store;               /* it has an entry in the store now */
+  bool in_stored_list;         /* it is in the stored list of runners in use */
+  bool in_sent_list;           /* it is in that list as it is being stored */
+  bool used_by_earlier_leader; /* an earlier leader may have started runs there */
+  bool taken_down;             /* its host has been taken down for maintenance */
+  bool gone;                   /* taken down and unreachable: no run is left there */
   bool draining;
-  KqTime drain_ends; /* it doesn't leave before */
-  bool listed;       /* it has listed its runs to this leader since it last started */
-  bool silent;       /* its agent gets no answer from it */
-  bool foreign;      /* it lists a run of an unknown job, whose size is unknown */
-  KqTime lease_ends; /* latest time at which a run may still exist there */
+  KqTime drain_ends;    /* it doesn't leave before */
+  bool listed;          /* it has listed its runs to this leader since it last started */
+  bool silent;          /* its agent gets no answer from it */
+  bool has_unknown_run; /* it lists a run of an unknown job, whose size is unknown */
+  KqTime lease_ends;    /* latest time at which a run may still exist there */
   const char *lease_from; /* where that time comes from, for logs */
-  bool passed_over;       /* a message of an earlier assignment was ignored and logged */
+  bool stale_logged;      /* a message of an earlier assignment was ignored and logged */
   KqTime heard_at;
-  int agent;       /* -1: none */
-  uint64_t taking; /* number of its assignment to the agent (order TAKE) */
+  int agent;           /* -1: none */
+  uint64_t assignment; /* number of its assignment to the agent (order TAKE) */
   uint64_t ends_seen;
   uint64_t ends_batch;
   uint64_t ends_stored;
   bool watched; /* its agent has been told to report often */
   /* Health. */
-  double fails; /* decaying counts of failed tasks; `dones`: of done ones */
-  double dones;
+  double failed_count; /* decaying counts of failed tasks; `done_count`: of done ones */
+  double done_count;
   KqTime score_at;
   double slowness; /* actual divided by estimated run time of tasks; 1: like the others */
   KqTime suspect_until;
@@ -263,8 +263,8 @@
 typedef enum
 {
   KQ_HOST_WAITING,
-  KQ_HOST_EMPTYING, /* takes no new tasks, its tasks are moved */
-  KQ_HOST_ASKED,    /* the call was sent, and may have been carried out */
+  KQ_HOST_DRAINING, /* takes no new tasks, its tasks are moved */
+  KQ_HOST_CALLED,   /* the call was sent, and may have been carried out */
   KQ_HOST_DOWN,     /* it is down for maintenance */
   KQ_HOST_BACK      /* it has a new runner, or is gone for good */
 } KqHostPhase;
@@ -281,7 +281,7 @@
 typedef struct
 {
   int64_t number;
-  bool asked; /* the operators' request has been read, not only the stored progress */
+  bool requested; /* the operators' request has been read, not only the stored progress */
   int32_t cap;
   KqTime ends_at;
   int64_t ends_wall_ms; /* the same as Unix time; 0: not known */
@@ -299,12 +299,12 @@
   GPtrArray *runner_list;
   GPtrArray *pools; /* KqPool */
   KqAgents agents;
-  uint64_t takings; /* number of assignments of runners to agents so far */
+  uint64_t assignments; /* number of assignments of runners to agents so far */
   uint64_t runners_made;
   KqJob *open; /* jobs that have not ended, and ended ones that still have runs */
   bool loaded;
-  bool settled; /* all runs of earlier leaders are known */
-  bool work;    /* something has changed that calls for a placing pass */
+  bool settled;     /* all runs of earlier leaders are known */
+  bool pass_needed; /* something has changed that calls for a placing pass */
   bool in_pass; /* a placing pass is under way; values cached for one pass may be used */
   uint64_t passes;
   uint64_t changes;            /* count of changes of runners */
@@ -314,10 +314,11 @@
   bool assign_soon; /* an agent may be able to take a runner that has none */
   int64_t wall_minus_now_ms;
   KqTime started_at;
-  KqTime lead_until; /* no other leader before this time */
-  bool held_back;    /* a job waits until no other leader is possible again */
-  KqTime work_at;    /* the next placing pass is due then at the latest; 0: none is due */
-  KqTime look_at;    /* next check of progress, leases and paces */
+  KqTime lead_until;  /* no other leader before this time */
+  bool job_held_back; /* a job waits until no other leader is possible again */
+  KqTime
+      next_pass_at; /* the next placing pass is due then at the latest; 0: none is due */
+  KqTime next_check_at; /* next check of progress, leases and paces */
   KqTime store_due;
   KqTime stored_at;
   bool batch_open;
@@ -357,9 +358,9 @@
   int32_t step;
   int32_t index;
 } KqTaskRef;
-bool kq_book_task (const KqSched *s, KqStr name, KqTaskRef *out);
+bool kq_book_find_task (const KqSched *s, KqStr name, KqTaskRef *out);
 void kq_book_task_name (const KqRun *r, char out[96]);
-KqTaskState *kq_book_state (const KqRun *r);
+KqTaskState *kq_book_task_state (const KqRun *r);
 bool kq_book_has_failed (const KqTaskState *t, uint32_t run);
 void kq_book_add_failure (KqTaskState *t, uint32_t run);
 KqOccurrence *kq_book_add_occurrence (KqJob *j, int32_t number, KqTime due_at);
@@ -370,11 +371,11 @@
                           uint32_t run, KqRunnerState *where, KqTime now);
 /* A task of a lasting step runs for the first time. Stored, since a later leader must
  * know which waiting tasks have lost their runner. */
-void kq_book_task_runs (KqSched *s, KqJob *j, KqTaskState *t, KqTime now);
+void kq_book_mark_has_run (KqSched *s, KqJob *j, KqTaskState *t, KqTime now);
 /* Whether a lasting task that has run before is waiting. */
-bool kq_book_lost_waits (const KqStepState *st, const KqStep *p);
+bool kq_book_has_lost_waiting (const KqStepState *st, const KqStep *p);
 void kq_book_end_job (KqSched *s, KqJob *j, KqJobState state, KqTime now);
-void kq_book_due (KqSched *s, KqJob *j, KqTime now);
+void kq_book_create_due (KqSched *s, KqJob *j, KqTime now);
 void kq_book_job_free (KqJob *j);
 /* Takes the job out of the list of open jobs. */
 void kq_book_unlink (KqSched *s, KqJob *j);
@@ -385,18 +386,18 @@
                    KqRunnerState *r, uint32_t number, KqTime now);
 /* The run has ended or was never begun: its room is free, and its task waits again if it
  * was the task's current run. */
-void kq_run_over (KqSched *s, KqRun *run, KqTime now);
+void kq_run_end (KqSched *s, KqRun *run, KqTime now);
 void kq_run_send_start (KqSched *s, KqRun *run, KqTime now);
 /* The last order won't be answered: it may or may not be carried out. */
-void kq_run_unanswered (KqSched *s, KqRun *run);
+void kq_run_orders_lost (KqSched *s, KqRun *run);
 /* The start order has been answered, or won't be. */
-void kq_run_start_gone (KqSched *s, KqRun *run);
+void kq_run_close_start (KqSched *s, KqRun *run);
 void kq_run_stop (KqSched *s, KqRun *run, const char *why, KqTime now);
 void kq_run_send_stop (KqSched *s, KqRun *run, KqTime now);
 void kq_run_pace (KqSched *s, KqRun *run, int percent, KqTime now);
 void kq_run_set_checkpoint (KqRun *run, KqStr checkpoint);
 const KqStep *kq_run_step (const KqRun *run);
-bool kq_run_serves (const KqRun *run); /* not filling, has a latency target */
+bool kq_run_is_serving (const KqRun *run); /* not filling, has a latency target */
 /* Its image's place in the disturbance model; -1: none. */
 int kq_run_image (const KqRun *run);
 void kq_run_cancel_all (KqSched *s, KqJob *j, KqTime now);
@@ -412,21 +413,21 @@
 void kq_runners_taken_down (KqSched *s, KqStr id, KqTime now);
 /* A run may exist there until `ends`; `from` says where that time comes from, for logs,
  * and must stay valid. */
-void kq_runners_extend (KqRunnerState *r, KqTime ends, const char *from);
+void kq_runners_extend_lease (KqRunnerState *r, KqTime ends, const char *from);
 /* Whether a message on the runner belongs to its present assignment to the agent. The
  * first one of an earlier assignment is logged; they may arrive late, and are ignored. */
-bool kq_runners_heard_of_by (const KqSched *s, KqRunnerState *r, int agent,
-                             uint64_t taking, const char *what);
+bool kq_runners_is_current_agent (const KqSched *s, KqRunnerState *r, int agent,
+                                  uint64_t assignment, const char *what);
 /* The runner has restarted, according to a list that its agent sent after `order`
  * results. */
-void kq_runners_reborn (KqSched *s, KqRunnerState *r, uint64_t order, KqTime now);
+void kq_runners_restarted (KqSched *s, KqRunnerState *r, uint64_t order, KqTime now);
 /* Tells the runner's agent which ends are stored, and whether to report often. */
 void kq_runners_acknowledge (const KqSched *s, const KqRunnerState *r);
-void kq_runners_look (KqSched *s, KqTime now);
+void kq_runners_check_leases (KqSched *s, KqTime now);
 void kq_runners_assign (KqSched *s, KqTime now);
-void kq_runners_settle (KqSched *s, KqTime now);
+void kq_runners_check_settled (KqSched *s, KqTime now);
 /* suspects.c: records that a task has ended there. */
-void kq_runners_score (KqRunnerState *r, bool done, KqTime now);
+void kq_runners_record_end (KqRunnerState *r, bool done, KqTime now);
 
 void kq_runners_free (KqRunnerState *r);
 
@@ -453,7 +454,7 @@
 /* pools.c */
 GPtrArray *kq_pools_new (void);
 /* The pool of a service, created if there is none. Owned by the scheduler. */
-KqPool *kq_pools_need (KqSched *s, KqStr service);
+KqPool *kq_pools_get (KqSched *s, KqStr service);
 /* Starts a placing pass: sums up the runners of all services. */
 void kq_pools_begin_pass (KqSched *s);
 /* Counts n waiting tasks of the step into the demand. */
@@ -486,7 +487,7 @@
 
 /* maintenance.c */
 GPtrArray *kq_maintenance_new_waves (void);
-void kq_maintenance_look (KqSched *s, KqTime now);
+void kq_maintenance_update (KqSched *s, KqTime now);
 
 /* place.c: whether any runner could hold a task of the step if it were empty. */
 bool kq_place_any_fits (const KqSched *s, const KqSpec *spec, int32_t step);
@@ -530,7 +531,7 @@
 /* pace.c */
 /* Call after each list of its runs: learns from the reports (harm.h) and sets the paces
  * there. */
-void kq_pace_runner (KqSched *s, KqRunnerState *r, KqTime now);
+void kq_pace_update (KqSched *s, KqRunnerState *r, KqTime now);
 /* No serving task is left there: sets all filling tasks to full speed. */
 void kq_pace_release (KqSched *s, const KqRunnerState *r, KqTime now);
 /* Sets the paces of the filling tasks there by what is known. */
--- a/src/sched/store.c
+++ b/src/sched/store.c
@@ -27,7 +27,7 @@
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       KqJob *j = value;
-      bool expired = j->shown >= KQ_JOB_COMPLETED && !j->dirty && j->runs == 0
+      bool expired = j->stored_state >= KQ_JOB_COMPLETED && !j->dirty && j->runs == 0
                      && now - j->ended_at > s->config.keep_ms * KQ_MS;
       if (!j->dirty && !expired)
         continue;
@@ -92,7 +92,7 @@
           continue;
         }
       else if (!j->dirty)
-        j->shown = j->state;
+        j->stored_state = j->state;
       kq_buf_free (&j->batch);
       kq_buf_init (&j->batch);
       again = again || j->dirty;
@@ -124,30 +124,30 @@
 }
 
 bool
-kq_sched_known_pending (const KqSched *s)
+kq_sched_used_runners_pending (const KqSched *s)
 {
   return s->known_dirty && s->loaded;
 }
 
 bool
-kq_sched_known_pack (KqSched *s, KqBuf *out)
+kq_sched_used_runners_pack (KqSched *s, KqBuf *out)
 {
   KqPacker p;
   size_t n = 0;
-  if (!kq_sched_known_pending (s))
+  if (!kq_sched_used_runners_pending (s))
     return false;
   for (guint i = 0; i < s->runner_list->len; i++)
     {
       KqRunnerState *r = g_ptr_array_index (s->runner_list, i);
-      r->known_sent = kq_runners_may_run (r);
-      n += r->known_sent;
+      r->in_sent_list = kq_runners_may_run (r);
+      n += r->in_sent_list;
     }
   kq_packer_init (&p, out);
   kq_pack_array (&p, n);
   for (guint i = 0; i < s->runner_list->len; i++)
     {
       const KqRunnerState *r = g_ptr_array_index (s->runner_list, i);
-      if (!r->known_sent)
+      if (!r->in_sent_list)
         continue;
       kq_pack_array (&p, 4);
       kq_pack_str (&p, kq_str (r->id));
@@ -160,13 +160,13 @@
 }
 
 void
-kq_sched_known_stored (KqSched *s)
+kq_sched_used_runners_stored (KqSched *s)
 {
   for (guint i = 0; i < s->runner_list->len; i++)
     {
       KqRunnerState *r = g_ptr_array_index (s->runner_list, i);
-      if (r->known_sent && !r->known_stored)
+      if (r->in_sent_list && !r->in_stored_list)
         kq_runners_changed (s, r);
-      r->known_stored = r->known_sent;
+      r->in_stored_list = r->in_sent_list;
     }
 }
--- a/src/sched/suspects.c
+++ b/src/sched/suspects.c
@@ -23,29 +23,30 @@
 decay (KqRunnerState *r, KqTime now)
 {
   double factor = exp2 (-(double)(now - r->score_at) / SCORE_HALF_LIFE);
-  r->fails *= factor;
-  r->dones *= factor;
+  r->failed_count *= factor;
+  r->done_count *= factor;
   r->score_at = now;
 }
 
 void
-kq_runners_score (KqRunnerState *r, bool done, KqTime now)
+kq_runners_record_end (KqRunnerState *r, bool done, KqTime now)
 {
   KqTime pause;
   decay (r, now);
   if (done)
     {
-      r->dones += 1;
+      r->done_count += 1;
       r->suspect_times = 0;
       return;
     }
-  r->fails += 1;
-  if (r->fails < SUSPECT_FAILS || r->fails < SUSPECT_SHARE * (r->fails + r->dones))
+  r->failed_count += 1;
+  if (r->failed_count < SUSPECT_FAILS
+      || r->failed_count < SUSPECT_SHARE * (r->failed_count + r->done_count))
     return;
   pause = SUSPECT_PAUSE_INITIAL << (r->suspect_times < 4 ? r->suspect_times : 4);
   r->suspect_until = now + (pause < SUSPECT_PAUSE_MAX ? pause : SUSPECT_PAUSE_MAX);
   r->suspect_times++;
-  r->fails = SUSPECT_FAILS / 2;
+  r->failed_count = SUSPECT_FAILS / 2;
   kq_log (KQ_LOG_WARN, PART, "Runner is suspect. runner=%s dones=%.1f for_ms=%lld", r->id,
-          r->dones, (long long)((r->suspect_until - now) / KQ_MS));
+          r->done_count, (long long)((r->suspect_until - now) / KQ_MS));
 }
--- a/src/sched/takeover_test.c
+++ b/src/sched/takeover_test.c
@@ -21,7 +21,7 @@
   KqCounters *counters;
   KqTime now;
   int agent_of[RUNNERS]; /* -1: none */
-  uint64_t taking[RUNNERS];
+  uint64_t assignment[RUNNERS];
   bool listed[RUNNERS]; /* since the runner was assigned */
 } Fleet;
 
@@ -41,7 +41,7 @@
   if (o->kind == KQ_ORDER_TAKE)
     {
       f->agent_of[n] = agent;
-      f->taking[n] = o->u.take.taking;
+      f->assignment[n] = o->u.take.assignment;
       f->listed[n] = false;
     }
 }
@@ -76,7 +76,8 @@
   for (int i = 0; i < RUNNERS; i++)
     {
       char id[16];
-      KqRunnerList l = { .born_ms = 1, .lease_left_ms = 5000, .taking = f->taking[i] };
+      KqRunnerList l
+          = { .born_ms = 1, .lease_left_ms = 5000, .assignment = f->assignment[i] };
       if (f->agent_of[i] < 0 || f->listed[i])
         continue;
       f->listed[i] = true;
@@ -114,8 +115,8 @@
       kq_sched_entry (f->sched, &e, f->now);
     }
   kq_sched_loaded (f->sched, f->now);
-  kq_sched_known_pack (f->sched, &known);
-  kq_sched_known_stored (f->sched);
+  kq_sched_used_runners_pack (f->sched, &known);
+  kq_sched_used_runners_stored (f->sched);
   kq_buf_free (&known);
   *state = f;
   return 0;
@@ -194,7 +195,7 @@
       char id[16];
       snprintf (id, sizeof id, "r%d", i);
       if (f->agent_of[i] >= 0)
-        kq_sched_unreached (f->sched, f->agent_of[i], kq_str (id), f->taking[i], 5000,
+        kq_sched_unreached (f->sched, f->agent_of[i], kq_str (id), f->assignment[i], 5000,
                             f->now);
     }
   run (f, 10 * KQ_MS);
--- a/src/sched/tickets.c
+++ b/src/sched/tickets.c
@@ -97,7 +97,7 @@
 void
 kq_tickets_agent_down (KqSched *s, int agent)
 {
-  s->agents.list[agent].questions = 0;
+  s->agents.list[agent].advice_requests = 0;
   for (KqJob *j = s->open; j != NULL; j = j->next)
     for (KqOccurrence *o = j->occurrences; j->spec.advised && o != NULL; o = o->next)
       for (int32_t i = 0; i < j->spec.n_steps; i++)
@@ -115,9 +115,9 @@
   for (int i = 0; i < s->agents.n; i++)
     {
       const KqAgentState *a = &s->agents.list[i];
-      if (!a->up || a->questions >= least)
+      if (!a->up || a->advice_requests >= least)
         continue;
-      least = a->questions;
+      least = a->advice_requests;
       best = i;
     }
   return best;
@@ -162,8 +162,8 @@
     }
   if (st->advice->agent >= 0 && now - st->advice->asked_at >= ANSWER_TIMEOUT)
     drop_question (st->advice);
-  if (s->work_at == 0)
-    s->work_at = now + RETRY_DELAY;
+  if (s->next_pass_at == 0)
+    s->next_pass_at = now + RETRY_DELAY;
   if (st->advice->agent >= 0 || now < st->advice->again_at)
     return;
   agent = pick_agent (s);
@@ -178,7 +178,7 @@
   step_name (o, step, name);
   kq_log (KQ_LOG_DEBUG, PART, "Asking for advice. step=%s runners=%d agent=%d", name, n,
           agent);
-  s->agents.list[agent].questions++;
+  s->agents.list[agent].advice_requests++;
   st->advice->agent = agent;
   st->advice->asked_at = now;
   order.u.advise.step = kq_str (name);
@@ -212,7 +212,7 @@
   bool found;
   kq_buf_add_str (&task, name);
   kq_buf_add (&task, ".0", 2);
-  found = kq_book_task (s, kq_buf_str (&task), &t) && t.occurrence != NULL;
+  found = kq_book_find_task (s, kq_buf_str (&task), &t) && t.occurrence != NULL;
   kq_buf_free (&task);
   return found ? &t.occurrence->steps[t.step] : NULL;
 }
@@ -231,15 +231,15 @@
 {
   KqStepState *st = find_step (s, a->step);
   ++*s->advices[a->reply.result];
-  if (s->agents.list[agent].questions > 0)
-    s->agents.list[agent].questions--;
+  if (s->agents.list[agent].advice_requests > 0)
+    s->agents.list[agent].advice_requests--;
   kq_log (a->reply.result == KQ_ADVICE_OK ? KQ_LOG_DEBUG : KQ_LOG_WARN, PART,
           "Answer of the advice service. step=%.*s result=%d good=%zu valid_ms=%lld",
           KQ_STR_ARG (a->step), a->reply.result, a->reply.n_rows,
           (long long)a->reply.valid_ms);
   if (st == NULL || st->advice == NULL || st->advice->agent != agent)
     return;
-  s->work = true;
+  s->pass_needed = true;
   if (a->reply.result != KQ_ADVICE_OK)
     {
       st->advice->again_at = now + RETRY_DELAY;
--- a/src/sched/tickets_test.c
+++ b/src/sched/tickets_test.c
@@ -105,7 +105,7 @@
  * answer lets the next one be sent. More would wait in the service's queue, ahead of
  * urgent ones. */
 static void
-test_few_questions_are_out_at_a_time (void **state)
+test_few_questions_are_outstanding_at_a_time (void **state)
 {
   KqSchedDesk *d = *state;
   for (int i = 0; i < 10; i++)
@@ -125,7 +125,7 @@
  * the service would be asked about a runner on which a serving task is over its target
  * now. */
 static void
-test_headroom_is_of_this_pass (void **state)
+test_headroom_is_computed_in_each_pass (void **state)
 {
   KqSchedDesk *d = *state;
   KqStep serving = kq_sched_desk_step ();
@@ -172,8 +172,8 @@
     DESK (test_busy_service_is_asked_again),
     DESK (test_refused_ticket_is_replaced),
     DESK (test_queue_that_becomes_advised),
-    DESK (test_few_questions_are_out_at_a_time),
-    DESK (test_headroom_is_of_this_pass),
+    DESK (test_few_questions_are_outstanding_at_a_time),
+    DESK (test_headroom_is_computed_in_each_pass),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/sched/watch.c
+++ b/src/sched/watch.c
@@ -59,7 +59,7 @@
 static bool
 start_copy (KqSched *s, KqRun *run)
 {
-  KqTaskState *t = kq_book_state (run);
+  KqTaskState *t = kq_book_task_state (run);
   if (!kq_run_step (run)->copies || !run->runner->silent || t == NULL || t->run != run)
     return false;
   t->avoid = run->runner;
@@ -67,7 +67,7 @@
   t->phase = KQ_TASK_WAITING;
   run->occurrence->steps[run->step].active--;
   run->occurrence = NULL;
-  s->work = true;
+  s->pass_needed = true;
   return true;
 }
 
@@ -77,7 +77,7 @@
 static void
 repeat_start (KqSched *s, KqRun *run, KqTime now)
 {
-  if (run->runner->draining || run->runner->leaving)
+  if (run->runner->draining || run->runner->host_leaving)
     kq_run_stop (s, run, "its runner leaves", now);
   else
     {
@@ -94,21 +94,22 @@
     return;
   if (run->occurrence == NULL && !r->silent && r->listed)
     kq_run_stop (s, run, "no longer wanted", now); /* unless it is stopping already */
-  if (run->phase == KQ_RUN_SENDING && !run->waiting && now >= run->retry_at
+  if (run->phase == KQ_RUN_SENDING && !run->order_pending && now >= run->retry_at
       && run->confirmed == 0 && !r->silent && r->listed)
     repeat_start (s, run, now);
   /* Not if the runner has answered a stop: the answer to a repeat would count as newer
    * than each list on its way, and no list could end the run. */
-  else if (run->phase == KQ_RUN_STOPPING && !run->waiting && !run->stopped && !r->silent
-           && r->listed && now >= run->retry_at + (run->unsure ? 0 : STOP_REPEAT_DELAY))
+  else if (run->phase == KQ_RUN_STOPPING && !run->order_pending && !run->stopped
+           && !r->silent && r->listed
+           && now >= run->retry_at + (run->outcome_unknown ? 0 : STOP_REPEAT_DELAY))
     kq_run_send_stop (s, run, now);
   else if (is_stalled (run, now))
     {
-      KqTaskState *t = kq_book_state (run);
+      KqTaskState *t = kq_book_task_state (run);
       if (t != NULL)
         t->avoid = r;
       ++*s->stops_hang;
-      kq_runners_score (r, false, now);
+      kq_runners_record_end (r, false, now);
       kq_run_stop (s, run, "stands still", now);
     }
   else if (must_move (run, now))
@@ -119,7 +120,7 @@
   else if (kq_run_step (run)->filling && run->pace <= THROTTLED_PACE_PERCENT
            && now - run->moved_at > THROTTLED_MAX && kq_run_step (run)->checkpoints)
     {
-      KqTaskState *t = kq_book_state (run);
+      KqTaskState *t = kq_book_task_state (run);
       if (t != NULL)
         t->avoid = r;
       kq_run_stop (s, run, "held back for serving tasks", now);
--- a/src/sched/window.c
+++ b/src/sched/window.c
@@ -19,20 +19,20 @@
 bool
 kq_window_open (const KqWindow *w)
 {
-  return w->under_way < w->size;
+  return w->unanswered < w->size;
 }
 
 void
 kq_window_sent (KqWindow *w)
 {
-  w->under_way++;
+  w->unanswered++;
 }
 
 void
-kq_window_gone (KqWindow *w)
+kq_window_done (KqWindow *w)
 {
-  assert (w->under_way > 0);
-  w->under_way--;
+  assert (w->unanswered > 0);
+  w->unanswered--;
 }
 
 void
--- a/src/sched/window.h
+++ b/src/sched/window.h
@@ -18,14 +18,14 @@
 typedef struct
 {
   int32_t size;
-  int32_t under_way; /* start orders that may still be answered */
+  int32_t unanswered; /* start orders that may still be answered */
 } KqWindow;
 
 void kq_window_init (KqWindow *w);
 bool kq_window_open (const KqWindow *w);
 void kq_window_sent (KqWindow *w);
 /* The order has been answered, or won't be. */
-void kq_window_gone (KqWindow *w);
+void kq_window_done (KqWindow *w);
 /* A start was carried out, answered after `took`. */
 void kq_window_answered (KqWindow *w, KqTime took);
 
--- a/src/sched/window_test.c
+++ b/src/sched/window_test.c
@@ -22,7 +22,7 @@
 {
   for (int i = 0; i < n; i++)
     {
-      kq_window_gone (w);
+      kq_window_done (w);
       kq_window_answered (w, took);
     }
 }
@@ -37,7 +37,7 @@
 }
 
 static void
-test_answers_in_time_open_it (void **state)
+test_prompt_answers_widen_the_window (void **state)
 {
   KqWindow w;
   int first;
@@ -50,7 +50,7 @@
 }
 
 static void
-test_late_answers_close_it (void **state)
+test_late_answers_narrow_the_window (void **state)
 {
   KqWindow w;
   int least;
@@ -67,7 +67,7 @@
 
 /* One slow runner in seven must not hold up starts on the others. */
 static void
-test_few_late_answers_do_not_close_it (void **state)
+test_few_late_answers_do_not_narrow_the_window (void **state)
 {
   KqWindow w;
   int first;
@@ -98,7 +98,7 @@
  * queue behind them on its link. Starts must be sent only as fast as they are answered.
  */
 static void
-test_starts_leave_as_fast_as_they_are_answered (void **state)
+test_starts_are_sent_as_fast_as_they_are_answered (void **state)
 {
   KqSchedDesk *d = *state;
   int before;
@@ -140,14 +140,14 @@
 int
 main (void)
 {
-  const struct CMUnitTest tests[]
-      = { cmocka_unit_test (test_answers_in_time_open_it),
-          cmocka_unit_test (test_late_answers_close_it),
-          cmocka_unit_test (test_few_late_answers_do_not_close_it),
-          cmocka_unit_test_setup_teardown (test_starts_leave_as_fast_as_they_are_answered,
-                                           kq_sched_desk_set_up, kq_sched_desk_tear_down),
-          cmocka_unit_test_setup_teardown (test_starts_of_a_lost_node_are_not_waited_for,
-                                           kq_sched_desk_set_up,
-                                           kq_sched_desk_tear_down) };
+  const struct CMUnitTest tests[] = {
+    cmocka_unit_test (test_prompt_answers_widen_the_window),
+    cmocka_unit_test (test_late_answers_narrow_the_window),
+    cmocka_unit_test (test_few_late_answers_do_not_narrow_the_window),
+    cmocka_unit_test_setup_teardown (test_starts_are_sent_as_fast_as_they_are_answered,
+                                     kq_sched_desk_set_up, kq_sched_desk_tear_down),
+    cmocka_unit_test_setup_teardown (test_starts_of_a_lost_node_are_not_waited_for,
+                                     kq_sched_desk_set_up, kq_sched_desk_tear_down)
+  };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -24,7 +24,7 @@
      "  m->bound[filling] = 0 * v;"),
     ("harm beyond doubt only", "src/sched/disturb.c", "#define BOUND_DEVIATIONS 0.4",
      "#define BOUND_DEVIATIONS 0.0"),
-    ("load's slope", "src/sched/swing.c",
+    ("load's slope", "src/sched/load_trend.c",
      "return s->level + s->slope * fmin (dt, EXTRAPOLATE_MAX_S);",
      "return s->level + 0 * fmin (dt, EXTRAPOLATE_MAX_S);"),
     ("offset of a task", "src/sched/harm.c", "#define OFFSET_WEIGHT 0.1",
