--- a/src/wire/conn.c
+++ b/src/wire/conn.c
@@ -9,9 +9,9 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define READ_BLOCK (64 * 1024)
-/* Reads per turn of the loop, so that one busy peer doesn't keep the others waiting. */
-#define READS_PER_TURN 8
+#define READ_MAX_BYTES (64 * 1024)
+/* Reads per event, so that one busy peer doesn't delay the others. */
+#define READS_PER_EVENT 8
 
 struct KqConn
 {
@@ -19,13 +19,13 @@
   KqConnCallback cb;
   int fd;
   bool connecting;
-  bool busy;  /* inside a callback: freeing waits until it returns */
-  bool freed; /* freed while busy */
+  bool in_event; /* handling an event: destroyed only when that is done */
+  bool freed;    /* kq_conn_free was called */
   ev_io readable;
   ev_io writable;
   KqBuf in;
   KqBuf out;
-  size_t written; /* of out */
+  size_t written; /* bytes of `out` that were sent */
   KqTime heard_at;
   KqTime sent_at;
   uint64_t bytes_in;
@@ -51,7 +51,7 @@
   if (c == NULL)
     return;
   c->freed = true;
-  if (!c->busy)
+  if (!c->in_event)
     destroy (c);
 }
 
@@ -64,7 +64,7 @@
   c->cb.closed (c->cb.arg, c, why);
 }
 
-/* The length at the front of `in`; false: fewer than 4 bytes are there. */
+/* Reads the frame length at offset `at`; false if fewer than 4 bytes are there. */
 static bool
 frame_length (const KqBuf *in, size_t at, uint32_t *n)
 {
@@ -75,9 +75,10 @@
   return true;
 }
 
-/* Gives every whole frame to the owner. KQ_OK, or why the connection must end. */
+/* Passes every complete frame to the owner. Returns KQ_OK, or why the connection must be
+ * closed. */
 static KqResult
-take_frames (KqConn *c)
+deliver_frames (KqConn *c)
 {
   size_t at = 0;
   uint32_t n;
@@ -105,15 +106,16 @@
   return r;
 }
 
-/* KQ_OK: nothing more to read now. */
+/* Reads what is available, with READS_PER_EVENT reads at most. Returns KQ_OK, or
+ * KQ_ERR_PEER_LOST if the connection failed or was closed. */
 static KqResult
-read_some (KqConn *c)
+read_available (KqConn *c)
 {
-  for (int i = 0; i < READS_PER_TURN; i++)
+  for (int i = 0; i < READS_PER_EVENT; i++)
     {
       ssize_t n;
-      kq_buf_reserve (&c->in, READ_BLOCK);
-      n = read (c->fd, c->in.ptr + c->in.len, READ_BLOCK);
+      kq_buf_reserve (&c->in, READ_MAX_BYTES);
+      n = read (c->fd, c->in.ptr + c->in.len, READ_MAX_BYTES);
       if (n == 0)
         return KQ_ERR_PEER_LOST;
       if (n < 0)
@@ -121,7 +123,7 @@
       c->in.len += (size_t)n;
       c->bytes_in += (uint64_t)n;
       c->heard_at = kq_time_now ();
-      if (n < READ_BLOCK)
+      if (n < READ_MAX_BYTES)
         break;
     }
   return KQ_OK;
@@ -131,18 +133,18 @@
 on_readable (struct ev_loop *ev, ev_io *w, int events)
 {
   KqConn *c = w->data;
-  KqResult got;
-  KqResult framed;
+  KqResult read_result;
+  KqResult frame_result;
   (void)ev;
   (void)events;
-  c->busy = true;
-  got = read_some (c);
-  framed = take_frames (c);
-  if (!c->freed && framed != KQ_OK)
-    fail (c, framed);
-  else if (!c->freed && got != KQ_OK)
-    fail (c, got);
-  c->busy = false;
+  c->in_event = true;
+  read_result = read_available (c);
+  frame_result = deliver_frames (c);
+  if (!c->freed && frame_result != KQ_OK)
+    fail (c, frame_result);
+  else if (!c->freed && read_result != KQ_OK)
+    fail (c, read_result);
+  c->in_event = false;
   if (c->freed)
     destroy (c);
 }
@@ -156,7 +158,7 @@
       ssize_t n
           = send (c->fd, c->out.ptr + c->written, c->out.len - c->written, MSG_NOSIGNAL);
       if (n < 0)
-        break; /* a real error shows at the next read */
+        break; /* EAGAIN, or an error that the next read reports as well */
       c->written += (size_t)n;
       c->bytes_out += (uint64_t)n;
     }
@@ -198,12 +200,12 @@
   KqConn *c = w->data;
   (void)ev;
   (void)events;
-  c->busy = true;
+  c->in_event = true;
   if (c->connecting)
     finish_connect (c);
   if (!c->freed && !c->connecting)
     flush (c);
-  c->busy = false;
+  c->in_event = false;
   if (c->freed)
     destroy (c);
 }
--- a/src/wire/conn.h
+++ b/src/wire/conn.h
@@ -1,9 +1,10 @@
 #ifndef KQ_WIRE_CONN_H
 #define KQ_WIRE_CONN_H
 
-/* conn: one TCP connection that carries frames (see wire/msg.h).
+/* conn: a TCP connection that carries frames (see wire/msg.h).
  *
- * A frame of length 0 is a ping: it only shows that the connection still passes bytes. */
+ * A frame of length 0 is a ping: it has no content and only shows that the connection
+ * still works. */
 
 #include "base/task.h"
 #include "wire/msg.h"
@@ -16,21 +17,23 @@
 {
   void *arg;
   void (*connected) (void *arg, KqConn *c);
-  /* May close the connection. */
+  /* May free the connection. `m` is valid during the call only. */
   void (*message) (void *arg, KqConn *c, const KqMsg *m);
-  /* The connection failed or ended; the owner frees it (also from in here). */
+  /* The connection failed or was closed by the peer. The owner must free it, and may do
+   * so inside this callback. */
   void (*closed) (void *arg, KqConn *c, KqResult why);
 } KqConnCallback;
 
-/* Starts connecting; NULL when the address is bad or the socket can't be made. */
+/* Starts connecting to "ip:port"; NULL if the address is invalid, the socket can't be
+ * created or connecting fails at once. */
 KqConn *kq_conn_open (KqLoop *loop, KqStr address, const KqConnCallback *cb);
-/* Wraps an accepted socket. */
+/* Takes over an accepted socket. */
 KqConn *kq_conn_accept (KqLoop *loop, int fd, const KqConnCallback *cb);
 void kq_conn_free (KqConn *c);
 void kq_conn_send (KqConn *c, const KqMsg *m);
 void kq_conn_ping (KqConn *c);
-KqTime kq_conn_heard_at (const KqConn *c); /* last byte that came in */
-KqTime kq_conn_sent_at (const KqConn *c);  /* last frame given to _send or _ping */
+KqTime kq_conn_heard_at (const KqConn *c); /* when bytes last arrived */
+KqTime kq_conn_sent_at (const KqConn *c);  /* last call of _send or _ping */
 void kq_conn_set_data (KqConn *c, void *data);
 void *kq_conn_data (const KqConn *c);
 uint64_t kq_conn_bytes_in (const KqConn *c);
--- a/src/wire/hello.h
+++ b/src/wire/hello.h
@@ -1,12 +1,13 @@
 #ifndef KQ_WIRE_HELLO_H
 #define KQ_WIRE_HELLO_H
 
-/* hello: the first messages of a mesh connection, and their check.
+/* hello: the handshake messages that authenticate both ends of a mesh connection.
  *
- * The opener sends a hello over nonce 0, the other side answers with one over the
- * opener's nonce, and the opener sends a second one over the answerer's nonce. The
- * digest is HMAC-SHA256 with the cluster's secret over all fields and that nonce, so a
- * recorded hello opens nothing. */
+ * Each end picks a nonce. The initiator sends a hello with a digest over peer nonce 0,
+ * the responder answers with a digest over the initiator's nonce, and the initiator sends
+ * a second hello with a digest over the responder's nonce. The digest is HMAC-SHA256,
+ * keyed with the cluster's secret, over all fields and the peer's nonce; a recorded hello
+ * therefore can't be replayed on another connection. */
 
 #include "wire/msg.h"
 
@@ -21,13 +22,14 @@
   KqStr secret;
 } KqHelloSelf;
 
-/* Bytes of a digest in hex, without the NUL. */
+/* Length of a digest in hex, without the NUL. */
 #define KQ_HELLO_DIGEST_LEN 64
 
-/* Fills *out; its digest points into `digest`. */
+/* Fills *out. Its strings are those of *self and, for the digest, `digest`. */
 void kq_hello_make (const KqHelloSelf *self, uint64_t nonce, uint64_t peer_nonce,
                     char digest[KQ_HELLO_DIGEST_LEN + 1], KqMsgHello *out);
-/* KQ_OK, KQ_ERR_HELLO_CLUSTER, _VERSION or _DIGEST. */
+/* Checks a hello of the peer against the nonce that its digest must cover. Returns KQ_OK,
+ * KQ_ERR_HELLO_CLUSTER, KQ_ERR_HELLO_VERSION or KQ_ERR_HELLO_DIGEST. */
 KqResult kq_hello_check (const KqHelloSelf *self, const KqMsgHello *h,
                          uint64_t our_nonce);
 
--- a/src/wire/mesh.c
+++ b/src/wire/mesh.c
@@ -15,46 +15,45 @@
 #include <unistd.h>
 
 #define PART "mesh"
-/* The table of connections is looked over ten times a second: fine enough against
- * silence limits of seconds. */
+/* Interval at which all peers are checked; small against silence limits of seconds. */
 #define TICK_S 0.1
-/* Between two attempts to reach a peer, with up to as much again as jitter, so that the
- * nodes of a region don't all call a restarted one in the same instant. */
-#define RECONNECT (200 * KQ_MS)
-/* A connection on demand without a message for so long is closed. */
-#define IDLE (30 * KQ_SEC)
-/* Messages kept for a peer while its connection is being opened. */
+/* Delay between two attempts to connect to a peer, plus random jitter of up to the same
+ * length, so that not all nodes of a region connect to a restarted peer at once. */
+#define RECONNECT_DELAY (200 * KQ_MS)
+/* A connection on demand is closed after this time without a message. */
+#define IDLE_TIMEOUT (30 * KQ_SEC)
+/* Messages queued per peer while its connection is being opened. */
 #define PENDING_MAX 256
 
 typedef struct Peer
 {
   struct Peer *next;
   KqNodeId id;
-  char *address; /* NULL: it came to us, we can't call it */
-  bool keep;
-  bool wanted;  /* there is something to send */
-  KqConn *conn; /* up, or being opened by us */
-  bool up;
+  char *address;       /* NULL: unknown, only the peer can connect */
+  bool persistent;     /* persistent connection; otherwise on demand */
+  bool connect_wanted; /* on demand: a message waits for a connection */
+  KqConn *conn;        /* established, or being opened by this node */
+  bool up;             /* the handshake is complete */
   uint64_t incarnation;
   KqTime retry_at;
   KqTime used_at;
-  KqMeshCounted counted; /* of conn */
+  KqMeshBytesCounted counted; /* for conn */
   KqMsg *pending[PENDING_MAX];
   int n_pending;
 } Peer;
 
-/* A connection whose hello is not complete. */
-typedef struct Greeting
+/* A connection whose handshake is not complete. */
+typedef struct Handshake
 {
-  struct Greeting *next;
+  struct Handshake *next;
   struct KqMesh *mesh;
   KqConn *conn;
-  bool opener;
-  KqNodeId expected; /* of the opener: whom it called */
+  bool initiator;
+  KqNodeId expected_peer; /* set if initiator: the node that should answer */
   uint64_t nonce;
   uint64_t peer_nonce;
-  KqTime since;
-} Greeting;
+  KqTime started_at;
+} Handshake;
 
 struct KqMesh
 {
@@ -66,10 +65,10 @@
   KqRand rand;
   int fd;
   int port;
-  ev_io accepting;
+  ev_io accept_watcher;
   ev_timer tick;
   Peer *peers;
-  Greeting *greetings;
+  Handshake *handshakes;
   KqMeshCounters counters;
 };
 
@@ -98,7 +97,7 @@
 }
 
 static void
-tell_up (KqMesh *m, const Peer *p)
+report_up (KqMesh *m, const Peer *p)
 {
   KqMail *mail = kq_mail_new (KQ_MAIL_PEER);
   mail->u.peer = (KqMailPeer){ p->id, p->incarnation, true, false, KQ_OK };
@@ -106,7 +105,7 @@
 }
 
 static void
-tell_down (KqMesh *m, KqNodeId id, uint64_t incarnation, bool was_up, KqResult reason)
+report_down (KqMesh *m, KqNodeId id, uint64_t incarnation, bool was_up, KqResult reason)
 {
   KqMail *mail = kq_mail_new (KQ_MAIL_PEER);
   mail->u.peer = (KqMailPeer){ id, incarnation, false, was_up, reason };
@@ -120,61 +119,62 @@
     kq_msg_free (p->pending[i]);
   *m->counters.dropped += (uint64_t)p->n_pending;
   p->n_pending = 0;
-  p->wanted = false;
+  p->connect_wanted = false;
 }
 
-/* A connection that never was a peer's: its hello's bytes count as near. */
+/* Closes a connection that was not assigned to a peer. Its bytes are counted as near. */
 static void
-drop_stray (KqMesh *m, KqConn *c)
+close_unassigned (KqMesh *m, KqConn *c)
 {
-  KqMeshCounted none = { 0 };
+  KqMeshBytesCounted none = { 0 };
   kq_mesh_count_bytes (&m->counters, c, false, &none);
   kq_conn_free (c);
 }
 
 static void
-drop_conn (KqMesh *m, Peer *p)
+close_conn (KqMesh *m, Peer *p)
 {
-  kq_mesh_count_bytes (&m->counters, p->conn, !p->keep, &p->counted);
+  kq_mesh_count_bytes (&m->counters, p->conn, !p->persistent, &p->counted);
   kq_conn_free (p->conn);
   p->conn = NULL;
-  p->counted = (KqMeshCounted){ 0 };
+  p->counted = (KqMeshBytesCounted){ 0 };
 }
 
-/* The peer's connection is gone or given up. */
+/* Handles the loss of the peer's connection, or closes it for the given reason. */
 static void
 peer_down (KqMesh *m, Peer *p, KqResult why, KqTime now)
 {
   bool was_up = p->up;
   if (p->conn != NULL)
-    drop_conn (m, p);
+    close_conn (m, p);
   p->up = false;
-  p->retry_at = now + RECONNECT + (KqTime)kq_rand_below (&m->rand, (uint64_t)RECONNECT);
+  p->retry_at = now + RECONNECT_DELAY
+                + (KqTime)kq_rand_below (&m->rand, (uint64_t)RECONNECT_DELAY);
   if (was_up || p->n_pending > 0)
     {
       kq_counter_result (m->config.counters, why);
-      tell_down (m, p->id, p->incarnation, was_up, why);
+      report_down (m, p->id, p->incarnation, was_up, why);
     }
   drop_pending (m, p);
 }
 
 static void
-forget_greeting (KqMesh *m, Greeting *g)
+remove_handshake (KqMesh *m, Handshake *hs)
 {
-  Greeting **at = &m->greetings;
-  while (*at != g)
+  Handshake **at = &m->handshakes;
+  while (*at != hs)
     at = &(*at)->next;
-  *at = g->next;
-  free (g);
+  *at = hs->next;
+  free (hs);
 }
 
-/* Ends a connection before its hello was complete. */
+/* Closes a connection whose handshake failed. */
 static void
-greeting_failed (KqMesh *m, Greeting *g, KqResult why)
+handshake_failed (KqMesh *m, Handshake *hs, KqResult why)
 {
-  Peer *p = g->opener ? find_peer (m, g->expected) : NULL;
-  KqConn *c = g->conn;
-  forget_greeting (m, g);
+  Peer *p = hs->initiator ? find_peer (m, hs->expected_peer) : NULL;
+  KqConn *c = hs->conn;
+  remove_handshake (m, hs);
   if (why != KQ_ERR_PEER_LOST)
     {
       kq_counter_result (m->config.counters, why);
@@ -184,16 +184,16 @@
   if (p != NULL && p->conn == c)
     peer_down (m, p, why, kq_time_now ());
   else
-    drop_stray (m, c);
+    close_unassigned (m, c);
 }
 
 static void
-send_hello (KqMesh *m, Greeting *g)
+send_hello (KqMesh *m, Handshake *hs)
 {
   char digest[KQ_HELLO_DIGEST_LEN + 1];
   KqMsg msg = { .kind = KQ_MSG_HELLO };
-  kq_hello_make (&m->self, g->nonce, g->peer_nonce, digest, &msg.u.hello);
-  kq_conn_send (g->conn, &msg);
+  kq_hello_make (&m->self, hs->nonce, hs->peer_nonce, digest, &msg.u.hello);
+  kq_conn_send (hs->conn, &msg);
 }
 
 static void
@@ -207,41 +207,42 @@
   p->n_pending = 0;
 }
 
-/* Two nodes may call each other at once. The one opened by the lower id stays; of two
- * from the same opener the newer one, since its opener has given the older one up. */
+/* Two nodes may connect to each other at the same time. The connection opened by the node
+ * with the lower id is kept. Of two that the same node opened the newer one is kept,
+ * since that node has given up the older one. */
 static bool
-keeps_old (const KqMesh *m, const Peer *p, bool opener)
+keep_existing (const KqMesh *m, const Peer *p, bool initiator)
 {
-  bool lower_opened = opener == (m->config.id < p->id);
-  return p->up && !lower_opened;
+  bool lower_id_opened = initiator == (m->config.id < p->id);
+  return p->up && !lower_id_opened;
 }
 
 static void
-greeting_done (KqMesh *m, Greeting *g, const KqMsgHello *h)
+handshake_done (KqMesh *m, Handshake *hs, const KqMsgHello *h)
 {
   Peer *p = get_peer (m, h->node_id);
-  KqConn *c = g->conn;
-  bool opener = g->opener;
-  forget_greeting (m, g);
-  if (p->conn != c && keeps_old (m, p, opener))
+  KqConn *c = hs->conn;
+  bool initiator = hs->initiator;
+  remove_handshake (m, hs);
+  if (p->conn != c && keep_existing (m, p, initiator))
     {
-      drop_stray (m, c);
+      close_unassigned (m, c);
       return;
     }
   if (p->conn != NULL && p->conn != c)
     {
-      /* Also ends a greeting of ours with the same peer. */
-      for (Greeting *o = m->greetings; o != NULL; o = o->next)
+      /* A handshake that this node began with the same peer ends as well. */
+      for (Handshake *o = m->handshakes; o != NULL; o = o->next)
         {
           if (o->conn == p->conn)
             {
-              forget_greeting (m, o);
+              remove_handshake (m, o);
               break;
             }
         }
-      drop_conn (m, p);
+      close_conn (m, p);
       if (p->up)
-        tell_down (m, p->id, p->incarnation, true, KQ_ERR_PEER_LOST);
+        report_down (m, p->id, p->incarnation, true, KQ_ERR_PEER_LOST);
     }
   p->conn = c;
   p->up = true;
@@ -249,42 +250,42 @@
   p->used_at = kq_time_now ();
   kq_conn_set_data (c, p);
   kq_log (KQ_LOG_DEBUG, PART, "Peer connected. peer=%.*s", KQ_STR_ARG (h->node));
-  tell_up (m, p);
+  report_up (m, p);
   send_pending (p);
 }
 
 static void
-on_hello (KqMesh *m, Greeting *g, const KqMsgHello *h)
+on_hello (KqMesh *m, Handshake *hs, const KqMsgHello *h)
 {
-  bool first = !g->opener && g->peer_nonce == 0;
-  KqResult r = kq_hello_check (&m->self, h, first ? 0 : g->nonce);
+  bool first = !hs->initiator && hs->peer_nonce == 0;
+  KqResult r = kq_hello_check (&m->self, h, first ? 0 : hs->nonce);
   if (r == KQ_OK && h->node_id == m->config.id)
     r = KQ_ERR_PEER_UNKNOWN;
-  if (r == KQ_OK && g->opener && g->expected != h->node_id)
+  if (r == KQ_OK && hs->initiator && hs->expected_peer != h->node_id)
     r = KQ_ERR_PEER_UNKNOWN;
   if (r != KQ_OK)
     {
-      greeting_failed (m, g, r);
+      handshake_failed (m, hs, r);
       return;
     }
-  g->peer_nonce = h->nonce;
+  hs->peer_nonce = h->nonce;
   if (first)
     {
-      send_hello (m, g);
+      send_hello (m, hs);
       return;
     }
-  if (g->opener)
-    send_hello (m, g);
-  greeting_done (m, g, h);
+  if (hs->initiator)
+    send_hello (m, hs);
+  handshake_done (m, hs, h);
 }
 
-static Greeting *
-greeting_of (KqMesh *m, const KqConn *c)
+static Handshake *
+find_handshake (KqMesh *m, const KqConn *c)
 {
-  for (Greeting *g = m->greetings; g != NULL; g = g->next)
+  for (Handshake *hs = m->handshakes; hs != NULL; hs = hs->next)
     {
-      if (g->conn == c)
-        return g;
+      if (hs->conn == c)
+        return hs;
     }
   return NULL;
 }
@@ -293,25 +294,25 @@
 on_connected (void *arg, KqConn *c)
 {
   KqMesh *m = arg;
-  Greeting *g = greeting_of (m, c);
-  assert (g != NULL);
-  send_hello (m, g);
+  Handshake *hs = find_handshake (m, c);
+  assert (hs != NULL);
+  send_hello (m, hs);
 }
 
 static void
 on_message (void *arg, KqConn *c, const KqMsg *msg)
 {
   KqMesh *m = arg;
-  Greeting *g = greeting_of (m, c);
+  Handshake *hs = find_handshake (m, c);
   Peer *p;
-  if (g != NULL && msg->kind == KQ_MSG_HELLO)
+  if (hs != NULL && msg->kind == KQ_MSG_HELLO)
     {
-      on_hello (m, g, &msg->u.hello);
+      on_hello (m, hs, &msg->u.hello);
       return;
     }
-  if (g != NULL)
+  if (hs != NULL)
     {
-      greeting_failed (m, g, KQ_ERR_FRAME_FORMAT);
+      handshake_failed (m, hs, KQ_ERR_FRAME_FORMAT);
       return;
     }
   p = kq_conn_data (c);
@@ -324,45 +325,45 @@
 on_closed (void *arg, KqConn *c, KqResult why)
 {
   KqMesh *m = arg;
-  Greeting *g = greeting_of (m, c);
-  if (g != NULL)
-    greeting_failed (m, g, why);
+  Handshake *hs = find_handshake (m, c);
+  if (hs != NULL)
+    handshake_failed (m, hs, why);
   else
     peer_down (m, kq_conn_data (c), why, kq_time_now ());
 }
 
-static Greeting *
-add_greeting (KqMesh *m, bool opener, KqNodeId expected)
+static Handshake *
+add_handshake (KqMesh *m, bool initiator, KqNodeId expected_peer)
 {
-  Greeting *g = kq_alloc (sizeof *g);
-  g->mesh = m;
-  g->opener = opener;
-  g->expected = expected;
-  g->nonce = kq_rand_next (&m->rand) | 1;
-  g->since = kq_time_now ();
-  g->next = m->greetings;
-  m->greetings = g;
-  return g;
+  Handshake *hs = kq_alloc (sizeof *hs);
+  hs->mesh = m;
+  hs->initiator = initiator;
+  hs->expected_peer = expected_peer;
+  hs->nonce = kq_rand_next (&m->rand) | 1;
+  hs->started_at = kq_time_now ();
+  hs->next = m->handshakes;
+  m->handshakes = hs;
+  return hs;
 }
 
 static void
-call_peer (KqMesh *m, Peer *p, KqTime now)
+connect_peer (KqMesh *m, Peer *p, KqTime now)
 {
   KqConnCallback cb = { m, on_connected, on_message, on_closed };
   KqConn *c = kq_conn_open (m->loop, kq_str (p->address), &cb);
-  Greeting *g;
+  Handshake *hs;
   if (c == NULL)
     {
       peer_down (m, p, KQ_ERR_PEER_LOST, now);
       return;
     }
-  g = add_greeting (m, true, p->id);
-  g->conn = c;
+  hs = add_handshake (m, true, p->id);
+  hs->conn = c;
   p->conn = c;
 }
 
 static void
-on_accepting (struct ev_loop *ev, ev_io *w, int events)
+on_accept (struct ev_loop *ev, ev_io *w, int events)
 {
   KqMesh *m = w->data;
   KqConnCallback cb = { m, on_connected, on_message, on_closed };
@@ -371,21 +372,21 @@
   (void)events;
   if (fd < 0)
     return;
-  add_greeting (m, false, 0)->conn = kq_conn_accept (m->loop, fd, &cb);
+  add_handshake (m, false, 0)->conn = kq_conn_accept (m->loop, fd, &cb);
 }
 
 static bool
-should_call (const KqMesh *m, const Peer *p, KqTime now)
+should_connect (const KqMesh *m, const Peer *p, KqTime now)
 {
-  bool ours = p->keep ? m->config.id < p->id : p->wanted;
+  bool ours = p->persistent ? m->config.id < p->id : p->connect_wanted;
   return p->conn == NULL && p->address != NULL && ours && now >= p->retry_at;
 }
 
 static void
-tend_peer (KqMesh *m, Peer *p, KqTime now)
+check_peer (KqMesh *m, Peer *p, KqTime now)
 {
-  if (should_call (m, p, now))
-    call_peer (m, p, now);
+  if (should_connect (m, p, now))
+    connect_peer (m, p, now);
   if (!p->up)
     return;
   if (now - kq_conn_heard_at (p->conn) > m->config.silence)
@@ -394,7 +395,7 @@
               p->address != NULL ? p->address : "?");
       peer_down (m, p, KQ_ERR_PEER_SILENT, now);
     }
-  else if (!p->keep && now - p->used_at > IDLE)
+  else if (!p->persistent && now - p->used_at > IDLE_TIMEOUT)
     peer_down (m, p, KQ_ERR_PEER_LOST, now);
   else if (now - kq_conn_sent_at (p->conn) > m->config.silence / 3)
     kq_conn_ping (p->conn);
@@ -409,17 +410,17 @@
   (void)events;
   for (Peer *p = m->peers; p != NULL; p = p->next)
     {
-      tend_peer (m, p, now);
+      check_peer (m, p, now);
       if (p->conn != NULL)
-        kq_mesh_count_bytes (&m->counters, p->conn, !p->keep, &p->counted);
+        kq_mesh_count_bytes (&m->counters, p->conn, !p->persistent, &p->counted);
     }
-  for (Greeting *g = m->greetings, *next = NULL; g != NULL; g = next)
+  for (Handshake *hs = m->handshakes, *next = NULL; hs != NULL; hs = next)
     {
-      next = g->next;
-      if (now - g->since > m->config.silence)
+      next = hs->next;
+      if (now - hs->started_at > m->config.silence)
         {
-          greeting_failed (m, g, KQ_ERR_PEER_SILENT);
-          break; /* the list may have changed; the rest at the next tick */
+          handshake_failed (m, hs, KQ_ERR_PEER_SILENT);
+          break; /* the list may have changed; continue at the next tick */
         }
     }
 }
@@ -435,20 +436,21 @@
       ++*m->counters.sent;
     }
   else if (p != NULL && p->address != NULL && p->n_pending < PENDING_MAX
-           && (!p->keep || p->conn != NULL))
+           && (!p->persistent || p->conn != NULL))
     {
       p->pending[p->n_pending++] = kq_msg_copy (msg);
-      p->wanted = true;
-      if (should_call (m, p, kq_time_now ()))
-        call_peer (m, p, kq_time_now ());
+      p->connect_wanted = true;
+      if (should_connect (m, p, kq_time_now ()))
+        connect_peer (m, p, kq_time_now ());
     }
   else
     {
-      /* Without this word a request given to a peer that is down would wait for its
-       * deadline, and its caller would be told "unknown" though nothing was sent. */
+      /* Without this report a request for a peer that is down would wait until its
+       * deadline, and its caller would be told that the outcome is unknown although
+       * nothing was sent. */
       ++*m->counters.dropped;
       kq_counter_result (m->config.counters, KQ_ERR_PEER_UNKNOWN);
-      tell_down (m, to, p != NULL ? p->incarnation : 0, false, KQ_ERR_PEER_UNKNOWN);
+      report_down (m, to, p != NULL ? p->incarnation : 0, false, KQ_ERR_PEER_UNKNOWN);
     }
 }
 
@@ -471,7 +473,7 @@
   kq_mail_free (mail);
 }
 
-/* The configuration's strings are the caller's; ours must live as long as we do. */
+/* The caller owns the strings of the configuration; the mesh needs copies of its own. */
 static void
 copy_strings (KqMesh *m)
 {
@@ -505,10 +507,10 @@
   copy_strings (m);
   kq_mesh_counters_init (&m->counters, c->counters);
   kq_task_init (&m->task, loop, "mesh", m, on_mail);
-  ev_io_init (&m->accepting, on_accepting, fd, EV_READ);
+  ev_io_init (&m->accept_watcher, on_accept, fd, EV_READ);
   ev_timer_init (&m->tick, on_tick, TICK_S, TICK_S);
-  m->accepting.data = m->tick.data = m;
-  ev_io_start (kq_loop_ev (loop), &m->accepting);
+  m->accept_watcher.data = m->tick.data = m;
+  ev_io_start (kq_loop_ev (loop), &m->accept_watcher);
   ev_timer_start (kq_loop_ev (loop), &m->tick);
   return m;
 }
@@ -518,16 +520,16 @@
 {
   if (m == NULL)
     return;
-  ev_io_stop (kq_loop_ev (m->loop), &m->accepting);
+  ev_io_stop (kq_loop_ev (m->loop), &m->accept_watcher);
   ev_timer_stop (kq_loop_ev (m->loop), &m->tick);
   close (m->fd);
-  for (Greeting *g = m->greetings, *next = NULL; g != NULL; g = next)
+  for (Handshake *hs = m->handshakes, *next = NULL; hs != NULL; hs = next)
     {
-      Peer *p = g->opener ? find_peer (m, g->expected) : NULL;
-      next = g->next;
-      if (p == NULL || p->conn != g->conn)
-        kq_conn_free (g->conn);
-      free (g);
+      Peer *p = hs->initiator ? find_peer (m, hs->expected_peer) : NULL;
+      next = hs->next;
+      if (p == NULL || p->conn != hs->conn)
+        kq_conn_free (hs->conn);
+      free (hs);
     }
   for (Peer *p = m->peers, *next = NULL; p != NULL; p = next)
     {
@@ -556,13 +558,13 @@
 }
 
 void
-kq_mesh_add (KqMesh *m, KqNodeId id, KqStr address, bool keep)
+kq_mesh_add (KqMesh *m, KqNodeId id, KqStr address, bool persistent)
 {
   Peer *p;
   if (id == m->config.id)
     return;
   p = get_peer (m, id);
-  p->keep = keep;
+  p->persistent = persistent;
   if (p->address != NULL && kq_str_eq (kq_str (p->address), address))
     return;
   free (p->address);
@@ -575,10 +577,10 @@
   Peer *p = find_peer (m, id);
   if (p == NULL)
     return;
-  /* The entry stays: a message of its connection may still be on the way. */
+  /* The entry is kept: its connection may still deliver a message. */
   free (p->address);
   p->address = NULL;
   if (p->up)
     peer_down (m, p, KQ_ERR_PEER_LOST, kq_time_now ());
-  p->keep = false; /* last: the connection's bytes are counted by it */
+  p->persistent = false; /* only now: it decides whether bytes count as near or far */
 }
--- a/src/wire/mesh_counters.c
+++ b/src/wire/mesh_counters.c
@@ -19,11 +19,12 @@
 }
 
 void
-kq_mesh_count_bytes (KqMeshCounters *m, const KqConn *c, bool far, KqMeshCounted *counted)
+kq_mesh_count_bytes (KqMeshCounters *m, const KqConn *c, bool far,
+                     KqMeshBytesCounted *counted)
 {
   uint64_t in = kq_conn_bytes_in (c);
   uint64_t out = kq_conn_bytes_out (c);
   *m->bytes_in[far] += in - counted->in;
   *m->bytes_out[far] += out - counted->out;
-  *counted = (KqMeshCounted){ in, out };
+  *counted = (KqMeshBytesCounted){ in, out };
 }
--- a/src/wire/mesh_counters.h
+++ b/src/wire/mesh_counters.h
@@ -1,11 +1,11 @@
 #ifndef KQ_WIRE_MESH_COUNTERS_H
 #define KQ_WIRE_MESH_COUNTERS_H
 
-/* mesh_counters: what the mesh counts, messages and bytes. Used by mesh.c only.
+/* mesh_counters: the mesh's counters of messages and bytes. Used by mesh.c only.
  *
- * Bytes are counted for near peers, those of the own region with which a connection is
- * kept, and far ones, with which it is opened on demand: the bytes between the regions
- * are paid for. */
+ * Bytes are counted separately for near peers (same region, persistent connections) and
+ * far peers (other regions, connections on demand), since traffic between regions is paid
+ * for. */
 
 #include "base/counter.h"
 #include "wire/conn.h"
@@ -19,17 +19,18 @@
   uint64_t *bytes_out[2];
 } KqMeshCounters;
 
-/* Bytes of one connection that stand in the counters already. */
+/* Bytes of one connection that the counters already include. */
 typedef struct
 {
   uint64_t in;
   uint64_t out;
-} KqMeshCounted;
+} KqMeshBytesCounted;
 
 void kq_mesh_counters_init (KqMeshCounters *m, KqCounters *c);
-/* Adds what came and went since the last time. Open connections last for weeks: counted
- * only at their end, the counters would show nothing of a healthy mesh. */
+/* Adds the bytes since the last call. To be called while the connection is open as well:
+ * a connection may last for weeks, and counting only when it closes would show no traffic
+ * of a healthy mesh. */
 void kq_mesh_count_bytes (KqMeshCounters *m, const KqConn *c, bool far,
-                          KqMeshCounted *counted);
+                          KqMeshBytesCounted *counted);
 
 #endif
--- a/src/wire/mesh_test.c
+++ b/src/wire/mesh_test.c
@@ -15,7 +15,7 @@
 
 #include <cmocka.h>
 
-/* One node of a test: a mesh and the task that hears from it. */
+/* A node: a mesh and the task that receives its mails. */
 typedef struct
 {
   KqMesh *mesh;
@@ -27,7 +27,7 @@
   int downs;
   int messages;
   uint64_t last;
-  int *stop_at; /* counts down; the loop stops at 0 */
+  int *stop_at; /* decremented for each mail; the loop stops at 0 */
 } Node;
 
 static void
@@ -78,14 +78,14 @@
 }
 
 static void
-know (Node *a, const Node *b, bool keep)
+add_peer (Node *a, const Node *b, bool keep)
 {
   char address[32];
   snprintf (address, sizeof address, "127.0.0.1:%d", kq_mesh_port (b->mesh));
   kq_mesh_add (a->mesh, b->id, kq_str (address), keep);
 }
 
-/* Runs until `events` more mails have come to nodes that count down, 10 s at most. */
+/* Runs the loop until the two nodes have received `events` mails, 10 s at most. */
 static void
 run (KqLoop *loop, Node *a, Node *b, int events)
 {
@@ -104,7 +104,7 @@
 }
 
 static void
-test_kept_peers_connect_and_talk (void **state)
+test_persistent_peers_exchange_messages (void **state)
 {
   KqLoop *loop = kq_loop_new ();
   Node a;
@@ -112,8 +112,8 @@
   (void)state;
   start (&a, loop, "a", "secret", 5 * KQ_SEC);
   start (&b, loop, "b", "secret", 5 * KQ_SEC);
-  know (&a, &b, true);
-  know (&b, &a, true);
+  add_peer (&a, &b, true);
+  add_peer (&b, &a, true);
   run (loop, &a, &b, 2);
   assert_int_equal (a.ups, 1);
   assert_int_equal (b.ups, 1);
@@ -128,10 +128,10 @@
   kq_loop_free (loop);
 }
 
-/* A message to a peer of another region opens the connection by itself, from whichever
- * side has something to say, and is delivered once the hello is complete. */
+/* A message to a peer of another region makes its sender open the connection, whichever
+ * node has the lower id, and is delivered once the handshake is complete. */
 static void
-test_on_demand_keeps_the_message (void **state)
+test_on_demand_connection_delivers_the_message (void **state)
 {
   KqLoop *loop = kq_loop_new ();
   Node a;
@@ -139,8 +139,8 @@
   (void)state;
   start (&a, loop, "a", "secret", 5 * KQ_SEC);
   start (&b, loop, "b", "secret", 5 * KQ_SEC);
-  know (&a, &b, false);
-  know (&b, &a, false);
+  add_peer (&a, &b, false);
+  add_peer (&b, &a, false);
   send_number (&b, a.id, 21);
   run (loop, &a, &b, 3);
   assert_int_equal (a.last, 21);
@@ -149,8 +149,8 @@
   kq_loop_free (loop);
 }
 
-/* A process with another secret calls: its hello is refused and counted, nothing of it
- * reaches a task, and the caller is told that its message never left. */
+/* A process with another secret connects: its hello is refused and counted, none of its
+ * messages reaches a task, and the sender's task learns that the message was not sent. */
 static void
 test_wrong_secret_is_refused (void **state)
 {
@@ -160,7 +160,7 @@
   (void)state;
   start (&a, loop, "a", "secret", 5 * KQ_SEC);
   start (&b, loop, "b", "other", 5 * KQ_SEC);
-  know (&b, &a, false);
+  add_peer (&b, &a, false);
   send_number (&b, a.id, 1);
   run (loop, &a, &b, 1);
   assert_int_equal (b.downs, 1);
@@ -183,8 +183,9 @@
   close (fd);
 }
 
-/* Something that isn't a node sends bytes: a frame beyond the limit, one that is no
- * message, a message before any hello. Each is counted, and good peers go on talking. */
+/* A process that isn't a node sends a frame beyond the size limit, a frame that holds no
+ * message, and a message before the handshake. All are refused and counted, and valid
+ * peers are not affected. */
 static void
 test_malformed_frames_are_counted (void **state)
 {
@@ -197,7 +198,7 @@
   send_raw (&a, "\xff\xff\xff\xff", 4);
   send_raw (&a, "\x00\x00\x00\x02zz", 6);
   send_raw (&a, "\x00\x00\x00\x05\x92\x04\x91\x07\x00", 9);
-  know (&b, &a, false);
+  add_peer (&b, &a, false);
   send_number (&b, a.id, 4);
   run (loop, &a, &b, 3);
   assert_int_equal (a.last, 4);
@@ -208,10 +209,10 @@
   kq_loop_free (loop);
 }
 
-/* The peer's process is stopped or something in between drops its packets: the socket
- * stays open and silent. Within the limit the connection is given up and its node told,
- * so that flights on it are settled and a new connection is tried. Here the peer is a
- * bare listener that takes the hello and never answers anything. */
+/* The peer's process is stopped, or its packets are lost on the path: the socket stays
+ * open without traffic. After the silence limit the connection must be closed and the
+ * peer reported as down, so that its requests are completed and a new connection is
+ * tried. Here the peer is a listening socket that never answers the hello. */
 static void
 test_silent_connection_is_given_up (void **state)
 {
@@ -241,10 +242,10 @@
   kq_loop_free (loop);
 }
 
-/* A recorded hello is of no use: its digest is over the nonce of the connection it was
- * made for. */
+/* A recorded hello can't be replayed: its digest covers the nonce of the connection that
+ * it was made for. */
 static void
-test_hello_is_bound_to_the_nonce (void **state)
+test_hello_can_not_be_replayed (void **state)
 {
   KqHelloSelf self
       = { KQ_STR ("c"), KQ_STR ("a"), kq_str_hash (KQ_STR ("a")), 3, KQ_STR ("r"),
@@ -263,16 +264,16 @@
 }
 
 static uint64_t
-bytes (const Node *n, const char *way, const char *peers)
+bytes (const Node *n, const char *direction, const char *peers)
 {
   char name[64];
-  snprintf (name, sizeof name, "kq_mesh_bytes_%s_total", way);
+  snprintf (name, sizeof name, "kq_mesh_bytes_%s_total", direction);
   return *kq_counter (n->counters, name, peers, "");
 }
 
-/* A mesh whose connections stay up for weeks: its bytes must show while they are open,
- * each once, apart for peers of the own region and for others, or an operator sees
- * nothing of what the paid link carries. */
+/* Connections may stay open for weeks. Their bytes must be counted while they are open,
+ * each byte once, and separately for peers of the same region and of others; otherwise
+ * the metrics don't show the traffic of the paid link between regions. */
 static void
 test_bytes_of_open_connections (void **state)
 {
@@ -285,8 +286,8 @@
       Node b;
       start (&a, loop, "a", "secret", 5 * KQ_SEC);
       start (&b, loop, "b", "secret", 5 * KQ_SEC);
-      know (&a, &b, !far);
-      know (&b, &a, !far);
+      add_peer (&a, &b, !far);
+      add_peer (&b, &a, !far);
       if (!far)
         run (loop, &a, &b, 2);
       send_number (&b, a.id, 21);
@@ -298,7 +299,8 @@
       assert_int_equal (a.downs + b.downs, 0);
       assert_true (bytes (&a, "in", labels[far]) > 0);
       assert_int_equal (bytes (&a, "in", labels[!far]), 0);
-      kq_mesh_remove (a.mesh, b.id); /* closes it: its bytes count once */
+      kq_mesh_remove (
+          a.mesh, b.id); /* closes the connection; its bytes must not be counted again */
       assert_true (bytes (&a, "in", labels[far]) < 2000);
       assert_int_equal (bytes (&a, "in", labels[!far]), 0);
       stop (&a);
@@ -311,13 +313,13 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_kept_peers_connect_and_talk),
-    cmocka_unit_test (test_on_demand_keeps_the_message),
+    cmocka_unit_test (test_persistent_peers_exchange_messages),
+    cmocka_unit_test (test_on_demand_connection_delivers_the_message),
     cmocka_unit_test (test_wrong_secret_is_refused),
     cmocka_unit_test (test_malformed_frames_are_counted),
     cmocka_unit_test (test_silent_connection_is_given_up),
     cmocka_unit_test (test_bytes_of_open_connections),
-    cmocka_unit_test (test_hello_is_bound_to_the_nonce),
+    cmocka_unit_test (test_hello_can_not_be_replayed),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/wire/msg.c
+++ b/src/wire/msg.c
@@ -12,10 +12,10 @@
   return a.number == b.number && a.node == b.node && a.incarnation == b.incarnation;
 }
 
-/* Messages whose fields stand in one file (see msg_fields.h). */
+/* Groups of message kinds that share a pair of functions of msg_fields.h. */
 typedef enum
 {
-  GROUP_NONE, /* no such kind */
+  GROUP_NONE, /* unknown kind */
   GROUP_MEMBER,
   GROUP_REQUEST,
   GROUP_CLAIM,
@@ -198,10 +198,10 @@
   *m = (KqMsg){ 0 };
 }
 
-/* A copied message and the packed bytes its strings point into. */
+/* A copied message, and the packed bytes that its strings point into. */
 typedef struct
 {
-  KqMsg msg; /* first, so that a pointer to it is one to the whole */
+  KqMsg msg; /* first member: kq_msg_free casts a pointer to it to MsgCopy */
   KqBuf bytes;
 } MsgCopy;
 
--- a/src/wire/msg.h
+++ b/src/wire/msg.h
@@ -1,13 +1,13 @@
 #ifndef KQ_WIRE_MSG_H
 #define KQ_WIRE_MSG_H
 
-/* msg: the typed messages between kumquatd processes, and their msgpack form.
+/* msg: the messages between kumquatd processes, and their encoding in msgpack.
  *
- * A frame is a 4-byte big-endian length and one msgpack array: [kind, fields...].
- * Fields are packed in the order in which the structs list them. Unknown kinds and
- * short arrays are KQ_ERR_FRAME_FORMAT; extra fields at the end are ignored, so that a
- * newer node can add one. The same messages carry calls between tasks of one process,
- * so a task needn't know whether its peer is local. */
+ * A frame is a 4-byte big-endian length and a msgpack array [kind, [fields...]]. Fields
+ * are packed in the order of the struct. Unknown kinds and arrays with too few fields are
+ * refused with KQ_ERR_FRAME_FORMAT; additional fields at the end are ignored, so that a
+ * later version can add some. Tasks of one process use the same messages, so a task
+ * needn't know whether its peer is local. */
 
 #include "base/result.h"
 #include "base/str.h"
@@ -17,19 +17,21 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-typedef uint64_t KqNodeId; /* kq_str_hash of the node's name; 0: none */
+typedef uint64_t KqNodeId; /* kq_str_hash of the node's name; 0: no node */
 
 #define KQ_WIRE_VERSION 1
-/* A frame holds a body chunk, a table or a batch of digests; more is a fault. */
+/* Bytes. A frame holds at most a body chunk, a table or a batch of digests; longer frames
+ * are refused. */
 #define KQ_FRAME_MAX (4 * 1024 * 1024)
-/* Body bytes a message carries at most: small enough to interleave flights. */
+/* Body bytes per message; small enough to interleave requests on a connection. */
 #define KQ_CHUNK_MAX (64 * 1024)
 
-/* A request's way through the system. The incarnation makes the id of a restarted node
- * differ from those it gave before. */
+/* Identifies a flight: one request in progress, from its arrival at an entry node to the
+ * end of its response. The incarnation (a number that is new at each start of the node's
+ * process) keeps ids unique when a node restarts. */
 typedef struct
 {
-  KqNodeId node;
+  KqNodeId node; /* the entry node */
   uint64_t incarnation;
   uint64_t number;
 } KqFlightId;
@@ -40,32 +42,35 @@
   KqStr value;
 } KqHeader;
 
-/* One line per shard that a node owns, in its heartbeat. */
+/* Load of one service, as part of a KqShardDigest. */
 typedef struct
 {
   KqName service;
-  int32_t slots; /* usable now, after limits */
+  int32_t slots; /* usable at present, after limits */
   int32_t busy;
   int32_t queued;
-  int64_t work_us; /* expected work in queue and slots */
-  int64_t p50_us;
+  int64_t work_us; /* expected run time of the requests in queue and slots */
+  int64_t p50_us;  /* median duration of a request */
 } KqServiceDigest;
 
+/* Use of one team, as part of a KqShardDigest. */
 typedef struct
 {
   KqName team;
   KqSize used;
-  KqSize wanted; /* size of queued jobs, capped */
+  KqSize wanted; /* total size of queued jobs, capped */
 } KqTeamDigest;
 
+/* Summary of one shard; a heartbeat has one for each shard that the node owns. */
 typedef struct
 {
   uint32_t shard;
   uint64_t epoch;
   KqName depot;
   KqSize free;
-  KqSize largest_free; /* componentwise over workers: a hint, not a promise */
-  KqSize largest_whole;
+  /* Maximum of each component over the workers; no single worker need have all three. */
+  KqSize largest_free;
+  KqSize largest_whole; /* of the workers' total sizes */
   int32_t workers;
   int32_t queued_jobs;
   int32_t running_tasks;
@@ -79,15 +84,15 @@
 {
   KQ_MSG_HELLO = 1,
   KQ_MSG_HEARTBEAT,
-  KQ_MSG_TABLE,      /* the whole table at a revision, or what changed */
-  KQ_MSG_TABLE_WANT, /* asks a peer for the table above a revision */
+  KQ_MSG_TABLE,      /* the whole table at a revision, or the changes since one */
+  KQ_MSG_TABLE_WANT, /* asks a peer for a table newer than a revision */
   KQ_MSG_REQ_OPEN = 20,
   KQ_MSG_REQ_BODY,
   KQ_MSG_REQ_CANCEL,
-  KQ_MSG_REQ_CREDIT, /* owner to entry: may send that many more body bytes */
+  KQ_MSG_REQ_CREDIT, /* owner to entry node: more request body bytes may be sent */
   KQ_MSG_RESP_HEAD,
   KQ_MSG_RESP_BODY,
-  KQ_MSG_RESP_CREDIT, /* entry to owner: may send that many more answer bytes */
+  KQ_MSG_RESP_CREDIT, /* entry node to owner: more response bytes may be sent */
   KQ_MSG_RESP_FAIL,
   KQ_MSG_CLAIM_BEGIN = 40,
   KQ_MSG_CLAIM_REPLY,
@@ -95,11 +100,11 @@
   KQ_MSG_JOB_SUBMIT = 60,
   KQ_MSG_JOB_CALL,
   KQ_MSG_JOB_REPLY,
-  KQ_MSG_JOB_MOVE,   /* a queued job goes to another shard of the region */
-  KQ_MSG_JOB_MOVED,  /* it is in that shard's journal */
-  KQ_MSG_QUERY = 80, /* operators' questions to one node */
+  KQ_MSG_JOB_MOVE,   /* moves a queued job to another shard of the region */
+  KQ_MSG_JOB_MOVED,  /* the job is in that shard's journal */
+  KQ_MSG_QUERY = 80, /* a query of an operator to one node */
   KQ_MSG_ANSWER,
-  KQ_MSG_CREW = 90 /* a leader's orders, or an agent's notices (crew/frame.h) */
+  KQ_MSG_CREW = 90 /* a leader's orders or an agent's reports (crew/frame.h) */
 } KqMsgKind;
 
 typedef struct
@@ -112,18 +117,18 @@
   KqStr region;
   KqStr depot;
   uint64_t nonce;
-  KqStr digest; /* HMAC-SHA256 in hex over the fields above and the peer's nonce */
+  KqStr digest; /* HMAC-SHA256 in hex, see wire/hello.h */
 } KqMsgHello;
 
 typedef struct
 {
   KqNodeId node;
   uint64_t incarnation;
-  uint64_t beat;           /* counts up; an older one is ignored */
-  uint64_t table_revision; /* in force at the sender */
-  int64_t store_age_us;    /* since the store last answered the sender */
+  uint64_t beat; /* sequence number; its lowest bit is a flag, see member/nodes.h */
+  uint64_t table_revision; /* that the sender uses */
+  int64_t store_age_us;    /* time since the store last answered the sender */
   bool draining;
-  KqNodeId via; /* 0: from the node itself; else who bundled it */
+  KqNodeId via; /* node that forwarded it in a batch; 0: sent by the node itself */
   KqShardDigest *shards;
   size_t n_shards;
 } KqMsgHeartbeat;
@@ -131,13 +136,13 @@
 typedef struct
 {
   uint64_t revision;
-  uint64_t base; /* 0: the whole table; else what changed since this revision */
+  uint64_t base; /* 0: the whole table; otherwise the changes since this revision */
   KqStr bytes;
 } KqMsgTable;
 
 typedef struct
 {
-  uint64_t above;
+  uint64_t above; /* revision that the sender has */
 } KqMsgTableWant;
 
 typedef struct
@@ -146,12 +151,12 @@
   KqStr service;
   KqStr caller;
   KqStr method;
-  KqStr path;          /* with the query; begins with '/' */
-  int64_t deadline_us; /* time left, never a time of day */
+  KqStr path;          /* includes the query; begins with '/' */
+  int64_t deadline_us; /* remaining time; clocks of nodes are not compared */
   bool idempotent;
-  bool may_forward;    /* the owner may refuse in favour of another one */
-  int64_t body_length; /* -1: unknown until the end mark */
-  KqStr claim_key;     /* for the log and the runner; "" without one */
+  bool may_forward;    /* the owner may refuse so that another owner is tried */
+  int64_t body_length; /* -1: unknown until the last chunk */
+  KqStr claim_key;     /* idempotency key, for the log and the runner; "": none */
   KqHeader *headers;
   size_t n_headers;
 } KqMsgReqOpen;
@@ -159,8 +164,8 @@
 typedef struct
 {
   KqFlightId flight;
-  uint64_t offset; /* of the first byte; a gap is a fault */
-  bool end;
+  uint64_t offset; /* of the first byte; chunks must follow each other without a gap */
+  bool end;        /* the last chunk */
   KqStr bytes;
 } KqMsgBody; /* REQ_BODY and RESP_BODY */
 
@@ -173,14 +178,14 @@
 typedef struct
 {
   KqFlightId flight;
-  uint64_t bytes;
-} KqMsgCredit; /* REQ_CREDIT and RESP_CREDIT */
+  uint64_t bytes; /* in addition to earlier credit */
+} KqMsgCredit;    /* REQ_CREDIT and RESP_CREDIT */
 
 typedef struct
 {
   KqFlightId flight;
   int32_t status;
-  int64_t body_length; /* -1: unknown until the end mark */
+  int64_t body_length; /* -1: unknown until the last chunk */
   KqHeader *headers;
   size_t n_headers;
 } KqMsgRespHead;
@@ -190,7 +195,7 @@
   KqFlightId flight;
   KqResult code;
   KqRan ran;
-  int64_t retry_after_us; /* 0: no advice */
+  int64_t retry_after_us; /* 0: none given */
 } KqMsgRespFail;
 
 typedef struct
@@ -205,10 +210,10 @@
 
 typedef enum
 {
-  KQ_CLAIM_GRANTED = 1, /* committed; the asker may send the request, once */
-  KQ_CLAIM_ANSWERED,    /* the stored answer is in the reply */
-  KQ_CLAIM_UNKNOWN,     /* an earlier try may have run and its answer is lost */
-  KQ_CLAIM_REFUSED      /* see code; the request was not run by this try */
+  KQ_CLAIM_GRANTED = 1, /* committed; the entry node may send the request, once */
+  KQ_CLAIM_ANSWERED,    /* the reply holds the stored answer */
+  KQ_CLAIM_UNKNOWN,     /* an earlier attempt may have run, and its answer is lost */
+  KQ_CLAIM_REFUSED      /* see `code`; this attempt did not run the request */
 } KqClaimVerdict;
 
 typedef struct
@@ -223,14 +228,14 @@
   KqStr body;
 } KqMsgClaimReply;
 
-/* How the claim's request ended: with an answer to keep, provably not run (the key may
- * be used again), or unknown. */
+/* Result of the request that holds a claim: answered (the answer is stored), certainly
+ * not run (the key may be used again), or unknown. */
 typedef struct
 {
   KqFlightId flight;
   uint32_t shard;
   KqRan ran;
-  bool kept; /* false: the answer was too large to keep */
+  bool kept; /* false: the answer was too large to store */
   int32_t status;
   KqHeader *headers;
   size_t n_headers;
@@ -249,7 +254,7 @@
 {
   KqName team;
   KqName class_name;
-  KqName key; /* idempotency key; "" without one */
+  KqName key; /* idempotency key; "": none */
   KqPriority priority;
   bool latency_critical;
   KqSize size; /* declared */
@@ -258,10 +263,10 @@
 
 typedef struct
 {
-  uint64_t call; /* of the asker, echoed */
-  KqNodeId asker;
+  uint64_t call;  /* chosen by the asking node; the reply repeats it */
+  KqNodeId asker; /* the asking node, to which the reply goes */
   uint32_t shard;
-  KqJobId job; /* drawn by the asker */
+  KqJobId job; /* id chosen by the asking node */
   KqJobSpec spec;
 } KqMsgJobSubmit;
 
@@ -279,44 +284,45 @@
   KqNodeId asker;
   uint32_t shard;
   KqJobCallKind kind;
-  KqJobId job;    /* LIST: only jobs above this id */
-  uint32_t limit; /* LIST */
+  KqJobId job;    /* LIST: only jobs with higher ids */
+  uint32_t limit; /* LIST: at most this many jobs */
 } KqMsgJobCall;
 
 typedef struct
 {
   uint64_t call;
   KqResult code;
-  KqStr json;
+  KqStr json;  /* if code isn't KQ_OK, a description of the error */
 } KqMsgAnswer; /* JOB_REPLY and ANSWER */
 
 typedef struct
 {
-  uint32_t shard; /* where it goes */
-  uint32_t from;
+  uint32_t shard; /* destination */
+  uint32_t from;  /* shard that sends the job */
   KqJobId job;
-  KqStr record; /* the whole job, as in the journal */
+  KqStr record; /* the job's journal record */
 } KqMsgJobMove;
 
 typedef struct
 {
-  uint32_t shard; /* whence it came */
-  uint32_t from;  /* where it is now */
+  uint32_t shard; /* shard that sent the job */
+  uint32_t from;  /* shard that has it now */
   KqJobId job;
-  uint32_t moves; /* which of the job's moves this ends */
+  uint32_t moves; /* number of this move, counted per job */
 } KqMsgJobMoved;
 
 typedef struct
 {
   uint64_t call;
-  KqStr what; /* "node", "shards", "workers", "queues", "drain", "account", "log-level" */
+  KqStr what; /* name of the query, for example "shards"; see api/operator.c */
   KqStr argument;
 } KqMsgQuery;
 
-/* Orders to agents or their notices, packed by crew/frame.c. */
+/* Orders to an agent (the part of a node that carries out the leader's orders at its
+ * runners), or the agent's reports; packed by crew/frame.c. */
 typedef struct
 {
-  uint64_t epoch; /* of the leader that sends, or that is answered */
+  uint64_t epoch; /* of the leader that sends or receives this */
   KqStr items;
 } KqMsgCrew;
 
@@ -350,17 +356,18 @@
 
 bool kq_flight_eq (KqFlightId a, KqFlightId b);
 
-/* Appends the message as one frame (length and body). */
+/* Appends the message to *out as one frame (length and body). */
 void kq_msg_pack (const KqMsg *m, KqBuf *out);
 
-/* Reads one message from a frame's body (without its length). Strings point into
- * `body`; arrays are allocated and freed by kq_msg_clear. Result: KQ_OK or
- * KQ_ERR_FRAME_FORMAT (then nothing is to be freed). */
+/* Unpacks the body of a frame (without its length). Strings point into `body`; arrays are
+ * allocated and must be freed with kq_msg_clear. Returns KQ_OK or KQ_ERR_FRAME_FORMAT
+ * (then there is nothing to free). */
 KqResult kq_msg_unpack (KqStr body, KqMsg *out);
 void kq_msg_clear (KqMsg *m);
 
-/* A deep copy in one allocation chain, for mailboxes and fakes; freed by
- * kq_msg_free. Made by packing and unpacking, so it has passed the codec. */
+/* Returns a deep copy, for mails between tasks and for the fakes of tests; free it with
+ * kq_msg_free. The copy is made by packing and unpacking, so that messages within a
+ * process pass the codec as well. */
 KqMsg *kq_msg_copy (const KqMsg *m);
 void kq_msg_free (KqMsg *m);
 
--- a/src/wire/msg_fields.h
+++ b/src/wire/msg_fields.h
@@ -1,9 +1,12 @@
 #ifndef KQ_WIRE_MSG_FIELDS_H
 #define KQ_WIRE_MSG_FIELDS_H
 
-/* msg_fields: the fields of each group of messages, in the order of their structs. Used
- * by msg.c only. A put function packs one array; a get function reads that array's
- * inside and leaves allocated what kq_msg_clear frees, also when the reader went bad. */
+/* msg_fields: packing and unpacking of the fields of messages, one pair of functions for
+ * each group of message kinds. Used by msg.c only.
+ *
+ * A put function packs one array with the fields in the order of the struct. A get
+ * function reads the elements of that array; what it allocates is freed by kq_msg_clear,
+ * also when it has set the reader's `bad`. */
 
 #include "wire/msg.h"
 #include "wire/pack.h"
@@ -17,7 +20,7 @@
 void kq_msg_put_job (KqPacker *p, const KqMsg *m);
 void kq_msg_get_job (KqReader *r, KqMsg *m);
 
-void kq_put_size (KqPacker *p, const KqSize *s); /* three fields */
+void kq_put_size (KqPacker *p, const KqSize *s); /* packs three integers */
 KqSize kq_get_size (KqReader *r);
 
 #endif
--- a/src/wire/msg_member.c
+++ b/src/wire/msg_member.c
@@ -1,7 +1,7 @@
 #include "wire/msg_fields.h"
 
-/* An array longer than this is a fault, not a digest. */
-#define DIGEST_MAX 4096
+/* Longer arrays (shards, services, teams) are refused as malformed. */
+#define DIGEST_ENTRIES_MAX 4096
 
 void
 kq_put_size (KqPacker *p, const KqSize *s)
@@ -93,7 +93,7 @@
 {
   KqReader a;
   kq_read_array (f, &a);
-  if (a.left > DIGEST_MAX)
+  if (a.left > DIGEST_ENTRIES_MAX)
     a.bad = true;
   else if (a.left > 0)
     d->services = kq_alloc (a.left * sizeof *d->services);
@@ -107,7 +107,7 @@
 {
   KqReader a;
   kq_read_array (f, &a);
-  if (a.left > DIGEST_MAX)
+  if (a.left > DIGEST_ENTRIES_MAX)
     a.bad = true;
   else if (a.left > 0)
     d->teams = kq_alloc (a.left * sizeof *d->teams);
@@ -192,7 +192,7 @@
   h->draining = kq_read_bool (r);
   h->via = kq_read_u64 (r);
   kq_read_array (r, &a);
-  if (a.left > DIGEST_MAX)
+  if (a.left > DIGEST_ENTRIES_MAX)
     a.bad = true;
   else if (a.left > 0)
     h->shards = kq_alloc (a.left * sizeof *h->shards);
--- a/src/wire/msg_request.c
+++ b/src/wire/msg_request.c
@@ -1,6 +1,7 @@
 #include "wire/msg_fields.h"
 
-/* More headers than this is a fault; the HTTP libraries stop far below. */
+/* More headers are refused as malformed; the limits of the HTTP libraries are far lower.
+ */
 #define HEADERS_MAX 512
 
 static void
--- a/src/wire/msg_test.c
+++ b/src/wire/msg_test.c
@@ -62,9 +62,9 @@
   kq_msg_free (c);
 }
 
-/* The peer's bytes were cut or damaged on the way: every prefix of a frame, and every
- * frame with one byte changed, is either refused or read as some message; none may
- * read beyond its end or leak (the sanitizer build tells). */
+/* Truncated or damaged frames: every prefix of a frame is refused, and a frame with one
+ * changed byte is refused or read as some message. None may cause a read beyond its end
+ * or a memory leak; the sanitizer build detects both. */
 static void
 test_damaged_frames (void **state)
 {
@@ -77,20 +77,21 @@
     assert_int_equal (kq_msg_unpack (kq_str_n (b.ptr + 4, n), &got), KQ_ERR_FRAME_FORMAT);
   for (size_t i = 4; i < b.len; i++)
     {
-      char was = b.ptr[i];
-      b.ptr[i] = (char)(was ^ 0x55);
+      char saved = b.ptr[i];
+      b.ptr[i] = (char)(saved ^ 0x55);
       if (kq_msg_unpack (kq_str_n (b.ptr + 4, b.len - 4), &got) == KQ_OK)
         kq_msg_clear (&got);
-      b.ptr[i] = was;
+      b.ptr[i] = saved;
     }
   kq_buf_free (&b);
 }
 
-/* A frame of six bytes announced an array of 2^32 objects, and the reader asked for the
- * memory of all of them at once (found by `make fuzz`): a node killed by its own limit.
- * Counts beyond the bytes that are there are refused before anything is allocated. */
+/* A frame of six bytes that announced an array of 2^32 objects made the reader allocate
+ * memory for all of them at once, and the node was killed at its memory limit (found by
+ * `make fuzz`). Counts above the number of bytes that follow must be refused before
+ * anything is allocated. */
 static void
-test_counts_beyond_the_text (void **state)
+test_counts_beyond_the_input (void **state)
 {
   static const char *const texts[]
       = { "\xdd\xff\xff\xff\xff\x01", "\x92\x02\xdd\x7f\xff\xff\xff",
@@ -105,10 +106,11 @@
   assert_true (kq_pack_counts_fit (KQ_STR ("\x93\x01\xa1x\x81\x01\x02")));
 }
 
-/* Anybody who can connect sends nine bytes that announce an array of 2^32 members: they
- * are refused before memory for the members is asked for. Also nested, and as a map. */
+/* Anyone who can connect may send a few bytes that announce an array of 2^32 elements.
+ * They must be refused before memory for the elements is allocated; also nested, and as a
+ * map or string. */
 static void
-test_announced_members_are_not_believed (void **state)
+test_announced_counts_are_not_trusted (void **state)
 {
   static const char *const texts[]
       = { "\xdd\xff\xff\xff\xff\x01", "\x92\x04\xdd\xff\xff\xff\xff",
@@ -129,8 +131,8 @@
     cmocka_unit_test (test_heartbeat_round_trip),
     cmocka_unit_test (test_request_round_trip),
     cmocka_unit_test (test_damaged_frames),
-    cmocka_unit_test (test_announced_members_are_not_believed),
-    cmocka_unit_test (test_counts_beyond_the_text),
+    cmocka_unit_test (test_announced_counts_are_not_trusted),
+    cmocka_unit_test (test_counts_beyond_the_input),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/wire/pack.c
+++ b/src/wire/pack.c
@@ -65,14 +65,14 @@
 }
 
 bool
-kq_unpacked_open (KqUnpacked *u, KqStr text, KqReader *r)
+kq_unpacked_open (KqUnpacked *u, KqStr data, KqReader *r)
 {
   size_t off = 0;
-  if (!kq_pack_counts_fit (text))
+  if (!kq_pack_counts_fit (data))
     return false;
   msgpack_unpacked_init (&u->object);
-  if (msgpack_unpack_next (&u->object, text.ptr, text.len, &off) != MSGPACK_UNPACK_SUCCESS
-      || off != text.len || u->object.data.type != MSGPACK_OBJECT_ARRAY)
+  if (msgpack_unpack_next (&u->object, data.ptr, data.len, &off) != MSGPACK_UNPACK_SUCCESS
+      || off != data.len || u->object.data.type != MSGPACK_OBJECT_ARRAY)
     {
       msgpack_unpacked_destroy (&u->object);
       return false;
@@ -89,7 +89,7 @@
   msgpack_unpacked_destroy (&u->object);
 }
 
-/* The next field, or NULL and `bad`. */
+/* Returns the next element; NULL, with `bad` set, if there is none. */
 static const msgpack_object *
 next (KqReader *r)
 {
--- a/src/wire/pack.h
+++ b/src/wire/pack.h
@@ -1,10 +1,11 @@
 #ifndef KQ_WIRE_PACK_H
 #define KQ_WIRE_PACK_H
 
-/* pack: writing and reading msgpack fields in order, for messages and records alike.
+/* pack: writes and reads sequences of msgpack values, for messages and stored records.
  *
- * A reader never fails in between: the first field that is missing or of the wrong type
- * sets `bad`, later reads give zero, and the caller checks `bad` once at the end. */
+ * Reading functions return no error: the first value that is missing or of the wrong type
+ * sets the reader's `bad`, all later reads return zero or an empty string, and the caller
+ * checks `bad` once at the end. */
 
 #include "base/str.h"
 
@@ -20,12 +21,13 @@
 
 typedef struct
 {
-  const msgpack_object *at;
-  uint32_t left;
+  const msgpack_object *at; /* next element of the array */
+  uint32_t left;            /* elements not yet read */
   bool bad;
 } KqReader;
 
-/* One unpacked text: the strings read from it point into the caller's bytes. */
+/* Unpacked msgpack data. The strings read from it point into the packed bytes, which the
+ * caller keeps. */
 typedef struct
 {
   msgpack_unpacked object;
@@ -40,19 +42,19 @@
 void kq_pack_str (KqPacker *p, KqStr s);
 void kq_pack_name (KqPacker *p, const KqName *n);
 
-/* Opens the text's outer array; false when the text isn't one whole array. After true
- * kq_unpacked_close is due. */
-bool kq_unpacked_open (KqUnpacked *u, KqStr text, KqReader *r);
+/* Unpacks `data` and sets *r to the elements of its outer array. False if it isn't
+ * exactly one complete array; otherwise the caller must call kq_unpacked_close. */
+bool kq_unpacked_open (KqUnpacked *u, KqStr data, KqReader *r);
 void kq_unpacked_close (KqUnpacked *u);
 uint64_t kq_read_u64 (KqReader *r);
 int64_t kq_read_i64 (KqReader *r);
 bool kq_read_bool (KqReader *r);
 double kq_read_double (KqReader *r);
 KqStr kq_read_str (KqReader *r);
-KqName kq_read_name (KqReader *r); /* bad when longer than KQ_NAME_MAX */
-/* Opens an inner array; its length is in sub->left. */
+KqName kq_read_name (KqReader *r); /* longer than KQ_NAME_MAX sets `bad` */
+/* Reads an array: sets *sub to its elements; their number is sub->left. */
 void kq_read_array (KqReader *r, KqReader *sub);
-/* Takes over the fault of an inner reader. */
+/* Ends the reading of an inner array: sets `bad` of *r if that of *sub is set. */
 void kq_read_join (KqReader *r, const KqReader *sub);
 
 #endif
--- a/src/wire/pack_check.c
+++ b/src/wire/pack_check.c
@@ -1,16 +1,16 @@
 #include "wire/pack_check.h"
 
-/* How an object goes on behind its first byte: bytes of a length, whether that length
- * counts objects or bytes, and bytes that follow anyway. */
+/* What follows the first byte of an object: a length field, and as many bytes or objects
+ * as it says. */
 typedef struct
 {
-  size_t length_bytes;
-  size_t objects_each; /* 1: an array, 2: a map, 0: the length counts bytes */
-  size_t fixed;        /* bytes or objects known from the first byte */
-} Form;
+  size_t length_bytes;     /* size of the length field */
+  size_t objects_per_unit; /* objects per unit of length: 1: array, 2: map, 0: bytes */
+  size_t fixed;            /* length given by the first byte, added to the field's */
+} Format;
 
-/* Forms of the first bytes 0xc0 to 0xdf. */
-static const Form forms[32] = {
+/* Formats of the first bytes 0xc0 to 0xdf. */
+static const Format formats[32] = {
   { 0, 0, 0 }, { 0, 0, 0 }, { 0, 0, 0 },                            /* nil, bool */
   { 0, 0, 0 }, { 1, 0, 0 }, { 2, 0, 0 }, { 4, 0, 0 },               /* bin */
   { 1, 0, 1 }, { 2, 0, 1 }, { 4, 0, 1 },                            /* ext */
@@ -23,42 +23,42 @@
   { 2, 2, 0 }, { 4, 2, 0 },                                         /* map */
 };
 
-static Form
-form_of (uint8_t first)
+static Format
+format_of (uint8_t first)
 {
   if (first >= 0xc0 && first <= 0xdf)
-    return forms[first - 0xc0];
+    return formats[first - 0xc0];
   if (first >= 0xa0 && first < 0xc0)
-    return (Form){ 0, 0, first & 0x1f }; /* a short string */
+    return (Format){ 0, 0, first & 0x1f }; /* fixstr */
   if (first >= 0x90 && first < 0xa0)
-    return (Form){ 0, 1, first & 0x0f }; /* a short array */
+    return (Format){ 0, 1, first & 0x0f }; /* fixarray */
   if (first >= 0x80 && first < 0x90)
-    return (Form){ 0, 2, first & 0x0f }; /* a short map */
-  return (Form){ 0 };                    /* a small number */
+    return (Format){ 0, 2, first & 0x0f }; /* fixmap */
+  return (Format){ 0 };                    /* fixint */
 }
 
 bool
-kq_pack_counts_fit (KqStr text)
+kq_pack_counts_fit (KqStr data)
 {
   size_t at = 0;
-  size_t due = 1; /* objects announced and not yet seen */
-  while (due > 0)
+  size_t expected = 1; /* objects announced and not yet read */
+  while (expected > 0)
     {
-      Form f;
+      Format f;
       uint64_t n = 0;
-      if (text.len - at < due)
+      if (data.len - at < expected)
         return false;
-      f = form_of ((uint8_t)text.ptr[at++]);
-      due--;
-      if (text.len - at < f.length_bytes)
+      f = format_of ((uint8_t)data.ptr[at++]);
+      expected--;
+      if (data.len - at < f.length_bytes)
         return false;
       for (size_t i = 0; i < f.length_bytes; i++)
-        n = n << 8 | (uint8_t)text.ptr[at++];
+        n = n << 8 | (uint8_t)data.ptr[at++];
       n += f.fixed;
-      if (n > text.len - at)
+      if (n > data.len - at)
         return false;
-      if (f.objects_each > 0)
-        due += n * f.objects_each;
+      if (f.objects_per_unit > 0)
+        expected += n * f.objects_per_unit;
       else
         at += n;
     }
--- a/src/wire/pack_check.h
+++ b/src/wire/pack_check.h
@@ -1,16 +1,18 @@
 #ifndef KQ_WIRE_PACK_CHECK_H
 #define KQ_WIRE_PACK_CHECK_H
 
-/* pack_check: whether a msgpack text can hold as many objects as it announces.
+/* pack_check: checks the element counts in msgpack data before it is unpacked.
  *
- * An array's head of five bytes may announce 2^32 elements, and msgpack-c allocates room
- * for all of them before it reads the first: one damaged or hostile value makes a node
- * ask for 64 GB. Each object takes at least one byte, so counts beyond the bytes that
- * are left are wrong for sure, and what passes takes at most 24 times its length. */
+ * The five bytes of an array header can announce 2^32 elements, and msgpack-c allocates
+ * memory for all of them before it reads the first: one damaged or hostile value makes a
+ * node allocate 64 GB. Each object takes at least one byte, so a count above the number
+ * of bytes that follow is invalid. Unpacking data that passes this check allocates at
+ * most 24 times its length. */
 
 #include "base/str.h"
 
-/* Whether the text is at least one object with room for everything in it. */
-bool kq_pack_counts_fit (KqStr text);
+/* Whether the data begins with one complete object, nested objects included. Checks
+ * lengths only; bytes after that object are allowed. */
+bool kq_pack_counts_fit (KqStr data);
 
 #endif
