--- a/src/base/base_test.c
+++ b/src/base/base_test.c
@@ -12,7 +12,7 @@
 #include <cmocka.h>
 
 static void
-test_secrets_compare_whole (void **state)
+test_str_eq_secret (void **state)
 {
   (void)state;
   assert_true (kq_str_eq_secret (KQ_STR ("token"), KQ_STR ("token")));
@@ -106,7 +106,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_secrets_compare_whole),
+    cmocka_unit_test (test_str_eq_secret),
     cmocka_unit_test (test_str_cut_and_numbers),
     cmocka_unit_test (test_buf_grows_and_drops),
     cmocka_unit_test (test_buf_keeps_its_limit),
--- a/src/base/counter.c
+++ b/src/base/counter.c
@@ -12,7 +12,8 @@
   char *help;
 } Counter;
 
-/* Registration is rare and printing is by name, so a list sorted by name is enough. */
+/* A list sorted by name and labels suffices: counters are registered rarely, and printed
+ * in this order. */
 struct KqCounters
 {
   Counter *first;
--- a/src/base/counter.h
+++ b/src/base/counter.h
@@ -1,11 +1,12 @@
 #ifndef KQ_BASE_COUNTER_H
 #define KQ_BASE_COUNTER_H
 
-/* counter: the program's own metrics, printed in the usual text form.
+/* counter: the program's metrics, printed in the Prometheus text format.
  *
- * A counter is found once by name and labels, then added to through its pointer, which
- * stays valid for the registry's life. Names start with kq_; labels are written as they
- * are printed, for example: service="tag-watch". A gauge is a counter that is set. */
+ * A counter is looked up once by name and labels and then changed through its pointer,
+ * which stays valid until the registry is freed. Names begin with kq_; labels are given
+ * as they are printed, for example service="tag-watch". A gauge is a counter that is set
+ * instead of added to. */
 
 #include "base/result.h"
 #include "base/str.h"
@@ -16,12 +17,12 @@
 
 KqCounters *kq_counters_new (void);
 void kq_counters_free (KqCounters *c);
-/* The counter of that name and labels (labels may be ""); made at first use. The help
- * of the first use stands. */
+/* Returns the counter of that name and labels ("": none); creates it at the first call.
+ * The help text of the first call is used. The strings are copied. */
 uint64_t *kq_counter (KqCounters *c, const char *name, const char *labels,
                       const char *help);
-/* Adds one to the counter of a result code: kq_results_total{code="603",name="..."}.
- * One call per refusal or retry, with the reason's code. */
+/* Adds one to the counter of a result code: kq_results_total{code="603",name="..."}. To
+ * be called once for each refusal, retry or fault, with the code of its reason. */
 void kq_counter_result (KqCounters *c, KqResult r);
 uint64_t kq_counter_of_result (const KqCounters *c, KqResult r);
 void kq_counters_print (const KqCounters *c, KqBuf *out);
--- a/src/base/histogram.c
+++ b/src/base/histogram.c
@@ -6,40 +6,40 @@
     = { 1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10000, 30000 };
 
 static uint64_t *
-bucket (KqCounters *c, const char *name, const char *labels, const char *le,
-        const char *help)
+bucket_counter (KqCounters *c, const char *name, const char *labels, const char *le,
+                const char *help)
 {
-  char full[96];
+  char counter_name[96];
   char with_le[128];
-  snprintf (full, sizeof full, "%s_bucket", name);
+  snprintf (counter_name, sizeof counter_name, "%s_bucket", name);
   snprintf (with_le, sizeof with_le, "%s%sle=\"%s\"", labels,
             labels[0] != '\0' ? "," : "", le);
-  return kq_counter (c, full, with_le, help);
+  return kq_counter (c, counter_name, with_le, help);
 }
 
 KqHistogram
 kq_histogram (KqCounters *c, const char *name, const char *labels, const char *help)
 {
   KqHistogram h;
-  char text[96];
+  char sum_name[96];
   for (int i = 0; i < KQ_HISTOGRAM_BOUNDS; i++)
     {
       char le[24];
       snprintf (le, sizeof le, "%lld", (long long)bounds_ms[i]);
-      h.buckets[i] = bucket (c, name, labels, le, help);
+      h.buckets[i] = bucket_counter (c, name, labels, le, help);
     }
-  h.all = bucket (c, name, labels, "+Inf", help);
-  snprintf (text, sizeof text, "%s_sum", name);
-  h.sum_ms = kq_counter (c, text, labels, help);
+  h.total = bucket_counter (c, name, labels, "+Inf", help);
+  snprintf (sum_name, sizeof sum_name, "%s_sum", name);
+  h.sum_ms = kq_counter (c, sum_name, labels, help);
   return h;
 }
 
 void
-kq_histogram_add (KqHistogram *h, KqTime took)
+kq_histogram_add (KqHistogram *h, KqTime duration)
 {
   for (int i = 0; i < KQ_HISTOGRAM_BOUNDS; i++)
-    if (took <= bounds_ms[i] * KQ_MS)
+    if (duration <= bounds_ms[i] * KQ_MS)
       ++*h->buckets[i];
-  ++*h->all;
-  *h->sum_ms += took > 0 ? (uint64_t)(took / KQ_MS) : 0;
+  ++*h->total;
+  *h->sum_ms += duration > 0 ? (uint64_t)(duration / KQ_MS) : 0;
 }
--- a/src/base/histogram.h
+++ b/src/base/histogram.h
@@ -1,9 +1,10 @@
 #ifndef KQ_BASE_HISTOGRAM_H
 #define KQ_BASE_HISTOGRAM_H
 
-/* histogram: counts of times by upper bounds in milliseconds, as counters NAME_bucket
- * with a label le, cumulative, and NAME_sum. Bounds grow by 2 to 2.5, so that a quantile
- * read from them is off by less than that. */
+/* histogram: a Prometheus histogram of durations, kept as cumulative counters NAME_bucket
+ * with the label le (upper bound in milliseconds) and NAME_sum (milliseconds). Each bound
+ * is 2 to 2.5 times the one before it (the last one 3 times), so a quantile computed from
+ * the buckets is off by less than that factor. */
 
 #include "base/counter.h"
 #include "base/time.h"
@@ -13,13 +14,14 @@
 typedef struct
 {
   uint64_t *buckets[KQ_HISTOGRAM_BOUNDS];
-  uint64_t *all; /* le="+Inf" */
+  uint64_t *total; /* le="+Inf" */
   uint64_t *sum_ms;
 } KqHistogram;
 
-/* name: without _bucket; labels may be "". Both are copied. */
+/* Creates the counters in c. name: without _bucket; labels: "" for none. The strings are
+ * copied. */
 KqHistogram kq_histogram (KqCounters *c, const char *name, const char *labels,
                           const char *help);
-void kq_histogram_add (KqHistogram *h, KqTime took);
+void kq_histogram_add (KqHistogram *h, KqTime duration);
 
 #endif
--- a/src/base/listen.c
+++ b/src/base/listen.c
@@ -5,7 +5,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Connections that wait to be accepted: a burst of callers behind the balancer. */
+/* Connections that wait to be accepted; enough for a burst through the load balancer. */
 #define BACKLOG 1024
 
 int
--- a/src/base/listen.h
+++ b/src/base/listen.h
@@ -1,13 +1,13 @@
 #ifndef KQ_BASE_LISTEN_H
 #define KQ_BASE_LISTEN_H
 
-/* listen: a listening TCP socket, non-blocking, closed on exec.
+/* listen: creates a listening TCP socket, non-blocking and close-on-exec.
  *
- * ip: an IPv4 address in numbers; port 0: the kernel picks. *bound receives the port.
- * Returns the socket, or -1 when the address can't be bound. An address that another
- * process listens on can't be: sharing a port would send part of the callers to a
- * process that nobody meant them to reach. (libmicrohttpd's own address reuse sets
- * SO_REUSEPORT, so two daemons with one settings file split the callers silently.) */
+ * ip: a numeric IPv4 address. port: 0 lets the kernel choose. *bound receives the port.
+ * Returns the socket, or -1 if the address can't be bound, for example because another
+ * process listens on it. SO_REUSEPORT is not set: two processes that share a port would
+ * each get a part of the connections without notice. (libmicrohttpd's option for address
+ * reuse sets it, so two daemons with the same settings file would do so.) */
 int kq_listen (const char *ip, int port, int *bound);
 
 #endif
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -12,31 +12,31 @@
 
 #define LINE_MAX_BYTES 2048
 
-static const char *const names[] = { "error", "warn", "info", "debug" };
+static const char *const level_names[] = { "error", "warn", "info", "debug" };
 static KqLogLevel threshold = KQ_LOG_INFO;
 
-/* What waits for the reader of standard output. A reader that stands still costs this
- * much memory and then lines, never time. */
-#define HELD_MAX (256 * 1024)
-/* A pipe that polls as writable takes this much at once without blocking (POSIX: PIPE_BUF
- * bytes are atomic). */
-#define WRITE_MAX 4096
-/* Collected lines are written once there are so many bytes, or by kq_log_flush. */
-#define WRITE_AT 3500
+/* Buffer for standard output. While its reader doesn't read, the buffer fills up and
+ * further lines are dropped; the program never blocks. */
+#define BUFFER_MAX_BYTES (256 * 1024)
+/* A pipe that poll reports as writable accepts this much without blocking (PIPE_BUF,
+ * which POSIX writes atomically). */
+#define WRITE_MAX_BYTES 4096
+/* Bytes of collected lines at which they are written without a call of kq_log_flush. */
+#define FLUSH_AT_BYTES 3500
 
 typedef struct
 {
-  bool on;
+  bool enabled;
   int rate; /* lines a second */
   double tokens;
-  KqTime filled_at;
+  KqTime refilled_at;
   uint64_t dropped;
-  uint64_t dropped_told;
+  uint64_t dropped_reported;
   size_t len;
-  char held[HELD_MAX];
-} Out;
+  char buffer[BUFFER_MAX_BYTES];
+} StdoutLog;
 
-static Out out;
+static StdoutLog out;
 
 void
 kq_log_set_level (KqLogLevel level)
@@ -49,7 +49,7 @@
 {
   for (int i = 0; i < 4; i++)
     {
-      if (strcmp (name, names[i]) == 0)
+      if (strcmp (name, level_names[i]) == 0)
         return i;
     }
   return -1;
@@ -58,10 +58,10 @@
 void
 kq_log_to_stdout (int lines_per_second)
 {
-  out.on = true;
+  out.enabled = true;
   out.rate = lines_per_second;
   out.tokens = lines_per_second;
-  out.filled_at = kq_time_now ();
+  out.refilled_at = kq_time_now ();
 }
 
 void
@@ -71,29 +71,31 @@
   struct pollfd p = { .fd = STDOUT_FILENO, .events = POLLOUT };
   while (at < out.len)
     {
-      size_t n = out.len - at < WRITE_MAX ? out.len - at : WRITE_MAX;
+      size_t n = out.len - at < WRITE_MAX_BYTES ? out.len - at : WRITE_MAX_BYTES;
       ssize_t wrote;
       if (poll (&p, 1, 0) != 1 || (p.revents & POLLOUT) == 0)
         break;
-      wrote = write (STDOUT_FILENO, out.held + at, n);
+      wrote = write (STDOUT_FILENO, out.buffer + at, n);
       if (wrote <= 0)
         break;
       at += (size_t)wrote;
     }
-  memmove (out.held, out.held + at, out.len - at);
+  memmove (out.buffer, out.buffer + at, out.len - at);
   out.len -= at;
 }
 
-/* Whether one more line is within the rate; errors and warnings always are. */
+/* Token bucket. Whether one more line is within the rate; errors and warnings always are.
+ */
 static bool
 take_token (KqLogLevel level)
 {
   KqTime now = kq_time_now ();
-  out.tokens += (double)(now - out.filled_at) * out.rate / KQ_SEC;
+  out.tokens += (double)(now - out.refilled_at) * out.rate / KQ_SEC;
   if (out.tokens > out.rate)
     out.tokens = out.rate;
-  out.filled_at = now;
-  /* Lines on single tasks leave half of the rate to those on jobs and beliefs. */
+  out.refilled_at = now;
+  /* Debug lines, which are about single tasks, use at most half of the rate; the rest is
+   * left to info lines about jobs and about the state of other nodes. */
   if (level == KQ_LOG_DEBUG && out.tokens < out.rate / 2.0)
     return false;
   if (out.tokens < 1 && level > KQ_LOG_WARN)
@@ -103,25 +105,25 @@
 }
 
 static void
-hold (const char *line, size_t n)
+buffer_line (const char *line, size_t n)
 {
-  char note[96];
+  char notice[96];
   size_t m = 0;
-  if (out.dropped > out.dropped_told)
-    m = (size_t)snprintf (note, sizeof note, "log: Lines left out. total=%llu\n",
+  if (out.dropped > out.dropped_reported)
+    m = (size_t)snprintf (notice, sizeof notice, "log: Lines left out. total=%llu\n",
                           (unsigned long long)out.dropped);
-  if (out.len + n + m > HELD_MAX)
+  if (out.len + n + m > BUFFER_MAX_BYTES)
     {
       out.dropped++;
       return;
     }
-  memcpy (out.held + out.len, note, m);
+  memcpy (out.buffer + out.len, notice, m);
   out.len += m;
   if (m > 0)
-    out.dropped_told = out.dropped;
-  memcpy (out.held + out.len, line, n);
+    out.dropped_reported = out.dropped;
+  memcpy (out.buffer + out.len, line, n);
   out.len += n;
-  if (out.len >= WRITE_AT)
+  if (out.len >= FLUSH_AT_BYTES)
     kq_log_flush ();
 }
 
@@ -138,7 +140,7 @@
 
   if (level > threshold)
     return;
-  if (out.on && !take_token (level))
+  if (out.enabled && !take_token (level))
     {
       out.dropped++;
       return;
@@ -147,16 +149,16 @@
   gmtime_r (&ts.tv_sec, &tm);
   n = strftime (line, sizeof line, "%Y-%m-%dT%H:%M:%S", &tm);
   m = snprintf (line + n, sizeof line - n, ".%03ldZ %s %s: ", ts.tv_nsec / 1000000,
-                names[level], part);
+                level_names[level], part);
   n += (size_t)m;
   va_start (ap, fmt);
   m = vsnprintf (line + n, sizeof line - n - 1, fmt, ap);
   va_end (ap);
   n += (size_t)m < sizeof line - n - 1 ? (size_t)m : sizeof line - n - 2;
   line[n++] = '\n';
-  if (out.on)
+  if (out.enabled)
     {
-      hold (line, n);
+      buffer_line (line, n);
       return;
     }
   if (write (STDERR_FILENO, line, n) < 0)
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,12 +1,13 @@
 #ifndef KQ_BASE_LOG_H
 #define KQ_BASE_LOG_H
 
-/* log: one line an event: "time level part: Short sentence. key=value".
+/* log: one line per event, in the form "time level part: Short sentence. key=value".
  *
- * Each part of the program passes its fixed prefix. Values of secrets are never passed.
- * Lines go to standard error as they come, or, after kq_log_to_stdout, to standard output
- * in batches: bounded in number per second and in memory, and never waiting for a reader.
- * What is left out is counted, and said in the next line that passes. */
+ * Each part of the program passes a fixed name as `part`. Secrets are never logged.
+ * By default each line is written to standard error at once. After kq_log_to_stdout lines
+ * are written to standard output in batches, with bounds on lines per second and on
+ * memory, and never block. Dropped lines are counted; the next line that is accepted is
+ * preceded by a line with their number. */
 
 #include <stdint.h>
 
@@ -19,12 +20,12 @@
 } KqLogLevel;
 
 void kq_log_set_level (KqLogLevel level);
-/* Reads "error", "warn", "info" or "debug"; -1 for anything else. */
+/* Returns the level named "error", "warn", "info" or "debug"; -1 for any other name. */
 int kq_log_level_parse (const char *name);
-/* Collects lines and writes them to standard output, at most lines_per_second (errors and
- * warnings pass beyond it). */
+/* From now on collects lines and writes them to standard output, at most
+ * lines_per_second; errors and warnings are not limited. */
 void kq_log_to_stdout (int lines_per_second);
-/* Writes what is collected, as far as the reader takes it now. */
+/* Writes the collected lines, as far as possible without blocking. */
 void kq_log_flush (void);
 void kq_log (KqLogLevel level, const char *part, const char *fmt, ...)
     __attribute__ ((format (printf, 3, 4)));
--- a/src/base/result.c
+++ b/src/base/result.c
@@ -143,7 +143,7 @@
   return rows;
 }
 
-/* Rows stand in order of their codes, so a binary search finds one. */
+/* Binary search; the rows are sorted by code. */
 static const KqResultRow *
 find_row (KqResult r)
 {
--- a/src/base/result.h
+++ b/src/base/result.h
@@ -1,13 +1,12 @@
 #ifndef KQ_BASE_RESULT_H
 #define KQ_BASE_RESULT_H
 
-/* result: the numbered result codes of the whole program.
+/* result: the result codes of the whole program.
  *
- * Numbers never change meaning and are never used again. Each slice has a hundred:
- * 1xx general and settings, 2xx wire, 3xx platform, 4xx shard and member, 5xx table,
- * 6xx requests, 7xx jobs, 8xx operators' interface. result.c holds one row a code;
- * docs/RESULTS.md is printed from there. Numbers once given to a code that is gone: 506,
- * 620, 708. */
+ * A number never changes its meaning and is never used again for another code. Ranges:
+ * 1xx general and settings, 2xx wire, 3xx platform, 4xx shard and member, 5xx table, 6xx
+ * requests, 7xx jobs, 8xx operators' interface. Numbers of removed codes: 506, 620, 708.
+ * result.c has one row per code; docs/RESULTS.md is generated from it. */
 
 #include <stdbool.h>
 
@@ -36,21 +35,21 @@
 
   KQ_ERR_STORE_UNREACHABLE
   = 301,                       /* no answer, or an error: the write may have happened */
-  KQ_ERR_STORE_CONFLICT = 302, /* the revision was another: not written */
+  KQ_ERR_STORE_CONFLICT = 302, /* the revision didn't match: not written */
   KQ_ERR_STORE_NOT_FOUND = 303,
   KQ_ERR_STORE_LEASE_LOST = 304,
   KQ_ERR_STORE_TOO_LARGE = 305,
-  KQ_ERR_STORE_BUSY = 306, /* our budget or the store's rate is spent: no effect */
+  KQ_ERR_STORE_BUSY = 306, /* rate limit of this node or the store: no effect */
   KQ_ERR_WORKER_UNREACHABLE = 307,
   KQ_ERR_WORKER_REFUSED = 308,
   KQ_ERR_PLATFORM_FORMAT = 309,
 
   KQ_ERR_NOT_OWNER = 401,
-  KQ_ERR_FENCED = 402, /* a successor wrote into our journal */
+  KQ_ERR_FENCED = 402, /* the shard's next owner wrote into the journal */
   KQ_ERR_JOURNAL_DAMAGED = 403,
   KQ_ERR_JOURNAL_VERSION = 404,
   KQ_ERR_JOURNAL_FULL = 405,
-  KQ_ERR_NOT_COMMITTED = 406, /* given up before the commit was sent: no effect */
+  KQ_ERR_NOT_COMMITTED = 406, /* abandoned before the commit was sent: no effect */
   KQ_ERR_COMMIT_UNKNOWN = 407,
   KQ_ERR_NO_OWNER = 408,
 
@@ -66,11 +65,11 @@
   KQ_ERR_NO_SERVICE = 601,
   KQ_ERR_BAD_REQUEST = 602,
   KQ_ERR_QUEUE_FULL = 603,
-  KQ_ERR_DEADLINE_FORECAST = 604, /* the wait forecast passes the deadline */
+  KQ_ERR_DEADLINE_FORECAST = 604, /* the expected wait exceeds the deadline */
   KQ_ERR_DEADLINE_PASSED = 605,
   KQ_ERR_CALLER_SHARE = 606,
   KQ_ERR_NO_TARGET = 607,
-  KQ_ERR_RETRY_BUDGET = 608, /* a try failed and no other was allowed; counted only */
+  KQ_ERR_RETRY_BUDGET = 608, /* an attempt failed, no other was allowed; only counted */
   KQ_ERR_OUTCOME_UNKNOWN = 609,
   KQ_ERR_CLAIM_MISMATCH = 610,
   KQ_ERR_CLAIM_PENDING = 611,
@@ -83,8 +82,8 @@
   KQ_ERR_CALLER_GONE = 618,
   KQ_ERR_TARGET_SILENT = 619,
   KQ_ERR_CLAIM_NOT_KEPT = 621,
-  KQ_RETRY_NOT_RUN = 640,    /* tried again: the first try provably did not run */
-  KQ_RETRY_IDEMPOTENT = 641, /* tried again: running twice does no harm */
+  KQ_RETRY_NOT_RUN = 640,    /* retried: the first attempt certainly did not run */
+  KQ_RETRY_IDEMPOTENT = 641, /* retried: running twice is harmless */
   KQ_RETRY_OTHER_OWNER = 642,
 
   KQ_ERR_JOB_UNKNOWN = 701,
@@ -113,7 +112,7 @@
   KQ_RESULT_LIMIT = 900
 } KqResult;
 
-/* What a caller may conclude about its request. */
+/* Whether a caller's request was executed. */
 typedef enum
 {
   KQ_RAN_NO,
@@ -125,14 +124,14 @@
 {
   KqResult code;
   const char *name;
-  int http_status; /* 0: never sent to a caller */
+  int http_status; /* 0: not used in HTTP responses */
   const char *meaning;
 } KqResultRow;
 
-/* The rows in order of their codes; *n receives their number. */
+/* Returns all rows, sorted by code; *n receives their number. */
 const KqResultRow *kq_result_rows (int *n);
-const char *kq_result_name (KqResult r);    /* "UNKNOWN" for no row */
+const char *kq_result_name (KqResult r);    /* "UNKNOWN" if there is no row */
 const char *kq_result_meaning (KqResult r); /* one sentence */
-int kq_result_http (KqResult r);            /* 500 for no row */
+int kq_result_http (KqResult r);            /* 500 if there is no row */
 
 #endif
--- a/src/base/str.c
+++ b/src/base/str.c
@@ -81,16 +81,16 @@
 kq_str_cut (KqStr *s, char sep)
 {
   const char *p = s->len > 0 ? memchr (s->ptr, sep, s->len) : NULL;
-  KqStr head = *s;
+  KqStr part = *s;
   if (p == NULL)
     {
       *s = kq_str_n (s->ptr + s->len, 0);
-      return head;
+      return part;
     }
-  head.len = (size_t)(p - s->ptr);
+  part.len = (size_t)(p - s->ptr);
   s->ptr = p + 1;
-  s->len -= head.len + 1;
-  return head;
+  s->len -= part.len + 1;
+  return part;
 }
 
 static bool
@@ -123,21 +123,22 @@
   return true;
 }
 
-/* The conversions of the C library want a NUL; numbers are short. */
-#define NUMBER_MAX 40
+/* Buffer for a number and the NUL that strtoll needs; longer strings are no valid
+ * numbers. */
+#define NUMBER_MAX_BYTES 40
 
 static bool
-number_text (KqStr s, char out[NUMBER_MAX])
+copy_number (KqStr s, char out[NUMBER_MAX_BYTES])
 {
-  return s.len > 0 && !is_space (s.ptr[0]) && kq_str_copy (s, out, NUMBER_MAX);
+  return s.len > 0 && !is_space (s.ptr[0]) && kq_str_copy (s, out, NUMBER_MAX_BYTES);
 }
 
 bool
 kq_str_to_i64 (KqStr s, int64_t *out)
 {
-  char text[NUMBER_MAX];
+  char text[NUMBER_MAX_BYTES];
   char *end;
-  if (!number_text (s, text))
+  if (!copy_number (s, text))
     return false;
   errno = 0;
   long long v = strtoll (text, &end, 10);
@@ -150,9 +151,9 @@
 bool
 kq_str_to_u64 (KqStr s, uint64_t *out)
 {
-  char text[NUMBER_MAX];
+  char text[NUMBER_MAX_BYTES];
   char *end;
-  if (!number_text (s, text) || text[0] == '-')
+  if (!copy_number (s, text) || text[0] == '-')
     return false;
   errno = 0;
   unsigned long long v = strtoull (text, &end, 10);
@@ -241,9 +242,9 @@
 }
 
 bool
-kq_buf_add_most (KqBuf *b, KqStr s, size_t most)
+kq_buf_add_most (KqBuf *b, KqStr s, size_t max)
 {
-  if (s.len > most || b->len > most - s.len)
+  if (s.len > max || b->len > max - s.len)
     return false;
   kq_buf_add_str (b, s);
   return true;
--- a/src/base/str.h
+++ b/src/base/str.h
@@ -1,11 +1,12 @@
 #ifndef KQ_BASE_STR_H
 #define KQ_BASE_STR_H
 
-/* str: length-counted strings and a growable byte buffer.
+/* str: strings with a length, a growable byte buffer, and allocation.
  *
- * A KqStr points at bytes it doesn't own; it need not end in NUL. A KqBuf owns its
- * bytes; its contents are always followed by one NUL that doesn't count, so that
- * buf.ptr can be given to C functions. Allocation failure aborts (GLib's rule). */
+ * A KqStr points to bytes that it doesn't own; they need not end with a NUL. A KqBuf owns
+ * its bytes. The contents of a buffer that has been written to are followed by a NUL that
+ * isn't counted in `len`, so that buf.ptr can be passed to C functions. The program
+ * aborts when memory runs out, as in GLib. */
 
 #include <stdbool.h>
 #include <stddef.h>
@@ -36,46 +37,47 @@
 KqStr kq_str (const char *cstr); /* NULL gives the empty string */
 KqStr kq_str_n (const char *ptr, size_t len);
 bool kq_str_eq (KqStr a, KqStr b);
-/* Compares secrets (tokens, digests). Comparing that stops at the first difference lets
- * whoever tries many values learn from the time taken how many leading bytes were right,
- * and so find a secret byte by byte. Here the time depends on the lengths only, and the
- * length of a token is no secret. */
+/* Compares secrets (tokens, digests) in a time that depends on the lengths only. A
+ * comparison that stops at the first difference tells by its duration how many leading
+ * bytes are right, so that a secret can be found byte by byte. The length of a token is
+ * not secret. */
 bool kq_str_eq_secret (KqStr a, KqStr b);
-int kq_str_cmp (KqStr a, KqStr b); /* bytewise, as memcmp; shorter first */
+int kq_str_cmp (KqStr a, KqStr b); /* as memcmp; a prefix sorts first */
 bool kq_str_has_prefix (KqStr s, KqStr prefix);
 bool kq_str_has_suffix (KqStr s, KqStr suffix);
-/* Cuts s at the first sep: returns what stands before it and moves *s behind it.
- * Without a sep the whole string is returned and *s becomes empty. */
+/* Splits *s at the first sep: returns the part before it and sets *s to the part after
+ * it. Without a sep returns the whole string, and *s becomes empty. */
 KqStr kq_str_cut (KqStr *s, char sep);
-KqStr kq_str_trim (KqStr s);
-/* A decimal integer that fills the whole string; false otherwise or when out of range. */
+KqStr kq_str_trim (KqStr s); /* without white space at both ends */
+/* Parses a decimal integer; false if the string is anything else or out of range. */
 bool kq_str_to_i64 (KqStr s, int64_t *out);
 bool kq_str_to_u64 (KqStr s, uint64_t *out);
-/* Copies s and a NUL to `to`; false when that doesn't fit: nothing is copied then. */
+/* Copies s and a NUL to `to`; false, and nothing is copied, if they don't fit. */
 bool kq_str_copy (KqStr s, char *to, size_t size);
-char *kq_str_dup (KqStr s); /* NUL-terminated copy, freed with free () */
-KqStr kq_str_own (KqStr s); /* the same as a KqStr; its ptr is freed with free () */
+char *kq_str_dup (KqStr s); /* NUL-terminated copy; free it with free () */
+KqStr kq_str_own (KqStr s); /* the same as a KqStr; free its ptr with free () */
 uint64_t kq_str_hash (KqStr s);
-uint64_t kq_hash2 (uint64_t a, uint64_t b); /* mixes two numbers into one */
+uint64_t kq_hash2 (uint64_t a, uint64_t b); /* one hash of two numbers */
 
 void kq_buf_init (KqBuf *b);
 void kq_buf_free (KqBuf *b);
-void kq_buf_clear (KqBuf *b); /* keeps the memory */
-void kq_buf_reserve (KqBuf *b, size_t more);
+void kq_buf_clear (KqBuf *b);                /* keeps the memory */
+void kq_buf_reserve (KqBuf *b, size_t more); /* room for `more` bytes and a NUL */
 void kq_buf_add (KqBuf *b, const void *ptr, size_t len);
 void kq_buf_add_str (KqBuf *b, KqStr s);
-/* Adds s unless the buffer would then hold more than `most` bytes; false: not added. */
-bool kq_buf_add_most (KqBuf *b, KqStr s, size_t most);
+/* Appends s unless the buffer would then hold more than `max` bytes; false: not appended.
+ */
+bool kq_buf_add_most (KqBuf *b, KqStr s, size_t max);
 void kq_buf_printf (KqBuf *b, const char *fmt, ...)
     __attribute__ ((format (printf, 2, 3)));
-void kq_buf_drop (KqBuf *b, size_t len); /* removes bytes at the front */
+void kq_buf_drop (KqBuf *b, size_t len); /* removes the first `len` bytes */
 KqStr kq_buf_str (const KqBuf *b);
 
-/* Allocation that aborts when memory is out; zeroed. */
-void *kq_alloc (size_t size);
+/* Both abort if memory runs out. */
+void *kq_alloc (size_t size); /* zeroed */
 void *kq_realloc (void *ptr, size_t size);
 
-/* A fixed-size name, for structs that are copied by value (ids, classes, services). */
+/* A name of limited length, stored inline in structs that are copied by value. */
 #define KQ_NAME_MAX 63
 typedef struct
 {
@@ -84,10 +86,10 @@
 } KqName;
 
 KqStr kq_name_str (const KqName *n);
-/* Cuts at KQ_NAME_MAX; callers check the length of what comes from outside. */
+/* Truncates s to KQ_NAME_MAX bytes; callers must check the length of external input. */
 KqName kq_name (KqStr s);
 bool kq_name_eq (const KqName *a, const KqName *b);
-/* 1 to KQ_NAME_MAX bytes of a-z A-Z 0-9 . _ - */
+/* Whether s has 1 to KQ_NAME_MAX bytes, all of a-z A-Z 0-9 . _ - */
 bool kq_name_valid (KqStr s);
 
 #endif
--- a/src/base/task.c
+++ b/src/base/task.c
@@ -7,26 +7,26 @@
 #include <assert.h>
 #include <stdlib.h>
 
-/* Mails delivered before the loop looks at sockets and timers again: tasks that answer
- * each other must not keep the sockets waiting. */
+/* Mails delivered in one batch, before the loop polls sockets and timers again. Without a
+ * limit tasks that answer each other would keep the sockets waiting. */
 #define DELIVER_MAX 4096
 
 struct KqLoop
 {
   struct ev_loop *ev;
-  /* Fed as an event at the first send, so that it runs before the next poll. Never
-   * started. */
+  /* Fed as an event by the first send, so that it runs before the next poll. This watcher
+   * is never started. */
   ev_idle deliver;
-  /* While mails are left behind a batch: due at once, but after the poll, and not behind
-   * other events as an idle watcher would be. */
-  ev_timer again;
-  bool scheduled; /* `deliver` is fed, `again` runs, or a batch is being delivered */
+  /* Active while mails are left after a batch. A timer of 0 s fires after the next poll;
+   * an idle watcher would run only when there are no other events. */
+  ev_timer next_batch;
+  bool scheduled; /* a batch is due or being delivered */
   KqTask *first_ready;
   KqTask *last_ready;
 };
 
 static KqTask *
-take_ready (KqLoop *l)
+pop_ready (KqLoop *l)
 {
   KqTask *t = l->first_ready;
   l->first_ready = t->next_ready;
@@ -54,7 +54,7 @@
   KqTime now = kq_time_now ();
   for (int n = 0; n < DELIVER_MAX && l->first_ready != NULL; n++)
     {
-      KqTask *t = take_ready (l);
+      KqTask *t = pop_ready (l);
       KqMail *m = t->first;
       t->first = m->next;
       if (t->first == NULL)
@@ -66,9 +66,10 @@
     }
 }
 
-/* Sends of the handlers need no event of their own: what they leave behind is seen
- * here. Taking such an event back when nothing was left once stopped all delivery for
- * good, as `scheduled` still said that one was due. */
+/* Delivers one batch. Mails that handlers send meanwhile need no event, since those left
+ * over are seen at the end of the batch; so `scheduled` is set first, and no event is
+ * fed. An earlier version fed such events and removed them if no mail was left, but
+ * `scheduled` stayed true: no mail was delivered any more. */
 static void
 run_batch (KqLoop *l)
 {
@@ -76,7 +77,7 @@
   deliver (l);
   l->scheduled = l->first_ready != NULL;
   if (l->scheduled)
-    ev_timer_start (l->ev, &l->again);
+    ev_timer_start (l->ev, &l->next_batch);
 }
 
 static void
@@ -88,7 +89,7 @@
 }
 
 static void
-on_again (struct ev_loop *ev, ev_timer *w, int events)
+on_next_batch (struct ev_loop *ev, ev_timer *w, int events)
 {
   (void)ev;
   (void)events;
@@ -102,8 +103,8 @@
   l->ev = ev_loop_new (EVFLAG_AUTO);
   assert (l->ev != NULL);
   ev_idle_init (&l->deliver, on_deliver);
-  ev_timer_init (&l->again, on_again, 0, 0);
-  l->deliver.data = l->again.data = l;
+  ev_timer_init (&l->next_batch, on_next_batch, 0, 0);
+  l->deliver.data = l->next_batch.data = l;
   return l;
 }
 
@@ -149,7 +150,7 @@
 }
 
 static void
-leave_ready (KqTask *t)
+remove_ready (KqTask *t)
 {
   KqLoop *l = t->loop;
   KqTask **at = &l->first_ready;
@@ -172,7 +173,7 @@
 kq_task_close (KqTask *t)
 {
   if (t->ready)
-    leave_ready (t);
+    remove_ready (t);
   while (t->first != NULL)
     {
       KqMail *m = t->first;
--- a/src/base/task.h
+++ b/src/base/task.h
@@ -1,11 +1,13 @@
 #ifndef KQ_BASE_TASK_H
 #define KQ_BASE_TASK_H
 
-/* task: units that own their sockets and state and talk by messages, on one event loop.
+/* task: actors on one event loop. A task owns its sockets and state, and communicates
+ * with other tasks by messages within the process (mails).
  *
- * A task never calls into another one: it sends a KqMail, which the loop delivers later,
- * in order of sending per receiver. Thus no task is ever entered while it runs. The
- * contents of mails are declared in port/mail.h. */
+ * A task never calls functions of another one: it sends a KqMail. The loop delivers it
+ * later, not during the send; each task gets its mails in the order of sending. A task's
+ * handler is therefore never entered while it runs. The contents of mails are declared in
+ * port/mail.h. */
 
 #include "base/time.h"
 
@@ -19,28 +21,28 @@
 {
   const char *name;
   void *self;
-  /* Takes over the mail. */
+  /* Handles one mail, which it must free. now: when the batch of mails began. */
   void (*handle) (void *self, KqMail *mail, KqTime now);
-  /* Of the loop: the queue of mails not yet delivered. */
+  /* Used by the loop only. */
   KqLoop *loop;
-  KqMail *first;
+  KqMail *first; /* queue of mails to be delivered */
   KqMail *last;
-  struct KqTask *next_ready;
-  bool ready;
+  struct KqTask *next_ready; /* list of the tasks that have mails */
+  bool ready;                /* in that list */
 } KqTask;
 
 KqLoop *kq_loop_new (void);
 void kq_loop_free (KqLoop *l);
 struct ev_loop *kq_loop_ev (KqLoop *l);
-void kq_loop_run (KqLoop *l); /* until kq_loop_stop */
+void kq_loop_run (KqLoop *l); /* returns after kq_loop_stop */
 void kq_loop_stop (KqLoop *l);
 KqTime kq_loop_now (const KqLoop *l);
 
 void kq_task_init (KqTask *t, KqLoop *l, const char *name, void *self,
                    void (*handle) (void *, KqMail *, KqTime));
-/* Drops mails that were not delivered. */
+/* Frees mails that were not delivered. */
 void kq_task_close (KqTask *t);
-/* Takes over the mail. */
+/* Sends a mail to the task, and takes over its ownership. */
 void kq_task_send (KqTask *t, KqMail *mail);
 
 #endif
--- a/src/base/task_test.c
+++ b/src/base/task_test.c
@@ -10,7 +10,8 @@
 
 #include <cmocka.h>
 
-/* One task sends on to the other what it gets, `left` times; both count. */
+/* Two tasks: a forwards each mail to b, and b returns it to a `left` times. Both count.
+ */
 typedef struct
 {
   KqLoop *loop;
@@ -19,7 +20,7 @@
   int got_a;
   int got_b;
   int left;
-  int wanted_b;
+  int wanted_b; /* mails to b after which the loop stops */
 } Pair;
 
 static void
@@ -71,10 +72,10 @@
   kq_task_init (&p->b, p->loop, "b", p, on_b);
 }
 
-/* A handler sends on, the mail is delivered in the same batch, the loop goes back to its
- * poll. A later event's mail must be delivered too: when the batch's end took back the
- * event that the send had asked for, no mail was ever delivered again and the whole
- * process stood still while its sockets were open. */
+/* A handler sends a mail, which is delivered in the same batch. A mail that is sent
+ * later, after the loop has polled, must be delivered too. It was not when the end of the
+ * batch removed the event fed by the handler's send: no mail was delivered any more, and
+ * the whole process hung with its sockets open. */
 static void
 test_sends_from_handlers_do_not_stop_the_loop (void **state)
 {
@@ -101,8 +102,8 @@
   ev_timer_again (ev, w);
 }
 
-/* Two tasks answer each other over several batches while other events of the loop are
- * ready all the time: the mails must neither keep those waiting nor starve behind them.
+/* Two tasks answer each other over several batches while a timer of the loop is always
+ * due. The mails must neither delay the other events of the loop nor be starved by them.
  */
 static void
 test_batches_beside_busy_events (void **state)
--- a/src/base/time.c
+++ b/src/base/time.c
@@ -2,8 +2,8 @@
 
 #include <time.h>
 
-/* The boot-time clock goes on while the host is suspended; the plain monotonic one does
- * not, and a process that has slept through its leases would take them for live. */
+/* CLOCK_BOOTTIME advances while the host is suspended, CLOCK_MONOTONIC doesn't: a process
+ * resumed after its leases expired would take them for valid. */
 KqTime
 kq_time_now (void)
 {
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -1,10 +1,11 @@
 #ifndef KQ_BASE_TIME_H
 #define KQ_BASE_TIME_H
 
-/* time: the present time, in microseconds of the monotonic clock.
+/* time: monotonic time in microseconds since an unspecified point; it includes the time
+ * in which the host was suspended.
  *
- * Every function that decides takes `now` as an argument. Only the event loop and the
- * programs' mains call kq_time_now (). The zero of the clock has no meaning. */
+ * Functions that decide by the time take `now` as an argument. Only callbacks of the
+ * event loop and the main programs call kq_time_now (). */
 
 #include <stdint.h>
 
@@ -12,12 +13,12 @@
 
 #define KQ_MS ((KqTime)1000)
 #define KQ_SEC ((KqTime)1000000)
-/* Later than any time a program sees; a sum with a span of years doesn't overflow. */
+/* Later than any actual time; adding a duration of years doesn't overflow. */
 #define KQ_TIME_NEVER (INT64_MAX / 4)
 
 KqTime kq_time_now (void);
-/* The time of day, in milliseconds since 1970. It may jump; only what others compare with
- * their own time of day is measured by it. */
+/* The wall clock, in milliseconds since 1970 (UTC). It may jump, so it is used only for
+ * times that other programs compare with their own wall clock. */
 int64_t kq_time_wall_ms (void);
 
 #endif
