--- a/src/api/calls.c
+++ b/src/api/calls.c
@@ -9,9 +9,9 @@
 {
   struct Call *next;
   uint64_t number;
-  bool changes; /* may have taken effect when its answer is lost */
+  bool changes; /* may have an effect even if its answer is lost */
   KqHttpExchange *exchange;
-  KqTime until;
+  KqTime deadline;
 } Call;
 
 struct KqCalls
@@ -68,7 +68,7 @@
 }
 
 static bool
-changes_something (const KqMsg *msg)
+may_have_effect (const KqMsg *msg)
 {
   switch (msg->kind)
     {
@@ -81,12 +81,12 @@
     }
 }
 
-/* Some refusals say that nobody knows whether the change is in the store. */
+/* With some codes it is unknown whether the change is in the store. */
 static KqRan
 ran_of (const Call *call, KqResult code)
 {
-  bool open = code == KQ_ERR_STORE_UNREACHABLE || code == KQ_ERR_COMMIT_UNKNOWN;
-  return call->changes && open ? KQ_RAN_UNKNOWN : KQ_RAN_NO;
+  bool uncertain = code == KQ_ERR_STORE_UNREACHABLE || code == KQ_ERR_COMMIT_UNKNOWN;
+  return call->changes && uncertain ? KQ_RAN_UNKNOWN : KQ_RAN_NO;
 }
 
 void
@@ -94,9 +94,9 @@
 {
   Call *call = kq_alloc (sizeof *call);
   call->number = c->tag << 56 | ++c->number;
-  call->changes = changes_something (msg);
+  call->changes = may_have_effect (msg);
   call->exchange = x;
-  call->until = now + KQ_CALL_TIMEOUT;
+  call->deadline = now + KQ_CALL_TIMEOUT;
   call->next = c->first;
   c->first = call;
   set_number (msg, call->number, c->self);
@@ -167,9 +167,9 @@
     }
 }
 
-/* A change may have been committed before its answer was lost. */
+/* The call has timed out. A change may have been committed and only its answer lost. */
 static void
-give_up (KqCalls *c, const Call *call)
+time_out (KqCalls *c, const Call *call)
 {
   KqResult code = call->changes ? KQ_ERR_COMMIT_UNKNOWN : KQ_ERR_NO_OWNER;
   if (call->exchange != NULL)
@@ -182,9 +182,9 @@
   for (Call *call = c->first, *next = NULL; call != NULL; call = next)
     {
       next = call->next;
-      if (now < call->until)
+      if (now < call->deadline)
         continue;
-      give_up (c, call);
+      time_out (c, call);
       remove_call (c, call);
     }
 }
--- a/src/api/calls.h
+++ b/src/api/calls.h
@@ -1,10 +1,10 @@
 #ifndef KQ_API_CALLS_H
 #define KQ_API_CALLS_H
 
-/* calls: HTTP exchanges that wait for a JOB_REPLY or ANSWER of some node.
+/* calls: HTTP exchanges that wait for a JOB_REPLY or ANSWER message of a node.
  *
- * Each HTTP task has one KqCalls; the tag in the upper bits of a call's number says to
- * which of them a reply belongs. */
+ * Each HTTP task has one KqCalls. The upper 8 bits of a call's number are a tag that
+ * tells to which task a reply belongs. */
 
 #include "base/counter.h"
 #include "base/task.h"
@@ -14,7 +14,7 @@
 /* Tags of the two HTTP tasks. */
 #define KQ_CALLS_GATEWAY 1
 #define KQ_CALLS_OPERATOR 2
-/* A node that hasn't answered for so long won't: it died, or lost the call. */
+/* A node that hasn't answered by then won't: it failed, or the call was lost. */
 #define KQ_CALL_TIMEOUT (5 * KQ_SEC)
 
 typedef struct KqCalls KqCalls;
@@ -26,18 +26,22 @@
 {
   return (int)(call >> 56);
 }
-/* Sends msg (JOB_SUBMIT, JOB_CALL or QUERY) to a node with a fresh call number; the
- * answer goes to x. When the node never answers, a submission, a cancellation or a table
- * change is told COMMIT_UNKNOWN, a question NO_OWNER. */
+/* Sends msg (JOB_SUBMIT, JOB_CALL or QUERY) to a node with a new call number; the answer
+ * becomes the response of x. If the node doesn't answer in time, submissions,
+ * cancellations and table changes end with KQ_ERR_COMMIT_UNKNOWN, all other calls with
+ * KQ_ERR_NO_OWNER. */
 void kq_calls_ask (KqCalls *c, KqNodeId node, KqMsg *msg, KqHttpExchange *x, KqTime now);
-/* Refuses without asking anybody. Every refusal of these interfaces leaves here or with
- * an answer below, and is counted by its reason. */
+/* Refuses the request without a call to a node. All refusals of the HTTP interfaces go
+ * through this function, kq_calls_answer or kq_calls_tick, and are counted by their
+ * codes. */
 void kq_calls_refuse (KqCalls *c, KqHttpExchange *x, KqResult code, KqStr detail);
-/* JOB_REPLY or ANSWER. */
+/* Handles a JOB_REPLY or ANSWER. */
 void kq_calls_answer (KqCalls *c, const KqMsg *msg);
-/* The exchange is gone; its call's answer will be dropped. */
+/* The exchange has ended; the answer to its call will be dropped. */
 void kq_calls_gone (KqCalls *c, const KqHttpExchange *x);
+/* Ends the calls that have timed out. */
 void kq_calls_tick (KqCalls *c, KqTime now);
+/* Number of calls without an answer. */
 size_t kq_calls_open (const KqCalls *c);
 
 #endif
--- a/src/api/jobs_http.c
+++ b/src/api/jobs_http.c
@@ -6,7 +6,7 @@
 
 #define LIST_DEFAULT 100
 #define LIST_MAX 1000
-/* The shard isn't known yet: the node's task chooses it. */
+/* The node's task chooses the shard. */
 #define SHARD_ANY UINT32_MAX
 
 KqStr
@@ -114,7 +114,7 @@
   return true;
 }
 
-/* Sizes beyond these are typing errors: no machine has 10,000 cores or 100 TB. */
+/* Larger values are typing errors: no machine has 10,000 cores or 100 TB of memory. */
 #define CPU_MILLI_MAX 10000000
 #define MEMORY_MB_MAX 100000000
 #define ACCELERATORS_MAX 1000
@@ -131,17 +131,17 @@
          && read_number (o, "run_ms", RUN_MS_MAX, &s->run_ms, detail);
 }
 
-/* What the job doesn't say comes from its class. */
+/* Defaults from the job's class, before the job's own fields are read. */
 static void
-take_class (const KqClassRow *row, KqJobSpec *s)
+apply_class (const KqClassRow *row, KqJobSpec *s)
 {
   s->size = row->size;
   s->run_ms = row->run_ms;
   s->latency_critical = row->latency_critical;
 }
 
-/* Fields that are missing come from the table's class row. The fault's text goes to
- * `detail`. KQ_OK, KQ_ERR_JOB_BAD, KQ_ERR_TEAM_UNKNOWN. */
+/* Parses the body of a submission; missing fields are taken from the class's row. Returns
+ * KQ_OK, KQ_ERR_JOB_BAD or KQ_ERR_TEAM_UNKNOWN; describes the error in `detail`. */
 static KqResult
 read_spec (KqStr body, KqStr key, KqTable *table, KqJobSpec *out, KqBuf *detail)
 {
@@ -178,7 +178,7 @@
       kq_buf_printf (detail, "class: the table has no such class");
       goto out;
     }
-  take_class (&class_row->u.job_class, out);
+  apply_class (&class_row->u.job_class, out);
   if (!read_fields (o, out, detail))
     goto out;
   if (out->size.cpu_milli <= 0 || out->size.memory_mb <= 0)
@@ -241,7 +241,7 @@
 }
 
 static void
-one_job (KqCalls *c, KqNodeId self, KqHttpExchange *x, KqStr rest, KqTime now)
+handle_job (KqCalls *c, KqNodeId self, KqHttpExchange *x, KqStr rest, KqTime now)
 {
   KqStr id = kq_str_cut (&rest, '/');
   KqStr method = kq_http_method (x);
@@ -276,7 +276,7 @@
   if (table == NULL)
     kq_calls_refuse (c, x, KQ_ERR_TABLE_NONE, kq_str (""));
   else if (kq_str_has_prefix (path, prefix))
-    one_job (c, self, x, kq_str_n (path.ptr + prefix.len, path.len - prefix.len), now);
+    handle_job (c, self, x, kq_str_n (path.ptr + prefix.len, path.len - prefix.len), now);
   else if (kq_str_eq (method, KQ_STR ("POST")))
     submit (c, self, table, x, body, now);
   else if (kq_str_eq (method, KQ_STR ("GET")))
--- a/src/api/operator.c
+++ b/src/api/operator.c
@@ -13,8 +13,8 @@
 #include <string.h>
 
 #define TICK_S 0.1
-/* An import of a whole table fits; the store takes no more than this anyway. */
-#define BODY_MAX (1024 * 1024)
+/* Enough to import a whole table; the store accepts no larger value. */
+#define BODY_MAX_BYTES (1024 * 1024)
 
 struct KqOperator
 {
@@ -27,7 +27,7 @@
   ev_timer tick;
 };
 
-/* What an exchange's data points at. */
+/* The data of an exchange (kq_http_data). */
 typedef struct
 {
   KqBuf body;
@@ -35,7 +35,7 @@
 } Request;
 
 static void
-problem (KqOperator *o, KqHttpExchange *x, KqResult code, KqStr detail)
+refuse (KqOperator *o, KqHttpExchange *x, KqResult code, KqStr detail)
 {
   kq_calls_refuse (o->calls, x, code, detail);
 }
@@ -60,22 +60,23 @@
 }
 
 static KqNodeId
-wanted_node (const KqOperator *o, KqHttpExchange *x)
+target_node (const KqOperator *o, KqHttpExchange *x)
 {
   KqStr name = kq_query_value (kq_http_query (x), "node");
   return name.len > 0 ? kq_str_hash (name) : o->config.self;
 }
 
 static void
-ask (KqOperator *o, KqHttpExchange *x, const char *what, KqStr argument)
+send_query (KqOperator *o, KqHttpExchange *x, const char *what, KqStr argument)
 {
   KqMsg m = { .kind = KQ_MSG_QUERY };
   m.u.query.what = kq_str (what);
   m.u.query.argument = argument;
-  kq_calls_ask (o->calls, wanted_node (o, x), &m, x, kq_loop_now (o->loop));
+  kq_calls_ask (o->calls, target_node (o, x), &m, x, kq_loop_now (o->loop));
 }
 
-/* The revision an operator saw: If-Match "N" or *, If-None-Match * for a new row. */
+/* Reads the precondition of a change and adds it to `change`: If-Match "N" (the row's
+ * revision), If-Match * (any revision), If-None-Match * (the row must be new). */
 static KqResult
 read_match (KqHttpExchange *x, json_t *change)
 {
@@ -104,7 +105,7 @@
 {
   json_t *all = json_pack ("{s:[O]}", "changes", change);
   char *text = json_dumps (all, JSON_COMPACT);
-  ask (o, x, "table-change", kq_str (text));
+  send_query (o, x, "table-change", kq_str (text));
   free (text);
   json_decref (all);
 }
@@ -137,12 +138,12 @@
     send_change (o, x, change);
 out:
   if (r != KQ_OK)
-    problem (o, x, r, kq_str (""));
+    refuse (o, x, r, kq_str (""));
   json_decref (fields);
   json_decref (change);
 }
 
-/* Gathers the rows of one kind, or one row, out of the table in force. */
+/* GET /v1/table/KIND/NAME */
 static void
 show_row (KqOperator *o, KqHttpExchange *x, KqStr rest)
 {
@@ -154,14 +155,14 @@
   char *text;
   if (o->table == NULL)
     {
-      problem (o, x, KQ_ERR_TABLE_NONE, kq_str (""));
+      refuse (o, x, KQ_ERR_TABLE_NONE, kq_str (""));
       return;
     }
   row = kq_row_kind_parse (kind_text, &kind) ? kq_table_find (o->table, kind, rest)
                                              : NULL;
   if (row == NULL)
     {
-      problem (o, x, KQ_ERR_TABLE_NOT_FOUND, kq_str (""));
+      refuse (o, x, KQ_ERR_TABLE_NOT_FOUND, kq_str (""));
       return;
     }
   fields = kq_row_to_json (row, false);
@@ -188,14 +189,14 @@
                || kq_str_eq (method, KQ_STR ("DELETE")))
         change_row (o, x, rest, body);
       else
-        problem (o, x, KQ_ERR_METHOD, kq_str (""));
+        refuse (o, x, KQ_ERR_METHOD, kq_str (""));
     }
   else if (kq_str_eq (method, KQ_STR ("GET")))
-    ask (o, x, "table", kq_str (""));
+    send_query (o, x, "table", kq_str (""));
   else if (kq_str_eq (method, KQ_STR ("POST")))
-    ask (o, x, "table-change", body);
+    send_query (o, x, "table-change", body);
   else
-    problem (o, x, KQ_ERR_METHOD, kq_str (""));
+    refuse (o, x, KQ_ERR_METHOD, kq_str (""));
 }
 
 static void
@@ -214,18 +215,18 @@
   if (o->config.ready (o->config.arg, kq_loop_now (o->loop), &why))
     reply_text (x, 200, "text/plain", KQ_STR ("ready\n"));
   else
-    problem (o, x, KQ_ERR_NOT_READY, kq_str (why));
+    refuse (o, x, KQ_ERR_NOT_READY, kq_str (why));
 }
 
-/* A path that is one question, its method, and the question's name. */
+/* A path that is a plain query, its method, and the query's name in KqMsgQuery. */
 typedef struct
 {
   const char *path;
   const char *method;
   const char *what;
-} Question;
+} Query;
 
-static const Question questions[] = {
+static const Query queries[] = {
   { "/v1/node", "GET", "node" },
   { "/v1/nodes", "GET", "nodes" },
   { "/v1/shards", "GET", "shards" },
@@ -237,23 +238,23 @@
 };
 
 static bool
-handle_question (KqOperator *o, KqHttpExchange *x, KqStr path)
+handle_query (KqOperator *o, KqHttpExchange *x, KqStr path)
 {
-  for (size_t i = 0; i < sizeof questions / sizeof questions[0]; i++)
+  for (size_t i = 0; i < sizeof queries / sizeof queries[0]; i++)
     {
-      if (!kq_str_eq (path, kq_str (questions[i].path)))
+      if (!kq_str_eq (path, kq_str (queries[i].path)))
         continue;
-      if (kq_str_eq (kq_http_method (x), kq_str (questions[i].method)))
-        ask (o, x, questions[i].what, kq_str (""));
+      if (kq_str_eq (kq_http_method (x), kq_str (queries[i].method)))
+        send_query (o, x, queries[i].what, kq_str (""));
       else
-        problem (o, x, KQ_ERR_METHOD, kq_str (""));
+        refuse (o, x, KQ_ERR_METHOD, kq_str (""));
       return true;
     }
   return false;
 }
 
 static void
-handle (KqOperator *o, KqHttpExchange *x, KqStr body)
+dispatch (KqOperator *o, KqHttpExchange *x, KqStr body)
 {
   KqStr path = kq_http_path (x);
   KqStr explain = KQ_STR ("/v1/explain/");
@@ -266,11 +267,12 @@
   else if (kq_str_eq (path, KQ_STR ("/metrics")))
     show_metrics (o, x);
   else if (kq_str_eq (path, KQ_STR ("/v1/node/log-level")))
-    ask (o, x, "log-level", kq_str_trim (body));
+    send_query (o, x, "log-level", kq_str_trim (body));
   else if (kq_str_has_prefix (path, explain))
-    ask (o, x, "explain", kq_str_n (path.ptr + explain.len, path.len - explain.len));
-  else if (!handle_question (o, x, path))
-    problem (o, x, KQ_ERR_NOT_FOUND, kq_str (""));
+    send_query (o, x, "explain",
+                kq_str_n (path.ptr + explain.len, path.len - explain.len));
+  else if (!handle_query (o, x, path))
+    refuse (o, x, KQ_ERR_NOT_FOUND, kq_str (""));
 }
 
 static void
@@ -283,7 +285,7 @@
   else if (kq_str_eq (path, KQ_STR ("/readyz")))
     show_ready (o, x);
   else if (!authorized (o, x))
-    problem (o, x, KQ_ERR_NOT_AUTHORIZED, kq_str (""));
+    refuse (o, x, KQ_ERR_NOT_AUTHORIZED, kq_str (""));
   else
     kq_http_set_data (x, kq_alloc (sizeof (Request)));
 }
@@ -295,7 +297,7 @@
   (void)arg;
   if (r == NULL)
     return;
-  r->too_large = r->too_large || !kq_buf_add_most (&r->body, chunk, BODY_MAX);
+  r->too_large = r->too_large || !kq_buf_add_most (&r->body, chunk, BODY_MAX_BYTES);
 }
 
 static void
@@ -303,9 +305,9 @@
 {
   Request *r = kq_http_data (x);
   if (r != NULL && r->too_large)
-    problem (arg, x, KQ_ERR_BODY_TOO_LARGE, kq_str (""));
+    refuse (arg, x, KQ_ERR_BODY_TOO_LARGE, kq_str (""));
   else if (r != NULL)
-    handle (arg, x, kq_buf_str (&r->body));
+    dispatch (arg, x, kq_buf_str (&r->body));
 }
 
 static void
