--- a/tools/metrics.sh
+++ b/tools/metrics.sh
@@ -28,8 +28,8 @@
 
 # The meters: one set for each port, with the labels that meter.c writes.
 meters () {
-  tr '\n' ' ' <src/port/meter.c | sed 's/  */ /g' | grep -o 'find (m, "[^;]*;' \
-    | sed -nE 's|^find \(m, "([a-z_]+)", ("([a-z]+)"\|NULL), [^"]*("[^"]*", )?"([^"]*)"\);|\1\|\3\|\5|p' \
+  tr '\n' ' ' <src/port/meter.c | sed 's/  */ /g' | grep -o 'counter (m, "[^;]*;' \
+    | sed -nE 's|^counter \(m, "([a-z_]+)", ("([a-z]+)"\|NULL), [^"]*("[^"]*", )?"([^"]*)"\);|\1\|\3\|\5|p' \
     | sort -u
 }
 
