--- a/bench/lives.c
+++ b/bench/lives.c
@@ -1,8 +1,8 @@
 #include "lives.h"
 
+#include "agent/agent.h"
 #include "base/counter.h"
 #include "base/rand.h"
-#include "crew/agent.h"
 #include "platform/runners.h"
 #include "port/runner.h"
 #include "procs.h"
@@ -47,7 +47,7 @@
   KqLivesReport *report;
   Procs procs;
   KqRand rand;
-  KqCrewAgent *agent;
+  KqAgent *agent;
   Runner runners[RUNNERS_MAX];
   uint64_t tasks;
   KqTime relay_at;
@@ -74,7 +74,7 @@
 order (Lives *l, const Runner *r, KqOrder *o)
 {
   o->runner = kq_str (r->id);
-  kq_crew_agent_order (l->agent, EPOCH, o, kq_time_now ());
+  kq_agent_order (l->agent, EPOCH, o, kq_time_now ());
 }
 
 static void
@@ -130,7 +130,7 @@
 }
 
 static void
-on_notice (void *arg, uint64_t epoch, const KqCrewItem *i)
+on_notice (void *arg, uint64_t epoch, const KqAgentItem *i)
 {
   Lives *l = arg;
   Runner *r = runner_of (l, i->runner);
@@ -139,10 +139,10 @@
     return;
   switch (i->kind)
     {
-    case KQ_CREW_LIST:
+    case KQ_AGENT_ITEM_LIST:
       on_list (l, r, &i->u.list);
       break;
-    case KQ_CREW_OUTCOME:
+    case KQ_AGENT_ITEM_OUTCOME:
       on_outcome (l, r, &i->u.outcome);
       break;
     default:
@@ -248,8 +248,8 @@
 static void
 step (Lives *l, KqTime now)
 {
-  kq_crew_agent_heard (l->agent, EPOCH, now);
-  kq_crew_agent_counted (l->agent, EPOCH, now);
+  kq_agent_leader_heard (l->agent, EPOCH, now);
+  kq_agent_leader_confirmed (l->agent, EPOCH, now);
   for (int i = 0; i < l->plan->runners; i++)
     {
       Runner *r = &l->runners[i];
@@ -311,15 +311,15 @@
   if (p->runners > RUNNERS_MAX || !procs_init (&l->procs, p->build))
     goto out;
   calls = kq_runners_new (l->procs.loop);
-  l->agent = kq_crew_agent_new (&(KqCrewAgentConfig){ .loop = l->procs.loop,
-                                                      .calls = calls,
-                                                      .lease_ms = LEASE_MS,
-                                                      .blind_ms = BLIND_MS,
-                                                      .counters = counters,
-                                                      .notice = on_notice,
-                                                      .arg = l });
-  kq_crew_agent_heard (l->agent, EPOCH, kq_time_now ());
-  kq_crew_agent_counted (l->agent, EPOCH, kq_time_now ());
+  l->agent = kq_agent_new (&(KqAgentConfig){ .loop = l->procs.loop,
+                                             .calls = calls,
+                                             .lease_ms = LEASE_MS,
+                                             .renew_without_leader_ms = BLIND_MS,
+                                             .counters = counters,
+                                             .notice = on_notice,
+                                             .arg = l });
+  kq_agent_leader_heard (l->agent, EPOCH, kq_time_now ());
+  kq_agent_leader_confirmed (l->agent, EPOCH, kq_time_now ());
   for (int i = 0; i < p->runners; i++)
     if (!start_runner (l, i))
       goto end;
@@ -334,7 +334,7 @@
   count_breaches (l);
   result = 0;
 end:
-  kq_crew_agent_free (l->agent);
+  kq_agent_free (l->agent);
   kq_runners_calls_free (calls);
   procs_end (&l->procs, out->breaches > 0);
 out:
--- a/bench/sched_desk.c
+++ b/bench/sched_desk.c
@@ -165,7 +165,7 @@
 kq_sched_desk_step (void)
 {
   return (KqStep){
-    .width = 1, .cpu_milli = 500, .mem_mb = 100, .estimate_ms = 300, .away_most = -1
+    .width = 1, .cpu_milli = 500, .mem_mb = 100, .estimate_ms = 300, .max_unavailable = -1
   };
 }
 
@@ -194,7 +194,7 @@
   KqSchedConfig c = { .epoch = epoch,
                       .term = 1,
                       .lease_ms = 5000,
-                      .blind_ms = 4000,
+                      .renew_without_leader_ms = 4000,
                       .keep_ms = 60000,
                       .counters = d->counters,
                       .order = on_order,
--- a/bench/sched_load.c
+++ b/bench/sched_load.c
@@ -239,7 +239,7 @@
                    .estimate_ms = 500,
                    .lasting = true,
                    .target_ms = 18,
-                   .away_most = 1,
+                   .max_unavailable = 1,
                    .image = kq_str (image) };
 }
 
@@ -598,7 +598,7 @@
   KqSchedConfig config = { .epoch = 1,
                            .term = 1,
                            .lease_ms = LEASE_MS,
-                           .blind_ms = 4000,
+                           .renew_without_leader_ms = 4000,
                            .keep_ms = 30000,
                            .counters = counters,
                            .order = on_order,
--- a/bench/sched_rig.c
+++ b/bench/sched_rig.c
@@ -1,7 +1,7 @@
 #include "sched_rig_impl.h"
 
+#include "agent/frame.h"
 #include "base/log.h"
-#include "crew/frame.h"
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -86,7 +86,7 @@
 on_order (void *arg, int agent, const KqOrder *o)
 {
   KqSchedRig *r = arg;
-  KqCrewItem i = { .kind = KQ_CREW_ORDER };
+  KqAgentItem i = { .kind = KQ_AGENT_ITEM_ORDER };
   i.u.order = *o;
   for (int n = 0; n < r->n_agents; n++)
     if (r->agents[n].number == agent)
@@ -260,7 +260,7 @@
 kq_sched_rig_new_leader (KqSchedRig *r)
 {
   KqSchedConfig c = { .lease_ms = KQ_SCHED_RIG_LEASE_MS,
-                      .blind_ms = KQ_SCHED_RIG_BLIND_MS,
+                      .renew_without_leader_ms = KQ_SCHED_RIG_BLIND_MS,
                       .keep_ms = KEEP_MS,
                       .counters = r->counters,
                       .order = on_order,
--- a/bench/sched_rig.h
+++ b/bench/sched_rig.h
@@ -4,7 +4,7 @@
 /* sched_rig: runners, agents and the store in memory, around a real scheduler.
  *
  * Runners keep to port/runner.h: fencing, run numbers, leases by their own clocks, ends
- * until acknowledged. Agents do what crew/agent.c does, and talk to the leader over a
+ * until acknowledged. Agents do what agent/agent.c does, and talk to the leader over a
  * connection as fleet/link.c keeps it: in order, with beats, closed by either side after
  * a silence. The rig loses and delays calls, slows and cuts connections, freezes and
  * stops agents, cuts and restarts runners, and replaces the leader; after each event it
@@ -12,8 +12,8 @@
  * `why`.
  */
 
+#include "agent/lease.h"
 #include "base/rand.h"
-#include "crew/lease.h"
 #include "sched/sched.h"
 
 #include <glib.h>
@@ -148,7 +148,7 @@
   uint64_t conn;
   uint64_t epoch;
   uint64_t life;     /* of the leader */
-  GByteArray *bytes; /* packed KqCrewItem; NULL: the connection's end. Of an answer: the
+  GByteArray *bytes; /* packed KqAgentItem; NULL: the connection's end. Of an answer: the
                         runner's list */
 } KqSchedRigEvent;
 
--- a/bench/sched_rig_agent.c
+++ b/bench/sched_rig_agent.c
@@ -1,4 +1,4 @@
-/* sched_rig_agent: what an agent of the rig does, as crew/agent.c does it. */
+/* sched_rig_agent: what an agent of the rig does, as agent/agent.c does it. */
 
 #include "sched_rig_impl.h"
 
@@ -25,8 +25,8 @@
 note_clock (KqSchedRigHeld *h, int64_t clock_ms, int64_t born_ms, KqTime sent_at,
             KqTime now)
 {
-  KqLeaseNews n = { clock_ms, born_ms, sent_at };
-  if (kq_lease_note (&h->lease, &n, KQ_SCHED_RIG_LEASE_MS, now))
+  KqLeaseReply n = { clock_ms, born_ms, sent_at };
+  if (kq_lease_update (&h->lease, &n, KQ_SCHED_RIG_LEASE_MS, now))
     h->ends_seen = 0;
 }
 
@@ -121,7 +121,8 @@
 tell_unreached (KqSchedRig *r, int agent, int runner)
 {
   KqSchedRigHeld *h = held_of (r, agent, runner);
-  KqCrewItem i = { .kind = KQ_CREW_UNREACHED, .runner = kq_str (r->runners[runner].id) };
+  KqAgentItem i
+      = { .kind = KQ_AGENT_ITEM_UNREACHED, .runner = kq_str (r->runners[runner].id) };
   if (r->now - h->told_at < TELL_AGAIN)
     return;
   h->told_at = r->now;
@@ -139,8 +140,8 @@
   const KqSchedRigCall *c = &e->call;
   KqSchedRigHeld *h = held_of (r, c->agent, c->runner);
   KqStr rest = kq_str_n ((const char *)e->bytes->data, e->bytes->len);
-  KqCrewItem i;
-  if (!kq_crew_unpack (&rest, &i))
+  KqAgentItem i;
+  if (!kq_agent_item_unpack (&rest, &i))
     return;
   h->failures = 0;
   h->told_at = 0;
@@ -154,7 +155,7 @@
   kq_sched_rig_trace_runner (r, c->runner, c->agent, "tells list, lease left",
                              i.u.list.lease_left_ms);
   kq_sched_rig_tell_leader (r, c->agent, h->epoch, &i);
-  kq_crew_clear (&i);
+  kq_agent_item_clear (&i);
   ask_in (r, h,
           h->halt != 0                  ? RETRY
           : h->ends_told > h->ends_seen ? ACKNOWLEDGED_WITHIN
@@ -188,7 +189,8 @@
 {
   const KqSchedRigCall *c = &e->call;
   KqSchedRigHeld *h = held_of (r, c->agent, c->runner);
-  KqCrewItem i = { .kind = KQ_CREW_OUTCOME, .runner = kq_str (r->runners[c->runner].id) };
+  KqAgentItem i
+      = { .kind = KQ_AGENT_ITEM_OUTCOME, .runner = kq_str (r->runners[c->runner].id) };
   note_clock (h, e->clock_ms, 0, c->sent_at, r->now);
   i.u.outcome = (KqOrderOutcome){ .kind = c->kind,
                                   .task = kq_str (c->task),
--- a/bench/sched_rig_impl.h
+++ b/bench/sched_rig_impl.h
@@ -5,7 +5,7 @@
  * (sched_rig.c), agents (sched_rig_agent.c), their connections (sched_rig_link.c), and
  * the runners' own (sched_rig_runner.c). */
 
-#include "crew/frame.h"
+#include "agent/frame.h"
 #include "sched_rig.h"
 
 /* Also the longest lease that a runner takes. */
@@ -64,8 +64,8 @@
 void kq_sched_rig_link_init (KqSchedRig *r, int agent);
 void kq_sched_rig_link_tick (KqSchedRig *r, int agent);
 void kq_sched_rig_tell_leader (KqSchedRig *r, int agent, uint64_t epoch,
-                               const KqCrewItem *i);
-void kq_sched_rig_tell_agent (KqSchedRig *r, int agent, const KqCrewItem *i);
+                               const KqAgentItem *i);
+void kq_sched_rig_tell_agent (KqSchedRig *r, int agent, const KqAgentItem *i);
 void kq_sched_rig_up_arrives (KqSchedRig *r, const KqSchedRigEvent *e);
 void kq_sched_rig_down_arrives (KqSchedRig *r, const KqSchedRigEvent *e);
 /* The earlier leader is gone; the agent looks for the new one. */
--- a/bench/sched_rig_link.c
+++ b/bench/sched_rig_link.c
@@ -10,11 +10,11 @@
 #define RECONNECT (150 * KQ_MS)
 
 static GByteArray *
-pack (const KqCrewItem *i)
+pack (const KqAgentItem *i)
 {
   GByteArray *bytes = g_byte_array_new ();
   KqBuf b = { 0 };
-  kq_crew_pack (i, &b);
+  kq_agent_item_pack (i, &b);
   g_byte_array_append (bytes, (const guint8 *)b.ptr, (guint)b.len);
   kq_buf_free (&b);
   return bytes;
@@ -22,7 +22,7 @@
 
 /* Nothing overtakes. */
 static void
-send (KqSchedRig *r, int agent, int kind, uint64_t epoch, const KqCrewItem *i)
+send (KqSchedRig *r, int agent, int kind, uint64_t epoch, const KqAgentItem *i)
 {
   KqSchedRigAgent *a = &r->agents[agent];
   bool up = kind == KQ_SCHED_RIG_UP;
@@ -41,14 +41,14 @@
 }
 
 void
-kq_sched_rig_tell_leader (KqSchedRig *r, int agent, uint64_t epoch, const KqCrewItem *i)
+kq_sched_rig_tell_leader (KqSchedRig *r, int agent, uint64_t epoch, const KqAgentItem *i)
 {
   if (r->agents[agent].conn != 0)
     send (r, agent, KQ_SCHED_RIG_UP, epoch, i);
 }
 
 void
-kq_sched_rig_tell_agent (KqSchedRig *r, int agent, const KqCrewItem *i)
+kq_sched_rig_tell_agent (KqSchedRig *r, int agent, const KqAgentItem *i)
 {
   if (r->agents[agent].peer != 0)
     send (r, agent, KQ_SCHED_RIG_DOWN, r->epoch, i);
@@ -76,7 +76,7 @@
 opened (KqSchedRig *r, int agent)
 {
   KqSchedRigAgent *a = &r->agents[agent];
-  KqCrewItem hello = { .kind = KQ_CREW_HELLO };
+  KqAgentItem hello = { .kind = KQ_AGENT_ITEM_HELLO };
   a->open_at = 0;
   a->conn = ++a->conns;
   a->heard_up_at = r->now;
@@ -90,14 +90,14 @@
 beat_up (KqSchedRig *r, int agent)
 {
   KqSchedRigAgent *a = &r->agents[agent];
-  KqCrewItem beat = { .kind = KQ_CREW_BEAT };
+  KqAgentItem beat = { .kind = KQ_AGENT_ITEM_HEARTBEAT };
   if (a->conn != 0 && r->now - a->heard_up_at > SILENT)
     kq_sched_rig_break_link (r, agent, true);
   if (a->open_at != 0 && r->now - a->tried_at > SILENT)
     a->open_at = 0;
   if (a->conn == 0 && a->open_at == 0 && r->now - a->tried_at > RECONNECT)
     open_link (r, agent);
-  beat.u.beat.sent_at = r->now;
+  beat.u.heartbeat.sent_at = r->now;
   kq_sched_rig_tell_leader (r, agent, a->epoch, &beat);
 }
 
@@ -117,7 +117,7 @@
 beat_down (KqSchedRig *r, int agent)
 {
   const KqSchedRigAgent *a = &r->agents[agent];
-  KqCrewItem ping = { .kind = KQ_CREW_PING };
+  KqAgentItem ping = { .kind = KQ_AGENT_ITEM_PING };
   if (a->peer == 0)
     return;
   if (r->now - a->peer_heard_at > SILENT)
@@ -126,7 +126,7 @@
       leave (r, agent);
       return;
     }
-  ping.u.ping.beat_sent_at = a->peer_beat_sent_at;
+  ping.u.ping.heartbeat_sent_at = a->peer_beat_sent_at;
   kq_sched_rig_tell_agent (r, agent, &ping);
 }
 
@@ -137,7 +137,7 @@
   bool frozen = r->now < a->frozen_until;
   if (a->open_at != 0 && r->now >= a->open_at && r->now >= a->link_cut_until && !frozen)
     opened (r, agent);
-  /* After a freeze the beat is overdue: it looks before anything is read. */
+  /* After a freeze the heartbeat is overdue: it looks before anything is read. */
   if (r->now >= a->beat_at && r->now >= a->learns_at && !frozen)
     {
       a->beat_at = r->now + BEAT;
@@ -161,17 +161,17 @@
 }
 
 static void
-take_item (KqSchedRig *r, int number, const KqCrewItem *i)
+take_item (KqSchedRig *r, int number, const KqAgentItem *i)
 {
   switch (i->kind)
     {
-    case KQ_CREW_LIST:
+    case KQ_AGENT_ITEM_LIST:
       kq_sched_list (r->sched, number, i->runner, &i->u.list, r->now);
       break;
-    case KQ_CREW_OUTCOME:
+    case KQ_AGENT_ITEM_OUTCOME:
       kq_sched_outcome (r->sched, number, i->runner, &i->u.outcome, r->now);
       break;
-    case KQ_CREW_UNREACHED:
+    case KQ_AGENT_ITEM_UNREACHED:
       kq_sched_unreached (r->sched, number, i->runner, i->u.unreached.assignment,
                           i->u.unreached.lease_left_ms, r->now);
       break;
@@ -185,7 +185,7 @@
 {
   KqSchedRigAgent *a = &r->agents[e->agent];
   KqStr rest;
-  KqCrewItem i;
+  KqAgentItem i;
   if (e->life != r->life)
     return;
   if (e->bytes == NULL)
@@ -195,19 +195,19 @@
       return;
     }
   rest = kq_str_n ((const char *)e->bytes->data, e->bytes->len);
-  if (!kq_crew_unpack (&rest, &i))
+  if (!kq_agent_item_unpack (&rest, &i))
     return;
-  if (i.kind == KQ_CREW_HELLO)
+  if (i.kind == KQ_AGENT_ITEM_HELLO)
     join (r, e, &i.u.hello.info);
   if (e->conn == a->peer)
     {
       a->peer_heard_at = r->now;
-      if (i.kind == KQ_CREW_BEAT)
-        a->peer_beat_sent_at = i.u.beat.sent_at;
+      if (i.kind == KQ_AGENT_ITEM_HEARTBEAT)
+        a->peer_beat_sent_at = i.u.heartbeat.sent_at;
       if (e->epoch == r->epoch)
         take_item (r, a->number, &i);
     }
-  kq_crew_clear (&i);
+  kq_agent_item_clear (&i);
 }
 
 void
@@ -215,7 +215,7 @@
 {
   KqSchedRigAgent *a = &r->agents[e->agent];
   KqStr rest;
-  KqCrewItem i;
+  KqAgentItem i;
   if (e->conn != a->conn)
     return;
   if (e->bytes == NULL)
@@ -224,15 +224,15 @@
       return;
     }
   rest = kq_str_n ((const char *)e->bytes->data, e->bytes->len);
-  if (!kq_crew_unpack (&rest, &i))
+  if (!kq_agent_item_unpack (&rest, &i))
     return;
   a->heard_up_at = r->now;
   kq_sched_rig_agent_heard (r, e->agent, e->epoch);
-  if (i.kind == KQ_CREW_PING)
-    kq_sched_rig_agent_counted (r, e->agent, e->epoch, i.u.ping.beat_sent_at);
-  else if (i.kind == KQ_CREW_ORDER)
+  if (i.kind == KQ_AGENT_ITEM_PING)
+    kq_sched_rig_agent_counted (r, e->agent, e->epoch, i.u.ping.heartbeat_sent_at);
+  else if (i.kind == KQ_AGENT_ITEM_ORDER)
     kq_sched_rig_agent_order (r, e->agent, e->epoch, &i.u.order);
-  kq_crew_clear (&i);
+  kq_agent_item_clear (&i);
 }
 
 void
--- a/bench/sched_rig_runner.c
+++ b/bench/sched_rig_runner.c
@@ -243,7 +243,7 @@
   if (e->lapsed)
     return;
   g_hash_table_add (r->done, strdup (e->task));
-  if (begun > e->at / KQ_MS && j != NULL && !j->spec.steps[step].copies)
+  if (begun > e->at / KQ_MS && j != NULL && !j->spec.steps[step].speculative)
     kq_sched_rig_breach (r, "after done", e->task);
 }
 
@@ -288,7 +288,7 @@
 static GByteArray *
 list_of (const KqSchedRig *r, const KqSchedRigRunner *g)
 {
-  KqCrewItem i = { .kind = KQ_CREW_LIST, .runner = kq_str (g->id) };
+  KqAgentItem i = { .kind = KQ_AGENT_ITEM_LIST, .runner = kq_str (g->id) };
   KqRunRow *rows = kq_alloc ((g->runs->len + 1) * sizeof *rows);
   KqEndRow *ends = kq_alloc ((g->ends->len + 1) * sizeof *ends);
   GByteArray *bytes = g_byte_array_new ();
@@ -314,7 +314,7 @@
                              .n_running = g->runs->len,
                              .ended = ends,
                              .n_ended = g->ends->len };
-  kq_crew_pack (&i, &b);
+  kq_agent_item_pack (&i, &b);
   g_byte_array_append (bytes, (const guint8 *)b.ptr, (guint)b.len);
   kq_buf_free (&b);
   free (rows);
@@ -488,7 +488,7 @@
                    .cpu_milli = cpu_milli,
                    .mem_mb = 100,
                    .estimate_ms = estimate_ms,
-                   .away_most = -1 };
+                   .max_unavailable = -1 };
 }
 
 int
--- a/fuzz/fuzz.h
+++ b/fuzz/fuzz.h
@@ -23,7 +23,7 @@
 void kq_fuzz_hosts (KqStr data);    /* the platform's host list */
 
 void kq_fuzz_platform (KqStr data); /* what a fleet reads: configuration, entries, lists,
-                                       jobs, crew items, what was learned, settings */
+                                       jobs, agent items, what was learned, settings */
 
 /* Stops the program when the property doesn't hold, also in a build without asserts. */
 void kq_fuzz_check (bool holds, const char *property);
--- a/fuzz/fuzz_platform.c
+++ b/fuzz/fuzz_platform.c
@@ -1,4 +1,4 @@
-#include "crew/frame.h"
+#include "agent/frame.h"
 #include "fuzz.h"
 #include "platform/advice.h"
 #include "platform/maintenance.h"
@@ -71,9 +71,9 @@
 static void
 read_crew (KqStr text)
 {
-  KqCrewItem i;
-  while (kq_crew_unpack (&text, &i))
-    kq_crew_clear (&i);
+  KqAgentItem i;
+  while (kq_agent_item_unpack (&text, &i))
+    kq_agent_item_clear (&i);
 }
 
 static void
--- a/src/crew/advise.c
+++ b/src/agent/advise.c
@@ -1,7 +1,7 @@
 /* advise: asks the advice service on behalf of the leader. */
 
+#include "agent/state.h"
 #include "base/log.h"
-#include "crew/state.h"
 
 #include <stdlib.h>
 
@@ -11,15 +11,15 @@
 
 typedef struct
 {
-  KqCrewAgent *agent;
+  KqAgent *agent;
   uint64_t epoch;
   char *step;
 } AdviceRequest;
 
 static void
-report_advice (KqCrewAgent *a, uint64_t epoch, KqStr step, const KqAdviceReply *r)
+report_advice (KqAgent *a, uint64_t epoch, KqStr step, const KqAdviceReply *r)
 {
-  KqCrewItem i = { .kind = KQ_CREW_ADVICE };
+  KqAgentItem i = { .kind = KQ_AGENT_ITEM_ADVICE };
   i.u.advice.step = step;
   i.u.advice.reply = *r;
   a->config.notice (a->config.arg, epoch, &i);
@@ -36,7 +36,7 @@
 }
 
 void
-kq_agent_ask_advice (KqCrewAgent *a, uint64_t epoch, const KqOrder *o)
+kq_agent_ask_advice (KqAgent *a, uint64_t epoch, const KqOrder *o)
 {
   AdviceRequest *req;
   if (a->config.advice == NULL)
--- a/src/crew/agent.c
+++ b/src/agent/agent.c
@@ -1,13 +1,13 @@
-#include "crew/agent.h"
+#include "agent/agent.h"
 
+#include "agent/state.h"
 #include "base/log.h"
-#include "crew/state.h"
 
 #include <stdlib.h>
 #include <string.h>
 
 static void
-assign_runner (KqCrewAgent *a, uint64_t epoch, const KqOrder *o)
+assign_runner (KqAgent *a, uint64_t epoch, const KqOrder *o)
 {
   KqAgentRunner *h = kq_alloc (sizeof *h);
   KqAgentRunner *previous;
@@ -18,7 +18,7 @@
   h->serial = h->halt = ++a->serial;
   h->assignment = o->u.take.assignment;
   kq_lease_init (&h->lease);
-  h->run_delta = kq_told_new ();
+  h->run_delta = kq_run_delta_state_new ();
   ev_timer_init (&h->poll_timer, kq_agent_runner_on_poll_timer, 0, 0);
   h->poll_timer.data = h;
   previous = g_hash_table_lookup (a->runners, h->id);
@@ -29,14 +29,14 @@
 }
 
 void
-kq_crew_agent_order (KqCrewAgent *a, uint64_t epoch, const KqOrder *o, KqTime now)
+kq_agent_order (KqAgent *a, uint64_t epoch, const KqOrder *o, KqTime now)
 {
   char id[KQ_NAME_MAX + 1];
   KqRunnerAim to;
   KqAgentRunner *h;
   if (epoch < a->epoch || !kq_str_copy (o->runner, id, sizeof id))
     return;
-  kq_crew_agent_heard (a, epoch, now);
+  kq_agent_leader_heard (a, epoch, now);
   if (o->kind == KQ_ORDER_ADVISE)
     {
       kq_agent_ask_advice (a, epoch, o);
@@ -96,7 +96,7 @@
 }
 
 void
-kq_crew_agent_heard (KqCrewAgent *a, uint64_t epoch, KqTime now)
+kq_agent_leader_heard (KqAgent *a, uint64_t epoch, KqTime now)
 {
   if (epoch < a->epoch)
     return;
@@ -105,20 +105,20 @@
 }
 
 void
-kq_crew_agent_counted (KqCrewAgent *a, uint64_t epoch, KqTime at)
+kq_agent_leader_confirmed (KqAgent *a, uint64_t epoch, KqTime at)
 {
   if (epoch < a->epoch || at <= a->leader_confirmed_at)
     return;
   a->leader_confirmed_at = at;
   if (at > a->heard_at)
-    kq_crew_agent_heard (a, epoch, at);
+    kq_agent_leader_heard (a, epoch, at);
 }
 
 /* Without this the agent kept renewing the lease of a runner that the leader had assigned
  * to another agent and whose lease it took for expired: nine tasks ran twice (a node's
  * connections were reset, and 13 s later the runner's next agent couldn't reach it). */
 void
-kq_crew_agent_released (KqCrewAgent *a)
+kq_agent_release_all (KqAgent *a)
 {
   guint n = g_hash_table_size (a->runners);
   if (n > 0)
@@ -131,15 +131,15 @@
 }
 
 void
-kq_crew_agent_tell_changes (KqCrewAgent *a, bool known)
+kq_agent_use_changes (KqAgent *a, bool known)
 {
   a->sends_changes = known;
 }
 
-KqCrewAgent *
-kq_crew_agent_new (const KqCrewAgentConfig *c)
+KqAgent *
+kq_agent_new (const KqAgentConfig *c)
 {
-  KqCrewAgent *a = kq_alloc (sizeof *a);
+  KqAgent *a = kq_alloc (sizeof *a);
   a->config = *c;
   a->leader_confirmed_at = kq_time_now (); /* no runner is assigned yet */
   a->runners
@@ -154,7 +154,7 @@
 }
 
 void
-kq_crew_agent_free (KqCrewAgent *a)
+kq_agent_free (KqAgent *a)
 {
   if (a == NULL)
     return;
@@ -163,7 +163,7 @@
 }
 
 size_t
-kq_crew_agent_runners (const KqCrewAgent *a)
+kq_agent_n_runners (const KqAgent *a)
 {
   return g_hash_table_size (a->runners);
 }
--- a/src/crew/agent.h
+++ b/src/agent/agent.h
@@ -1,5 +1,5 @@
-#ifndef KQ_CREW_AGENT_H
-#define KQ_CREW_AGENT_H
+#ifndef KQ_AGENT_AGENT_H
+#define KQ_AGENT_AGENT_H
 
 /* agent: carries out a leader's orders at the runners that the leader has assigned to
  * this node. Each node has one.
@@ -7,11 +7,11 @@
  * An agent makes no scheduling decisions. It renews the leases of its runners, reports
  * their lists of runs and of ends (how each finished run ended), makes each call once and
  * reports its outcome. When the leader stops sending, the agent keeps renewing for
- * blind_ms, so that tasks survive a change of leader. */
+ * renew_without_leader_ms, so that tasks survive a change of leader. */
 
-#include "crew/frame.h"
+#include "agent/frame.h"
 
-typedef struct KqCrewAgent KqCrewAgent;
+typedef struct KqAgent KqAgent;
 
 typedef struct
 {
@@ -19,31 +19,33 @@
   KqRunnerCalls *calls;
   KqAdviceCalls *advice; /* NULL: no advice service is configured */
   int64_t lease_ms;
-  int64_t blind_ms; /* how long leases are renewed without a message of a leader */
+  int64_t renew_without_leader_ms; /* how long leases are renewed without a message of a
+                                      leader */
   KqCounters *counters;
   /* An item for the leader of that epoch. */
-  void (*notice) (void *arg, uint64_t epoch, const KqCrewItem *i);
+  void (*notice) (void *arg, uint64_t epoch, const KqAgentItem *i);
   void *arg;
-} KqCrewAgentConfig;
+} KqAgentConfig;
 
-KqCrewAgent *kq_crew_agent_new (const KqCrewAgentConfig *c);
-void kq_crew_agent_free (KqCrewAgent *a);
+KqAgent *kq_agent_new (const KqAgentConfig *c);
+void kq_agent_free (KqAgent *a);
 /* Orders of a leader with a lower epoch than the highest known are ignored. */
-void kq_crew_agent_order (KqCrewAgent *a, uint64_t epoch, const KqOrder *o, KqTime now);
+void kq_agent_order (KqAgent *a, uint64_t epoch, const KqOrder *o, KqTime now);
 /* The leader of that epoch has sent something. */
-void kq_crew_agent_heard (KqCrewAgent *a, uint64_t epoch, KqTime now);
+void kq_agent_leader_heard (KqAgent *a, uint64_t epoch, KqTime now);
 /* The leader of that epoch knows this node as alive at `at` or later: it has answered a
  * heartbeat sent then, or a connection was opened. The leader waits for leases granted
- * here until blind_ms after `at`; other messages don't extend that, as they may have been
- * delayed. Also counts as a message of the leader. */
-void kq_crew_agent_counted (KqCrewAgent *a, uint64_t epoch, KqTime at);
+ * here until renew_without_leader_ms after `at`; other messages don't extend that, as
+ * they may have been delayed. Also counts as a message of the leader. */
+void kq_agent_leader_confirmed (KqAgent *a, uint64_t epoch, KqTime at);
 /* Releases all runners: the connection to a leader is new, or this node leads from now
  * on. The leader that assigned them has assigned them to other agents, or will assign
  * them again. */
-void kq_crew_agent_released (KqCrewAgent *a);
-/* Whether the leader understands KQ_CREW_CHANGES; false at first and after a release. */
-void kq_crew_agent_tell_changes (KqCrewAgent *a, bool known);
+void kq_agent_release_all (KqAgent *a);
+/* Whether the leader understands KQ_AGENT_ITEM_CHANGES; false at first and after a
+ * release. */
+void kq_agent_use_changes (KqAgent *a, bool known);
 /* Number of runners that are assigned to this agent. */
-size_t kq_crew_agent_runners (const KqCrewAgent *a);
+size_t kq_agent_n_runners (const KqAgent *a);
 
 #endif
--- a/src/crew/held.c
+++ b/src/agent/agent_runner.c
@@ -1,6 +1,6 @@
-/* held: a runner that is assigned to this agent, and the calls to it. */
+/* agent_runner: a runner that is assigned to this agent, and the calls to it. */
 
-#include "crew/state.h"
+#include "agent/state.h"
 
 #include <stdlib.h>
 
@@ -23,7 +23,7 @@
   KqAgentRunner *h = p;
   ev_timer_stop (kq_loop_ev (h->agent->config.loop), &h->poll_timer);
   g_queue_clear_full (&h->starts, kq_start_free);
-  kq_told_free (h->run_delta);
+  kq_run_delta_state_free (h->run_delta);
   free (h->id);
   free (h->address);
   free (h);
@@ -73,7 +73,7 @@
 }
 
 void
-kq_agent_runner_notify (KqAgentRunner *h, KqCrewItem *i)
+kq_agent_runner_notify (KqAgentRunner *h, KqAgentItem *i)
 {
   i->runner = kq_str (h->id);
   h->agent->config.notice (h->agent->config.arg, h->epoch, i);
@@ -82,10 +82,10 @@
 void
 kq_agent_runner_update_lease (KqAgentRunner *h, const KqRunnerReply *r, KqTime now)
 {
-  KqLeaseNews n = { r->clock_ms, r->born_ms, r->sent_at };
+  KqLeaseReply n = { r->clock_ms, r->born_ms, r->sent_at };
   /* The runner has restarted and numbers its ends from 1 again. An acknowledgement of the
    * earlier numbers would make it drop ends that nobody has read. */
-  if (!kq_lease_note (&h->lease, &n, h->agent->config.lease_ms, now))
+  if (!kq_lease_update (&h->lease, &n, h->agent->config.lease_ms, now))
     return;
   h->ends_acked = h->ends_reported = 0;
   kq_conns_runner_restarted (&h->conns);
@@ -104,9 +104,9 @@
  * tasks elsewhere. Messages of the leader may have been delayed, so their arrival proves
  * nothing. */
 static bool
-leader_honours_leases (const KqCrewAgent *a, KqTime now)
+leader_honours_leases (const KqAgent *a, KqTime now)
 {
-  return now - a->leader_confirmed_at <= a->config.blind_ms * KQ_MS;
+  return now - a->leader_confirmed_at <= a->config.renew_without_leader_ms * KQ_MS;
 }
 
 /* Nothing is granted to a runner that doesn't answer: it may still receive the calls, and
@@ -125,7 +125,7 @@
 void
 kq_agent_runner_report_outcome (KqAgentRunner *h, const KqOrderOutcome *o, KqTime now)
 {
-  KqCrewItem i = { .kind = KQ_CREW_OUTCOME };
+  KqAgentItem i = { .kind = KQ_AGENT_ITEM_OUTCOME };
   i.u.outcome = *o;
   i.u.outcome.order = ++h->outcomes_sent;
   i.u.outcome.assignment = h->assignment;
--- a/src/crew/agent_test.c
+++ b/src/agent/agent_test.c
@@ -1,5 +1,5 @@
+#include "agent/agent.h"
 #include "base/log.h"
-#include "crew/agent.h"
 
 #include <ev.h>
 
@@ -20,7 +20,7 @@
 {
   KqLoop *loop;
   KqCounters *counters;
-  KqCrewAgent *agent;
+  KqAgent *agent;
   int renewals;
   int64_t lease_end_ms; /* the latest end in any call */
   KqRunnerCallback poll;
@@ -101,27 +101,27 @@
 {
   KqOrder o = { .kind = KQ_ORDER_RENEW, .runner = KQ_STR ("r") };
   o.u.renew.halt = halt;
-  kq_crew_agent_order (t.agent, EPOCH, &o, kq_time_now ());
+  kq_agent_order (t.agent, EPOCH, &o, kq_time_now ());
 }
 
 static void
-on_notice (void *arg, uint64_t epoch, const KqCrewItem *i)
+on_notice (void *arg, uint64_t epoch, const KqAgentItem *i)
 {
   (void)arg;
   (void)epoch;
   t.last_item = i->kind;
-  if (i->kind == KQ_CREW_OUTCOME)
+  if (i->kind == KQ_AGENT_ITEM_OUTCOME)
     {
       t.assignment = i->u.outcome.assignment;
       t.result = i->u.outcome.result;
       t.lease_left_ms = i->u.outcome.lease_left_ms;
     }
-  else if (i->kind == KQ_CREW_UNREACHED)
+  else if (i->kind == KQ_AGENT_ITEM_UNREACHED)
     {
       t.assignment = i->u.unreached.assignment;
       t.unreached++;
     }
-  else if (i->kind == KQ_CREW_LIST)
+  else if (i->kind == KQ_AGENT_ITEM_LIST)
     {
       t.assignment = i->u.list.assignment;
       t.halt = i->u.list.halt;
@@ -191,7 +191,7 @@
   KqOrder o = { .kind = KQ_ORDER_TAKE, .runner = KQ_STR ("r") };
   o.u.take.address = KQ_STR ("127.0.0.1:1");
   o.u.take.assignment = assignment;
-  kq_crew_agent_order (t.agent, EPOCH, &o, kq_time_now ());
+  kq_agent_order (t.agent, EPOCH, &o, kq_time_now ());
   /* Calls of an earlier assignment. */
   if (t.poll.done != NULL)
     answer_poll (KQ_ORDER_UNKNOWN, 0, -1, kq_time_now ());
@@ -206,7 +206,7 @@
   o.u.start.task = KQ_STR ("j.0.0.0");
   o.u.start.run = run;
   t.starting = true;
-  kq_crew_agent_order (t.agent, EPOCH, &o, now);
+  kq_agent_order (t.agent, EPOCH, &o, now);
   t.starting = false;
 }
 
@@ -237,8 +237,9 @@
 static int
 set_up (void **state)
 {
-  KqCrewAgentConfig c
-      = { .lease_ms = LEASE_MS, .blind_ms = BLIND_MS, .notice = on_notice };
+  KqAgentConfig c = { .lease_ms = LEASE_MS,
+                      .renew_without_leader_ms = BLIND_MS,
+                      .notice = on_notice };
   (void)state;
   kq_log_set_level (KQ_LOG_ERROR);
   memset (&t, 0, sizeof t);
@@ -246,7 +247,7 @@
   t.lease_end_ms = -1;
   t.loop = c.loop = kq_loop_new ();
   t.counters = c.counters = kq_counters_new ();
-  t.agent = kq_crew_agent_new (&c);
+  t.agent = kq_agent_new (&c);
   return 0;
 }
 
@@ -257,7 +258,7 @@
   if (t.poll.done != NULL)
     answer_poll (KQ_ORDER_UNKNOWN, 0, -1, kq_time_now ());
   answer_verification (KQ_ORDER_UNKNOWN, 0, kq_time_now ());
-  kq_crew_agent_free (t.agent);
+  kq_agent_free (t.agent);
   kq_counters_free (t.counters);
   kq_loop_free (t.loop);
   return 0;
@@ -275,10 +276,10 @@
   answer_next_poll (KQ_ORDER_OK);
   answer_next_poll (KQ_ORDER_OK);
   assert_true (t.renewals >= 2);
-  kq_crew_agent_released (t.agent);
-  assert_int_equal (kq_crew_agent_runners (t.agent), 0);
+  kq_agent_release_all (t.agent);
+  assert_int_equal (kq_agent_n_runners (t.agent), 0);
   before = t.renewals;
-  kq_crew_agent_heard (t.agent, EPOCH, kq_time_now ());
+  kq_agent_leader_heard (t.agent, EPOCH, kq_time_now ());
   run_loop ();
   assert_int_equal (t.renewals, before);
   assign_runner (2);
@@ -343,15 +344,15 @@
   (void)state;
   assign_runner (8);
   answer_poll (KQ_ORDER_OK, 1, 1000, now);
-  assert_int_equal (t.last_item, KQ_CREW_LIST);
+  assert_int_equal (t.last_item, KQ_AGENT_ITEM_LIST);
   assert_int_equal (t.assignment, 8);
   assign_runner (9);
   answer_poll (KQ_ORDER_OTHER_LIFE, 0, -1, now);
-  assert_int_equal (t.last_item, KQ_CREW_UNREACHED);
+  assert_int_equal (t.last_item, KQ_AGENT_ITEM_UNREACHED);
   assert_int_equal (t.assignment, 9);
   start_task (now);
   answer_start (-1, now, now);
-  assert_int_equal (t.last_item, KQ_CREW_OUTCOME);
+  assert_int_equal (t.last_item, KQ_AGENT_ITEM_OUTCOME);
   assert_int_equal (t.assignment, 9);
 }
 
@@ -402,14 +403,14 @@
   answer_poll (KQ_ORDER_OK, 1, 30000, now);
   start_task (now);
   answer_start (100, now, later);
-  assert_int_equal (t.last_item, KQ_CREW_OUTCOME);
+  assert_int_equal (t.last_item, KQ_AGENT_ITEM_OUTCOME);
   assert_int_equal (t.lease_left_ms, LEASE_MS * 100 / 98 + 1);
 }
 
 /* A task runs twice: a delayed message of a leader extends the time for which leases are
  * granted, though the leader no longer waits for them. */
 static void
-test_delayed_words_grant_nothing (void **state)
+test_delayed_messages_grant_nothing (void **state)
 {
   KqTime now = kq_time_now ();
   KqTime later = now + (BLIND_MS + 200) * KQ_MS;
@@ -418,10 +419,10 @@
   assign_runner (1);
   answer_poll (KQ_ORDER_OK, 1, 1000, now);
   granted = t.lease_end_ms;
-  kq_crew_agent_heard (t.agent, EPOCH, later);
+  kq_agent_leader_heard (t.agent, EPOCH, later);
   assert_int_equal (grant_by_start (later), granted);
   answer_start (-1, later, later);
-  kq_crew_agent_counted (t.agent, EPOCH, later - KQ_SEC);
+  kq_agent_leader_confirmed (t.agent, EPOCH, later - KQ_SEC);
   assert_int_equal (grant_by_start (later),
                     1000 + (BLIND_MS + 200) * 98 / 100 + LEASE_MS);
   answer_start (-1, later, later);
@@ -495,7 +496,7 @@
   assert_int_equal (t.starts, 0);
   answer_verification (KQ_ORDER_UNKNOWN, now, now);
   assert_int_equal (t.starts, 0);
-  assert_int_equal (t.last_item, KQ_CREW_OUTCOME);
+  assert_int_equal (t.last_item, KQ_AGENT_ITEM_OUTCOME);
   assert_int_equal (t.result, KQ_ORDER_UNHEALTHY);
 }
 
@@ -510,7 +511,8 @@
                                      tear_down),
     cmocka_unit_test_setup_teardown (test_reports_name_their_assignment, set_up,
                                      tear_down),
-    cmocka_unit_test_setup_teardown (test_delayed_words_grant_nothing, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_delayed_messages_grant_nothing, set_up,
+                                     tear_down),
     cmocka_unit_test_setup_teardown (test_clock_after_a_restart, set_up, tear_down),
     cmocka_unit_test_setup_teardown (test_start_after_a_restart_reports_its_lease, set_up,
                                      tear_down),
--- a/src/crew/gate.c
+++ b/src/agent/conns.c
@@ -1,4 +1,4 @@
-#include "crew/gate.h"
+#include "agent/conns.h"
 
 #include <assert.h>
 
--- a/src/crew/gate.h
+++ b/src/agent/conns.h
@@ -1,7 +1,7 @@
-#ifndef KQ_CREW_GATE_H
-#define KQ_CREW_GATE_H
+#ifndef KQ_AGENT_CONNS_H
+#define KQ_AGENT_CONNS_H
 
-/* gate: decides when a start may be sent to a runner, by the connections open to it.
+/* conns: decides when a start may be sent to a runner, by the connections open to it.
  *
  * A start must not reach a process of the runner that has restarted since its last list:
  * it would run there under a lease that the leader doesn't know of, and the task would
--- a/src/crew/gate_test.c
+++ b/src/agent/conns_test.c
@@ -1,4 +1,4 @@
-#include "crew/gate.h"
+#include "agent/conns.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
--- a/src/crew/frame.c
+++ b/src/agent/frame.c
@@ -1,6 +1,6 @@
-#include "crew/frame.h"
+#include "agent/frame.h"
 
-#include "crew/frame_rows.h"
+#include "agent/frame_rows.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -146,159 +146,159 @@
 }
 
 static void
-pack_fields (KqPacker *p, const KqCrewItem *i)
+pack_fields (KqPacker *p, const KqAgentItem *i)
 {
   switch (i->kind)
     {
-    case KQ_CREW_ORDER:
+    case KQ_AGENT_ITEM_ORDER:
       pack_order (p, &i->u.order);
       break;
-    case KQ_CREW_ANSWER:
+    case KQ_AGENT_ITEM_ANSWER:
       kq_pack_u64 (p, i->u.answer.call);
       kq_pack_i64 (p, i->u.answer.value);
       kq_pack_str (p, i->u.answer.text);
       break;
-    case KQ_CREW_HELLO:
+    case KQ_AGENT_ITEM_HELLO:
       kq_pack_name (p, &i->u.hello.info.name);
       kq_pack_name (p, &i->u.hello.info.failure_domain);
       kq_pack_i64 (p, i->u.hello.info.share_milli);
       kq_pack_u64 (p, i->u.hello.version);
       break;
-    case KQ_CREW_WELCOME:
+    case KQ_AGENT_ITEM_WELCOME:
       kq_pack_u64 (p, i->u.welcome.version);
       break;
-    case KQ_CREW_BEAT:
-      kq_pack_i64 (p, i->u.beat.store_age_ms);
-      kq_pack_i64 (p, i->u.beat.sent_at);
+    case KQ_AGENT_ITEM_HEARTBEAT:
+      kq_pack_i64 (p, i->u.heartbeat.store_age_ms);
+      kq_pack_i64 (p, i->u.heartbeat.sent_at);
       break;
-    case KQ_CREW_LIST:
+    case KQ_AGENT_ITEM_LIST:
       kq_agent_item_pack_list_head (p, &i->u.list);
       kq_agent_item_pack_running (p, &i->u.list);
       kq_agent_item_pack_ended (p, &i->u.list);
       break;
-    case KQ_CREW_CHANGES:
+    case KQ_AGENT_ITEM_CHANGES:
       kq_agent_item_pack_list_head (p, &i->u.changes.list);
       kq_agent_item_pack_changes (p, &i->u.changes.running);
       kq_agent_item_pack_ended (p, &i->u.changes.list);
       break;
-    case KQ_CREW_OUTCOME:
+    case KQ_AGENT_ITEM_OUTCOME:
       pack_outcome (p, &i->u.outcome);
       break;
-    case KQ_CREW_UNREACHED:
+    case KQ_AGENT_ITEM_UNREACHED:
       kq_pack_i64 (p, i->u.unreached.lease_left_ms);
-      kq_pack_bool (p, i->u.unreached.gone);
+      kq_pack_bool (p, i->u.unreached.other_runner);
       kq_pack_u64 (p, i->u.unreached.assignment);
       break;
-    case KQ_CREW_ASK:
+    case KQ_AGENT_ITEM_ASK:
       kq_pack_u64 (p, i->u.ask.call);
       kq_pack_i64 (p, i->u.ask.what);
       kq_pack_str (p, i->u.ask.about);
       break;
-    case KQ_CREW_JOB:
+    case KQ_AGENT_ITEM_JOB:
       kq_pack_str (p, i->u.job.stored);
       kq_pack_u64 (p, i->u.job.revision);
       break;
-    case KQ_CREW_CANCEL:
+    case KQ_AGENT_ITEM_CANCEL:
       kq_pack_str (p, i->u.cancel.id);
       break;
-    case KQ_CREW_ADVICE:
+    case KQ_AGENT_ITEM_ADVICE:
       kq_agent_item_pack_advice (p, &i->u.advice);
       break;
-    case KQ_CREW_PING:
-      kq_pack_i64 (p, i->u.ping.beat_sent_at);
+    case KQ_AGENT_ITEM_PING:
+      kq_pack_i64 (p, i->u.ping.heartbeat_sent_at);
       kq_pack_i64 (p, i->u.ping.store_age_ms);
       break;
-    case KQ_CREW_FENCED:
-    case KQ_CREW_LEAVE:
-    case KQ_CREW_UNKNOWN:
+    case KQ_AGENT_ITEM_FENCED:
+    case KQ_AGENT_ITEM_LEAVE:
+    case KQ_AGENT_ITEM_UNKNOWN:
       break;
     }
 }
 
 static void
-read_fields (KqReader *r, KqCrewItem *i)
+read_fields (KqReader *r, KqAgentItem *i)
 {
   switch (i->kind)
     {
-    case KQ_CREW_ORDER:
+    case KQ_AGENT_ITEM_ORDER:
       if (!read_order (r, &i->u.order))
-        *i = (KqCrewItem){ .u.unknown.kind = KQ_CREW_ORDER };
+        *i = (KqAgentItem){ .u.unknown.kind = KQ_AGENT_ITEM_ORDER };
       return;
-    case KQ_CREW_ANSWER:
+    case KQ_AGENT_ITEM_ANSWER:
       i->u.answer.call = kq_read_u64 (r);
       i->u.answer.value = kq_read_i64 (r);
       i->u.answer.text = kq_read_str (r);
       return;
-    case KQ_CREW_HELLO:
+    case KQ_AGENT_ITEM_HELLO:
       i->u.hello.info.name = kq_read_name (r);
       i->u.hello.info.failure_domain = kq_read_name (r);
       i->u.hello.info.share_milli = (int)kq_read_i64 (r);
       i->u.hello.version = r->left > 0 ? (uint32_t)kq_read_u64 (r) : 1;
       return;
-    case KQ_CREW_WELCOME:
+    case KQ_AGENT_ITEM_WELCOME:
       i->u.welcome.version = (uint32_t)kq_read_u64 (r);
       return;
-    case KQ_CREW_BEAT:
-      i->u.beat.store_age_ms = kq_read_i64 (r);
-      i->u.beat.sent_at = kq_read_i64 (r);
+    case KQ_AGENT_ITEM_HEARTBEAT:
+      i->u.heartbeat.store_age_ms = kq_read_i64 (r);
+      i->u.heartbeat.sent_at = kq_read_i64 (r);
       return;
-    case KQ_CREW_LIST:
+    case KQ_AGENT_ITEM_LIST:
       kq_agent_item_read_list_head (r, &i->u.list);
       kq_agent_item_read_running (r, &i->u.list);
       kq_agent_item_read_ended (r, &i->u.list);
       return;
-    case KQ_CREW_CHANGES:
+    case KQ_AGENT_ITEM_CHANGES:
       kq_agent_item_read_list_head (r, &i->u.changes.list);
       kq_agent_item_read_changes (r, &i->u.changes.running);
       kq_agent_item_read_ended (r, &i->u.changes.list);
       return;
-    case KQ_CREW_OUTCOME:
+    case KQ_AGENT_ITEM_OUTCOME:
       read_outcome (r, &i->u.outcome);
       return;
-    case KQ_CREW_UNREACHED:
+    case KQ_AGENT_ITEM_UNREACHED:
       i->u.unreached.lease_left_ms = kq_read_i64 (r);
-      i->u.unreached.gone = kq_read_bool (r);
+      i->u.unreached.other_runner = kq_read_bool (r);
       i->u.unreached.assignment = kq_read_u64 (r);
       return;
-    case KQ_CREW_ASK:
+    case KQ_AGENT_ITEM_ASK:
       i->u.ask.call = kq_read_u64 (r);
       i->u.ask.what = (KqAskKind)kq_read_i64 (r);
       i->u.ask.about = kq_read_str (r);
       return;
-    case KQ_CREW_JOB:
+    case KQ_AGENT_ITEM_JOB:
       i->u.job.stored = kq_read_str (r);
       i->u.job.revision = kq_read_u64 (r);
       return;
-    case KQ_CREW_CANCEL:
+    case KQ_AGENT_ITEM_CANCEL:
       i->u.cancel.id = kq_read_str (r);
       return;
-    case KQ_CREW_ADVICE:
+    case KQ_AGENT_ITEM_ADVICE:
       kq_agent_item_read_advice (r, &i->u.advice);
       return;
-    case KQ_CREW_PING:
-      i->u.ping.beat_sent_at = kq_read_i64 (r);
+    case KQ_AGENT_ITEM_PING:
+      i->u.ping.heartbeat_sent_at = kq_read_i64 (r);
       i->u.ping.store_age_ms = r->left > 0 ? kq_read_i64 (r) : -1;
       return;
-    case KQ_CREW_FENCED:
-    case KQ_CREW_LEAVE:
-    case KQ_CREW_UNKNOWN:
+    case KQ_AGENT_ITEM_FENCED:
+    case KQ_AGENT_ITEM_LEAVE:
+    case KQ_AGENT_ITEM_UNKNOWN:
       return;
     }
 }
 
 /* The number of fields after kind and runner: an array is preceded by its length. */
 static size_t
-count_fields (const KqCrewItem *i)
+count_fields (const KqAgentItem *i)
 {
   static const uint8_t of_kind[] = { 0, 0, 3, 2, 4, 2, 8, 7, 3, 0, 3, 2, 1, 4, 1, 10, 0 };
   static const uint8_t of_order[] = { 4, 2, 7, 4, 5, 5, 4, 3 };
-  if (i->kind == KQ_CREW_ORDER)
+  if (i->kind == KQ_AGENT_ITEM_ORDER)
     return of_order[i->u.order.kind];
   return of_kind[i->kind];
 }
 
 void
-kq_crew_pack (const KqCrewItem *i, KqBuf *out)
+kq_agent_item_pack (const KqAgentItem *i, KqBuf *out)
 {
   size_t start = out->len;
   KqPacker p;
@@ -314,14 +314,14 @@
 }
 
 bool
-kq_crew_unpack (KqStr *rest, KqCrewItem *out)
+kq_agent_item_unpack (KqStr *rest, KqAgentItem *out)
 {
   KqUnpacked u;
   KqReader r;
   uint32_t n;
   int64_t kind;
   bool ok;
-  *out = (KqCrewItem){ 0 };
+  *out = (KqAgentItem){ 0 };
   if (rest->len < sizeof n)
     return false;
   memcpy (&n, rest->ptr, sizeof n);
@@ -329,7 +329,7 @@
       || !kq_unpacked_open (&u, kq_str_n (rest->ptr + sizeof n, n), &r))
     return false;
   kind = kq_read_i64 (&r);
-  if (kind >= KQ_CREW_ORDER && kind <= KQ_CREW_LEAVE)
+  if (kind >= KQ_AGENT_ITEM_ORDER && kind <= KQ_AGENT_ITEM_LEAVE)
     {
       out->kind = (KqAgentItemKind)kind;
       out->runner = kq_read_str (&r);
@@ -342,34 +342,34 @@
   if (ok)
     *rest = kq_str_n (rest->ptr + sizeof n + n, rest->len - sizeof n - n);
   else
-    kq_crew_clear (out);
+    kq_agent_item_clear (out);
   return ok;
 }
 
 void
-kq_crew_clear (KqCrewItem *i)
+kq_agent_item_clear (KqAgentItem *i)
 {
-  if (i->kind == KQ_CREW_LIST)
+  if (i->kind == KQ_AGENT_ITEM_LIST)
     {
       free ((void *)i->u.list.running);
       free ((void *)i->u.list.ended);
       i->u.list.running = NULL;
       i->u.list.ended = NULL;
     }
-  else if (i->kind == KQ_CREW_CHANGES)
+  else if (i->kind == KQ_AGENT_ITEM_CHANGES)
     {
       free ((void *)i->u.changes.list.ended);
       free ((void *)i->u.changes.running.rows);
       free ((void *)i->u.changes.running.gone);
       i->u.changes.list.ended = NULL;
-      i->u.changes.running = (KqToldChanges){ 0 };
+      i->u.changes.running = (KqRunDelta){ 0 };
     }
-  else if (i->kind == KQ_CREW_ADVICE)
+  else if (i->kind == KQ_AGENT_ITEM_ADVICE)
     {
       free ((void *)i->u.advice.reply.rows);
       i->u.advice.reply.rows = NULL;
     }
-  else if (i->kind == KQ_CREW_ORDER && i->u.order.kind == KQ_ORDER_ADVISE)
+  else if (i->kind == KQ_AGENT_ITEM_ORDER && i->u.order.kind == KQ_ORDER_ADVISE)
     {
       free ((void *)i->u.order.u.advise.runners);
       i->u.order.u.advise.runners = NULL;
--- a/src/crew/frame.h
+++ b/src/agent/frame.h
@@ -1,5 +1,5 @@
-#ifndef KQ_CREW_FRAME_H
-#define KQ_CREW_FRAME_H
+#ifndef KQ_AGENT_FRAME_H
+#define KQ_AGENT_FRAME_H
 
 /* frame: the items that a leader and the agents on the nodes send each other, several to
  * a message.
@@ -9,34 +9,35 @@
  * one. New fields are appended after the known ones; a reader skips fields and kinds of
  * items that it doesn't know. */
 
-#include "crew/told.h"
+#include "agent/run_delta.h"
 #include "sched/sched.h"
 
 /* Version 1 has no WELCOME, CHANGES and LEAVE: it sends whole lists. */
-#define KQ_CREW_VERSION 2
+#define KQ_AGENT_PROTOCOL_VERSION 2
 
 typedef enum
 {
-  KQ_CREW_UNKNOWN, /* a kind of a later version */
+  KQ_AGENT_ITEM_UNKNOWN, /* a kind of a later version */
   /* leader to node */
-  KQ_CREW_ORDER = 1,
-  KQ_CREW_ANSWER, /* to an ASK */
-  KQ_CREW_PING,   /* heartbeat of the leader */
+  KQ_AGENT_ITEM_ORDER = 1,
+  KQ_AGENT_ITEM_ANSWER, /* to an ASK */
+  KQ_AGENT_ITEM_PING,   /* heartbeat of the leader */
   /* node to leader */
-  KQ_CREW_HELLO,
-  KQ_CREW_BEAT, /* heartbeat of the node, and how long ago the store last answered it */
-  KQ_CREW_LIST,
-  KQ_CREW_OUTCOME,
-  KQ_CREW_UNREACHED,
-  KQ_CREW_FENCED, /* a runner has seen a higher epoch */
-  KQ_CREW_ASK,
-  KQ_CREW_JOB,    /* a job was accepted and is in the store */
-  KQ_CREW_CANCEL, /* a cancellation was accepted and is in the store */
-  KQ_CREW_ADVICE, /* the answer to an order ADVISE */
+  KQ_AGENT_ITEM_HELLO,
+  KQ_AGENT_ITEM_HEARTBEAT, /* heartbeat of the node, and how long ago the store last
+                              answered it */
+  KQ_AGENT_ITEM_LIST,
+  KQ_AGENT_ITEM_OUTCOME,
+  KQ_AGENT_ITEM_UNREACHED,
+  KQ_AGENT_ITEM_FENCED, /* a runner has seen a higher epoch */
+  KQ_AGENT_ITEM_ASK,
+  KQ_AGENT_ITEM_JOB,    /* a job was accepted and is in the store */
+  KQ_AGENT_ITEM_CANCEL, /* a cancellation was accepted and is in the store */
+  KQ_AGENT_ITEM_ADVICE, /* the answer to an order ADVISE */
   /* from version 2 on */
-  KQ_CREW_WELCOME, /* leader to node: the answer to HELLO */
-  KQ_CREW_CHANGES, /* node to leader: the difference from the last list */
-  KQ_CREW_LEAVE    /* node to leader: planned stop; all its runners are released */
+  KQ_AGENT_ITEM_WELCOME, /* leader to node: the answer to HELLO */
+  KQ_AGENT_ITEM_CHANGES, /* node to leader: the difference from the last list */
+  KQ_AGENT_ITEM_LEAVE    /* node to leader: planned stop; all its runners are released */
 } KqAgentItemKind;
 
 typedef enum
@@ -78,10 +79,10 @@
     {
       int64_t store_age_ms; /* since the last answer of the store; -1: never */
       KqTime sent_at;       /* by the node's clock */
-    } beat;
+    } heartbeat;
     struct
     {
-      KqTime beat_sent_at; /* sent_at of the node's last BEAT received */
+      KqTime heartbeat_sent_at; /* sent_at of the node's last BEAT received */
       int64_t
           store_age_ms; /* since the store's last answer to the leader; -1: not given */
     } ping;
@@ -89,14 +90,14 @@
     struct
     {
       KqRunnerList list; /* without `running`; only the new ends */
-      KqToldChanges running;
+      KqRunDelta running;
     } changes;
     KqOrderOutcome outcome;
     KqStepAdvice advice;
     struct
     {
       int64_t lease_left_ms;
-      bool gone; /* another runner answers at that address */
+      bool other_runner; /* another runner answers at that address */
       uint64_t assignment;
     } unreached;
     struct
@@ -115,13 +116,15 @@
       KqStr id;
     } cancel;
   } u;
-} KqCrewItem;
+} KqAgentItem;
 
-void kq_crew_pack (const KqCrewItem *i, KqBuf *out);
+void kq_agent_item_pack (const KqAgentItem *i, KqBuf *out);
 /* Removes the next item from the front of *rest. Its strings point into *rest; its rows
- * are allocated, and freed by kq_crew_clear. False: no item is left, or it is damaged
- * (*rest then isn't empty). An item of an unknown kind is returned as KQ_CREW_UNKNOWN. */
-bool kq_crew_unpack (KqStr *rest, KqCrewItem *out);
-void kq_crew_clear (KqCrewItem *i);
+ * are allocated, and freed by kq_agent_item_clear. False: no item is left, or it is
+ * damaged
+ * (*rest then isn't empty). An item of an unknown kind is returned as
+ * KQ_AGENT_ITEM_UNKNOWN. */
+bool kq_agent_item_unpack (KqStr *rest, KqAgentItem *out);
+void kq_agent_item_clear (KqAgentItem *i);
 
 #endif
--- a/src/crew/frame_rows.c
+++ b/src/agent/frame_rows.c
@@ -1,4 +1,4 @@
-#include "crew/frame_rows.h"
+#include "agent/frame_rows.h"
 
 #include <stdlib.h>
 
@@ -130,22 +130,22 @@
 };
 
 void
-kq_agent_item_pack_changes (KqPacker *p, const KqToldChanges *c)
+kq_agent_item_pack_changes (KqPacker *p, const KqRunDelta *c)
 {
   kq_pack_u64 (p, c->serial);
   kq_pack_array (p, c->n_rows);
   for (size_t i = 0; i < c->n_rows; i++)
     {
-      const KqToldRow *r = &c->rows[i];
-      kq_pack_array (p, r->whole            ? ROW_FIELDS_NEW_RUN
+      const KqRunDeltaRow *r = &c->rows[i];
+      kq_pack_array (p, r->is_new           ? ROW_FIELDS_NEW_RUN
                         : r->has_checkpoint ? ROW_FIELDS_CHECKPOINT
                                             : ROW_FIELDS_LOAD);
       kq_pack_u64 (p, r->slot);
       kq_pack_i64 (p, r->row.percent);
       kq_pack_i64 (p, r->row.load);
-      if (r->whole || r->has_checkpoint)
+      if (r->is_new || r->has_checkpoint)
         kq_pack_str (p, r->row.checkpoint);
-      if (!r->whole)
+      if (!r->is_new)
         continue;
       kq_pack_str (p, r->row.task);
       kq_pack_u64 (p, r->row.run);
@@ -156,18 +156,18 @@
 }
 
 static void
-read_changed_row (KqReader *rows, KqToldRow *out)
+read_changed_row (KqReader *rows, KqRunDeltaRow *out)
 {
   KqReader r;
   kq_read_array (rows, &r);
-  out->whole = r.left >= ROW_FIELDS_NEW_RUN;
-  out->has_checkpoint = !out->whole && r.left >= ROW_FIELDS_CHECKPOINT;
+  out->is_new = r.left >= ROW_FIELDS_NEW_RUN;
+  out->has_checkpoint = !out->is_new && r.left >= ROW_FIELDS_CHECKPOINT;
   out->slot = (uint32_t)kq_read_u64 (&r);
   out->row.percent = (int)kq_read_i64 (&r);
   out->row.load = (int)kq_read_i64 (&r);
-  if (out->whole || out->has_checkpoint)
+  if (out->is_new || out->has_checkpoint)
     out->row.checkpoint = kq_read_str (&r);
-  if (out->whole)
+  if (out->is_new)
     {
       out->row.task = kq_read_str (&r);
       out->row.run = (uint32_t)kq_read_u64 (&r);
@@ -176,11 +176,11 @@
 }
 
 void
-kq_agent_item_read_changes (KqReader *r, KqToldChanges *c)
+kq_agent_item_read_changes (KqReader *r, KqRunDelta *c)
 {
   KqReader rows;
   KqReader slots;
-  KqToldRow *list;
+  KqRunDeltaRow *list;
   uint32_t *gone;
   c->serial = kq_read_u64 (r);
   c->n_rows = kq_agent_item_open_rows (r, &rows);
--- a/src/crew/frame_rows.h
+++ b/src/agent/frame_rows.h
@@ -1,10 +1,10 @@
-#ifndef KQ_CREW_FRAME_ROWS_H
-#define KQ_CREW_FRAME_ROWS_H
+#ifndef KQ_AGENT_FRAME_ROWS_H
+#define KQ_AGENT_FRAME_ROWS_H
 
 /* frame_rows: packs and reads the fields of items that carry rows, for frame.c. Rows that
- * are read are allocated, and freed by kq_crew_clear. */
+ * are read are allocated, and freed by kq_agent_item_clear. */
 
-#include "crew/frame.h"
+#include "agent/frame.h"
 #include "wire/pack.h"
 
 /* Opens an array of rows and returns their number; too many: returns 0 and sets `bad` in
@@ -16,8 +16,8 @@
 void kq_agent_item_read_running (KqReader *r, KqRunnerList *l);
 void kq_agent_item_pack_ended (KqPacker *p, const KqRunnerList *l);
 void kq_agent_item_read_ended (KqReader *r, KqRunnerList *l);
-void kq_agent_item_pack_changes (KqPacker *p, const KqToldChanges *c);
-void kq_agent_item_read_changes (KqReader *r, KqToldChanges *c);
+void kq_agent_item_pack_changes (KqPacker *p, const KqRunDelta *c);
+void kq_agent_item_read_changes (KqReader *r, KqRunDelta *c);
 void kq_agent_item_pack_advice (KqPacker *p, const KqStepAdvice *a);
 void kq_agent_item_read_advice (KqReader *r, KqStepAdvice *a);
 
--- a/src/crew/frame_test.c
+++ b/src/agent/frame_test.c
@@ -1,5 +1,5 @@
+#include "agent/frame.h"
 #include "base/rand.h"
-#include "crew/frame.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -8,19 +8,19 @@
 
 #include <cmocka.h>
 
-static KqCrewItem
-round_trip (const KqCrewItem *i, KqBuf *b)
+static KqAgentItem
+round_trip (const KqAgentItem *i, KqBuf *b)
 {
-  KqCrewItem out;
+  KqAgentItem out;
   KqStr rest;
   kq_buf_clear (b);
-  kq_crew_pack (i, b);
-  kq_crew_pack (i, b); /* items follow each other */
+  kq_agent_item_pack (i, b);
+  kq_agent_item_pack (i, b); /* items follow each other */
   rest = kq_buf_str (b);
-  assert_true (kq_crew_unpack (&rest, &out));
+  assert_true (kq_agent_item_unpack (&rest, &out));
   assert_int_equal (out.kind, i->kind);
-  kq_crew_clear (&out);
-  assert_true (kq_crew_unpack (&rest, &out));
+  kq_agent_item_clear (&out);
+  assert_true (kq_agent_item_unpack (&rest, &out));
   assert_int_equal (rest.len, 0);
   return out;
 }
@@ -30,9 +30,9 @@
 {
   KqRunRow running[] = { { KQ_STR ("j.0.1.2"), 7, KQ_STR ("cp"), 41, 12 } };
   KqEndRow ended[] = { { 58, KQ_STR ("j.0.1.3"), 6, KQ_END_FAILED, KQ_STR ("") } };
-  KqCrewItem i = { .kind = KQ_CREW_LIST, .runner = KQ_STR ("i-1") };
+  KqAgentItem i = { .kind = KQ_AGENT_ITEM_LIST, .runner = KQ_STR ("i-1") };
   KqBuf b = { 0 };
-  KqCrewItem o;
+  KqAgentItem o;
   (void)state;
   i.u.list = (KqRunnerList){ 99, 5000, 3, 4, 8, running, 1, ended, 1, true };
   o = round_trip (&i, &b);
@@ -48,7 +48,7 @@
   assert_int_equal (o.u.list.running[0].load, 12);
   assert_int_equal (o.u.list.ended[0].number, 58);
   assert_int_equal (o.u.list.ended[0].how, KQ_END_FAILED);
-  kq_crew_clear (&o);
+  kq_agent_item_clear (&o);
   kq_buf_free (&b);
 }
 
@@ -57,9 +57,9 @@
 {
   KqStr runners[] = { KQ_STR ("i-1"), KQ_STR ("i-2") };
   KqAdviceRow rows[] = { { KQ_STR ("i-2"), KQ_STR ("t-9") } };
-  KqCrewItem i = { .kind = KQ_CREW_ORDER };
+  KqAgentItem i = { .kind = KQ_AGENT_ITEM_ORDER };
   KqBuf b = { 0 };
-  KqCrewItem o;
+  KqAgentItem o;
   (void)state;
   i.u.order.kind = KQ_ORDER_ADVISE;
   i.u.order.u.advise.step = KQ_STR ("j.0.1");
@@ -69,8 +69,8 @@
   assert_int_equal (o.u.order.u.advise.n_runners, 2);
   assert_true (kq_str_eq (o.u.order.u.advise.step, KQ_STR ("j.0.1")));
   assert_true (kq_str_eq (o.u.order.u.advise.runners[1], KQ_STR ("i-2")));
-  kq_crew_clear (&o);
-  i = (KqCrewItem){ .kind = KQ_CREW_ADVICE };
+  kq_agent_item_clear (&o);
+  i = (KqAgentItem){ .kind = KQ_AGENT_ITEM_ADVICE };
   i.u.advice.step = KQ_STR ("j.0.1");
   i.u.advice.reply = (KqAdviceReply){ KQ_ADVICE_OK, rows, 1, 3000 };
   o = round_trip (&i, &b);
@@ -78,7 +78,7 @@
   assert_int_equal (o.u.advice.reply.valid_ms, 3000);
   assert_int_equal (o.u.advice.reply.n_rows, 1);
   assert_true (kq_str_eq (o.u.advice.reply.rows[0].ticket, KQ_STR ("t-9")));
-  kq_crew_clear (&o);
+  kq_agent_item_clear (&o);
   kq_buf_free (&b);
 }
 
@@ -86,8 +86,8 @@
 test_orders_round_trip (void **state)
 {
   KqBuf b = { 0 };
-  KqCrewItem i = { .kind = KQ_CREW_ORDER };
-  KqCrewItem o;
+  KqAgentItem i = { .kind = KQ_AGENT_ITEM_ORDER };
+  KqAgentItem o;
   (void)state;
   i.u.order.kind = KQ_ORDER_START;
   i.u.order.runner = KQ_STR ("i-1");
@@ -121,7 +121,7 @@
       i.u.order.kind = (KqOrderKind)k;
       o = round_trip (&i, &b);
       assert_int_equal (o.u.order.kind, k);
-      kq_crew_clear (&o);
+      kq_agent_item_clear (&o);
     }
   kq_buf_free (&b);
 }
@@ -130,8 +130,8 @@
 test_outcome_and_unreached_round_trip (void **state)
 {
   KqBuf b = { 0 };
-  KqCrewItem i = { .kind = KQ_CREW_OUTCOME };
-  KqCrewItem o;
+  KqAgentItem i = { .kind = KQ_AGENT_ITEM_OUTCOME };
+  KqAgentItem o;
   (void)state;
   i.u.outcome = (KqOrderOutcome){
     .result = KQ_ORDER_OLD_RUN, .order = 3, .assignment = 4, .lease_left_ms = 4900
@@ -141,13 +141,13 @@
   assert_int_equal (o.u.outcome.order, 3);
   assert_int_equal (o.u.outcome.assignment, 4);
   assert_int_equal (o.u.outcome.lease_left_ms, 4900);
-  i = (KqCrewItem){ .kind = KQ_CREW_UNREACHED };
+  i = (KqAgentItem){ .kind = KQ_AGENT_ITEM_UNREACHED };
   i.u.unreached.lease_left_ms = -1;
-  i.u.unreached.gone = true;
+  i.u.unreached.other_runner = true;
   i.u.unreached.assignment = 6;
   o = round_trip (&i, &b);
   assert_int_equal (o.u.unreached.lease_left_ms, -1);
-  assert_true (o.u.unreached.gone);
+  assert_true (o.u.unreached.other_runner);
   assert_int_equal (o.u.unreached.assignment, 6);
   kq_buf_free (&b);
 }
@@ -156,16 +156,16 @@
 test_heartbeats_round_trip (void **state)
 {
   KqBuf b = { 0 };
-  KqCrewItem i = { .kind = KQ_CREW_BEAT };
+  KqAgentItem i = { .kind = KQ_AGENT_ITEM_HEARTBEAT };
   (void)state;
-  i.u.beat.store_age_ms = -1;
-  i.u.beat.sent_at = 12;
-  assert_int_equal (round_trip (&i, &b).u.beat.store_age_ms, -1);
-  assert_int_equal (round_trip (&i, &b).u.beat.sent_at, 12);
-  i = (KqCrewItem){ .kind = KQ_CREW_PING };
-  i.u.ping.beat_sent_at = 13;
+  i.u.heartbeat.store_age_ms = -1;
+  i.u.heartbeat.sent_at = 12;
+  assert_int_equal (round_trip (&i, &b).u.heartbeat.store_age_ms, -1);
+  assert_int_equal (round_trip (&i, &b).u.heartbeat.sent_at, 12);
+  i = (KqAgentItem){ .kind = KQ_AGENT_ITEM_PING };
+  i.u.ping.heartbeat_sent_at = 13;
   i.u.ping.store_age_ms = 14;
-  assert_int_equal (round_trip (&i, &b).u.ping.beat_sent_at, 13);
+  assert_int_equal (round_trip (&i, &b).u.ping.heartbeat_sent_at, 13);
   assert_int_equal (round_trip (&i, &b).u.ping.store_age_ms, 14);
   kq_buf_free (&b);
 }
@@ -175,11 +175,11 @@
 {
   KqBuf b = { 0 };
   (void)state;
-  for (int k = KQ_CREW_ANSWER; k <= KQ_CREW_CANCEL; k++)
+  for (int k = KQ_AGENT_ITEM_ANSWER; k <= KQ_AGENT_ITEM_CANCEL; k++)
     {
-      KqCrewItem i = { .kind = (KqAgentItemKind)k };
-      KqCrewItem o = round_trip (&i, &b);
-      kq_crew_clear (&o);
+      KqAgentItem i = { .kind = (KqAgentItemKind)k };
+      KqAgentItem o = round_trip (&i, &b);
+      kq_agent_item_clear (&o);
     }
   kq_buf_free (&b);
 }
@@ -189,7 +189,7 @@
 test_damaged_bytes_are_refused (void **state)
 {
   KqRunRow running[] = { { KQ_STR ("j.0.1.2"), 7, KQ_STR ("cp"), 41, 12 } };
-  KqCrewItem i = { .kind = KQ_CREW_LIST, .runner = KQ_STR ("i-1") };
+  KqAgentItem i = { .kind = KQ_AGENT_ITEM_LIST, .runner = KQ_STR ("i-1") };
   KqRand r = kq_rand (1);
   (void)state;
   i.u.list.running = running;
@@ -197,14 +197,14 @@
   for (int n = 0; n < 20000; n++)
     {
       KqBuf b = { 0 };
-      KqCrewItem o;
+      KqAgentItem o;
       KqStr rest;
-      kq_crew_pack (&i, &b);
+      kq_agent_item_pack (&i, &b);
       for (int k = 0; k < 3; k++)
         b.ptr[kq_rand_below (&r, b.len)] = (char)kq_rand_next (&r);
       rest = kq_str_n (b.ptr, kq_rand_below (&r, b.len + 1));
-      while (kq_crew_unpack (&rest, &o))
-        kq_crew_clear (&o);
+      while (kq_agent_item_unpack (&rest, &o))
+        kq_agent_item_clear (&o);
       kq_buf_free (&b);
     }
 }
@@ -218,16 +218,16 @@
   (void)state;
   for (size_t n = 0; n < sizeof kinds / sizeof kinds[0]; n++)
     {
-      KqCrewItem i = { .kind = KQ_CREW_OUTCOME, .runner = KQ_STR ("i-1") };
+      KqAgentItem i = { .kind = KQ_AGENT_ITEM_OUTCOME, .runner = KQ_STR ("i-1") };
       KqBuf b = { 0 };
-      KqCrewItem o;
+      KqAgentItem o;
       KqStr rest;
       i.u.outcome = (KqOrderOutcome){ .kind = (KqOrderKind)kinds[n],
                                       .task = KQ_STR ("j.0.1.2"),
                                       .result = KQ_ORDER_UNKNOWN };
-      kq_crew_pack (&i, &b);
+      kq_agent_item_pack (&i, &b);
       rest = kq_buf_str (&b);
-      assert_false (kq_crew_unpack (&rest, &o));
+      assert_false (kq_agent_item_unpack (&rest, &o));
       kq_buf_free (&b);
     }
 }
--- a/src/crew/lease.c
+++ b/src/agent/lease.c
@@ -1,4 +1,4 @@
-#include "crew/lease.h"
+#include "agent/lease.h"
 
 #include <assert.h>
 
@@ -19,7 +19,7 @@
 }
 
 static bool
-shows_restart (const KqLease *l, const KqLeaseNews *n, int64_t length_ms, KqTime now)
+shows_restart (const KqLease *l, const KqLeaseReply *n, int64_t length_ms, KqTime now)
 {
   if (l->clock_ms < 0)
     return false;
@@ -29,7 +29,7 @@
 }
 
 bool
-kq_lease_note (KqLease *l, const KqLeaseNews *n, int64_t length_ms, KqTime now)
+kq_lease_update (KqLease *l, const KqLeaseReply *n, int64_t length_ms, KqTime now)
 {
   bool first = l->clock_ms < 0;
   bool restarted;
--- a/src/crew/lease.h
+++ b/src/agent/lease.h
@@ -1,5 +1,5 @@
-#ifndef KQ_CREW_LEASE_H
-#define KQ_CREW_LEASE_H
+#ifndef KQ_AGENT_LEASE_H
+#define KQ_AGENT_LEASE_H
 
 /* lease: what an agent knows of a runner's clock, and of the lease that it has granted.
  *
@@ -28,12 +28,12 @@
   int64_t clock_ms; /* -1: not given */
   int64_t born_ms;  /* 0: not given */
   KqTime sent_at;   /* when the call was sent */
-} KqLeaseNews;
+} KqLeaseReply;
 
 void kq_lease_init (KqLease *l);
 /* Takes in an answer; length_ms: of a whole lease. True: the runner has restarted, and
  * numbers its ends from 1 again. */
-bool kq_lease_note (KqLease *l, const KqLeaseNews *n, int64_t length_ms, KqTime now);
+bool kq_lease_update (KqLease *l, const KqLeaseReply *n, int64_t length_ms, KqTime now);
 /* Time until the lease has certainly ended, in ms of this node's clock, also if the
  * runner's clock is slow; -1: the runner's clock isn't known. */
 int64_t kq_lease_left_ms (const KqLease *l, KqTime now);
--- a/src/crew/renew.c
+++ b/src/agent/renew.c
@@ -1,8 +1,8 @@
 /* renew: polls runners. A poll renews the runner's lease and fetches its list of runs and
  * ends. */
 
+#include "agent/state.h"
 #include "base/log.h"
-#include "crew/state.h"
 
 /* A poll waits at the runner this long for a run to end, but at most this part of a
  * lease, so that the lease outlives two failed polls. Shorter waits only add calls. */
@@ -26,13 +26,13 @@
 static void
 report_unreached (KqAgentRunner *h, bool gone, KqTime now)
 {
-  KqCrewItem i = { .kind = KQ_CREW_UNREACHED };
+  KqAgentItem i = { .kind = KQ_AGENT_ITEM_UNREACHED };
   if (now - h->silence_reported_at < SILENCE_REPORT_INTERVAL)
     return;
   h->silence_reported_at = now;
   h->halt = ++h->agent->serial;
   i.u.unreached.lease_left_ms = kq_lease_left_ms (&h->lease, now);
-  i.u.unreached.gone = gone;
+  i.u.unreached.other_runner = gone;
   i.u.unreached.assignment = h->assignment;
   kq_agent_runner_notify (h, &i);
 }
@@ -41,7 +41,7 @@
 static void
 report_changes (KqAgentRunner *h, const KqRunnerList *l)
 {
-  KqCrewItem i = { .kind = KQ_CREW_CHANGES };
+  KqAgentItem i = { .kind = KQ_AGENT_ITEM_CHANGES };
   KqRunnerList *rest = &i.u.changes.list;
   *rest = *l;
   rest->running = NULL;
@@ -60,7 +60,7 @@
 static void
 report_list (KqAgentRunner *h, const KqRunnerReply *r, const KqAgentCall *c, KqTime now)
 {
-  KqCrewItem i = { .kind = KQ_CREW_LIST };
+  KqAgentItem i = { .kind = KQ_AGENT_ITEM_LIST };
   i.u.list = (KqRunnerList){ .born_ms = r->born_ms,
                              .lease_left_ms = kq_lease_left_ms (&h->lease, now),
                              .order = c->outcomes_sent,
@@ -93,7 +93,7 @@
 {
   KqAgentCall *c = arg;
   KqAgentRunner *h = kq_agent_call_ended (c, r);
-  KqCrewItem fenced = { .kind = KQ_CREW_FENCED };
+  KqAgentItem fenced = { .kind = KQ_AGENT_ITEM_FENCED };
   if (h == NULL)
     goto out;
   h->polling = false;
@@ -153,18 +153,19 @@
 void
 kq_agent_runner_poll (KqAgentRunner *h, KqTime now)
 {
-  KqCrewAgent *a = h->agent;
+  KqAgent *a = h->agent;
   KqRunnerAim to;
   KqAgentCall *c;
   uint64_t acked;
   int wait = poll_wait_ms (h);
   if (h->polling)
     return;
-  if (now - a->heard_at > a->config.blind_ms * KQ_MS)
+  if (now - a->heard_at > a->config.renew_without_leader_ms * KQ_MS)
     {
-      kq_log (KQ_LOG_WARN, PART,
-              "No message from a leader within blind_ms; no longer renewing. runner=%s",
-              h->id);
+      kq_log (
+          KQ_LOG_WARN, PART,
+          "No message from a leader for too long; no longer renewing leases. runner=%s",
+          h->id);
       g_hash_table_remove (a->runners, h->id);
       return;
     }
--- a/src/crew/told.c
+++ b/src/agent/run_delta.c
@@ -1,4 +1,4 @@
-#include "crew/told.h"
+#include "agent/run_delta.h"
 
 #include <glib.h>
 
@@ -16,29 +16,29 @@
   int load;
 } Slot;
 
-struct KqTold
+struct KqRunDeltaState
 {
   uint64_t serial;
   GArray *slots;
-  GArray *rows; /* KqToldRow */
+  GArray *rows; /* KqRunDeltaRow */
   GArray *gone; /* uint32_t */
 };
 
 /* More than any runner can have; a higher slot number means a damaged message. */
 #define SLOTS_MAX 100000
 
-KqTold *
-kq_told_new (void)
+KqRunDeltaState *
+kq_run_delta_state_new (void)
 {
-  KqTold *t = kq_alloc (sizeof *t);
+  KqRunDeltaState *t = kq_alloc (sizeof *t);
   t->slots = g_array_new (FALSE, TRUE, sizeof (Slot));
-  t->rows = g_array_new (FALSE, TRUE, sizeof (KqToldRow));
+  t->rows = g_array_new (FALSE, TRUE, sizeof (KqRunDeltaRow));
   t->gone = g_array_new (FALSE, TRUE, sizeof (uint32_t));
   return t;
 }
 
 static Slot *
-slot (const KqTold *t, guint at)
+slot (const KqRunDeltaState *t, guint at)
 {
   return &g_array_index (t->slots, Slot, at);
 }
@@ -52,7 +52,7 @@
 }
 
 void
-kq_told_free (KqTold *t)
+kq_run_delta_state_free (KqRunDeltaState *t)
 {
   if (t == NULL)
     return;
@@ -65,7 +65,7 @@
 }
 
 uint64_t
-kq_run_delta_serial (const KqTold *t)
+kq_run_delta_serial (const KqRunDeltaState *t)
 {
   return t->serial;
 }
@@ -78,7 +78,7 @@
 
 /* The run's slot, or the first free one if it has none yet. */
 static guint
-find_slot (const KqTold *t, const KqRunRow *r, uint64_t hash)
+find_slot (const KqRunDeltaState *t, const KqRunRow *r, uint64_t hash)
 {
   guint free_slot = t->slots->len;
   for (guint i = 0; i < t->slots->len; i++)
@@ -111,18 +111,18 @@
 }
 
 static void
-encode_row (const KqTold *t, const KqRunRow *r)
+encode_row (const KqRunDeltaState *t, const KqRunRow *r)
 {
-  KqToldRow out = { .row = *r };
+  KqRunDeltaRow out = { .row = *r };
   guint at = find_slot (t, r, hash_of (r));
   Slot *s;
   if (at == t->slots->len)
     g_array_set_size (t->slots, at + 1);
   s = slot (t, at);
   out.slot = at;
-  out.whole = !s->used;
+  out.is_new = !s->used;
   s->listed = true;
-  if (out.whole)
+  if (out.is_new)
     fill_slot (s, r);
   else if (!kq_str_eq (kq_str (s->checkpoint), r->checkpoint))
     {
@@ -137,7 +137,7 @@
 }
 
 void
-kq_run_delta_encode (KqTold *t, const KqRunRow *rows, size_t n, KqToldChanges *out)
+kq_run_delta_encode (KqRunDeltaState *t, const KqRunRow *rows, size_t n, KqRunDelta *out)
 {
   guint before = t->slots->len;
   g_array_set_size (t->rows, 0);
@@ -152,25 +152,25 @@
         clear_slot (slot (t, i));
         g_array_append_val (t->gone, i);
       }
-  *out = (KqToldChanges){ .serial = t->serial++,
-                          .rows = (const KqToldRow *)(void *)t->rows->data,
-                          .n_rows = t->rows->len,
-                          .gone = (const uint32_t *)(void *)t->gone->data,
-                          .n_gone = t->gone->len };
+  *out = (KqRunDelta){ .serial = t->serial++,
+                       .rows = (const KqRunDeltaRow *)(void *)t->rows->data,
+                       .n_rows = t->rows->len,
+                       .gone = (const uint32_t *)(void *)t->gone->data,
+                       .n_gone = t->gone->len };
 }
 
 static bool
-apply_row (const KqTold *t, const KqToldRow *r)
+apply_row (const KqRunDeltaState *t, const KqRunDeltaRow *r)
 {
   Slot *s;
-  if (r->slot >= SLOTS_MAX || (!r->whole && r->slot >= t->slots->len))
+  if (r->slot >= SLOTS_MAX || (!r->is_new && r->slot >= t->slots->len))
     return false;
   if (r->slot >= t->slots->len)
     g_array_set_size (t->slots, r->slot + 1);
   s = slot (t, r->slot);
-  if (s->used == r->whole)
+  if (s->used == r->is_new)
     return false;
-  if (r->whole)
+  if (r->is_new)
     fill_slot (s, &r->row);
   else if (r->has_checkpoint)
     set_checkpoint (s, r->row.checkpoint);
@@ -180,7 +180,7 @@
 }
 
 bool
-kq_told_apply (KqTold *t, const KqToldChanges *c)
+kq_run_delta_apply (KqRunDeltaState *t, const KqRunDelta *c)
 {
   if (c->serial != t->serial)
     return false;
@@ -199,7 +199,7 @@
 }
 
 size_t
-kq_told_list (const KqTold *t, KqRunRow **out)
+kq_run_delta_list (const KqRunDeltaState *t, KqRunRow **out)
 {
   KqRunRow *rows = kq_alloc ((t->slots->len + 1) * sizeof *rows);
   size_t n = 0;
--- a/src/crew/told.h
+++ b/src/agent/run_delta.h
@@ -1,7 +1,7 @@
-#ifndef KQ_CREW_TOLD_H
-#define KQ_CREW_TOLD_H
+#ifndef KQ_AGENT_RUN_DELTA_H
+#define KQ_AGENT_RUN_DELTA_H
 
-/* told: delta encoding of the lists of one runner's runs that an agent sends to its
+/* run_delta: delta encoding of the lists of one runner's runs that an agent sends to its
  * leader. Both keep the last list, so that a message carries only what has changed since.
  *
  * Hundreds of runners list twenty and more runs each, twice a second. Whole lists of 540
@@ -13,37 +13,38 @@
 
 #include "port/runner.h"
 
-typedef struct KqTold KqTold;
+typedef struct KqRunDeltaState KqRunDeltaState;
 
 typedef struct
 {
   uint32_t slot;
-  bool whole;          /* a new run in this slot; otherwise task and run aren't given */
+  bool is_new;         /* a new run in this slot; otherwise task and run aren't given */
   bool has_checkpoint; /* the checkpoint is given */
   KqRunRow row;
-} KqToldRow;
+} KqRunDeltaRow;
 
 /* The difference between two consecutive lists. */
 typedef struct
 {
   uint64_t serial; /* number of lists sent before, since the runner was assigned */
-  const KqToldRow *rows;
+  const KqRunDeltaRow *rows;
   size_t n_rows;
   const uint32_t *gone; /* slots that are free now */
   size_t n_gone;
-} KqToldChanges;
+} KqRunDelta;
 
-KqTold *kq_told_new (void);
-void kq_told_free (KqTold *t);
+KqRunDeltaState *kq_run_delta_state_new (void);
+void kq_run_delta_state_free (KqRunDeltaState *t);
 /* Number of lists encoded or applied so far. */
-uint64_t kq_run_delta_serial (const KqTold *t);
+uint64_t kq_run_delta_serial (const KqRunDeltaState *t);
 /* At the agent: the changes from the last list to this one, which becomes the last.
  * Strings point into `rows`; the arrays are owned by t and valid until the next call. */
-void kq_run_delta_encode (KqTold *t, const KqRunRow *rows, size_t n, KqToldChanges *out);
+void kq_run_delta_encode (KqRunDeltaState *t, const KqRunRow *rows, size_t n,
+                          KqRunDelta *out);
 /* At the leader: applies changes to the last list. False: they don't follow on it. */
-bool kq_told_apply (KqTold *t, const KqToldChanges *c);
+bool kq_run_delta_apply (KqRunDeltaState *t, const KqRunDelta *c);
 /* All runs of the last list. Strings are owned by t and valid until the next call; the
  * caller frees the array. */
-size_t kq_told_list (const KqTold *t, KqRunRow **out);
+size_t kq_run_delta_list (const KqRunDeltaState *t, KqRunRow **out);
 
 #endif
--- a/src/crew/told_test.c
+++ b/src/agent/run_delta_test.c
@@ -1,5 +1,5 @@
+#include "agent/run_delta.h"
 #include "base/rand.h"
-#include "crew/told.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -51,10 +51,10 @@
 }
 
 static void
-assert_same (const List *l, const KqTold *leader)
+assert_same (const List *l, const KqRunDeltaState *leader)
 {
   KqRunRow *rows;
-  size_t n = kq_told_list (leader, &rows);
+  size_t n = kq_run_delta_list (leader, &rows);
   assert_int_equal (n, l->n);
   for (size_t i = 0; i < l->n; i++)
     {
@@ -73,29 +73,29 @@
 test_leader_has_each_list_as_sent (void **state)
 {
   KqRand rand = kq_rand (5);
-  KqTold *node = kq_told_new ();
-  KqTold *leader = kq_told_new ();
+  KqRunDeltaState *node = kq_run_delta_state_new ();
+  KqRunDeltaState *leader = kq_run_delta_state_new ();
   List *l = calloc (1, sizeof *l);
   (void)state;
   for (int i = 0; i < 2000; i++)
     {
-      KqToldChanges c;
+      KqRunDelta c;
       draw (l, &rand);
       kq_run_delta_encode (node, l->rows, l->n, &c);
-      assert_true (kq_told_apply (leader, &c));
+      assert_true (kq_run_delta_apply (leader, &c));
       assert_same (l, leader);
     }
   free (l);
-  kq_told_free (node);
-  kq_told_free (leader);
+  kq_run_delta_state_free (node);
+  kq_run_delta_state_free (leader);
 }
 
 /* Unchanged rows fill the leader's link. */
 static void
 test_unchanged_rows_arent_sent_again (void **state)
 {
-  KqTold *node = kq_told_new ();
-  KqToldChanges c;
+  KqRunDeltaState *node = kq_run_delta_state_new ();
+  KqRunDelta c;
   KqRunRow rows[2] = { { KQ_STR ("a"), 1, KQ_STR ("x"), 10, 3 },
                        { KQ_STR ("b"), 1, KQ_STR ("y"), 10, 3 } };
   (void)state;
@@ -106,32 +106,32 @@
   rows[1].percent = 20;
   kq_run_delta_encode (node, rows, 2, &c);
   assert_int_equal (c.n_rows, 1);
-  assert_false (c.rows[0].whole);
+  assert_false (c.rows[0].is_new);
   assert_false (c.rows[0].has_checkpoint);
-  kq_told_free (node);
+  kq_run_delta_state_free (node);
 }
 
 static void
 test_changes_that_dont_follow_are_refused (void **state)
 {
-  KqTold *leader = kq_told_new ();
-  KqToldRow whole = { .slot = 0, .whole = true, .row = { .task = KQ_STR ("a") } };
-  KqToldRow part = { .slot = 3 };
+  KqRunDeltaState *leader = kq_run_delta_state_new ();
+  KqRunDeltaRow whole = { .slot = 0, .is_new = true, .row = { .task = KQ_STR ("a") } };
+  KqRunDeltaRow part = { .slot = 3 };
   uint32_t gone = 7;
-  KqToldChanges late = { .serial = 1 };
-  KqToldChanges unknown = { .rows = &part, .n_rows = 1 };
-  KqToldChanges first = { .rows = &whole, .n_rows = 1 };
-  KqToldChanges twice = { .serial = 1, .rows = &whole, .n_rows = 1 };
-  KqToldChanges nothing = { .serial = 2, .gone = &gone, .n_gone = 1 };
+  KqRunDelta late = { .serial = 1 };
+  KqRunDelta unknown = { .rows = &part, .n_rows = 1 };
+  KqRunDelta first = { .rows = &whole, .n_rows = 1 };
+  KqRunDelta twice = { .serial = 1, .rows = &whole, .n_rows = 1 };
+  KqRunDelta nothing = { .serial = 2, .gone = &gone, .n_gone = 1 };
   (void)state;
-  assert_false (kq_told_apply (leader, &late));
-  assert_false (kq_told_apply (leader, &unknown));
-  kq_told_free (leader);
-  leader = kq_told_new ();
-  assert_true (kq_told_apply (leader, &first));
-  assert_false (kq_told_apply (leader, &twice));
-  assert_false (kq_told_apply (leader, &nothing));
-  kq_told_free (leader);
+  assert_false (kq_run_delta_apply (leader, &late));
+  assert_false (kq_run_delta_apply (leader, &unknown));
+  kq_run_delta_state_free (leader);
+  leader = kq_run_delta_state_new ();
+  assert_true (kq_run_delta_apply (leader, &first));
+  assert_false (kq_run_delta_apply (leader, &twice));
+  assert_false (kq_run_delta_apply (leader, &nothing));
+  kq_run_delta_state_free (leader);
 }
 
 int
--- a/src/crew/starts.c
+++ b/src/agent/starts.c
@@ -1,8 +1,8 @@
 /* starts: sends the starts that a leader has ordered, and reports how orders end. gate.c
  * decides when a start may be sent. */
 
+#include "agent/state.h"
 #include "base/log.h"
-#include "crew/state.h"
 
 #include <stdlib.h>
 
--- a/src/crew/state.h
+++ b/src/agent/state.h
@@ -1,11 +1,11 @@
-#ifndef KQ_CREW_STATE_H
-#define KQ_CREW_STATE_H
+#ifndef KQ_AGENT_STATE_H
+#define KQ_AGENT_STATE_H
 
 /* state: declarations shared by the agent's own files; no other file includes this. */
 
-#include "crew/agent.h"
-#include "crew/gate.h"
-#include "crew/lease.h"
+#include "agent/agent.h"
+#include "agent/conns.h"
+#include "agent/lease.h"
 
 #include <ev.h>
 #include <glib.h>
@@ -28,7 +28,7 @@
 /* A runner that is assigned to this agent. */
 typedef struct
 {
-  KqCrewAgent *agent;
+  KqAgent *agent;
   char *id;
   char *address;
   uint64_t epoch;
@@ -39,9 +39,9 @@
   bool watched;         /* polled more often, as filling tasks run beside serving ones */
   uint64_t ends_acked;  /* the highest KqEndRow.number that the leader has acknowledged */
   uint64_t ends_listed; /* the highest number in the runner's last list */
-  uint64_t outcomes_sent; /* outcomes of orders reported to the leader */
-  KqTold *run_delta;      /* for a leader that understands KQ_CREW_CHANGES */
-  uint64_t ends_reported; /* the highest number reported to it */
+  uint64_t outcomes_sent;     /* outcomes of orders reported to the leader */
+  KqRunDeltaState *run_delta; /* for a leader that understands KQ_AGENT_ITEM_CHANGES */
+  uint64_t ends_reported;     /* the highest number reported to it */
   KqLease lease;
   KqConns conns;
   GQueue starts;  /* KqStart, waiting for a verified connection */
@@ -51,15 +51,15 @@
   KqTime silence_reported_at; /* last reported as unreachable; 0: answered since */
 } KqAgentRunner;
 
-struct KqCrewAgent
+struct KqAgent
 {
-  KqCrewAgentConfig config;
+  KqAgentConfig config;
   GHashTable *runners; /* id -> KqAgentRunner */
   uint64_t epoch;
   uint64_t serial;
   KqTime heard_at;            /* last message of a leader */
   KqTime leader_confirmed_at; /* the leader knows this node as alive then, or later */
-  bool sends_changes;         /* the leader understands KQ_CREW_CHANGES */
+  bool sends_changes;         /* the leader understands KQ_AGENT_ITEM_CHANGES */
   uint64_t *renewals;
   uint64_t *renewals_failed;
   uint64_t *verifications;
@@ -68,7 +68,7 @@
 /* A call to a runner. */
 typedef struct
 {
-  KqCrewAgent *agent;
+  KqAgent *agent;
   uint64_t serial;
   uint64_t outcomes_sent; /* the runner's outcomes_sent when the call was made */
   int in_use;             /* calls to the runner in flight then, this one included */
@@ -95,13 +95,13 @@
 /* Grants a whole lease; returns its end on the runner's clock. -1: nothing may be granted
  * now. */
 int64_t kq_agent_runner_grant_lease (KqAgentRunner *h, KqTime now);
-void kq_agent_runner_notify (KqAgentRunner *h, KqCrewItem *i);
+void kq_agent_runner_notify (KqAgentRunner *h, KqAgentItem *i);
 void kq_agent_runner_report_outcome (KqAgentRunner *h, const KqOrderOutcome *o,
                                      KqTime now);
 
 /* renew.c */
 /* Polls the runner, unless a poll is in flight. Releases the runner instead if no leader
- * has sent anything for blind_ms. */
+ * has sent anything for renew_without_leader_ms. */
 void kq_agent_runner_poll (KqAgentRunner *h, KqTime now);
 void kq_agent_runner_poll_in (KqAgentRunner *h, KqTime wait);
 void kq_agent_runner_on_poll_timer (struct ev_loop *ev, ev_timer *w, int events);
@@ -115,6 +115,6 @@
 void kq_agent_runner_on_outcome (void *arg, const KqRunnerReply *r, KqTime now);
 
 /* advise.c */
-void kq_agent_ask_advice (KqCrewAgent *a, uint64_t epoch, const KqOrder *o);
+void kq_agent_ask_advice (KqAgent *a, uint64_t epoch, const KqOrder *o);
 
 #endif
--- a/src/crew/versions_test.c
+++ b/src/agent/versions_test.c
@@ -1,4 +1,4 @@
-#include "crew/frame.h"
+#include "agent/frame.h"
 #include "wire/pack.h"
 
 #include <setjmp.h>
@@ -40,7 +40,7 @@
 static void
 hello_of_version_1 (KqBuf *out)
 {
-  Item i = begin (out, 3, KQ_CREW_HELLO, KQ_STR (""));
+  Item i = begin (out, 3, KQ_AGENT_ITEM_HELLO, KQ_STR (""));
   kq_pack_str (&i.p, KQ_STR ("n1"));
   kq_pack_str (&i.p, KQ_STR ("d1"));
   kq_pack_i64 (&i.p, 500);
@@ -50,7 +50,7 @@
 static void
 list_of_version_1 (KqBuf *out)
 {
-  Item i = begin (out, 8, KQ_CREW_LIST, KQ_STR ("r"));
+  Item i = begin (out, 8, KQ_AGENT_ITEM_LIST, KQ_STR ("r"));
   kq_pack_i64 (&i.p, 99);
   kq_pack_i64 (&i.p, 5000);
   kq_pack_u64 (&i.p, 3);
@@ -71,16 +71,16 @@
 static void
 ping_of_version_1 (KqBuf *out)
 {
-  Item i = begin (out, 1, KQ_CREW_PING, KQ_STR (""));
+  Item i = begin (out, 1, KQ_AGENT_ITEM_PING, KQ_STR (""));
   kq_pack_i64 (&i.p, 21);
   end (&i);
 }
 
-static KqCrewItem
+static KqAgentItem
 read_one (KqStr *rest)
 {
-  KqCrewItem i;
-  assert_true (kq_crew_unpack (rest, &i));
+  KqAgentItem i;
+  assert_true (kq_agent_item_unpack (rest, &i));
   return i;
 }
 
@@ -90,23 +90,23 @@
 {
   KqBuf b = { 0 };
   KqStr rest;
-  KqCrewItem i;
+  KqAgentItem i;
   (void)state;
   hello_of_version_1 (&b);
   list_of_version_1 (&b);
   ping_of_version_1 (&b);
   rest = kq_buf_str (&b);
   i = read_one (&rest);
-  assert_int_equal (i.kind, KQ_CREW_HELLO);
+  assert_int_equal (i.kind, KQ_AGENT_ITEM_HELLO);
   assert_int_equal (i.u.hello.info.share_milli, 500);
   assert_int_equal (i.u.hello.version, 1);
   i = read_one (&rest);
-  assert_int_equal (i.kind, KQ_CREW_LIST);
+  assert_int_equal (i.kind, KQ_AGENT_ITEM_LIST);
   assert_int_equal (i.u.list.running[0].percent, 41);
-  kq_crew_clear (&i);
+  kq_agent_item_clear (&i);
   i = read_one (&rest);
-  assert_int_equal (i.kind, KQ_CREW_PING);
-  assert_int_equal (i.u.ping.beat_sent_at, 21);
+  assert_int_equal (i.kind, KQ_AGENT_ITEM_PING);
+  assert_int_equal (i.u.ping.heartbeat_sent_at, 21);
   assert_int_equal (i.u.ping.store_age_ms, -1);
   kq_buf_free (&b);
 }
@@ -115,7 +115,7 @@
 static void
 test_version_1_understands_hello (void **state)
 {
-  KqCrewItem i = { .kind = KQ_CREW_HELLO };
+  KqAgentItem i = { .kind = KQ_AGENT_ITEM_HELLO };
   KqBuf b = { 0 };
   KqUnpacked u;
   KqReader r;
@@ -123,10 +123,10 @@
   (void)state;
   i.u.hello.info.name = kq_name (KQ_STR ("n2"));
   i.u.hello.info.share_milli = 250;
-  i.u.hello.version = KQ_CREW_VERSION;
-  kq_crew_pack (&i, &b);
+  i.u.hello.version = KQ_AGENT_PROTOCOL_VERSION;
+  kq_agent_item_pack (&i, &b);
   assert_true (kq_unpacked_open (&u, kq_str_n (b.ptr + 4, b.len - 4), &r));
-  assert_int_equal (kq_read_i64 (&r), KQ_CREW_HELLO);
+  assert_int_equal (kq_read_i64 (&r), KQ_AGENT_ITEM_HELLO);
   kq_read_str (&r);
   name = kq_read_name (&r);
   kq_read_name (&r);
@@ -143,17 +143,17 @@
 {
   KqBuf b = { 0 };
   KqStr rest;
-  KqCrewItem i;
+  KqAgentItem i;
   Item later = begin (&b, 2, 77, KQ_STR ("r"));
   (void)state;
   kq_pack_str (&later.p, KQ_STR ("what"));
   kq_pack_array (&later.p, 0);
   end (&later);
-  later = begin (&b, 2, KQ_CREW_CANCEL, KQ_STR (""));
+  later = begin (&b, 2, KQ_AGENT_ITEM_CANCEL, KQ_STR (""));
   kq_pack_str (&later.p, KQ_STR ("j1"));
   kq_pack_str (&later.p, KQ_STR ("more"));
   end (&later);
-  later = begin (&b, 3, KQ_CREW_ORDER, KQ_STR (""));
+  later = begin (&b, 3, KQ_AGENT_ITEM_ORDER, KQ_STR (""));
   kq_pack_i64 (&later.p, 55);
   kq_pack_str (&later.p, KQ_STR ("r"));
   kq_pack_u64 (&later.p, 1);
@@ -161,16 +161,16 @@
   list_of_version_1 (&b);
   rest = kq_buf_str (&b);
   i = read_one (&rest);
-  assert_int_equal (i.kind, KQ_CREW_UNKNOWN);
+  assert_int_equal (i.kind, KQ_AGENT_ITEM_UNKNOWN);
   assert_int_equal (i.u.unknown.kind, 77);
   i = read_one (&rest);
-  assert_int_equal (i.kind, KQ_CREW_CANCEL);
+  assert_int_equal (i.kind, KQ_AGENT_ITEM_CANCEL);
   assert_true (kq_str_eq (i.u.cancel.id, KQ_STR ("j1")));
   i = read_one (&rest);
-  assert_int_equal (i.kind, KQ_CREW_UNKNOWN);
+  assert_int_equal (i.kind, KQ_AGENT_ITEM_UNKNOWN);
   i = read_one (&rest);
-  assert_int_equal (i.kind, KQ_CREW_LIST);
-  kq_crew_clear (&i);
+  assert_int_equal (i.kind, KQ_AGENT_ITEM_LIST);
+  kq_agent_item_clear (&i);
   assert_int_equal (rest.len, 0);
   kq_buf_free (&b);
 }
--- a/src/lead/lead.c
+++ b/src/election/election.c
@@ -1,4 +1,4 @@
-#include "lead/lead.h"
+#include "election/election.h"
 
 #include "base/log.h"
 #include "base/rand.h"
@@ -24,7 +24,7 @@
 #define ELECTION_RETRY_MS 300
 #define WATCH_WAIT_MS 1500
 
-const KqStr kq_lead_key = { "kq/lead", 7 };
+const KqStr kq_leader_key = { "kq/lead", 7 };
 static const KqStr term_key = { "kq/term", 7 };
 
 typedef enum
@@ -37,11 +37,11 @@
   LEADING
 } Phase;
 
-struct KqLead
+struct KqElection
 {
-  KqLeadConfig config;
+  KqElectionConfig config;
   KqFollow *follow;
-  KqLeadRecord record;
+  KqLeaderRecord record;
   Phase phase;
   ev_timer timer;
   KqRand rand;
@@ -62,15 +62,15 @@
 
 typedef struct
 {
-  KqLead *lead;
+  KqElection *lead;
   uint64_t serial;
 } Call;
 
-static void start_election (KqLead *l);
-static void renew (KqLead *l);
+static void start_election (KqElection *l);
+static void renew (KqElection *l);
 
 static KqKvCallback
-callback (KqLead *l, void (*done) (void *, const KqKvReply *, KqTime))
+callback (KqElection *l, void (*done) (void *, const KqKvReply *, KqTime))
 {
   Call *c = kq_alloc (sizeof *c);
   c->lead = l;
@@ -79,11 +79,11 @@
 }
 
 /* Frees the call; returns NULL if it belongs to an earlier attempt. */
-static KqLead *
+static KqElection *
 finish_call (void *arg, const KqKvReply *r, KqTime now)
 {
   Call *c = arg;
-  KqLead *l = c->serial == c->lead->serial ? c->lead : NULL;
+  KqElection *l = c->serial == c->lead->serial ? c->lead : NULL;
   if (r->result != KQ_KV_UNKNOWN && r->result != KQ_KV_REFUSED)
     c->lead->config.answered (c->lead->config.arg, r->sent_at, now);
   free (c);
@@ -91,7 +91,7 @@
 }
 
 static void
-set_timer (KqLead *l, int ms)
+set_timer (KqElection *l, int ms)
 {
   struct ev_loop *ev = kq_loop_ev (l->config.loop);
   ev_timer_stop (ev, &l->timer);
@@ -102,7 +102,7 @@
 static void
 on_timer (struct ev_loop *ev, ev_timer *w, int events)
 {
-  KqLead *l = w->data;
+  KqElection *l = w->data;
   (void)ev;
   (void)events;
   if (l->phase == LEADING)
@@ -112,7 +112,7 @@
 }
 
 static void
-schedule_election (KqLead *l, int ms)
+schedule_election (KqElection *l, int ms)
 {
   l->phase = FOLLOWING;
   l->serial++;
@@ -128,7 +128,7 @@
 }
 
 static void
-stop_leading (KqLead *l, const char *why, KqTime now)
+stop_leading (KqElection *l, const char *why, KqTime now)
 {
   bool was_leader = l->phase == LEADING;
   l->valid_until = 0;
@@ -139,14 +139,14 @@
   ++*l->losses;
   kq_log (KQ_LOG_WARN, PART, "No longer leading. epoch=%llu why=%s",
           (unsigned long long)l->record.epoch, why);
-  l->record = (KqLeadRecord){ 0 };
+  l->record = (KqLeaderRecord){ 0 };
   l->config.lost (l->config.arg, why, now);
 }
 
 static void
 on_renewed (void *arg, const KqKvReply *r, KqTime now)
 {
-  KqLead *l = finish_call (arg, r, now);
+  KqElection *l = finish_call (arg, r, now);
   if (l == NULL)
     return;
   switch (r->result)
@@ -167,14 +167,14 @@
 }
 
 static void
-renew (KqLead *l)
+renew (KqElection *l)
 {
   set_timer (l, (int)(l->config.ttl_ms / RENEWALS_PER_LEASE));
   kq_kv_keep (l->config.kv, l->lease, (int)l->config.ttl_ms, callback (l, on_renewed));
 }
 
 static void
-become_leader (KqLead *l, uint64_t epoch, KqTime now)
+become_leader (KqElection *l, uint64_t epoch, KqTime now)
 {
   l->phase = LEADING;
   l->record.node = l->config.node;
@@ -189,7 +189,7 @@
 }
 
 static KqBuf
-pack_record (const KqLead *l)
+pack_record (const KqElection *l)
 {
   KqBuf b = { 0 };
   KqPacker p;
@@ -202,7 +202,7 @@
   return b;
 }
 
-/* What a record holds besides KqLeadRecord. */
+/* What a record holds besides KqLeaderRecord. */
 typedef struct
 {
   uint64_t lease;
@@ -210,7 +210,7 @@
 } RecordExtra;
 
 static bool
-read_record (KqStr value, KqLeadRecord *out, RecordExtra *extra)
+read_record (KqStr value, KqLeaderRecord *out, RecordExtra *extra)
 {
   KqUnpacked u;
   KqReader r;
@@ -230,8 +230,8 @@
 static void
 on_checked (void *arg, const KqKvReply *r, KqTime now)
 {
-  KqLead *l = finish_call (arg, r, now);
-  KqLeadRecord record = { 0 };
+  KqElection *l = finish_call (arg, r, now);
+  KqLeaderRecord record = { 0 };
   RecordExtra extra = { 0 };
   if (l == NULL)
     return;
@@ -245,7 +245,7 @@
 static void
 on_written (void *arg, const KqKvReply *r, KqTime now)
 {
-  KqLead *l = finish_call (arg, r, now);
+  KqElection *l = finish_call (arg, r, now);
   if (l == NULL)
     return;
   if (r->result == KQ_KV_OK)
@@ -253,7 +253,7 @@
   else if (r->result == KQ_KV_UNKNOWN)
     {
       l->phase = CHECKING;
-      kq_kv_get (l->config.kv, kq_lead_key, STORE_TIMEOUT_MS, callback (l, on_checked));
+      kq_kv_get (l->config.kv, kq_leader_key, STORE_TIMEOUT_MS, callback (l, on_checked));
     }
   else
     {
@@ -265,7 +265,7 @@
 static void
 on_leased (void *arg, const KqKvReply *r, KqTime now)
 {
-  KqLead *l = finish_call (arg, r, now);
+  KqElection *l = finish_call (arg, r, now);
   KqBuf record;
   char term[16];
   KqKvCheck checks[2];
@@ -285,9 +285,9 @@
   l->term++;
   record = pack_record (l);
   snprintf (term, sizeof term, "%u", l->term);
-  checks[0] = (KqKvCheck){ kq_lead_key, 0 };
+  checks[0] = (KqKvCheck){ kq_leader_key, 0 };
   checks[1] = (KqKvCheck){ term_key, l->term_revision };
-  puts[0] = (KqKvPut){ kq_lead_key, kq_buf_str (&record), l->lease };
+  puts[0] = (KqKvPut){ kq_leader_key, kq_buf_str (&record), l->lease };
   puts[1] = (KqKvPut){ term_key, kq_str (term), 0 };
   l->phase = WRITING;
   kq_kv_txn (l->config.kv, &t, STORE_TIMEOUT_MS, callback (l, on_written));
@@ -295,7 +295,7 @@
 }
 
 static void
-request_lease (KqLead *l)
+request_lease (KqElection *l)
 {
   l->phase = LEASING;
   kq_kv_lease (l->config.kv, l->config.ttl_ms, STORE_TIMEOUT_MS, callback (l, on_leased));
@@ -304,7 +304,7 @@
 static void
 on_term (void *arg, const KqKvReply *r, KqTime now)
 {
-  KqLead *l = finish_call (arg, r, now);
+  KqElection *l = finish_call (arg, r, now);
   int64_t n = 0;
   if (l == NULL)
     return;
@@ -322,7 +322,7 @@
 }
 
 static void
-start_election (KqLead *l)
+start_election (KqElection *l)
 {
   l->serial++;
   if (l->known_term_at != 0)
@@ -338,14 +338,15 @@
 
 /* No other process uses this node's address: such a record is of an earlier process. */
 static bool
-written_by_earlier_process (const KqLead *l, const KqLeadRecord *record, uint64_t lease)
+written_by_earlier_process (const KqElection *l, const KqLeaderRecord *record,
+                            uint64_t lease)
 {
   return lease != l->lease && kq_name_eq (&record->node, &l->config.node)
          && kq_name_eq (&record->address, &l->config.address);
 }
 
 static void
-revoke_earlier_lease (KqLead *l, uint64_t lease)
+revoke_earlier_lease (KqElection *l, uint64_t lease)
 {
   kq_log (KQ_LOG_INFO, PART, "Ending the lease of an earlier process. epoch=%llu",
           (unsigned long long)l->record.epoch);
@@ -355,10 +356,10 @@
 static void
 on_item (void *arg, const KqKvItem *i, KqTime now)
 {
-  KqLead *l = arg;
-  KqLeadRecord record = { 0 };
+  KqElection *l = arg;
+  KqLeaderRecord record = { 0 };
   RecordExtra extra = { 0 };
-  if (!kq_str_eq (i->key, kq_lead_key))
+  if (!kq_str_eq (i->key, kq_leader_key))
     return;
   if (!read_record (i->value, &record, &extra))
     {
@@ -389,8 +390,8 @@
 static void
 on_deleted (void *arg, KqStr key, uint64_t revision, KqTime now)
 {
-  KqLead *l = arg;
-  if (!kq_str_eq (key, kq_lead_key))
+  KqElection *l = arg;
+  if (!kq_str_eq (key, kq_leader_key))
     return;
   if (revision <= l->record.epoch)
     {
@@ -404,7 +405,7 @@
   /* The store may have deleted our key although our lease is still good. */
   if (l->phase == LEADING)
     stop_leading (l, "the key is gone", now);
-  l->record = (KqLeadRecord){ 0 };
+  l->record = (KqLeaderRecord){ 0 };
   l->config.changed (l->config.arg, &l->record, now);
   if (l->phase == FOLLOWING)
     schedule_election (l, 0);
@@ -413,7 +414,7 @@
 static void
 on_synced (void *arg, KqTime now)
 {
-  KqLead *l = arg;
+  KqElection *l = arg;
   (void)now;
   l->synced = true;
   if (l->record.epoch == 0 && l->phase == FOLLOWING)
@@ -423,14 +424,14 @@
 static void
 on_answered (void *arg, KqTime sent_at, KqTime now)
 {
-  KqLead *l = arg;
+  KqElection *l = arg;
   l->config.answered (l->config.arg, sent_at, now);
 }
 
-KqLead *
-kq_lead_new (const KqLeadConfig *c)
+KqElection *
+kq_election_new (const KqElectionConfig *c)
 {
-  KqLead *l = kq_alloc (sizeof *l);
+  KqElection *l = kq_alloc (sizeof *l);
   KqFollowOwner owner = { l, on_item, on_deleted, on_synced, on_answered, NULL };
   l->config = *c;
   l->candidate = true;
@@ -441,12 +442,12 @@
                           "Times that this node stopped leading.");
   ev_timer_init (&l->timer, on_timer, 0, 0);
   l->timer.data = l;
-  l->follow = kq_follow_new (c->loop, c->kv, kq_lead_key, WATCH_WAIT_MS, 0, &owner);
+  l->follow = kq_follow_new (c->loop, c->kv, kq_leader_key, WATCH_WAIT_MS, 0, &owner);
   return l;
 }
 
 void
-kq_lead_free (KqLead *l)
+kq_election_free (KqElection *l)
 {
   if (l == NULL)
     return;
@@ -456,32 +457,32 @@
 }
 
 KqTime
-kq_lead_valid_until (const KqLead *l)
+kq_election_valid_until (const KqElection *l)
 {
   return l->phase == LEADING ? l->valid_until : 0;
 }
 
 bool
-kq_election_is_leader (const KqLead *l)
+kq_election_is_leader (const KqElection *l)
 {
   return l->phase == LEADING;
 }
 
-const KqLeadRecord *
-kq_lead_record (const KqLead *l)
+const KqLeaderRecord *
+kq_election_record (const KqElection *l)
 {
   return &l->record;
 }
 
 void
-kq_lead_renew (KqLead *l)
+kq_election_renew (KqElection *l)
 {
   if (l->phase == LEADING)
     renew (l);
 }
 
 void
-kq_lead_resign (KqLead *l, const char *why, bool retry, KqTime now)
+kq_election_resign (KqElection *l, const char *why, bool retry, KqTime now)
 {
   uint64_t lease = l->lease;
   bool was_leader = l->phase == LEADING;
--- a/src/lead/lead.h
+++ b/src/election/election.h
@@ -1,7 +1,7 @@
-#ifndef KQ_LEAD_LEAD_H
-#define KQ_LEAD_LEAD_H
+#ifndef KQ_ELECTION_ELECTION_H
+#define KQ_ELECTION_ELECTION_H
 
-/* lead: leader election. The leader is recorded in one key of the store, bound to the
+/* election: leader election. The leader is recorded in one key of the store, bound to the
  * leader's lease.
  *
  * The revision of the write that made a node leader is its epoch. Every write of a leader
@@ -13,7 +13,7 @@
 #include "base/counter.h"
 #include "port/kv.h"
 
-typedef struct KqLead KqLead;
+typedef struct KqElection KqElection;
 
 /* The leader, as far as this node knows. */
 typedef struct
@@ -21,7 +21,7 @@
   KqName node;
   KqName address; /* "ip:port" to which agents connect; "": there is no leader */
   uint64_t epoch;
-} KqLeadRecord;
+} KqLeaderRecord;
 
 typedef struct
 {
@@ -34,27 +34,27 @@
   KqCounters *counters;
   void *arg;
   /* Another node leads, or there is no leader. */
-  void (*changed) (void *arg, const KqLeadRecord *r, KqTime now);
+  void (*changed) (void *arg, const KqLeaderRecord *r, KqTime now);
   /* This node has become leader. */
   void (*elected) (void *arg, uint64_t epoch, uint32_t term, KqTime now);
   /* This node is no longer leader. why: the reason, a constant string. */
   void (*lost) (void *arg, const char *why, KqTime now);
   /* The store has answered a call that was sent at sent_at. */
   void (*answered) (void *arg, KqTime sent_at, KqTime now);
-} KqLeadConfig;
+} KqElectionConfig;
 
-extern const KqStr kq_lead_key;
+extern const KqStr kq_leader_key;
 
-KqLead *kq_lead_new (const KqLeadConfig *c);
-void kq_lead_free (KqLead *l);
+KqElection *kq_election_new (const KqElectionConfig *c);
+void kq_election_free (KqElection *l);
 /* Until when this node's lease is certainly good; 0: this node isn't the leader. */
-KqTime kq_lead_valid_until (const KqLead *l);
-bool kq_election_is_leader (const KqLead *l);
-const KqLeadRecord *kq_lead_record (const KqLead *l);
+KqTime kq_election_valid_until (const KqElection *l);
+bool kq_election_is_leader (const KqElection *l);
+const KqLeaderRecord *kq_election_record (const KqElection *l);
 /* Renews the lease now; does nothing unless this node leads. */
-void kq_lead_renew (KqLead *l);
+void kq_election_renew (KqElection *l);
 /* Resigns at once, for the reason `why`. retry: whether this node may stand for election
  * again later. */
-void kq_lead_resign (KqLead *l, const char *why, bool retry, KqTime now);
+void kq_election_resign (KqElection *l, const char *why, bool retry, KqTime now);
 
 #endif
--- a/src/lead/lead_test.c
+++ b/src/election/election_test.c
@@ -1,5 +1,5 @@
 #include "base/log.h"
-#include "lead/lead.h"
+#include "election/election.h"
 #include "wire/pack.h"
 
 #include <ev.h>
@@ -150,8 +150,9 @@
 static void
 answer (Pending *p)
 {
-  KqKvItem lead = { kq_lead_key, kq_buf_str (&fake.lead), fake.lead_revision, 1, false };
-  KqKvItem gone = { kq_lead_key, KQ_STR (""), fake.changed_at, 0, true };
+  KqKvItem lead
+      = { kq_leader_key, kq_buf_str (&fake.lead), fake.lead_revision, 1, false };
+  KqKvItem gone = { kq_leader_key, KQ_STR (""), fake.changed_at, 0, true };
   KqKvItem both[2];
   KqKvItem term
       = { KQ_STR ("kq/term"), kq_str (fake.term), fake.term_revision, 0, false };
@@ -232,7 +233,7 @@
 
 typedef struct
 {
-  KqLead *lead;
+  KqElection *lead;
   KqCounters *counters;
   ev_timer tick;
   uint64_t epoch;
@@ -242,7 +243,7 @@
 } Rig;
 
 static void
-on_changed (void *arg, const KqLeadRecord *r, KqTime now)
+on_changed (void *arg, const KqLeaderRecord *r, KqTime now)
 {
   (void)arg;
   (void)r;
@@ -303,14 +304,14 @@
 set_up (void **state)
 {
   Rig *r = kq_alloc (sizeof *r);
-  KqLeadConfig c = { .arg = r,
-                     .node = kq_name (KQ_STR ("n1")),
-                     .address = kq_name (KQ_STR ("127.0.0.1:1")),
-                     .ttl_ms = 400,
-                     .changed = on_changed,
-                     .elected = on_elected,
-                     .lost = on_lost,
-                     .answered = on_answered };
+  KqElectionConfig c = { .arg = r,
+                         .node = kq_name (KQ_STR ("n1")),
+                         .address = kq_name (KQ_STR ("127.0.0.1:1")),
+                         .ttl_ms = 400,
+                         .changed = on_changed,
+                         .elected = on_elected,
+                         .lost = on_lost,
+                         .answered = on_answered };
   kq_log_set_level (KQ_LOG_ERROR);
   memset (&fake, 0, sizeof fake);
   fake.loop = c.loop = kq_loop_new ();
@@ -320,7 +321,7 @@
   r->counters = c.counters = kq_counters_new ();
   ev_timer_init (&r->tick, on_tick, 0.002, 0.002);
   ev_timer_start (kq_loop_ev (fake.loop), &r->tick);
-  r->lead = kq_lead_new (&c);
+  r->lead = kq_election_new (&c);
   *state = r;
   return 0;
 }
@@ -329,7 +330,7 @@
 tear_down (void **state)
 {
   Rig *r = *state;
-  kq_lead_free (r->lead);
+  kq_election_free (r->lead);
   ev_timer_stop (kq_loop_ev (fake.loop), &r->tick);
   for (guint i = 0; i < fake.calls->len; i++)
     {
@@ -357,7 +358,7 @@
   assert_true (run_until (&r->elected, 1));
   assert_int_equal (r->epoch, fake.lead_revision);
   assert_int_equal (r->term, 1);
-  assert_true (kq_lead_valid_until (r->lead) > kq_time_now ());
+  assert_true (kq_election_valid_until (r->lead) > kq_time_now ());
 }
 
 /* The write that makes a node leader is carried out, but its answer is lost. The node
@@ -379,7 +380,7 @@
   assert_true (run_until (&r->elected, 1));
   fake.lease_ended = true;
   assert_true (run_until (&r->lost, 1));
-  assert_int_equal (kq_lead_valid_until (r->lead), 0);
+  assert_int_equal (kq_election_valid_until (r->lead), 0);
 }
 
 /* Two leaders: the store deletes the leader's key although its lease is still ok, and
@@ -417,20 +418,20 @@
   fake.unavailable = true;
   assert_false (run_until (&r->lost, 1));
   assert_true (kq_election_is_leader (r->lead));
-  assert_true (kq_lead_valid_until (r->lead) < kq_time_now ());
+  assert_true (kq_election_valid_until (r->lead) < kq_time_now ());
 }
 
 /* There is no leader for the length of a lease: a leader is elected again, its watch
  * reports late that its earlier record was deleted, and it takes that for the current
  * one. */
 static void
-test_late_word_of_an_earlier_end (void **state)
+test_late_deletion_of_an_earlier_record (void **state)
 {
   Rig *r = *state;
   assert_true (run_until (&r->elected, 1));
   assert_false (run_until (&r->lost, 1)); /* the watch has reported it */
   fake.hold_watch = true;
-  kq_lead_resign (r->lead, "in doubt", true, kq_time_now ());
+  kq_election_resign (r->lead, "in doubt", true, kq_time_now ());
   assert_true (run_until (&r->elected, 2));
   assert_int_equal (r->lost, 1);
   fake.hold_watch = false;
@@ -508,7 +509,7 @@
 
 /* There is no leader until the lease of a restarted leader's earlier process expires. */
 static void
-test_restarted_leader_gives_up_its_old_lease (void **state)
+test_restarted_leader_revokes_its_earlier_lease (void **state)
 {
   Rig *r = *state;
   set_leader ("127.0.0.1:1", 4);
@@ -540,14 +541,15 @@
                                      tear_down),
     cmocka_unit_test_setup_teardown (test_unavailable_store_keeps_the_leader, set_up,
                                      tear_down),
-    cmocka_unit_test_setup_teardown (test_late_word_of_an_earlier_end, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_late_deletion_of_an_earlier_record, set_up,
+                                     tear_down),
     cmocka_unit_test_setup_teardown (test_term_is_known_by_the_record, set_up, tear_down),
     cmocka_unit_test_setup_teardown (
         test_term_is_read_after_a_leader_of_an_earlier_version, set_up, tear_down),
     cmocka_unit_test_setup_teardown (test_term_that_has_changed_is_read, set_up,
                                      tear_down),
-    cmocka_unit_test_setup_teardown (test_restarted_leader_gives_up_its_old_lease, set_up,
-                                     tear_down),
+    cmocka_unit_test_setup_teardown (test_restarted_leader_revokes_its_earlier_lease,
+                                     set_up, tear_down),
     cmocka_unit_test_setup_teardown (test_lease_of_another_address_stands, set_up,
                                      tear_down)
   };
--- a/src/lead/yield.c
+++ b/src/election/handover.c
@@ -1,4 +1,4 @@
-#include "lead/yield.h"
+#include "election/handover.h"
 
 /* A change of leader stops scheduling for some 0.6 s, so a slightly stronger node doesn't
  * justify one. */
@@ -10,11 +10,12 @@
 #define MIN_INTERVAL (20 * KQ_SEC)
 
 bool
-kq_lead_yields (const KqYield *y, KqTime now)
+kq_handover_due (const KqHandover *y, KqTime now)
 {
   if (y->other_milli < MIN_CPU_RATIO * y->own_milli)
     return false;
-  if (y->other_stored == 0 || now - y->other_stored > STORE_REACHED_WITHIN)
+  if (y->other_reached_store_at == 0
+      || now - y->other_reached_store_at > STORE_REACHED_WITHIN)
     return false;
-  return y->yielded_at == 0 || now - y->yielded_at > MIN_INTERVAL;
+  return y->handed_over_at == 0 || now - y->handed_over_at > MIN_INTERVAL;
 }
--- a/src/lead/yield_test.c
+++ b/src/election/handover_test.c
@@ -1,4 +1,4 @@
-#include "lead/yield.h"
+#include "election/handover.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -15,19 +15,21 @@
 static void
 test_weak_leader_hands_over (void **state)
 {
-  KqYield y = { .own_milli = 120, .other_milli = 500, .other_stored = now - 100 * KQ_MS };
+  KqHandover y = { .own_milli = 120,
+                   .other_milli = 500,
+                   .other_reached_store_at = now - 100 * KQ_MS };
   (void)state;
-  assert_true (kq_lead_yields (&y, now));
+  assert_true (kq_handover_due (&y, now));
 }
 
 static void
 test_equal_nodes_keep_their_leader (void **state)
 {
-  KqYield y = { .own_milli = 250, .other_milli = 250, .other_stored = now };
+  KqHandover y = { .own_milli = 250, .other_milli = 250, .other_reached_store_at = now };
   (void)state;
-  assert_false (kq_lead_yields (&y, now));
+  assert_false (kq_handover_due (&y, now));
   y.other_milli = 120;
-  assert_false (kq_lead_yields (&y, now));
+  assert_false (kq_handover_due (&y, now));
 }
 
 /* A leader hands over to a strong node that is cut off from the store and can't be
@@ -35,22 +37,22 @@
 static void
 test_stronger_node_without_the_store (void **state)
 {
-  KqYield y = { .own_milli = 120, .other_milli = 500 };
+  KqHandover y = { .own_milli = 120, .other_milli = 500 };
   (void)state;
-  assert_false (kq_lead_yields (&y, now));
-  y.other_stored = now - 3 * KQ_SEC;
-  assert_false (kq_lead_yields (&y, now));
+  assert_false (kq_handover_due (&y, now));
+  y.other_reached_store_at = now - 3 * KQ_SEC;
+  assert_false (kq_handover_due (&y, now));
 }
 
 /* A weak leader resigns again and again for a strong node that isn't elected. */
 static void
 test_not_twice_in_a_row (void **state)
 {
-  KqYield y = { 120, 500, now, now - 2 * KQ_SEC };
+  KqHandover y = { 120, 500, now, now - 2 * KQ_SEC };
   (void)state;
-  assert_false (kq_lead_yields (&y, now));
-  y.yielded_at = now - 60 * KQ_SEC;
-  assert_true (kq_lead_yields (&y, now));
+  assert_false (kq_handover_due (&y, now));
+  y.handed_over_at = now - 60 * KQ_SEC;
+  assert_true (kq_handover_due (&y, now));
 }
 
 int
--- a/src/lead/doubt.c
+++ b/src/election/lease_expiry.c
@@ -1,4 +1,4 @@
-#include "lead/doubt.h"
+#include "election/lease_expiry.h"
 
 #include <stdbool.h>
 
@@ -10,34 +10,34 @@
 #define RENEWAL_TIMEOUT (300 * KQ_MS)
 
 static bool
-peer_reaches_store (const KqLeadDoubt *d, KqTime now)
+peer_reaches_store (const KqLeaseExpiry *d, KqTime now)
 {
-  return d->peer_reached_at > d->valid_until - d->length / 2
-         && now - d->peer_reached_at < PEER_REPORT_VALID;
+  return d->peer_reached_store_at > d->valid_until - d->length / 2
+         && now - d->peer_reached_store_at < PEER_REPORT_VALID;
 }
 
-KqDoubtNext
-kq_lead_doubt (KqLeadDoubt *d, KqTime now, const char **why)
+KqLeaseExpiryAction
+kq_lease_expiry_action (KqLeaseExpiry *d, KqTime now, const char **why)
 {
   if (now < d->valid_until)
     {
       d->renewal_sent_at = 0;
-      return KQ_DOUBT_NONE;
+      return KQ_LEASE_EXPIRY_NONE;
     }
   if (now - d->valid_until > MAX_UNRENEWED)
     *why = "not renewed for too long";
   else if (d->peers == 0)
     *why = "not renewed and no other node heard";
   else if (!peer_reaches_store (d, now))
-    return KQ_DOUBT_GO_ON;
+    return KQ_LEASE_EXPIRY_CONTINUE;
   else if (d->renewal_sent_at == 0)
     {
       d->renewal_sent_at = now;
-      return KQ_DOUBT_ASK;
+      return KQ_LEASE_EXPIRY_RENEW;
     }
   else if (now - d->renewal_sent_at < RENEWAL_TIMEOUT)
-    return KQ_DOUBT_GO_ON;
+    return KQ_LEASE_EXPIRY_CONTINUE;
   else
     *why = "not renewed while other nodes reach the store";
-  return KQ_DOUBT_GIVE_UP;
+  return KQ_LEASE_EXPIRY_RESIGN;
 }
--- /dev/null
+++ b/src/election/lease_expiry.h
@@ -0,0 +1,40 @@
+#ifndef KQ_ELECTION_LEASE_EXPIRY_H
+#define KQ_ELECTION_LEASE_EXPIRY_H
+
+/* lease_expiry: decides what a leader does once its lease in the store may have expired.
+ *
+ * While no node reaches the store nobody else can be elected, so the leader keeps
+ * working. Once another node reaches the store, the lease may have expired there.
+ *
+ * After an outage of the store of a few seconds, some of a hundred nodes get an answer
+ * before the leader's next renewal. If the leader resigned at once, each outage would
+ * change the leader, even where the lease is still good. So it first tries to renew. No
+ * I/O. */
+
+#include "base/time.h"
+
+typedef struct
+{
+  KqTime valid_until; /* the lease is certainly good until then */
+  KqTime length;      /* of a whole lease */
+  KqTime
+      peer_reached_store_at; /* when the store last answered another node; 0: not known */
+  int peers;                 /* other nodes that are connected */
+  KqTime renewal_sent_at; /* when a renewal was requested as a peer has reached the store;
+                      0: none since the lease was good */
+} KqLeaseExpiry;
+
+typedef enum
+{
+  KQ_LEASE_EXPIRY_NONE,     /* the lease is good */
+  KQ_LEASE_EXPIRY_CONTINUE, /* keep working */
+  KQ_LEASE_EXPIRY_RENEW,    /* keep working, and renew the lease now */
+  KQ_LEASE_EXPIRY_RESIGN,   /* resign */
+} KqLeaseExpiryAction;
+
+/* To be called often; changes renewal_sent_at. *why: set to the reason with
+ * KQ_LEASE_EXPIRY_RESIGN, a constant string. */
+KqLeaseExpiryAction kq_lease_expiry_action (KqLeaseExpiry *d, KqTime now,
+                                            const char **why);
+
+#endif
--- a/src/fleet/accepts.c
+++ b/src/fleet/accepts.c
@@ -58,7 +58,7 @@
 static void
 answer (KqPeer *p, uint64_t call, KqAcceptResult result)
 {
-  KqCrewItem i = { .kind = KQ_CREW_ANSWER };
+  KqAgentItem i = { .kind = KQ_AGENT_ITEM_ANSWER };
   i.u.answer.call = call;
   i.u.answer.value = result;
   kq_link_send_peer (p, &i);
--- a/src/fleet/accepts.h
+++ b/src/fleet/accepts.h
@@ -37,7 +37,7 @@
 void kq_accepts_free (KqAccepts *a);
 /* Writes a job in its stored form, unless it cannot be decoded, too many writes are
  * outstanding or the last one got no answer. The peer gets the result as the
- * KQ_CREW_ANSWER to `call`. */
+ * KQ_AGENT_ITEM_ANSWER to `call`. */
 void kq_accepts_write (KqAccepts *a, KqPeer *p, uint64_t call, KqStr stored, KqTime now);
 /* The peer has disconnected: it gets no more answers. */
 void kq_accepts_peer_left (KqAccepts *a, const KqPeer *p);
--- a/src/fleet/accepts_test.c
+++ b/src/fleet/accepts_test.c
@@ -39,7 +39,7 @@
 }
 
 void
-kq_link_send_peer (KqPeer *p, const KqCrewItem *i)
+kq_link_send_peer (KqPeer *p, const KqAgentItem *i)
 {
   assert_ptr_equal (p, peer);
   fake.answers++;
@@ -75,7 +75,7 @@
 static void
 write_job (KqAccepts *a, uint64_t call, KqTime now)
 {
-  KqStep step = { .width = 1, .cpu_milli = 100, .away_most = -1 };
+  KqStep step = { .width = 1, .cpu_milli = 100, .max_unavailable = -1 };
   KqSpec spec = { .id = KQ_STR ("j1"), .steps = &step, .n_steps = 1 };
   KqBuf stored = { 0 };
   kq_spec_pack (&spec, &stored);
--- a/src/fleet/batch.c
+++ b/src/fleet/batch.c
@@ -1,8 +1,8 @@
 #include "fleet/batch.h"
 
 #include "base/log.h"
+#include "election/election.h"
 #include "fleet/keys.h"
-#include "lead/lead.h"
 
 #include <stdlib.h>
 
@@ -146,7 +146,7 @@
   uint64_t sequence = 0;
   ++*b->conflicts;
   for (size_t i = 0; i < r->n_items; i++)
-    if (kq_str_eq (r->items[i].key, kq_lead_key))
+    if (kq_str_eq (r->items[i].key, kq_leader_key))
       leader_revision = r->items[i].revision;
     else if (kq_str_eq (r->items[i].key, KQ_STR (KQ_KEY_SEQUENCE)))
       sequence = r->items[i].revision;
@@ -200,7 +200,7 @@
 write_rows (KqBatch *b, KqTime now)
 {
   KqKvCheck checks[2]
-      = { { kq_lead_key, b->config.epoch }, { KQ_STR (KQ_KEY_SEQUENCE), b->sequence } };
+      = { { kq_leader_key, b->config.epoch }, { KQ_STR (KQ_KEY_SEQUENCE), b->sequence } };
   KqKvPut puts[ROWS_MAX + 3];
   KqStr keys[ROWS_MAX];
   KqStr removes[ROWS_MAX];
--- a/src/fleet/fleet.c
+++ b/src/fleet/fleet.c
@@ -1,8 +1,11 @@
 #include "fleet/fleet.h"
 
+#include "agent/agent.h"
 #include "base/log.h"
 #include "base/task.h"
-#include "crew/agent.h"
+#include "election/election.h"
+#include "election/handover.h"
+#include "election/lease_expiry.h"
 #include "fleet/accepts.h"
 #include "fleet/front.h"
 #include "fleet/leader.h"
@@ -10,9 +13,6 @@
 #include "fleet/metrics.h"
 #include "fleet/queue_keys.h"
 #include "fleet/reach.h"
-#include "lead/doubt.h"
-#include "lead/lead.h"
-#include "lead/yield.h"
 #include "platform/platform.h"
 
 #include <ev.h>
@@ -48,9 +48,9 @@
   KqRunnerCalls *calls;
   KqAdviceCalls *advice;           /* NULL: none in the settings */
   KqMaintenanceCalls *maintenance; /* NULL: no control plane in the settings */
-  KqCrewAgent *agent;
+  KqAgent *agent;
   KqLink *link;
-  KqLead *lead;
+  KqElection *lead;
   KqLeader *leader; /* NULL: this node isn't leader */
   KqAccepts *accepts;
   KqFrontHandler *handler;
@@ -59,9 +59,9 @@
   KqQueueKeys *queues;
   KqAgentInfo self;
   KqReach store;
-  KqLeadDoubt doubt;
-  KqYield yield;   /* the strongest node seen since the election */
-  bool store_down; /* an outage has been logged */
+  KqLeaseExpiry doubt;
+  KqHandover yield; /* the strongest node seen since the election */
+  bool store_down;  /* an outage has been logged */
   bool stopping;
   bool stopped;
   KqTime stopping_at;
@@ -134,7 +134,7 @@
 on_deposed (void *arg, const char *why, KqTime now)
 {
   KqFleet *f = arg;
-  kq_lead_resign (f->lead, why, !f->stopping, now);
+  kq_election_resign (f->lead, why, !f->stopping, now);
 }
 
 static void
@@ -147,7 +147,7 @@
                        .epoch = epoch,
                        .term = term,
                        .lease_ms = runner_lease_ms (f),
-                       .blind_ms = leader_lease_ms (f) + ELECTION_MS,
+                       .renew_without_leader_ms = leader_lease_ms (f) + ELECTION_MS,
                        .keep_ms = s->keep_ms,
                        .maintenance_ms = s->maintenance_ms,
                        .counters = f->config.counters,
@@ -158,12 +158,12 @@
                        .deposed = on_deposed,
                        .answered = on_answered };
   kq_link_set_own_epoch (f->link, epoch, now);
-  kq_crew_agent_released (f->agent);
-  kq_crew_agent_counted (f->agent, epoch, now);
-  f->doubt = (KqLeadDoubt){ .length = leader_lease_ms (f) * KQ_MS };
+  kq_agent_release_all (f->agent);
+  kq_agent_leader_confirmed (f->agent, epoch, now);
+  f->doubt = (KqLeaseExpiry){ .length = leader_lease_ms (f) * KQ_MS };
   f->yield.other_milli = 0;
   f->leader = kq_leader_new (&c, now);
-  kq_sched_lead_until (kq_leader_sched (f->leader), kq_lead_valid_until (f->lead));
+  kq_sched_lead_until (kq_leader_sched (f->leader), kq_election_valid_until (f->lead));
 }
 
 static void
@@ -177,7 +177,7 @@
 }
 
 static void
-on_leader_changed (void *arg, const KqLeadRecord *r, KqTime now)
+on_leader_changed (void *arg, const KqLeaderRecord *r, KqTime now)
 {
   KqFleet *f = arg;
   if (!f->stopping)
@@ -204,9 +204,9 @@
 }
 
 static void
-answer_query (KqFleet *f, KqPeer *p, const KqCrewItem *query, KqTime now)
+answer_query (KqFleet *f, KqPeer *p, const KqAgentItem *query, KqTime now)
 {
-  KqCrewItem i = { .kind = KQ_CREW_ANSWER };
+  KqAgentItem i = { .kind = KQ_AGENT_ITEM_ANSWER };
   KqBuf text = { 0 };
   i.u.answer.call = query->u.ask.call;
   i.u.answer.value
@@ -223,29 +223,29 @@
   int share = kq_leader_node_share (f->leader, p);
   if (store_age_ms < 0)
     return;
-  if (answered_at > f->doubt.peer_reached_at)
-    f->doubt.peer_reached_at = answered_at;
+  if (answered_at > f->doubt.peer_reached_store_at)
+    f->doubt.peer_reached_store_at = answered_at;
   if (share >= f->yield.other_milli)
     {
       f->yield.other_milli = share;
-      f->yield.other_stored = answered_at;
+      f->yield.other_reached_store_at = answered_at;
     }
 }
 
 static void
-on_from_node (void *arg, KqPeer *p, uint64_t epoch, const KqCrewItem *i, KqTime now)
+on_from_node (void *arg, KqPeer *p, uint64_t epoch, const KqAgentItem *i, KqTime now)
 {
   KqFleet *f = arg;
   if (f->leader == NULL)
     return;
-  if (i->kind == KQ_CREW_BEAT)
-    handle_beat (f, p, i->u.beat.store_age_ms, now);
-  else if (i->kind == KQ_CREW_ASK && i->u.ask.what == KQ_ASK_ACCEPT)
+  if (i->kind == KQ_AGENT_ITEM_HEARTBEAT)
+    handle_beat (f, p, i->u.heartbeat.store_age_ms, now);
+  else if (i->kind == KQ_AGENT_ITEM_ASK && i->u.ask.what == KQ_ASK_ACCEPT)
     kq_accepts_write (f->accepts, p, i->u.ask.call, i->u.ask.about, now);
-  else if (i->kind == KQ_CREW_ASK)
+  else if (i->kind == KQ_AGENT_ITEM_ASK)
     answer_query (f, p, i, now);
-  else if (i->kind == KQ_CREW_JOB || i->kind == KQ_CREW_CANCEL
-           || epoch == kq_lead_record (f->lead)->epoch)
+  else if (i->kind == KQ_AGENT_ITEM_JOB || i->kind == KQ_AGENT_ITEM_CANCEL
+           || epoch == kq_election_record (f->lead)->epoch)
     kq_leader_handle_item (f->leader, p, i, now);
 }
 
@@ -253,30 +253,30 @@
 on_connected (void *arg, KqTime now)
 {
   KqFleet *f = arg;
-  kq_crew_agent_released (f->agent);
-  kq_crew_agent_counted (f->agent, kq_lead_record (f->lead)->epoch, now);
+  kq_agent_release_all (f->agent);
+  kq_agent_leader_confirmed (f->agent, kq_election_record (f->lead)->epoch, now);
 }
 
 static void
-handle_ping (KqFleet *f, uint64_t epoch, const KqCrewItem *i, KqTime now)
+handle_ping (KqFleet *f, uint64_t epoch, const KqAgentItem *i, KqTime now)
 {
-  kq_crew_agent_counted (f->agent, epoch, i->u.ping.beat_sent_at);
+  kq_agent_leader_confirmed (f->agent, epoch, i->u.ping.heartbeat_sent_at);
   if (i->u.ping.store_age_ms >= 0)
     kq_reach_leader_answered (&f->store, now - i->u.ping.store_age_ms * KQ_MS);
 }
 
 static void
-on_from_leader (void *arg, uint64_t epoch, const KqCrewItem *i, KqTime now)
+on_from_leader (void *arg, uint64_t epoch, const KqAgentItem *i, KqTime now)
 {
   KqFleet *f = arg;
-  kq_crew_agent_heard (f->agent, epoch, now);
-  if (i->kind == KQ_CREW_PING)
+  kq_agent_leader_heard (f->agent, epoch, now);
+  if (i->kind == KQ_AGENT_ITEM_PING)
     handle_ping (f, epoch, i, now);
-  else if (i->kind == KQ_CREW_WELCOME)
-    kq_crew_agent_tell_changes (f->agent, i->u.welcome.version > 1);
-  else if (i->kind == KQ_CREW_ORDER)
-    kq_crew_agent_order (f->agent, epoch, &i->u.order, now);
-  else if (i->kind == KQ_CREW_ANSWER)
+  else if (i->kind == KQ_AGENT_ITEM_WELCOME)
+    kq_agent_use_changes (f->agent, i->u.welcome.version > 1);
+  else if (i->kind == KQ_AGENT_ITEM_ORDER)
+    kq_agent_order (f->agent, epoch, &i->u.order, now);
+  else if (i->kind == KQ_AGENT_ITEM_ANSWER)
     kq_front_handler_answer (f->handler, i->u.answer.call, i->u.answer.value, now);
 }
 
@@ -288,17 +288,17 @@
 }
 
 static void
-on_agent_item (void *arg, uint64_t epoch, const KqCrewItem *i)
+on_agent_item (void *arg, uint64_t epoch, const KqAgentItem *i)
 {
   KqFleet *f = arg;
   if (f->leader == NULL)
     kq_link_send (f->link, epoch, i);
-  else if (epoch == kq_lead_record (f->lead)->epoch)
+  else if (epoch == kq_election_record (f->lead)->epoch)
     kq_leader_handle_item (f->leader, NULL, i, kq_loop_now (f->config.loop));
 }
 
 static bool
-query_leader (void *arg, const KqCrewItem *query, KqTime now)
+query_leader (void *arg, const KqAgentItem *query, KqTime now)
 {
   KqFleet *f = arg;
   KqBuf text = { 0 };
@@ -313,24 +313,24 @@
     }
   if (!kq_link_connected (f->link))
     return false;
-  kq_link_send (f->link, kq_lead_record (f->lead)->epoch, query);
+  kq_link_send (f->link, kq_election_record (f->lead)->epoch, query);
   return true;
 }
 
 static void
-send_to_leader (void *arg, const KqCrewItem *i, KqTime now)
+send_to_leader (void *arg, const KqAgentItem *i, KqTime now)
 {
   KqFleet *f = arg;
   if (f->leader != NULL)
     kq_leader_handle_item (f->leader, NULL, i, now);
   else
-    kq_link_send (f->link, kq_lead_record (f->lead)->epoch, i);
+    kq_link_send (f->link, kq_election_record (f->lead)->epoch, i);
 }
 
 static void
 on_accepted (void *arg, KqStr stored, uint64_t revision, KqTime now)
 {
-  KqCrewItem i = { .kind = KQ_CREW_JOB };
+  KqAgentItem i = { .kind = KQ_AGENT_ITEM_JOB };
   i.u.job.stored = stored;
   i.u.job.revision = revision;
   send_to_leader (arg, &i, now);
@@ -371,43 +371,44 @@
 static void
 check_stronger_node (KqFleet *f, KqTime now)
 {
-  if (!kq_lead_yields (&f->yield, now))
+  if (!kq_handover_due (&f->yield, now))
     return;
   kq_log (KQ_LOG_INFO, PART,
           "Handing leadership over to a stronger node. own_milli=%d its_milli=%d",
           f->yield.own_milli, f->yield.other_milli);
-  f->yield.yielded_at = now;
-  kq_lead_resign (f->lead, "a stronger node can lead", !f->stopping, now);
+  f->yield.handed_over_at = now;
+  kq_election_resign (f->lead, "a stronger node can lead", !f->stopping, now);
 }
 
 static void
 check_leadership (KqFleet *f, KqTime now)
 {
-  KqTime until = kq_lead_valid_until (f->lead);
+  KqTime until = kq_election_valid_until (f->lead);
   const char *why;
   if (f->leader == NULL)
     return;
   kq_sched_lead_until (kq_leader_sched (f->leader), until);
   kq_link_set_exclusive_until (f->link, until,
                                kq_sched_agents_lost (kq_leader_sched (f->leader)));
-  kq_crew_agent_counted (f->agent, kq_lead_record (f->lead)->epoch, MIN (now, until));
+  kq_agent_leader_confirmed (f->agent, kq_election_record (f->lead)->epoch,
+                             MIN (now, until));
   f->doubt.valid_until = until;
   f->doubt.peers = kq_link_peer_count (f->link);
-  switch (kq_lead_doubt (&f->doubt, now, &why))
+  switch (kq_lease_expiry_action (&f->doubt, now, &why))
     {
-    case KQ_DOUBT_NONE:
+    case KQ_LEASE_EXPIRY_NONE:
       check_stronger_node (f, now);
       break;
-    case KQ_DOUBT_GO_ON:
+    case KQ_LEASE_EXPIRY_CONTINUE:
       break;
-    case KQ_DOUBT_ASK:
+    case KQ_LEASE_EXPIRY_RENEW:
       kq_log (KQ_LOG_INFO, PART,
               "Another node reaches the store; renewing the leader lease. late_ms=%lld",
               (long long)((now - until) / KQ_MS));
-      kq_lead_renew (f->lead);
+      kq_election_renew (f->lead);
       break;
-    case KQ_DOUBT_GIVE_UP:
-      kq_lead_resign (f->lead, why, !f->stopping, now);
+    case KQ_LEASE_EXPIRY_RESIGN:
+      kq_election_resign (f->lead, why, !f->stopping, now);
       break;
     }
 }
@@ -451,7 +452,7 @@
   uint64_t *gauge = kq_counter (c, "kq_leading", "", "1 while this node leads.");
   *gauge = f->leader != NULL;
   gauge = kq_counter (c, "kq_agent_runners", "", "Runners that this node looks after.");
-  *gauge = kq_crew_agent_runners (f->agent);
+  *gauge = kq_agent_n_runners (f->agent);
   if (f->leader != NULL)
     kq_sched_gauges (kq_leader_sched (f->leader));
   kq_counters_print (f->config.counters, out);
@@ -462,14 +463,14 @@
 {
   const KqFleetSettings *s = f->config.settings;
   KqLoop *loop = f->config.loop;
-  KqCrewAgentConfig agent = { .loop = loop,
-                              .calls = f->calls,
-                              .advice = f->advice,
-                              .lease_ms = runner_lease_ms (f),
-                              .blind_ms = leader_lease_ms (f) + ELECTION_MS,
-                              .counters = f->config.counters,
-                              .notice = on_agent_item,
-                              .arg = f };
+  KqAgentConfig agent = { .loop = loop,
+                          .calls = f->calls,
+                          .advice = f->advice,
+                          .lease_ms = runner_lease_ms (f),
+                          .renew_without_leader_ms = leader_lease_ms (f) + ELECTION_MS,
+                          .counters = f->config.counters,
+                          .notice = on_agent_item,
+                          .arg = f };
   KqLinkConfig link = { .loop = loop,
                         .ip = s->ip,
                         .port = (int)s->peer_port,
@@ -483,7 +484,7 @@
   KqFrontOwner owner = { f, on_request, ready, stopping, body_max };
   KqAcceptsOwner accepts = { f, on_accepted, on_answered };
   f->accepts = kq_accepts_new (f->kv, &accepts);
-  f->agent = kq_crew_agent_new (&agent);
+  f->agent = kq_agent_new (&agent);
   f->link = kq_link_new (&link);
   f->handler = kq_front_handler_new (&handler);
   f->front = kq_front_new (loop, kq_str (s->front), kq_str (s->ready), &owner);
@@ -495,22 +496,22 @@
 start_election (KqFleet *f)
 {
   const KqFleetSettings *s = f->config.settings;
-  KqLeadConfig c = { .loop = f->config.loop,
-                     .kv = f->kv,
-                     .node = s->node,
-                     .ttl_ms = leader_lease_ms (f),
-                     .counters = f->config.counters,
-                     .arg = f,
-                     .changed = on_leader_changed,
-                     .elected = on_elected,
-                     .lost = on_leadership_lost,
-                     .answered = on_answered };
+  KqElectionConfig c = { .loop = f->config.loop,
+                         .kv = f->kv,
+                         .node = s->node,
+                         .ttl_ms = leader_lease_ms (f),
+                         .counters = f->config.counters,
+                         .arg = f,
+                         .changed = on_leader_changed,
+                         .elected = on_elected,
+                         .lost = on_leadership_lost,
+                         .answered = on_answered };
   char address[32];
   snprintf (address, sizeof address, "%s:%d", s->ip, kq_link_port (f->link));
   c.address = kq_name (kq_str (address));
   c.rank_ms = (int)(CANDIDACY_DELAY_MS * 100
                     / (100 + (s->cpu_share_milli < 1000 ? s->cpu_share_milli : 1000)));
-  f->lead = kq_lead_new (&c);
+  f->lead = kq_election_new (&c);
 }
 
 KqFleet *
@@ -559,10 +560,10 @@
   ev_timer_stop (kq_loop_ev (f->config.loop), &f->check_timer);
   kq_leader_free (f->leader);
   f->leader = NULL;
-  kq_lead_free (f->lead);
+  kq_election_free (f->lead);
   kq_queue_keys_free (f->queues);
   kq_link_free (f->link);
-  kq_crew_agent_free (f->agent);
+  kq_agent_free (f->agent);
   kq_front_free (f->front);
   kq_front_handler_free (f->handler);
   kq_accepts_free (f->accepts);
@@ -580,11 +581,11 @@
   if (f->stopping)
     return;
   kq_log (KQ_LOG_INFO, PART, "Stopping. leading=%d open=%zu runners=%zu",
-          f->leader != NULL, kq_front_open (f->front), kq_crew_agent_runners (f->agent));
+          f->leader != NULL, kq_front_open (f->front), kq_agent_n_runners (f->agent));
   f->stopping = true;
   f->stopping_at = now;
-  kq_lead_resign (f->lead, "planned stop", false, now);
+  kq_election_resign (f->lead, "planned stop", false, now);
   /* On the LEAVE of kq_link_leave the leader assigns our runners to other nodes. */
-  kq_crew_agent_released (f->agent);
+  kq_agent_release_all (f->agent);
   kq_link_leave (f->link);
 }
--- a/src/fleet/front.c
+++ b/src/fleet/front.c
@@ -159,7 +159,7 @@
 static void
 notify_job (Request *q, uint64_t revision, KqTime now)
 {
-  KqCrewItem i = { .kind = KQ_CREW_JOB };
+  KqAgentItem i = { .kind = KQ_AGENT_ITEM_JOB };
   i.u.job.stored = kq_buf_str (&q->stored);
   i.u.job.revision = revision;
   q->handler->config.notify_leader (q->handler->config.arg, &i, now);
@@ -239,7 +239,7 @@
 static void
 notify_cancel (Request *q, KqTime now)
 {
-  KqCrewItem i = { .kind = KQ_CREW_CANCEL };
+  KqAgentItem i = { .kind = KQ_AGENT_ITEM_CANCEL };
   i.u.cancel.id = q->id;
   q->handler->config.notify_leader (q->handler->config.arg, &i, now);
 }
@@ -365,7 +365,7 @@
 query_leader (Request *q, KqAskKind what, KqStr about, KqTime wait, KqTime now)
 {
   KqFrontHandler *h = q->handler;
-  KqCrewItem i = { .kind = KQ_CREW_ASK };
+  KqAgentItem i = { .kind = KQ_AGENT_ITEM_ASK };
   q->call = ++h->last_call;
   q->leader_deadline = now + wait;
   g_hash_table_insert (h->queries, &q->call, q);
--- a/src/fleet/front.h
+++ b/src/fleet/front.h
@@ -8,8 +8,8 @@
  * are derived from the store. A node that cannot reach the store, while the leader can,
  * has the leader write its jobs. */
 
+#include "agent/frame.h"
 #include "base/counter.h"
-#include "crew/frame.h"
 #include "fleet/reach.h"
 #include "port/front.h"
 #include "port/kv.h"
@@ -30,9 +30,9 @@
   bool (*store_via_leader) (void *arg, KqTime now);
   /* Sends a query to the leader; the reply is passed to kq_front_handler_answer, possibly
    * before this returns. False: there is no leader, and no reply will come. */
-  bool (*query_leader) (void *arg, const KqCrewItem *query, KqTime now);
+  bool (*query_leader) (void *arg, const KqAgentItem *query, KqTime now);
   /* Tells the leader about a job or a cancellation that has been written to the store. */
-  void (*notify_leader) (void *arg, const KqCrewItem *i, KqTime now);
+  void (*notify_leader) (void *arg, const KqAgentItem *i, KqTime now);
   /* The store has answered a call that was sent at sent_at. */
   void (*answered) (void *arg, KqTime sent_at, KqTime now);
   /* A call sent at sent_at got no answer or was refused. */
--- a/src/fleet/front_test.c
+++ b/src/fleet/front_test.c
@@ -96,7 +96,7 @@
 }
 
 static bool
-query_leader (void *arg, const KqCrewItem *query, KqTime now)
+query_leader (void *arg, const KqAgentItem *query, KqTime now)
 {
   (void)arg;
   (void)now;
@@ -106,7 +106,7 @@
 }
 
 static void
-notify_leader (void *arg, const KqCrewItem *i, KqTime now)
+notify_leader (void *arg, const KqAgentItem *i, KqTime now)
 {
   (void)arg;
   (void)i;
@@ -169,7 +169,7 @@
 static void
 submit_within (Test *t, KqReachState reach, int64_t deadline_ms)
 {
-  KqStep step = { .width = 1, .cpu_milli = 100, .away_most = -1 };
+  KqStep step = { .width = 1, .cpu_milli = 100, .max_unavailable = -1 };
   KqSpec spec = { .steps = &step, .n_steps = 1 };
   KqFrontRequest r = { .kind = KQ_FRONT_SUBMIT,
                        .path = KQ_STR ("/jobs/j1"),
@@ -188,7 +188,7 @@
 /* Guards against a reply with unknown outcome, after which the client cannot safely
  * submit the job again. */
 static void
-test_store_in_doubt_is_asked_before_it_is_written_to (void **state)
+test_suspect_store_is_read_before_a_write (void **state)
 {
   submit (*state, KQ_REACH_SUSPECT);
   assert_int_equal (fake.call, GET);
@@ -334,8 +334,8 @@
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test_setup_teardown (
-              test_store_in_doubt_is_asked_before_it_is_written_to, set_up, tear_down),
+      = { cmocka_unit_test_setup_teardown (test_suspect_store_is_read_before_a_write,
+                                           set_up, tear_down),
           cmocka_unit_test_setup_teardown (test_suspect_store_that_answers_is_written_to,
                                            set_up, tear_down),
           cmocka_unit_test_setup_teardown (test_job_that_is_there_is_accepted, set_up,
--- a/src/fleet/leader.c
+++ b/src/fleet/leader.c
@@ -1,11 +1,11 @@
 #include "fleet/leader.h"
 
 #include "base/log.h"
+#include "election/election.h"
 #include "fleet/batch.h"
 #include "fleet/follow.h"
 #include "fleet/keys.h"
 #include "fleet/waves.h"
-#include "lead/lead.h"
 #include "port/source.h"
 
 #include <ev.h>
@@ -73,12 +73,11 @@
 on_order (void *arg, int agent, const KqOrder *o)
 {
   KqLeader *l = arg;
-  KqCrewItem i = { .kind = KQ_CREW_ORDER };
+  KqAgentItem i = { .kind = KQ_AGENT_ITEM_ORDER };
   KqPeer *p;
   if (agent == l->own_agent)
     {
-      kq_crew_agent_order (l->config.agent, l->config.epoch, o,
-                           kq_loop_now (l->config.loop));
+      kq_agent_order (l->config.agent, l->config.epoch, o, kq_loop_now (l->config.loop));
       return;
     }
   p = (guint)agent < l->peers->len ? g_ptr_array_index (l->peers, agent) : NULL;
@@ -171,16 +170,16 @@
   KqLeader *l = arg;
   KqStr id = kq_key_id (i->key, KQ_KEY_JOB);
   KqStr cancelled = kq_key_id (i->key, KQ_KEY_CANCEL);
-  KqCrewItem item = { 0 };
+  KqAgentItem item = { 0 };
   if (id.len > 0)
     {
-      item.kind = KQ_CREW_JOB;
+      item.kind = KQ_AGENT_ITEM_JOB;
       item.u.job.stored = i->value;
       item.u.job.revision = i->revision;
     }
   else if (cancelled.len > 0)
     {
-      item.kind = KQ_CREW_CANCEL;
+      item.kind = KQ_AGENT_ITEM_CANCEL;
       item.u.cancel.id = cancelled;
     }
   else
@@ -252,7 +251,7 @@
 on_entries_synced (void *arg, KqTime now)
 {
   KqLeader *l = arg;
-  KqCrewItem cancel = { .kind = KQ_CREW_CANCEL };
+  KqAgentItem cancel = { .kind = KQ_AGENT_ITEM_CANCEL };
   GHashTableIter it;
   gpointer id;
   if (l->phase != LOAD_ENTRIES)
@@ -387,7 +386,7 @@
       = { .epoch = c->epoch,
           .term = c->term,
           .lease_ms = c->lease_ms,
-          .blind_ms = c->blind_ms,
+          .renew_without_leader_ms = c->renew_without_leader_ms,
           .keep_ms = c->keep_ms,
           .maintenance_ms = c->maintenance_ms,
           .counters = c->counters,
@@ -503,7 +502,7 @@
 }
 
 static void
-handle_job (KqLeader *l, const KqCrewItem *i, KqTime now)
+handle_job (KqLeader *l, const KqAgentItem *i, KqTime now)
 {
   KqSpec spec;
   char *id;
@@ -520,11 +519,12 @@
 }
 
 void
-kq_leader_handle_item (KqLeader *l, KqPeer *p, const KqCrewItem *i, KqTime now)
+kq_leader_handle_item (KqLeader *l, KqPeer *p, const KqAgentItem *i, KqTime now)
 {
   int agent = p == NULL ? l->own_agent : kq_peer_agent (p);
-  bool from_runner = i->kind == KQ_CREW_LIST || i->kind == KQ_CREW_OUTCOME
-                     || i->kind == KQ_CREW_UNREACHED || i->kind == KQ_CREW_ADVICE;
+  bool from_runner = i->kind == KQ_AGENT_ITEM_LIST || i->kind == KQ_AGENT_ITEM_OUTCOME
+                     || i->kind == KQ_AGENT_ITEM_UNREACHED
+                     || i->kind == KQ_AGENT_ITEM_ADVICE;
   /* The connection has been replaced by a newer one of the same node. Its agent number of
    * -1 must not reach the scheduler, where -1 marks runners without an agent. */
   if (from_runner && agent < 0)
@@ -532,44 +532,44 @@
   l->dirty = true;
   switch (i->kind)
     {
-    case KQ_CREW_LIST:
+    case KQ_AGENT_ITEM_LIST:
       kq_sched_list (l->sched, agent, i->runner, &i->u.list, now);
       break;
-    case KQ_CREW_OUTCOME:
+    case KQ_AGENT_ITEM_OUTCOME:
       kq_sched_outcome (l->sched, agent, i->runner, &i->u.outcome, now);
       if (i->u.outcome.result == KQ_ORDER_FENCED)
         l->config.deposed (l->config.arg, "a runner has seen a higher epoch", now);
       break;
-    case KQ_CREW_UNREACHED:
-      if (i->u.unreached.gone)
+    case KQ_AGENT_ITEM_UNREACHED:
+      if (i->u.unreached.other_runner)
         kq_sched_runner_replaced (l->sched, agent, i->runner, i->u.unreached.assignment,
                                   now);
       else
         kq_sched_unreached (l->sched, agent, i->runner, i->u.unreached.assignment,
                             i->u.unreached.lease_left_ms, now);
       break;
-    case KQ_CREW_FENCED:
+    case KQ_AGENT_ITEM_FENCED:
       l->config.deposed (l->config.arg, "a runner has seen a higher epoch", now);
       break;
-    case KQ_CREW_ADVICE:
+    case KQ_AGENT_ITEM_ADVICE:
       kq_sched_advice (l->sched, agent, &i->u.advice, now);
       break;
-    case KQ_CREW_JOB:
+    case KQ_AGENT_ITEM_JOB:
       handle_job (l, i, now);
       break;
-    case KQ_CREW_CANCEL:
+    case KQ_AGENT_ITEM_CANCEL:
       handle_cancel (l, i->u.cancel.id, now);
       break;
-    case KQ_CREW_ORDER:
-    case KQ_CREW_ANSWER:
-    case KQ_CREW_PING:
-    case KQ_CREW_HELLO:
-    case KQ_CREW_BEAT:
-    case KQ_CREW_ASK:
-    case KQ_CREW_UNKNOWN:
-    case KQ_CREW_WELCOME:
-    case KQ_CREW_CHANGES: /* fleet/link.c has turned these into a LIST */
-    case KQ_CREW_LEAVE:
+    case KQ_AGENT_ITEM_ORDER:
+    case KQ_AGENT_ITEM_ANSWER:
+    case KQ_AGENT_ITEM_PING:
+    case KQ_AGENT_ITEM_HELLO:
+    case KQ_AGENT_ITEM_HEARTBEAT:
+    case KQ_AGENT_ITEM_ASK:
+    case KQ_AGENT_ITEM_UNKNOWN:
+    case KQ_AGENT_ITEM_WELCOME:
+    case KQ_AGENT_ITEM_CHANGES: /* fleet/link.c has turned these into a LIST */
+    case KQ_AGENT_ITEM_LEAVE:
       break;
     }
 }
--- a/src/fleet/leader.h
+++ b/src/fleet/leader.h
@@ -6,7 +6,7 @@
  * when the node is elected, freed when it loses leadership; a later leader starts from
  * the store alone. */
 
-#include "crew/agent.h"
+#include "agent/agent.h"
 #include "fleet/link.h"
 #include "port/kv.h"
 
@@ -18,13 +18,14 @@
   KqKv *kv;
   uint64_t epoch;
   uint32_t term;
-  int64_t lease_ms;       /* of runners */
-  int64_t blind_ms;       /* how long nodes renew runners' leases without a leader */
-  int64_t keep_ms;        /* how long ended jobs are kept */
-  int64_t maintenance_ms; /* how long a host is down for maintenance */
+  int64_t lease_ms; /* of runners */
+  int64_t
+      renew_without_leader_ms; /* how long nodes renew runners' leases without a leader */
+  int64_t keep_ms;             /* how long ended jobs are kept */
+  int64_t maintenance_ms;      /* how long a host is down for maintenance */
   KqCounters *counters;
   KqAgentInfo self;
-  KqCrewAgent *agent;              /* of this node */
+  KqAgent *agent;                  /* of this node */
   KqMaintenanceCalls *maintenance; /* NULL: there is no control plane */
   void *arg;
   /* Another node is leader: the store, a runner or the control plane has a newer epoch.
@@ -44,9 +45,9 @@
 void kq_leader_node_left (KqLeader *l, KqPeer *p, bool planned, KqTime now);
 /* Handles a LIST, OUTCOME, UNREACHED, FENCED, ADVICE, JOB or CANCEL; ignores other kinds.
  * p NULL: from this node's own agent. */
-void kq_leader_handle_item (KqLeader *l, KqPeer *p, const KqCrewItem *i, KqTime now);
-/* Answers a query of this or another node. Returns the value of a KQ_CREW_ANSWER; -1: not
- * known, or not yet loaded. text gets the explanation of KQ_ASK_EXPLAIN. */
+void kq_leader_handle_item (KqLeader *l, KqPeer *p, const KqAgentItem *i, KqTime now);
+/* Answers a query of this or another node. Returns the value of a KQ_AGENT_ITEM_ANSWER;
+ * -1: not known, or not yet loaded. text gets the explanation of KQ_ASK_EXPLAIN. */
 int64_t kq_leader_query (KqLeader *l, KqAskKind what, KqStr about, KqTime now,
                          KqBuf *text);
 KqSched *kq_leader_sched (KqLeader *l);
--- a/src/fleet/leader_test.c
+++ b/src/fleet/leader_test.c
@@ -120,7 +120,7 @@
                        .epoch = 3,
                        .term = 1,
                        .lease_ms = 5000,
-                       .blind_ms = 4000,
+                       .renew_without_leader_ms = 4000,
                        .counters = counters,
                        .deposed = on_deposed,
                        .answered = on_answered };
--- a/src/fleet/link.c
+++ b/src/fleet/link.c
@@ -35,7 +35,7 @@
   bool in_message;          /* one of its messages is being handled */
   bool closed;              /* closed meanwhile: freed after the message */
   GHashTable *reports;      /* runner -> RunnerReport */
-  KqTime beat_sent_at;      /* time of its last beat, by its clock */
+  KqTime heartbeat_sent_at; /* time of its last heartbeat, by its clock */
   KqTime exclusive_beat_at; /* the same for beats received before exclusive_until */
   KqBuf out;
 };
@@ -45,7 +45,7 @@
 {
   char *runner;
   uint64_t assignment;
-  KqTold *runs;
+  KqRunDeltaState *runs;
 } RunnerReport;
 
 struct KqLink
@@ -76,7 +76,7 @@
 {
   RunnerReport *t = p;
   free (t->runner);
-  kq_told_free (t->runs);
+  kq_run_delta_state_free (t->runs);
   free (t);
 }
 
@@ -104,18 +104,18 @@
 }
 
 static void
-handle_hello (KqPeer *p, const KqCrewItem *i, KqTime now)
+handle_hello (KqPeer *p, const KqAgentItem *i, KqTime now)
 {
   KqLink *l = p->link;
-  KqCrewItem answer = { .kind = KQ_CREW_WELCOME };
-  answer.u.welcome.version = KQ_CREW_VERSION;
+  KqAgentItem answer = { .kind = KQ_AGENT_ITEM_WELCOME };
+  answer.u.welcome.version = KQ_AGENT_PROTOCOL_VERSION;
   if (i->u.hello.version > 1)
     kq_link_send_peer (p, &answer);
   p->joined = true;
   l->config.owner.joined (l->config.owner.arg, p, &i->u.hello.info, now);
 }
 
-static KqTold *
+static KqRunDeltaState *
 reported_runs (KqPeer *p, KqStr runner, uint64_t assignment)
 {
   char *id = kq_str_dup (runner);
@@ -125,7 +125,7 @@
       t = kq_alloc (sizeof *t);
       t->runner = id;
       t->assignment = assignment;
-      t->runs = kq_told_new ();
+      t->runs = kq_run_delta_state_new ();
       g_hash_table_replace (p->reports, t->runner, t);
     }
   else
@@ -135,13 +135,13 @@
 
 /* Applies the changes to the last list and passes the new list on in their place. */
 static void
-apply_changes (KqPeer *p, uint64_t epoch, const KqCrewItem *i, KqTime now)
+apply_changes (KqPeer *p, uint64_t epoch, const KqAgentItem *i, KqTime now)
 {
   KqLink *l = p->link;
-  KqCrewItem list = { .kind = KQ_CREW_LIST, .runner = i->runner };
-  KqTold *runs = reported_runs (p, i->runner, i->u.changes.list.assignment);
+  KqAgentItem list = { .kind = KQ_AGENT_ITEM_LIST, .runner = i->runner };
+  KqRunDeltaState *runs = reported_runs (p, i->runner, i->u.changes.list.assignment);
   KqRunRow *rows = NULL;
-  if (!kq_told_apply (runs, &i->u.changes.running))
+  if (!kq_run_delta_apply (runs, &i->u.changes.running))
     {
       kq_log (KQ_LOG_ERROR, PART,
               "Changes do not apply to the last list. error=%d agent=%d runner=%.*s "
@@ -152,7 +152,7 @@
       return;
     }
   list.u.list = i->u.changes.list;
-  list.u.list.n_running = kq_told_list (runs, &rows);
+  list.u.list.n_running = kq_run_delta_list (runs, &rows);
   list.u.list.running = rows;
   l->config.owner.from_node (l->config.owner.arg, p, epoch, &list, now);
   free (rows);
@@ -170,22 +170,22 @@
 }
 
 static void
-handle_peer_item (KqPeer *p, uint64_t epoch, const KqCrewItem *i, KqTime now)
+handle_peer_item (KqPeer *p, uint64_t epoch, const KqAgentItem *i, KqTime now)
 {
   KqLink *l = p->link;
-  if (i->kind == KQ_CREW_BEAT)
-    p->beat_sent_at = i->u.beat.sent_at;
+  if (i->kind == KQ_AGENT_ITEM_HEARTBEAT)
+    p->heartbeat_sent_at = i->u.heartbeat.sent_at;
   if (now < l->exclusive_until)
-    p->exclusive_beat_at = p->beat_sent_at;
-  if (i->kind == KQ_CREW_HELLO)
+    p->exclusive_beat_at = p->heartbeat_sent_at;
+  if (i->kind == KQ_AGENT_ITEM_HELLO)
     handle_hello (p, i, now);
-  else if (i->kind == KQ_CREW_UNKNOWN)
+  else if (i->kind == KQ_AGENT_ITEM_UNKNOWN)
     log_unknown (p, i->u.unknown.kind);
   else if (!p->joined)
     return;
-  else if (i->kind == KQ_CREW_CHANGES)
+  else if (i->kind == KQ_AGENT_ITEM_CHANGES)
     apply_changes (p, epoch, i, now);
-  else if (i->kind == KQ_CREW_LEAVE)
+  else if (i->kind == KQ_AGENT_ITEM_LEAVE)
     {
       p->joined = false;
       l->config.owner.left (l->config.owner.arg, p, true, now);
@@ -199,17 +199,17 @@
 {
   KqPeer *p = arg;
   KqLink *l = p->link;
-  KqStr rest = m->u.crew.items;
-  KqCrewItem i;
+  KqStr rest = m->u.agent.items;
+  KqAgentItem i;
   KqTime now = kq_loop_now (l->config.loop);
   (void)c;
-  if (m->kind != KQ_MSG_CREW)
+  if (m->kind != KQ_MSG_AGENT)
     return;
   p->in_message = true;
-  while (!p->closed && !p->damaged && kq_crew_unpack (&rest, &i))
+  while (!p->closed && !p->damaged && kq_agent_item_unpack (&rest, &i))
     {
-      handle_peer_item (p, m->u.crew.epoch, &i, now);
-      kq_crew_clear (&i);
+      handle_peer_item (p, m->u.agent.epoch, &i, now);
+      kq_agent_item_clear (&i);
     }
   p->in_message = false;
   if (!p->closed && (p->damaged || rest.len > 0))
@@ -277,13 +277,13 @@
 on_leader_connected (void *arg, KqConn *c)
 {
   KqLink *l = arg;
-  KqCrewItem i = { .kind = KQ_CREW_HELLO };
+  KqAgentItem i = { .kind = KQ_AGENT_ITEM_HELLO };
   (void)c;
   l->leader_connected = true;
   kq_log (KQ_LOG_INFO, PART, "Connected to the leader. epoch=%llu",
           (unsigned long long)l->leader_epoch);
   i.u.hello.info = l->config.self;
-  i.u.hello.version = KQ_CREW_VERSION;
+  i.u.hello.version = KQ_AGENT_PROTOCOL_VERSION;
   kq_link_send (l, l->leader_epoch, &i);
   l->config.owner.connected (l->config.owner.arg, kq_loop_now (l->config.loop));
 }
@@ -292,18 +292,18 @@
 on_leader_message (void *arg, KqConn *c, const KqMsg *m)
 {
   KqLink *l = arg;
-  KqStr rest = m->u.crew.items;
-  KqCrewItem i;
+  KqStr rest = m->u.agent.items;
+  KqAgentItem i;
   KqTime now = kq_loop_now (l->config.loop);
-  if (m->kind != KQ_MSG_CREW)
+  if (m->kind != KQ_MSG_AGENT)
     return;
-  while (l->leader_conn == c && !l->leaving && kq_crew_unpack (&rest, &i))
+  while (l->leader_conn == c && !l->leaving && kq_agent_item_unpack (&rest, &i))
     {
-      if (i.kind == KQ_CREW_WELCOME)
+      if (i.kind == KQ_AGENT_ITEM_WELCOME)
         l->leader_version = i.u.welcome.version;
-      if (i.kind != KQ_CREW_UNKNOWN)
-        l->config.owner.from_leader (l->config.owner.arg, m->u.crew.epoch, &i, now);
-      kq_crew_clear (&i);
+      if (i.kind != KQ_AGENT_ITEM_UNKNOWN)
+        l->config.owner.from_leader (l->config.owner.arg, m->u.agent.epoch, &i, now);
+      kq_agent_item_clear (&i);
     }
 }
 
@@ -337,7 +337,7 @@
 void
 kq_link_leave (KqLink *l)
 {
-  KqCrewItem i = { .kind = KQ_CREW_LEAVE };
+  KqAgentItem i = { .kind = KQ_AGENT_ITEM_LEAVE };
   l->leaving = true;
   l->leader.len = 0;
   if (l->leader_connected && l->leader_version > 1)
@@ -355,11 +355,11 @@
 static void
 flush (KqConn *c, uint64_t epoch, KqBuf *out)
 {
-  KqMsg m = { .kind = KQ_MSG_CREW };
+  KqMsg m = { .kind = KQ_MSG_AGENT };
   if (out->len == 0)
     return;
-  m.u.crew.epoch = epoch;
-  m.u.crew.items = kq_buf_str (out);
+  m.u.agent.epoch = epoch;
+  m.u.agent.items = kq_buf_str (out);
   kq_conn_send (c, &m);
   kq_buf_clear (out);
 }
@@ -369,22 +369,22 @@
 #define FLUSH_AT (KQ_FRAME_MAX / 4)
 
 void
-kq_link_send (KqLink *l, uint64_t epoch, const KqCrewItem *i)
+kq_link_send (KqLink *l, uint64_t epoch, const KqAgentItem *i)
 {
   if (!l->leader_connected)
     return;
   if (epoch != l->out_epoch || l->out.len > FLUSH_AT)
     flush (l->leader_conn, l->out_epoch, &l->out);
   l->out_epoch = epoch;
-  kq_crew_pack (i, &l->out);
+  kq_agent_item_pack (i, &l->out);
 }
 
 void
-kq_link_send_peer (KqPeer *p, const KqCrewItem *i)
+kq_link_send_peer (KqPeer *p, const KqAgentItem *i)
 {
   if (p->out.len > FLUSH_AT)
     flush (p->conn, p->link->own_epoch, &p->out);
-  kq_crew_pack (i, &p->out);
+  kq_agent_item_pack (i, &p->out);
 }
 
 static void
@@ -405,34 +405,36 @@
 static void
 beat_leader (KqLink *l, KqTime now)
 {
-  KqCrewItem i = { .kind = KQ_CREW_BEAT };
+  KqAgentItem i = { .kind = KQ_AGENT_ITEM_HEARTBEAT };
   if (l->leader_conn != NULL && now - kq_conn_heard_at (l->leader_conn) > PEER_TIMEOUT)
     close_leader_conn (l, "silent");
   if (l->leader_conn == NULL && now - l->connect_tried_at > RECONNECT_DELAY)
     open_leader_conn (l, now);
   if (!l->leader_connected)
     return;
-  i.u.beat.sent_at = now;
-  i.u.beat.store_age_ms = l->config.owner.store_age_ms (l->config.owner.arg, now);
+  i.u.heartbeat.sent_at = now;
+  i.u.heartbeat.store_age_ms = l->config.owner.store_age_ms (l->config.owner.arg, now);
   kq_link_send (l, l->leader_epoch, &i);
 }
 
-/* Returns which beat the next ping acknowledges. A node renews runner leases for a while
- * after the beat that is acknowledged, so a leader that may have been replaced must not
- * acknowledge newer ones. A leader that still hears all nodes can have been replaced only
- * through nodes that were cut off a moment ago, so it acknowledges beats from before. */
+/* Returns which heartbeat the next ping acknowledges. A node renews runner leases for a
+ * while after the heartbeat that is acknowledged, so a leader that may have been replaced
+ * must not acknowledge newer ones. A leader that still hears all nodes can have been
+ * replaced only through nodes that were cut off a moment ago, so it acknowledges beats
+ * from before. */
 static KqTime
-acknowledged_beat (const KqPeer *p, KqTime now)
+acknowledged_heartbeat (const KqPeer *p, KqTime now)
 {
   if (now < p->link->exclusive_until)
-    return p->beat_sent_at;
-  return p->link->nodes_lost ? p->exclusive_beat_at : p->beat_sent_at - LOSS_DETECTION;
+    return p->heartbeat_sent_at;
+  return p->link->nodes_lost ? p->exclusive_beat_at
+                             : p->heartbeat_sent_at - LOSS_DETECTION;
 }
 
 static void
 ping_peers (KqLink *l, KqTime now)
 {
-  KqCrewItem i = { .kind = KQ_CREW_PING };
+  KqAgentItem i = { .kind = KQ_AGENT_ITEM_PING };
   guint n = 0;
   i.u.ping.store_age_ms = l->config.owner.store_age_ms (l->config.owner.arg, now);
   while (n < l->peers->len)
@@ -440,7 +442,7 @@
       KqPeer *p = g_ptr_array_index (l->peers, n);
       if (now - kq_conn_heard_at (p->conn) <= PEER_TIMEOUT)
         {
-          i.u.ping.beat_sent_at = acknowledged_beat (p, now);
+          i.u.ping.heartbeat_sent_at = acknowledged_heartbeat (p, now);
           kq_link_send_peer (p, &i);
           n++;
           continue;
--- a/src/fleet/link.h
+++ b/src/fleet/link.h
@@ -7,7 +7,7 @@
  * sent within one iteration of the loop are batched into one frame. Either side closes a
  * connection on which it has received nothing for a while; the node then reconnects. */
 
-#include "crew/frame.h"
+#include "agent/frame.h"
 
 typedef struct KqLink KqLink;
 typedef struct KqPeer KqPeer; /* on the leader: a connected node */
@@ -20,11 +20,11 @@
   /* p is freed after this, unless planned: the node has announced its stop and released
    * all its runners. */
   void (*left) (void *arg, KqPeer *p, bool planned, KqTime now);
-  void (*from_node) (void *arg, KqPeer *p, uint64_t epoch, const KqCrewItem *i,
+  void (*from_node) (void *arg, KqPeer *p, uint64_t epoch, const KqAgentItem *i,
                      KqTime now);
   /* On the other nodes. */
   void (*connected) (void *arg, KqTime now);
-  void (*from_leader) (void *arg, uint64_t epoch, const KqCrewItem *i, KqTime now);
+  void (*from_leader) (void *arg, uint64_t epoch, const KqAgentItem *i, KqTime now);
   /* Time since the store's last answer to this node; -1: none yet. */
   int64_t (*store_age_ms) (void *arg, KqTime now);
 } KqLinkOwner;
@@ -50,7 +50,7 @@
 void kq_link_leave (KqLink *l);
 bool kq_link_connected (const KqLink *l);
 /* Sends to the leader; drops the item when there is no connection. */
-void kq_link_send (KqLink *l, uint64_t epoch, const KqCrewItem *i);
+void kq_link_send (KqLink *l, uint64_t epoch, const KqAgentItem *i);
 
 /* Starts accepting nodes as the leader of this epoch; 0: no longer leader. Closes all
  * connections first. */
@@ -60,7 +60,7 @@
  * that are older than the time it takes to detect lost nodes; with nodes_lost, only beats
  * received before that time. */
 void kq_link_set_exclusive_until (KqLink *l, KqTime until, bool nodes_lost);
-void kq_link_send_peer (KqPeer *p, const KqCrewItem *i);
+void kq_link_send_peer (KqPeer *p, const KqAgentItem *i);
 void kq_peer_set_agent (KqPeer *p, int agent);
 int kq_peer_agent (const KqPeer *p);
 size_t kq_link_peer_count (const KqLink *l);
--- a/src/fleet/link_test.c
+++ b/src/fleet/link_test.c
@@ -64,32 +64,32 @@
 }
 
 static void
-on_from_node (void *arg, KqPeer *p, uint64_t epoch, const KqCrewItem *i, KqTime now)
+on_from_node (void *arg, KqPeer *p, uint64_t epoch, const KqAgentItem *i, KqTime now)
 {
   Fixture *t = arg;
   (void)p;
   (void)epoch;
-  t->cancels += i->kind == KQ_CREW_CANCEL;
-  if (i->kind == KQ_CREW_CANCEL && t->loses_leadership)
+  t->cancels += i->kind == KQ_AGENT_ITEM_CANCEL;
+  if (i->kind == KQ_AGENT_ITEM_CANCEL && t->loses_leadership)
     kq_link_set_own_epoch (t->leader, 0, now);
-  if (i->kind != KQ_CREW_LIST)
+  if (i->kind != KQ_AGENT_ITEM_LIST)
     return;
   t->lists++;
   t->listed = (int)i->u.list.n_running;
 }
 
 static void
-on_from_leader (void *arg, uint64_t epoch, const KqCrewItem *i, KqTime now)
+on_from_leader (void *arg, uint64_t epoch, const KqAgentItem *i, KqTime now)
 {
   Fixture *t = arg;
   (void)epoch;
   (void)now;
-  t->n_welcomes += i->kind == KQ_CREW_WELCOME;
-  if (i->kind != KQ_CREW_PING)
+  t->n_welcomes += i->kind == KQ_AGENT_ITEM_WELCOME;
+  if (i->kind != KQ_AGENT_ITEM_PING)
     return;
   t->pings++;
-  if (i->u.ping.beat_sent_at > t->acknowledged_at)
-    t->acknowledged_at = i->u.ping.beat_sent_at;
+  if (i->u.ping.heartbeat_sent_at > t->acknowledged_at)
+    t->acknowledged_at = i->u.ping.heartbeat_sent_at;
   if (t->pings >= t->until_pings)
     kq_loop_stop (t->node_loop);
 }
@@ -218,12 +218,12 @@
   assert_true (*n >= wanted);
 }
 
-static KqCrewItem
-changes (uint64_t serial, const KqToldRow *rows, size_t n)
+static KqAgentItem
+changes (uint64_t serial, const KqRunDeltaRow *rows, size_t n)
 {
-  KqCrewItem i = { .kind = KQ_CREW_CHANGES, .runner = KQ_STR ("r") };
+  KqAgentItem i = { .kind = KQ_AGENT_ITEM_CHANGES, .runner = KQ_STR ("r") };
   i.u.changes.list.assignment = 1;
-  i.u.changes.running = (KqToldChanges){ .serial = serial, .rows = rows, .n_rows = n };
+  i.u.changes.running = (KqRunDelta){ .serial = serial, .rows = rows, .n_rows = n };
   return i;
 }
 
@@ -233,9 +233,10 @@
 test_changes_arrive_as_lists (void **state)
 {
   Fixture *t = *state;
-  KqToldRow rows[2] = { { .slot = 0, .whole = true, .row = { .task = KQ_STR ("a") } },
-                        { .slot = 1, .whole = true, .row = { .task = KQ_STR ("b") } } };
-  KqCrewItem i = changes (0, rows, 2);
+  KqRunDeltaRow rows[2]
+      = { { .slot = 0, .is_new = true, .row = { .task = KQ_STR ("a") } },
+          { .slot = 1, .is_new = true, .row = { .task = KQ_STR ("b") } } };
+  KqAgentItem i = changes (0, rows, 2);
   run_until (t, &t->n_welcomes, 1);
   kq_link_send (t->node, EPOCH, &i);
   run_until (t, &t->lists, 1);
@@ -252,7 +253,7 @@
 test_changes_to_another_list_end_the_connection (void **state)
 {
   Fixture *t = *state;
-  KqCrewItem i = changes (5, NULL, 0);
+  KqAgentItem i = changes (5, NULL, 0);
   run_until (t, &t->n_welcomes, 1);
   kq_link_send (t->node, EPOCH, &i);
   run_until (t, &t->left, 1);
@@ -283,7 +284,7 @@
 test_leadership_is_lost_within_a_message (void **state)
 {
   Fixture *t = *state;
-  KqCrewItem i = { .kind = KQ_CREW_CANCEL };
+  KqAgentItem i = { .kind = KQ_AGENT_ITEM_CANCEL };
   run_until (t, &t->n_welcomes, 1);
   t->loses_leadership = true;
   kq_link_send (t->node, EPOCH, &i);
--- a/src/fleet/waves.c
+++ b/src/fleet/waves.c
@@ -1,9 +1,9 @@
 #include "fleet/waves.h"
 
 #include "base/log.h"
+#include "election/election.h"
 #include "fleet/follow.h"
 #include "fleet/keys.h"
-#include "lead/lead.h"
 #include "port/source.h"
 
 #include <stdlib.h>
@@ -190,7 +190,7 @@
 void
 kq_waves_write (KqWaves *w, KqTime now)
 {
-  KqKvCheck check = { kq_lead_key, w->config.epoch };
+  KqKvCheck check = { kq_leader_key, w->config.epoch };
   KqKvPut puts[1 + STATUS_MAX];
   KqKvTxn t = { .checks = &check, .n_checks = 1, .puts = puts };
   if (w->write_pending || now < w->retry_at || !kq_sched_waves_pending (w->config.sched))
--- a/src/node/node_task.c
+++ b/src/node/node_task.c
@@ -381,7 +381,7 @@
                                                                     : n->peers.gateway,
                from, m);
       break;
-    case KQ_MSG_CREW: /* sent on connections of its own (fleet/link.h) */
+    case KQ_MSG_AGENT: /* sent on connections of its own (fleet/link.h) */
       break;
     case KQ_MSG_QUERY:
       handle_query (n, from, m, now);
--- a/src/sched/book.c
+++ b/src/sched/book.c
@@ -320,7 +320,7 @@
     {
       int64_t due = j->spec.first_ms + j->created * j->spec.interval_ms;
       KqTime at = j->accepted_at;
-      if (j->spec.times > 0)
+      if (j->spec.n_occurrences > 0)
         {
           if (wall < due + OCCURRENCE_DELAY_MS)
             return;
--- a/src/sched/last_word_test.c
+++ b/src/sched/last_word_test.c
@@ -32,7 +32,8 @@
 }
 
 /* Guards against leases that outlast the leader's wait for a lost agent: the agent counts
- * blind_ms from messages that were still in flight when the leader gave it up. */
+ * renew_without_leader_ms from messages that were still in flight when the leader gave it
+ * up. */
 static void
 test_messages_in_flight_to_a_lost_agent (void **state)
 {
--- a/src/sched/maintenance.c
+++ b/src/sched/maintenance.c
@@ -149,7 +149,7 @@
   const KqStep *p = kq_run_step (run);
   const KqStepState *st;
   int away = 0;
-  if (p->away_most < 0 || run->occurrence == NULL)
+  if (p->max_unavailable < 0 || run->occurrence == NULL)
     return true;
   st = &run->occurrence->steps[run->step];
   for (int32_t i = 0; i < p->width; i++)
@@ -159,7 +159,7 @@
           = other != NULL && other->phase == KQ_RUN_RUNNING && other->percent >= 100;
       away += i != run->index && !serving;
     }
-  return away < p->away_most;
+  return away < p->max_unavailable;
 }
 
 /* Stops the runs that can go on elsewhere. Returns whether the host may go down now. */
--- a/src/sched/maintenance_test.c
+++ b/src/sched/maintenance_test.c
@@ -161,7 +161,7 @@
   KqSchedDesk *d = *state;
   KqStep serving = kq_sched_desk_step ();
   serving.lasting = true;
-  serving.away_most = 0;
+  serving.max_unavailable = 0;
   kq_sched_desk_submit (d, "aa", serving, false);
   kq_sched_desk_run (d, FIRST_CALL);
   kq_sched_desk_outcome (d, KQ_ORDER_START, d->runner, d->task, d->run, KQ_ORDER_OK);
--- a/src/sched/orders_test.c
+++ b/src/sched/orders_test.c
@@ -343,7 +343,7 @@
   kq_sched_desk_unreached (d, agent, "r0", -1);
   kq_sched_desk_run (d, 8500 * KQ_MS);
   assert_int_equal (d->starts, 1);
-  kq_sched_desk_run (d, 1500 * KQ_MS); /* blind_ms and a lease are over */
+  kq_sched_desk_run (d, 1500 * KQ_MS); /* renew_without_leader_ms and a lease are over */
   assert_int_equal (d->starts, 2);
   assert_int_equal (d->drops, 1);
   assert_string_equal (d->runner, "r1");
--- a/src/sched/progress.c
+++ b/src/sched/progress.c
@@ -159,7 +159,7 @@
       r->bad = true;
       return;
     }
-  if (j->spec.times > 0)
+  if (j->spec.n_occurrences > 0)
     due = now - (wall_ms - j->spec.first_ms - number * j->spec.interval_ms) * KQ_MS;
   o = kq_book_add_occurrence (j, (int32_t)number, due);
   for (int32_t i = 0; i < j->spec.n_steps; i++)
--- a/src/sched/runners.c
+++ b/src/sched/runners.c
@@ -87,11 +87,11 @@
 
 /* Latest end of a lease that may still be granted by an agent that this leader gets no
  * reports from: one of an earlier leader, or one that was lost or replaced now. Such an
- * agent goes on renewing for blind_ms. */
+ * agent goes on renewing for renew_without_leader_ms. */
 static KqTime
 latest_unseen_lease_end (const KqSched *s, KqTime now)
 {
-  return now + s->config.blind_ms * KQ_MS + longest_lease (s);
+  return now + s->config.renew_without_leader_ms * KQ_MS + longest_lease (s);
 }
 
 /* The name of the agent's node; "" for -1. */
--- a/src/sched/sched.c
+++ b/src/sched/sched.c
@@ -293,7 +293,7 @@
   s->loaded = true;
   s->pass_needed = true;
   for (KqJob *j = s->open; j != NULL; j = j->next)
-    if (j->created == 0 || j->spec.times > 0)
+    if (j->created == 0 || j->spec.n_occurrences > 0)
       kq_book_create_due (s, j, now);
   for (KqJob *j = s->open; j != NULL; j = j->next)
     if (j->state < KQ_JOB_COMPLETED && j->finished == kq_spec_occurrences (&j->spec))
@@ -310,7 +310,7 @@
   for (KqJob *j = s->open; j != NULL; j = next)
     {
       next = j->next;
-      if (j->spec.times > 0)
+      if (j->spec.n_occurrences > 0)
         kq_book_create_due (s, j, now);
       if (j->state < KQ_JOB_COMPLETED || j->runs > 0)
         continue;
--- a/src/sched/sched.h
+++ b/src/sched/sched.h
@@ -134,12 +134,13 @@
 
 typedef struct
 {
-  uint64_t epoch;         /* fencing token; jobs stored after it haven't run before */
-  uint32_t term;          /* number of this leader, from 1 */
-  int64_t lease_ms;       /* length of a runner's lease */
-  int64_t blind_ms;       /* for so long an agent renews leases after losing its leader */
-  int64_t maintenance_ms; /* how long a host is down for maintenance */
-  int64_t keep_ms;        /* for so long a finished job's state is kept */
+  uint64_t epoch;   /* fencing token; jobs stored after it haven't run before */
+  uint32_t term;    /* number of this leader, from 1 */
+  int64_t lease_ms; /* length of a runner's lease */
+  int64_t renew_without_leader_ms; /* for so long an agent renews leases after losing its
+                                      leader */
+  int64_t maintenance_ms;          /* how long a host is down for maintenance */
+  int64_t keep_ms;                 /* for so long a finished job's state is kept */
   KqCounters *counters;
   void (*order) (void *arg, int agent, const KqOrder *o);
   /* Takes a host down; kq_sched_maintenance_ended reports the result. NULL: there is no
--- a/src/sched/sched_test.c
+++ b/src/sched/sched_test.c
@@ -271,7 +271,7 @@
   KqStep s = kq_sched_rig_step (1, 1000, 6000);
   int at = 0;
   (void)state;
-  s.copies = true;
+  s.speculative = true;
   kq_sched_rig_submit (r, "aa", &s, 1, 2, 6 * KQ_SEC, -1);
   kq_sched_rig_run (r, 500 * KQ_MS);
   while (r->runners[at].runs->len == 0)
--- a/src/sched/takeover_test.c
+++ b/src/sched/takeover_test.c
@@ -93,7 +93,7 @@
   KqSchedConfig c = { .epoch = 5,
                       .term = 2,
                       .lease_ms = 5000,
-                      .blind_ms = 4000,
+                      .renew_without_leader_ms = 4000,
                       .keep_ms = 60000,
                       .order = on_order,
                       .arg = f };
--- a/src/sched/watch.c
+++ b/src/sched/watch.c
@@ -60,7 +60,8 @@
 start_copy (KqSched *s, KqRun *run)
 {
   KqTaskState *t = kq_book_task_state (run);
-  if (!kq_run_step (run)->copies || !run->runner->silent || t == NULL || t->run != run)
+  if (!kq_run_step (run)->speculative || !run->runner->silent || t == NULL
+      || t->run != run)
     return false;
   t->avoid = run->runner;
   t->run = NULL;
--- a/src/steps/queues.h
+++ b/src/steps/queues.h
@@ -26,8 +26,8 @@
 typedef struct
 {
   KqStr name;
-  bool checks_room; /* its runners refuse tasks that don't fit */
-  bool spare;       /* its hosts are switched off */
+  bool checks_capacity; /* its runners refuse tasks that don't fit */
+  bool spare;           /* its hosts are switched off */
 } KqService;
 
 typedef struct
--- a/src/steps/spec.c
+++ b/src/steps/spec.c
@@ -33,7 +33,8 @@
     *why = "the text is too long";
   else if (s->n_steps < 1 || s->n_steps > KQ_SPEC_STEPS_MAX)
     *why = "no steps or too many";
-  else if (s->times < 0 || s->times > KQ_SPEC_OCCURRENCES_MAX || s->interval_ms < 0)
+  else if (s->n_occurrences < 0 || s->n_occurrences > KQ_SPEC_OCCURRENCES_MAX
+           || s->interval_ms < 0)
     *why = "bad occurrences";
   for (int32_t i = 0; i < s->n_steps && *why == NULL; i++)
     {
@@ -74,7 +75,7 @@
 int32_t
 kq_spec_occurrences (const KqSpec *s)
 {
-  return s->times > 0 ? s->times : 1;
+  return s->n_occurrences > 0 ? s->n_occurrences : 1;
 }
 
 bool
@@ -101,11 +102,11 @@
   kq_pack_bool (p, s->checkpoints);
   kq_pack_bool (p, s->gang);
   kq_pack_bool (p, s->one_rack);
-  kq_pack_bool (p, s->copies);
+  kq_pack_bool (p, s->speculative);
   kq_pack_bool (p, s->lasting);
   kq_pack_bool (p, s->filling);
   kq_pack_i64 (p, s->per_runner_max);
-  kq_pack_i64 (p, s->away_most);
+  kq_pack_i64 (p, s->max_unavailable);
   kq_pack_i64 (p, s->target_ms);
   kq_pack_str (p, s->label);
   kq_pack_str (p, s->rack);
@@ -130,7 +131,7 @@
   kq_pack_i64 (&p, s->accepted_ms);
   kq_pack_i64 (&p, s->first_ms);
   kq_pack_i64 (&p, s->interval_ms);
-  kq_pack_i64 (&p, s->times);
+  kq_pack_i64 (&p, s->n_occurrences);
   kq_pack_array (&p, (size_t)s->n_steps);
   for (int32_t i = 0; i < s->n_steps; i++)
     pack_step (&p, &s->steps[i]);
@@ -167,11 +168,11 @@
   s->checkpoints = kq_read_bool (r);
   s->gang = kq_read_bool (r);
   s->one_rack = kq_read_bool (r);
-  s->copies = kq_read_bool (r);
+  s->speculative = kq_read_bool (r);
   s->lasting = kq_read_bool (r);
   s->filling = kq_read_bool (r);
   s->per_runner_max = (int32_t)kq_read_i64 (r);
-  s->away_most = (int32_t)kq_read_i64 (r);
+  s->max_unavailable = (int32_t)kq_read_i64 (r);
   s->target_ms = (int32_t)kq_read_i64 (r);
   s->label = kq_read_str (r);
   s->rack = kq_read_str (r);
@@ -222,7 +223,7 @@
   out->accepted_ms = kq_read_i64 (&r);
   out->first_ms = kq_read_i64 (&r);
   out->interval_ms = kq_read_i64 (&r);
-  out->times = (int32_t)kq_read_i64 (&r);
+  out->n_occurrences = (int32_t)kq_read_i64 (&r);
   read_steps (&r, out);
   /* Jobs stored by a version without the advice service have no such field. */
   out->advised = r.left > 0 && kq_read_bool (&r);
--- a/src/steps/spec.h
+++ b/src/steps/spec.h
@@ -31,16 +31,16 @@
   bool checkpoints; /* its tasks save checkpoints and can resume from them */
   bool gang;        /* its tasks make progress only while all of them run */
   bool one_rack;    /* slow when its tasks are spread over racks */
-  bool copies;      /* a second run of a task may be started; the first to end counts */
+  bool speculative; /* a second run of a task may be started; the first to end counts */
   bool lasting;     /* runs until the job is cancelled; restarted however it ends */
   bool filling;     /* its cpu isn't reserved: it uses what others leave unused */
-  int32_t per_runner_max; /* most tasks of the step on one runner; 0: any */
-  int32_t away_most; /* lasting: no task is stopped for maintenance while this many are
-                        down; -1: no limit */
-  int32_t target_ms; /* serving: bound on the tail latency; 0: none */
-  KqStr label;       /* required label of the runner; "": none */
-  KqStr rack;        /* rack of its data; "": any */
-  KqStr image;       /* program that the tasks run; tasks of one image behave alike */
+  int32_t per_runner_max;  /* most tasks of the step on one runner; 0: any */
+  int32_t max_unavailable; /* lasting: no task is stopped for maintenance while this many
+                        are down; -1: no limit */
+  int32_t target_ms;       /* serving: bound on the tail latency; 0: none */
+  KqStr label;             /* required label of the runner; "": none */
+  KqStr rack;              /* rack of its data; "": any */
+  KqStr image; /* program that the tasks run; tasks of one image behave alike */
 } KqStep;
 
 typedef struct
@@ -57,7 +57,7 @@
   int64_t accepted_ms;     /* Unix time */
   int64_t first_ms;        /* Unix time at which occurrence 0 is due */
   int64_t interval_ms;
-  int32_t times; /* number of occurrences; 0: one, due at acceptance */
+  int32_t n_occurrences; /* number of occurrences; 0: one, due at acceptance */
   KqStep *steps;
   int32_t n_steps;
 } KqSpec;
--- a/src/steps/spec_test.c
+++ b/src/steps/spec_test.c
@@ -12,8 +12,9 @@
 two_steps (KqStep steps[2], int32_t *after)
 {
   memset (steps, 0, 2 * sizeof *steps);
-  steps[0]
-      = (KqStep){ .width = 3, .cpu_milli = 500, .estimate_ms = 200, .away_most = -1 };
+  steps[0] = (KqStep){
+    .width = 3, .cpu_milli = 500, .estimate_ms = 200, .max_unavailable = -1
+  };
   steps[1] = (KqStep){ .width = 2,
                        .estimate_ms = 300,
                        .after = after,
@@ -21,7 +22,7 @@
                        .checkpoints = true,
                        .target_ms = 18,
                        .image = KQ_STR ("img"),
-                       .away_most = 1 };
+                       .max_unavailable = 1 };
   return (KqSpec){ .id = KQ_STR ("5c0e7a21d94b36f8"),
                    .queue = KQ_STR ("q"),
                    .service = KQ_STR ("desk"),
@@ -47,7 +48,7 @@
   assert_true (kq_str_eq (o.id, s.id));
   assert_int_equal (o.n_steps, 2);
   assert_int_equal (o.steps[1].after[0], 0);
-  assert_int_equal (o.steps[1].away_most, 1);
+  assert_int_equal (o.steps[1].max_unavailable, 1);
   assert_int_equal (o.steps[1].target_ms, 18);
   assert_true (o.steps[1].checkpoints);
   assert_true (kq_str_eq (o.steps[1].image, KQ_STR ("img")));
--- a/src/wire/msg.c
+++ b/src/wire/msg.c
@@ -52,7 +52,7 @@
     case KQ_MSG_JOB_MOVED:
     case KQ_MSG_QUERY:
     case KQ_MSG_ANSWER:
-    case KQ_MSG_CREW:
+    case KQ_MSG_AGENT:
       return GROUP_JOB;
     }
   return GROUP_NONE;
@@ -192,7 +192,7 @@
     case KQ_MSG_JOB_MOVED:
     case KQ_MSG_QUERY:
     case KQ_MSG_ANSWER:
-    case KQ_MSG_CREW:
+    case KQ_MSG_AGENT:
       break;
     }
   *m = (KqMsg){ 0 };
--- a/src/wire/msg.h
+++ b/src/wire/msg.h
@@ -104,7 +104,7 @@
   KQ_MSG_JOB_MOVED,  /* the job is in that shard's journal */
   KQ_MSG_QUERY = 80, /* a query of an operator to one node */
   KQ_MSG_ANSWER,
-  KQ_MSG_CREW = 90 /* a leader's orders or an agent's reports (crew/frame.h) */
+  KQ_MSG_AGENT = 90 /* a leader's orders or an agent's reports (agent/frame.h) */
 } KqMsgKind;
 
 typedef struct
@@ -319,12 +319,12 @@
 } KqMsgQuery;
 
 /* Orders to an agent (the part of a node that carries out the leader's orders at its
- * runners), or the agent's reports; packed by crew/frame.c. */
+ * runners), or the agent's reports; packed by agent/frame.c. */
 typedef struct
 {
   uint64_t epoch; /* of the leader that sends or receives this */
   KqStr items;
-} KqMsgCrew;
+} KqMsgAgent;
 
 typedef struct
 {
@@ -350,7 +350,7 @@
     KqMsgJobMoved job_moved;
     KqMsgQuery query;
     KqMsgAnswer answer;
-    KqMsgCrew crew;
+    KqMsgAgent agent;
   } u;
 } KqMsg;
 
--- a/src/wire/msg_job.c
+++ b/src/wire/msg_job.c
@@ -108,11 +108,11 @@
       kq_pack_str (p, m->u.query.what);
       kq_pack_str (p, m->u.query.argument);
     }
-  else if (m->kind == KQ_MSG_CREW)
+  else if (m->kind == KQ_MSG_AGENT)
     {
       kq_pack_array (p, 2);
-      kq_pack_u64 (p, m->u.crew.epoch);
-      kq_pack_str (p, m->u.crew.items);
+      kq_pack_u64 (p, m->u.agent.epoch);
+      kq_pack_str (p, m->u.agent.items);
     }
   else
     {
@@ -139,10 +139,10 @@
       m->u.query.what = kq_read_str (r);
       m->u.query.argument = kq_read_str (r);
     }
-  else if (m->kind == KQ_MSG_CREW)
+  else if (m->kind == KQ_MSG_AGENT)
     {
-      m->u.crew.epoch = kq_read_u64 (r);
-      m->u.crew.items = kq_read_str (r);
+      m->u.agent.epoch = kq_read_u64 (r);
+      m->u.agent.items = kq_read_str (r);
     }
   else
     {
