--- a/bench/job_rig.c
+++ b/bench/job_rig.c
@@ -176,7 +176,7 @@
 static KqTime
 next_time (const KqRig *r, KqTime end)
 {
-  KqTime t = kq_jobs_wake (r->jobs, r->now);
+  KqTime t = kq_jobs_next_tick (r->jobs, r->now);
   if (r->n_events > 0 && r->events[0].at < t)
     t = r->events[0].at;
   if (r->writing > 0 && !r->store_down && r->written_at < t)
@@ -201,7 +201,7 @@
       next = next_time (r, end);
       if (next > r->now)
         r->now = next;
-      else if (r->now >= end && kq_jobs_wake (r->jobs, r->now) > r->now)
+      else if (r->now >= end && kq_jobs_next_tick (r->jobs, r->now) > r->now)
         return;
       if (r->n_events > 0 && r->events[0].at <= r->now)
         continue;
@@ -234,7 +234,7 @@
                               .self = 1,
                               .lease = 9 * KQ_SEC,
                               .renew = 3 * KQ_SEC,
-                              .blind = 20 * KQ_SEC,
+                              .renew_without_store = 20 * KQ_SEC,
                               .seed = seed,
                               .counters = kq_counters_new () };
   r->n_workers = workers;
@@ -323,7 +323,7 @@
   for (size_t i = 0; i < r->log.n_records; i++)
     kq_jobs_apply (r->jobs, &r->log.records[i], r->now);
   kq_outbox_init (&out);
-  leave (r, kq_jobs_opened (r->jobs, ++r->epoch, r->now, &out), &out);
+  leave (r, kq_jobs_recovered (r->jobs, ++r->epoch, r->now, &out), &out);
   kq_rig_hosts (r);
 }
 
--- a/bench/load_sim.c
+++ b/bench/load_sim.c
@@ -164,7 +164,7 @@
 schedule (Sim *s, Runner *r)
 {
   double least = INFINITY;
-  if (r->event.place > 0)
+  if (r->event.index > 0)
     kq_heap_remove (&s->finish, &r->event);
   for (int i = 0; i < r->n; i++)
     least = fmin (least, r->active[i]->left);
@@ -200,7 +200,7 @@
   if (!s->config->row.retry)
     wait = 0;
   if (r->retries < s->config->retries && in_time
-      && kq_route_may_retry (route, KQ_STR (SERVICE), s->now))
+      && kq_route_take_retry (route, KQ_STR (SERVICE), s->now))
     {
       r->retries++;
       come_again (s, r, s->now + wait);
@@ -385,7 +385,7 @@
     t = least (t, s->config->changes[s->next_change].at);
   for (int i = 0; i < s->n_owners; i++)
     if (kq_dispatch_queued (s->owners[i]) > 0)
-      t = least (t, kq_dispatch_wake (s->owners[i], s->now));
+      t = least (t, kq_dispatch_wake_time (s->owners[i], s->now));
   return t > s->now ? t : s->now;
 }
 
@@ -412,10 +412,10 @@
          && s->config->changes[s->next_change].at <= s->now)
     apply_change (s, &s->config->changes[s->next_change++]);
   while (key_of (&s->finish) <= s->now)
-    finish_due (s, kq_heap_top (&s->finish)->owner);
+    finish_due (s, kq_heap_top (&s->finish)->container);
   while (key_of (&s->waiting) <= s->now)
     {
-      Request *r = kq_heap_top (&s->waiting)->owner;
+      Request *r = kq_heap_top (&s->waiting)->container;
       kq_heap_remove (&s->waiting, &r->event);
       offer (s, r);
     }
--- a/bench/whole_load.c
+++ b/bench/whole_load.c
@@ -70,7 +70,7 @@
   b->shard = (uint32_t)key % SHARDS;
   b->service = KQ_STR ("seal");
   b->key = kq_str (text);
-  b->body_hash = 7;
+  b->request_hash = 7;
   kq_whole_send (w, entry, w->nodes[entry].id, &m);
 }
 
--- a/fuzz/fuzz_record.c
+++ b/fuzz/fuzz_record.c
@@ -63,7 +63,7 @@
   KqUnpacked u;
   KqClaimFields f;
   if (r->version == KQ_CLAIM_RECORD_VERSION && r->type <= KQ_CLAIM_RECORD_NUMBER
-      && kq_claim_record_open ((KqClaimRecordType)r->type, r->body, &u, &f))
+      && kq_claim_record_unpack ((KqClaimRecordType)r->type, r->body, &u, &f))
     kq_claim_record_clear (&u, &f);
   kq_claims_apply (claims, r, 1);
 }
@@ -94,7 +94,7 @@
       else
         check_claim (&r, claims);
     }
-  kq_claims_opened (claims, 2);
+  kq_claims_recovered (claims, 2);
   kq_claims_free (claims);
   kq_fake_log_free (&fake);
   kq_job_set_clear (set);
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -73,7 +73,8 @@
     kq_log (KQ_LOG_INFO, PART, "Stopped; nothing was cut.");
   else
     kq_log (KQ_LOG_ERROR, PART, "Stop limit passed. callers_cut=%zu runners_cut=%zu",
-            kq_gateway_open (d->gateway), kq_runner_task_open (d->runners));
+            kq_gateway_open_requests (d->gateway),
+            kq_runner_task_open_flights (d->runners));
   stop_loop (d, clean ? EXIT_CLEAN : EXIT_INCOMPLETE);
 }
 
@@ -93,7 +94,8 @@
     }
   kq_log (KQ_LOG_ERROR, PART,
           "Stopped at once by a second signal. callers_cut=%zu runners_cut=%zu",
-          kq_gateway_open (d->gateway), kq_runner_task_open (d->runners));
+          kq_gateway_open_requests (d->gateway),
+          kq_runner_task_open_flights (d->runners));
   stop_loop (d, EXIT_INCOMPLETE);
 }
 
--- a/src/job/evict.c
+++ b/src/job/evict.c
@@ -17,7 +17,7 @@
 may_evict (const KqJob *job, const KqEvictRule *rule)
 {
   if (job->phase != KQ_JOB_PHASE_RUNNING || job->service || !job->movable
-      || job->cancel_wanted || job->spec.priority >= rule->below
+      || job->cancel_wanted || job->spec.priority >= rule->priority_below
       || (int64_t)job->evictions >= rule->evictions_max)
     return false;
   if (rule->quota == NULL)
@@ -58,7 +58,7 @@
 {
   KqJob *best = NULL;
   double best_cost = 0;
-  for (KqJob *job = w->jobs; job != NULL; job = job->next_on)
+  for (KqJob *job = w->jobs; job != NULL; job = job->next_on_worker)
     {
       double cost;
       double freed = covered_sum (job, missing);
--- a/src/job/evict.h
+++ b/src/job/evict.h
@@ -19,9 +19,9 @@
 
 typedef struct
 {
-  KqPriority below;      /* victims have a lower priority */
-  int64_t evictions_max; /* victims have been evicted fewer times */
-  const KqQuota *quota;  /* not NULL: victims only of teams that have borrowed */
+  KqPriority priority_below; /* victims have a lower priority */
+  int64_t evictions_max;     /* victims have been evicted fewer times */
+  const KqQuota *quota;      /* not NULL: victims only of teams that have borrowed */
   uint16_t
       team; /* of the job that needs the room; its tasks are no victims with `quota` */
 } KqEvictRule;
--- a/src/job/health.c
+++ b/src/job/health.c
@@ -77,7 +77,7 @@
 }
 
 int
-kq_health_allows (KqFleetHealth *f, KqHealth *h, KqTime now)
+kq_health_task_limit (KqFleetHealth *f, KqHealth *h, KqTime now)
 {
   (void)f;
   if (h->state == KQ_HEALTH_GOOD)
--- a/src/job/health.h
+++ b/src/job/health.h
@@ -53,7 +53,7 @@
                         KqTime now);
 /* How many tasks the worker may run at `now`. Begins to probe a held worker whose pause
  * is over. */
-int kq_health_allows (KqFleetHealth *f, KqHealth *h, KqTime now);
+int kq_health_task_limit (KqFleetHealth *f, KqHealth *h, KqTime now);
 /* Whether a failure on the worker counts against the job. */
 bool kq_health_blames_job (const KqHealth *h);
 
--- a/src/job/interference.c
+++ b/src/job/interference.c
@@ -45,7 +45,7 @@
   const KqCell *c = &f->prior[other][band];
   double weight = c->evidence / (c->evidence + 4);
   return weight * c->effect
-         + (1 - weight) * default_effect[band] * (f->quiet[other] ? QUIET_FACTOR : 1);
+         + (1 - weight) * default_effect[band] * (f->low_prior[other] ? QUIET_FACTOR : 1);
 }
 
 double
@@ -92,8 +92,8 @@
   c->effect = (float)fmin (fmax (c->effect + gain * share, 0), EFFECT_MAX);
   c->evidence = fminf (c->evidence + fminf (p->n, 1), EVIDENCE_MAX);
   if (prior->evidence <= 0)
-    prior->effect
-        = (float)(default_effect[band] * (f->quiet[p->class_index] ? QUIET_FACTOR : 1));
+    prior->effect = (float)(default_effect[band]
+                            * (f->low_prior[p->class_index] ? QUIET_FACTOR : 1));
   prior->effect += (float)PRIOR_GAIN * (c->effect - prior->effect);
   prior->evidence = fminf (prior->evidence + 0.2F, EVIDENCE_MAX);
 }
--- a/src/job/interference.h
+++ b/src/job/interference.h
@@ -52,7 +52,7 @@
 {
   KqCell cells[KQ_CLASSES_MAX][KQ_CLASSES_MAX][KQ_BANDS];
   KqCell prior[KQ_CLASSES_MAX][KQ_BANDS]; /* by the other class */
-  bool quiet[KQ_CLASSES_MAX];             /* services: lower prior */
+  bool low_prior[KQ_CLASSES_MAX];         /* services: lower prior */
 } KqInterference;
 
 /* Adds n tasks; n below 0 removes. A class beyond KQ_MIX_MAX is left out. */
--- a/src/job/job.h
+++ b/src/job/job.h
@@ -106,27 +106,27 @@
   uint16_t class_index; /* index in KqClasses */
   bool in_queue;
   bool delayed;
-  KqResult blocked; /* why it wasn't started; KQ_OK: it wasn't tried yet */
-  KqSize want;      /* declared size, completed from the class; the queue sums it */
-  KqSize charged;   /* taken from the worker's room: the size, or more if it uses more */
+  KqResult blocked_reason; /* why it wasn't started; KQ_OK: it wasn't tried yet */
+  KqSize declared_size; /* declared size, completed from the class; the queue sums it */
+  KqSize charged; /* taken from the worker's room: the size, or more if it uses more */
   KqTime queued_at;
   KqTime not_before; /* end of the backoff after a failure */
   KqTime assigned_at;
   KqTime command_at; /* time of the last command or of its answer */
   int throttle_percent;
   KqTime throttle_at;
-  bool service;          /* latency-critical, as declared by the job or its class */
-  bool movable;          /* may be evicted for others, from the class's row */
-  int64_t checkpoint_us; /* checkpoint period, from the class's row; 0: none */
-  double slow;           /* smoothed slowdown since the last remedy on its worker */
+  bool service;             /* latency-critical, as declared by the job or its class */
+  bool movable;             /* may be evicted for others, from the class's row */
+  int64_t checkpoint_us;    /* checkpoint period, from the class's row; 0: none */
+  double smoothed_slowdown; /* smoothed slowdown since the last remedy on its worker */
   int slow_reports;
   KqWorkerId avoid; /* the worker from which a remedy moved it */
   KqTime avoid_until;
-  struct KqWorker *promised; /* worker on which room is reserved for it */
-  uint64_t seen_in_list;     /* number of the worker's last list that named it */
-  struct KqWorker *on;       /* worker to which it is assigned */
-  KqJob *next_on;            /* list of the jobs on that worker */
-  KqJob *prev_on;
+  struct KqWorker *reserved_worker; /* worker on which room is reserved for it */
+  uint64_t seen_in_list;            /* number of the worker's last list that named it */
+  struct KqWorker *assigned_worker; /* worker to which it is assigned */
+  KqJob *next_on_worker;            /* list of the jobs on that worker */
+  KqJob *prev_on_worker;
   KqJob *next; /* list of the queue */
   KqJob *prev;
 };
--- a/src/job/jobs.c
+++ b/src/job/jobs.c
@@ -11,7 +11,7 @@
   j->c = *c;
   j->times.lease = c->lease > 0 ? c->lease : 9 * KQ_SEC;
   j->times.renew = c->renew > 0 ? c->renew : 3 * KQ_SEC;
-  j->times.blind = c->blind;
+  j->times.renew_without_store = c->renew_without_store;
   j->log = log;
   j->rand = kq_rand (c->seed);
   j->draws = kq_rand_next (&j->rand);
@@ -78,7 +78,7 @@
                      .interference = &j->interference,
                      .classes = &j->classes,
                      .spread = &j->spread,
-                     .draws = &j->draws,
+                     .rand_state = &j->draws,
                      .now = now };
 }
 
@@ -113,7 +113,7 @@
 /* After a takeover every worker starts in state UNKNOWN; a lease that the predecessor
  * granted may still be live. */
 KqSeq
-kq_jobs_opened (KqJobs *j, uint64_t epoch, KqTime now, KqOutbox *out)
+kq_jobs_recovered (KqJobs *j, uint64_t epoch, KqTime now, KqOutbox *out)
 {
   (void)out;
   j->send_after = 0;
@@ -130,7 +130,7 @@
       KqWorker *w = j->workers.all[i];
       kq_lease_open (&w->lease, &j->times, now);
       kq_workers_schedule (&j->workers, w);
-      for (KqJob *job = w->jobs; job != NULL; job = job->next_on)
+      for (KqJob *job = w->jobs; job != NULL; job = job->next_on_worker)
         job->command_at = now;
     }
   return 0;
@@ -177,8 +177,8 @@
   KqTeam *team = &j->quota.teams[job->team];
   KqSize want = kq_jobs_declared (j, &job->spec);
   kq_queue_remove (&j->queue, job);
-  team->own_wanted = kq_size_sub (team->own_wanted, job->want);
-  job->want = want;
+  team->own_wanted = kq_size_sub (team->own_wanted, job->declared_size);
+  job->declared_size = want;
   team->own_wanted = kq_size_add (team->own_wanted, want);
   kq_queue_add (&j->queue, job, now);
 }
@@ -230,15 +230,15 @@
 static void
 set_location (KqJobs *j, KqWorker *w, const KqHost *h)
 {
-  for (KqJob *job = w->jobs; job != NULL; job = job->next_on)
+  for (KqJob *job = w->jobs; job != NULL; job = job->next_on_worker)
     if (job->service)
-      kq_spread_change (&j->spread, w, job->class_index, -1);
+      kq_spread_add (&j->spread, w, job->class_index, -1);
   w->depot = h->depot;
   w->rack = h->rack;
   kq_spread_locate (&j->spread, w);
-  for (KqJob *job = w->jobs; job != NULL; job = job->next_on)
+  for (KqJob *job = w->jobs; job != NULL; job = job->next_on_worker)
     if (job->service)
-      kq_spread_change (&j->spread, w, job->class_index, 1);
+      kq_spread_add (&j->spread, w, job->class_index, 1);
 }
 
 static void
@@ -256,8 +256,8 @@
   w->host = h->state;
   w->in_hosts = true;
   if (!w->answered)
-    w->whole = h->whole;
-  if (j->open && ((is_new && w->lease.next == 0) || returned))
+    w->capacity = h->whole;
+  if (j->open && ((is_new && w->lease.next_call_at == 0) || returned))
     {
       kq_lease_open (&w->lease, &j->times, now);
       kq_workers_schedule (&j->workers, w);
@@ -267,7 +267,7 @@
       w->lease.state = KQ_LEASE_LAPSED;
       w->lease.stamp = 0;
       w->answered = false;
-      kq_jobs_count_out (j, w, now);
+      kq_jobs_close_attempts (j, w, now);
     }
 }
 
@@ -301,15 +301,15 @@
       const KqWorker *w = j->workers.all[i];
       if (!w->in_hosts || w->host == KQ_HOST_GONE)
         continue;
-      s = kq_size_add (s, w->whole);
+      s = kq_size_add (s, w->capacity);
       j->n_live++;
-      j->largest = kq_size_max (j->largest, kq_size_sub (w->whole, w->row.reserved));
+      j->largest = kq_size_max (j->largest, kq_size_sub (w->capacity, w->row.reserved));
     }
   j->quota.fleet = s;
 }
 
 void
-kq_jobs_set_others (KqJobs *j, const KqShardDigest *d, size_t n, KqTime now)
+kq_jobs_set_other_digests (KqJobs *j, const KqShardDigest *d, size_t n, KqTime now)
 {
   (void)now;
   j->others_largest = j->others_capacity = (KqSize){ 0 };
@@ -360,7 +360,7 @@
       out->workers++;
       out->free = kq_size_add (out->free, room);
       out->largest_free = kq_size_max (out->largest_free, room);
-      out->largest_whole = kq_size_max (out->largest_whole, w->whole);
+      out->largest_whole = kq_size_max (out->largest_whole, w->capacity);
       out->depot = w->depot;
     }
   out->queued_jobs = (int32_t)j->queue.n;
@@ -372,12 +372,12 @@
 kq_jobs_account (const KqJobs *j)
 {
   KqJobsAccount a = { .accepted = j->set.accepted,
-                      .queued = j->queue.n - j->queue.parked.n,
+                      .queued = j->queue.n - j->queue.unplaceable.n,
                       .running = j->n_running,
                       .finished = j->set.finished,
                       .failed = j->set.failed,
                       .cancelled = j->set.cancelled,
-                      .unplaceable = j->queue.parked.n,
+                      .unplaceable = j->queue.unplaceable.n,
                       .moving = j->set.moving,
                       .moved = j->set.moved,
                       .evicted = j->set.evicted,
--- a/src/job/jobs.h
+++ b/src/job/jobs.h
@@ -24,9 +24,10 @@
 {
   uint32_t shard;
   KqNodeId self;
-  KqTime lease; /* length of a worker's lease; 0: 9 s */
-  KqTime renew; /* time between renewals; 0: 3 s */
-  KqTime blind; /* how long leases are renewed while the store is unreachable */
+  KqTime lease;               /* length of a worker's lease; 0: 9 s */
+  KqTime renew;               /* time between renewals; 0: 3 s */
+  KqTime renew_without_store; /* how long leases are renewed while the store is
+                                 unreachable */
   /* The region's shards, to which queued jobs may move. n_shards 0: jobs don't move. */
   uint32_t first_shard;
   uint32_t n_shards;
@@ -60,7 +61,7 @@
 KqResult kq_jobs_apply (KqJobs *j, const KqRecord *r, KqTime now);
 /* Ends recovery. Workers are contacted under `epoch`; nothing is placed on a worker until
  * it has answered. */
-KqSeq kq_jobs_opened (KqJobs *j, uint64_t epoch, KqTime now, KqOutbox *out);
+KqSeq kq_jobs_recovered (KqJobs *j, uint64_t epoch, KqTime now, KqOutbox *out);
 /* Passes the records that rebuild the present state to `add`; each is valid during the
  * call only. */
 void kq_jobs_snapshot (const KqJobs *j, void (*add) (void *arg, const KqRecord *r),
@@ -73,23 +74,23 @@
 KqSeq kq_jobs_set_hosts (KqJobs *j, const KqHost *hosts, size_t n, KqTime now,
                          KqOutbox *out);
 /* Sets the digests of the other shards: their usage by team, free room and workers. */
-void kq_jobs_set_others (KqJobs *j, const KqShardDigest *d, size_t n, KqTime now);
+void kq_jobs_set_other_digests (KqJobs *j, const KqShardDigest *d, size_t n, KqTime now);
 
 /* The answer, with the job as JSON or the error, is sent to the message's asker. */
 KqSeq kq_jobs_submit (KqJobs *j, const KqMsgJobSubmit *m, KqTime now, KqOutbox *out);
 KqSeq kq_jobs_call (KqJobs *j, const KqMsgJobCall *m, KqTime now, KqOutbox *out);
 /* Takes over a job that another shard moves here. The confirmation (JOB_MOVED) is sent
  * once the job is committed here. */
-KqSeq kq_jobs_arrive (KqJobs *j, const KqMsgJobMove *m, KqTime now, KqOutbox *out);
+KqSeq kq_jobs_receive_move (KqJobs *j, const KqMsgJobMove *m, KqTime now, KqOutbox *out);
 /* The other shard confirms that it has the job. */
-KqSeq kq_jobs_moved (KqJobs *j, const KqMsgJobMoved *m, KqTime now);
+KqSeq kq_jobs_confirm_move (KqJobs *j, const KqMsgJobMoved *m, KqTime now);
 KqSeq kq_jobs_worker_reply (KqJobs *j, const KqWorkerReply *r, KqTime now, KqOutbox *out);
 /* Does the renewals, placements, evacuations, moves and retries that are due. store_ok
  * false: nothing can be committed at present; leases are still renewed until the
- * store has been unreachable for KqJobsConfig.blind. */
+ * store has been unreachable for KqJobsConfig.renew_without_store. */
 KqSeq kq_jobs_tick (KqJobs *j, bool store_ok, KqTime now, KqOutbox *out);
 /* The next time at which kq_jobs_tick has something to do. */
-KqTime kq_jobs_wake (const KqJobs *j, KqTime now);
+KqTime kq_jobs_next_tick (const KqJobs *j, KqTime now);
 
 /* Fills the digest's job and worker fields. Its array of teams belongs to the KqJobs and
  * is valid until the next call of this function. */
--- a/src/job/jobs_change.c
+++ b/src/job/jobs_change.c
@@ -26,14 +26,14 @@
 static void
 detach (KqJobs *j, KqJob *job, KqTime now)
 {
-  KqWorker *w = job->on;
-  if (job->promised != NULL)
+  KqWorker *w = job->assigned_worker;
+  if (job->reserved_worker != NULL)
     kq_jobs_cancel_reservation (j, job, now);
   if (job->in_queue)
     {
       kq_queue_remove (&j->queue, job);
       j->quota.teams[job->team].own_wanted
-          = kq_size_sub (j->quota.teams[job->team].own_wanted, job->want);
+          = kq_size_sub (j->quota.teams[job->team].own_wanted, job->declared_size);
     }
   if (w == NULL)
     return;
@@ -42,7 +42,7 @@
   kq_history_change (&w->history, job->class_index, -job->throttle_percent / 100.0,
                      -job->size.cpu_milli, now);
   if (job->service)
-    kq_spread_change (&j->spread, w, job->class_index, -1);
+    kq_spread_add (&j->spread, w, job->class_index, -1);
   j->n_evicting -= job->phase == KQ_JOB_PHASE_EVICTING;
   job->phase = KQ_JOB_PHASE_NONE;
   j->n_running--;
@@ -59,7 +59,7 @@
     {
       kq_queue_add (&j->queue, job, now);
       j->quota.teams[job->team].own_wanted
-          = kq_size_add (j->quota.teams[job->team].own_wanted, job->want);
+          = kq_size_add (j->quota.teams[job->team].own_wanted, job->declared_size);
       j->dirty = true;
     }
   if (job->state != KQ_JOB_STATE_ASSIGNED)
@@ -71,7 +71,7 @@
   kq_worker_add (w, job);
   kq_history_change (&w->history, job->class_index, 1, job->size.cpu_milli, now);
   if (job->service)
-    kq_spread_change (&j->spread, w, job->class_index, 1);
+    kq_spread_add (&j->spread, w, job->class_index, 1);
   kq_quota_charge (&j->quota, job->team, job->charged);
   j->n_running++;
   kq_jobs_refresh_worker (j, w, now);
@@ -85,7 +85,7 @@
   job->queued_at = now;
   job->throttle_percent = 100;
   job->class_index = kq_classes_index (&j->classes, &job->spec.class_name);
-  job->want = kq_jobs_declared (j, &job->spec);
+  job->declared_size = kq_jobs_declared (j, &job->spec);
   kq_jobs_update_traits (j, job);
 }
 
@@ -159,7 +159,7 @@
   j->quota.teams[job->team].last_number = job->number;
   j->quota.teams[job->team].last_size = size;
   job->phase = KQ_JOB_PHASE_STARTING;
-  job->blocked = KQ_OK;
+  job->blocked_reason = KQ_OK;
   job->assigned_at = job->command_at = now;
   kq_jobs_command (j, KQ_WORKER_START, w, (KqTaskKey){ job->id, job->attempt }, out);
 }
@@ -218,7 +218,7 @@
 {
   KqJobEvent e = { .kind = KQ_JOB_EVENT_MOVING, .job = job->id, .shard = shard };
   append_event (j, &e, job->spec.priority, now);
-  job->blocked = KQ_OK;
+  job->blocked_reason = KQ_OK;
 }
 
 void
@@ -253,13 +253,13 @@
 kq_jobs_set_blocked (KqJobs *j, KqJob *job, KqResult why, KqTime now)
 {
   bool park = why == KQ_ERR_JOB_UNPLACEABLE;
-  bool parked = job->blocked == KQ_ERR_JOB_UNPLACEABLE;
+  bool parked = job->blocked_reason == KQ_ERR_JOB_UNPLACEABLE;
   if (park == parked || !job->in_queue)
     {
-      job->blocked = why;
+      job->blocked_reason = why;
       return;
     }
   kq_queue_remove (&j->queue, job);
-  job->blocked = why;
+  job->blocked_reason = why;
   kq_queue_add (&j->queue, job, now);
 }
--- a/src/job/jobs_impl.h
+++ b/src/job/jobs_impl.h
@@ -97,7 +97,7 @@
 void kq_jobs_attempt_stopped (KqJobs *j, KqJob *job, KqResult why,
                               const KqName *checkpoint, KqTime now);
 /* Sets the reason why the queued job isn't started. KQ_ERR_JOB_UNPLACEABLE parks the job,
- * any other value puts a parked one back into its list. */
+ * any other value puts an unplaceable one back into its list. */
 void kq_jobs_set_blocked (KqJobs *j, KqJob *job, KqResult why, KqTime now);
 /* Has this call's items wait for the commit of record `seq`. */
 void kq_jobs_send_after (KqJobs *j, KqSeq seq);
@@ -157,7 +157,7 @@
 void kq_jobs_refresh_worker (KqJobs *j, KqWorker *w, KqTime now);
 
 /* Requeues all jobs of the worker, whose attempts have certainly stopped. */
-void kq_jobs_count_out (KqJobs *j, KqWorker *w, KqTime now);
+void kq_jobs_close_attempts (KqJobs *j, KqWorker *w, KqTime now);
 /* Counts the live workers, finds the largest, and sums up the fleet's size. */
 void kq_jobs_sum_workers (KqJobs *j);
 
--- a/src/job/jobs_json.c
+++ b/src/job/jobs_json.c
@@ -24,7 +24,7 @@
   switch (job->state)
     {
     case KQ_JOB_STATE_QUEUED:
-      if (job->blocked == KQ_ERR_JOB_UNPLACEABLE)
+      if (job->blocked_reason == KQ_ERR_JOB_UNPLACEABLE)
         return "unplaceable";
       return job->attempt > 0 ? "requeued" : "queued";
     case KQ_JOB_STATE_ASSIGNED:
@@ -80,8 +80,9 @@
   if (job->state == KQ_JOB_STATE_QUEUED)
     json_object_set_new (json, "waiting_ms",
                          json_integer ((now - job->queued_at) / KQ_MS));
-  if (job->state == KQ_JOB_STATE_QUEUED && job->blocked != KQ_OK)
-    json_object_set_new (json, "reason", json_string (kq_result_name (job->blocked)));
+  if (job->state == KQ_JOB_STATE_QUEUED && job->blocked_reason != KQ_OK)
+    json_object_set_new (json, "reason",
+                         json_string (kq_result_name (job->blocked_reason)));
   if (job->state == KQ_JOB_STATE_FINISHED)
     json_object_set_new (json, "run_ms", json_integer (job->run_us / 1000));
   return json;
@@ -103,9 +104,9 @@
   json_object_set_new (json, "jobs_waiting", json_integer ((json_int_t)j->queue.n));
   if (!kq_place_possible (&p, &need, (KqSize){ 0 }, reason, sizeof reason))
     json_object_set_new (json, "explanation", json_string (reason));
-  else if (job->blocked != KQ_OK)
+  else if (job->blocked_reason != KQ_OK)
     json_object_set_new (json, "explanation",
-                         json_string (kq_result_meaning (job->blocked)));
+                         json_string (kq_result_meaning (job->blocked_reason)));
   else
     json_object_set_new (json, "explanation", json_string ("Its turn has not come."));
   return json;
@@ -161,7 +162,7 @@
       json_object_set_new (json, "lease", json_string (lease_name (w->lease.state)));
       json_object_set_new (json, "takes_work",
                            json_boolean (kq_worker_may_start (w, &j->times, now)));
-      json_object_set_new (json, "size", size_json (w->whole));
+      json_object_set_new (json, "size", size_json (w->capacity));
       json_object_set_new (json, "free", size_json (kq_worker_free (w)));
       json_object_set_new (json, "tasks", json_integer (w->n_jobs));
       json_array_append_new (all, json);
--- a/src/job/jobs_move.c
+++ b/src/job/jobs_move.c
@@ -19,7 +19,7 @@
 /* Moves begun in one period. More could all go to the shard that is the emptiest by the
  * last digests. */
 #define MOVE_BATCH 16
-/* Parked jobs tried in one period. */
+/* Unplaceable jobs tried in one period. */
 #define MOVE_PARKED_BATCH 128
 /* Wait for room after which a job moves: the time of several digests, and longer than it
  * takes under normal load until ending tasks free enough room. */
@@ -114,7 +114,7 @@
 {
   KqSize need = kq_jobs_required_size (j, job);
   KqShardDigest *d;
-  if (job->moves >= MOVES_MAX || job->promised != NULL)
+  if (job->moves >= MOVES_MAX || job->reserved_worker != NULL)
     return false;
   d = choose_shard (j, &need, allow_waiting);
   if (d == NULL)
@@ -124,13 +124,13 @@
 }
 
 static int
-move_parked (KqJobs *j, int count_max, KqTime now)
+move_unplaceable (KqJobs *j, int count_max, KqTime now)
 {
   KqJob *next;
   int n = 0;
   int tries_left = MOVE_PARKED_BATCH;
-  for (KqJob *job = j->queue.parked.first; job != NULL && n < count_max && tries_left > 0;
-       job = next)
+  for (KqJob *job = j->queue.unplaceable.first;
+       job != NULL && n < count_max && tries_left > 0; job = next)
     {
       next = job->next;
       tries_left--;
@@ -149,7 +149,7 @@
       for (int p = KQ_PRIORITY_URGENT; p >= KQ_PRIORITY_LOW && n < count_max; p--)
         {
           KqJob *job = kq_queue_list (&j->queue, team, (KqPriority)p)->first;
-          if (job != NULL && job->blocked == KQ_ERR_NO_ROOM
+          if (job != NULL && job->blocked_reason == KQ_ERR_NO_ROOM
               && now - job->queued_at > MOVE_WAIT)
             n += try_move (j, job, false, now);
         }
@@ -164,7 +164,7 @@
   if (now < j->next_move || j->n_others == 0)
     return;
   j->next_move = now + MOVE_PERIOD;
-  n = move_parked (j, MOVE_BATCH, now);
+  n = move_unplaceable (j, MOVE_BATCH, now);
   move_waiting (j, MOVE_BATCH - n, now);
   resend_moves (j, out);
 }
@@ -183,7 +183,7 @@
 }
 
 KqSeq
-kq_jobs_arrive (KqJobs *j, const KqMsgJobMove *m, KqTime now, KqOutbox *out)
+kq_jobs_receive_move (KqJobs *j, const KqMsgJobMove *m, KqTime now, KqOutbox *out)
 {
   KqRecord r = { KQ_JOB_EVENT_FULL_STATE, KQ_JOB_RECORD_VERSION, m->record };
   KqJobEvent e;
@@ -207,7 +207,7 @@
 }
 
 KqSeq
-kq_jobs_moved (KqJobs *j, const KqMsgJobMoved *m, KqTime now)
+kq_jobs_confirm_move (KqJobs *j, const KqMsgJobMoved *m, KqTime now)
 {
   KqJob *job = kq_job_find (&j->set, m->job);
   j->send_after = 0;
--- a/src/job/jobs_move_test.c
+++ b/src/job/jobs_move_test.c
@@ -62,7 +62,7 @@
   kq_jobs_set_table (s->jobs, r->table, r->now);
   for (size_t k = 0; k < s->log.n_records; k++)
     kq_jobs_apply (s->jobs, &s->log.records[k], r->now);
-  kq_jobs_opened (s->jobs, epoch, r->now, &s->out);
+  kq_jobs_recovered (s->jobs, epoch, r->now, &s->out);
   kq_jobs_set_hosts (s->jobs, &h, 1, r->now, &s->out);
 }
 
@@ -73,7 +73,7 @@
   KqShardDigest d = { .shard = (uint32_t)(2 - i), .workers = 1 };
   d.largest_whole = large ? (KqSize){ 64000, 64000, 0 } : (KqSize){ 1000, 1000, 0 };
   d.largest_free = d.free = d.largest_whole;
-  kq_jobs_set_others (r->shards[i].jobs, &d, 1, r->now);
+  kq_jobs_set_other_digests (r->shards[i].jobs, &d, 1, r->now);
 }
 
 static int
@@ -145,7 +145,7 @@
 {
   KqOut item;
   KqMsg *found = NULL;
-  kq_jobs_arrive (r->shards[i].jobs, &m->u.job_move, r->now, &r->shards[i].out);
+  kq_jobs_receive_move (r->shards[i].jobs, &m->u.job_move, r->now, &r->shards[i].out);
   while (kq_outbox_take (&r->shards[i].out, &item))
     {
       if (item.kind == KQ_OUT_SEND && item.u.send.msg->kind == KQ_MSG_JOB_MOVED)
@@ -181,8 +181,9 @@
   assert_int_equal (kq_jobs_account (r->shards[1].jobs).accepted, 1);
   assert_non_null (moved[0]);
   assert_non_null (moved[1]);
-  kq_jobs_moved (r->shards[0].jobs, &moved[0]->u.job_moved, r->now);
-  assert_int_equal (kq_jobs_moved (r->shards[0].jobs, &moved[1]->u.job_moved, r->now), 0);
+  kq_jobs_confirm_move (r->shards[0].jobs, &moved[0]->u.job_moved, r->now);
+  assert_int_equal (
+      kq_jobs_confirm_move (r->shards[0].jobs, &moved[1]->u.job_moved, r->now), 0);
   assert_int_equal (kq_jobs_account (r->shards[0].jobs).moved, 1);
   kq_jobs_call (r->shards[0].jobs, &get, r->now, &r->shards[0].out);
   assert_true (kq_outbox_take (&r->shards[0].out, &item));
@@ -214,7 +215,7 @@
   move = tick (r, 0, KQ_MSG_JOB_MOVE, &after);
   assert_non_null (move);
   moved = arrive (r, 1, move);
-  kq_jobs_moved (r->shards[0].jobs, &moved->u.job_moved, r->now);
+  kq_jobs_confirm_move (r->shards[0].jobs, &moved->u.job_moved, r->now);
   kq_jobs_free (r->shards[0].jobs);
   open_shard (r, 0, 3);
   assert_int_equal (kq_jobs_account (r->shards[0].jobs).moved, 1);
@@ -241,7 +242,7 @@
   other_is_large (r, 0, true);
   there = tick (r, 0, KQ_MSG_JOB_MOVE, &after);
   reply = arrive (r, 1, there);
-  kq_jobs_moved (r->shards[0].jobs, &reply->u.job_moved, r->now);
+  kq_jobs_confirm_move (r->shards[0].jobs, &reply->u.job_moved, r->now);
   kq_msg_free (reply);
   other_is_large (r, 0, false);
   other_is_large (r, 1, true);
@@ -249,7 +250,7 @@
   assert_non_null (back);
   reply = arrive (r, 0, back);
   assert_non_null (reply);
-  kq_jobs_moved (r->shards[1].jobs, &reply->u.job_moved, r->now);
+  kq_jobs_confirm_move (r->shards[1].jobs, &reply->u.job_moved, r->now);
   kq_msg_free (reply);
   kq_msg_free (arrive (r, 1, there));
   assert_int_equal (kq_jobs_account (r->shards[1].jobs).moved, 1);
--- a/src/job/jobs_policy.c
+++ b/src/job/jobs_policy.c
@@ -36,11 +36,11 @@
   KqClassRow row = kq_jobs_class (j, &job->spec.class_name);
   job->movable = row.movable;
   job->checkpoint_us = row.checkpoint_ms * KQ_MS;
-  if (job->on == NULL)
+  if (job->assigned_worker == NULL)
     job->service = job->spec.latency_critical || row.latency_critical;
   if (job->service)
     j->classes.latency_critical[job->class_index]
-        = j->interference.quiet[job->class_index] = true;
+        = j->interference.low_prior[job->class_index] = true;
 }
 
 /* Charges memory used beyond the task's size to the worker and to the team's quota. */
@@ -65,17 +65,17 @@
   if (job == NULL || job->worker != w->id || job->attempt != u->task.attempt)
     return;
   kq_sizes_report (&j->sizes, job->class_index, u);
-  if (job->on == w)
+  if (job->assigned_worker == w)
     {
       charge_growth (j, w, job, u);
       if (job->service)
-        kq_remedy_note (w, job, u->slowdown, at);
+        kq_remedy_record_slowdown (w, job, u->slowdown, at);
     }
   if (at < job->assigned_at || !kq_history_at (&w->history, at, &mix, &cpu))
     return;
   kq_mix_add (&mix, job->class_index, -1);
   kq_interference_learn (&j->interference, job->class_index, &mix,
-                         kq_load_band (cpu, w->whole.cpu_milli), u->slowdown, now);
+                         kq_load_band (cpu, w->capacity.cpu_milli), u->slowdown, now);
 }
 
 void
@@ -99,7 +99,7 @@
 {
   w->task_limit = INT_MAX;
   if (kq_jobs_policy (j)->bad_workers)
-    w->task_limit = kq_health_allows (&j->health, &w->health, now);
+    w->task_limit = kq_health_task_limit (&j->health, &w->health, now);
 }
 
 void
@@ -116,7 +116,7 @@
 static void
 throttle (KqJobs *j, KqJob *job, int percent, KqTime now, KqOutbox *out)
 {
-  KqWorker *w = job->on;
+  KqWorker *w = job->assigned_worker;
   double change = (percent - job->throttle_percent) / 100.0;
   kq_history_change (&w->history, job->class_index, change, 0, now);
   job->throttle_percent = percent;
@@ -144,14 +144,14 @@
       kq_jobs_evict (j, r.job, now, out);
       break;
     }
-  kq_remedy_done (w, now);
+  kq_remedy_applied (w, now);
 }
 
 void
 kq_jobs_cancel_reservation (KqJobs *j, KqJob *job, KqTime now)
 {
-  KqWorker *w = job->promised;
-  kq_worker_unpromise (w, job);
+  KqWorker *w = job->reserved_worker;
+  kq_worker_cancel_reservation (w, job);
   j->n_reservations--;
   kq_jobs_refresh_worker (j, w, now);
 }
@@ -169,7 +169,7 @@
     {
       KqWorker *w = j->workers.all[(at + i) % n];
       KqEviction e;
-      if (w->promise != 0 || !kq_worker_may_start (w, &j->times, now)
+      if (w->reserved_for != 0 || !kq_worker_may_start (w, &j->times, now)
           || !kq_evict_plan (w, need, rule, now, &e))
         continue;
       if (found == NULL || e.cost < best->cost)
@@ -185,7 +185,8 @@
 kq_jobs_make_room (KqJobs *j, KqJob *job, const KqSize *need, KqTime now, KqOutbox *out)
 {
   const KqPolicyRow *p = kq_jobs_policy (j);
-  KqEvictRule rule = { .below = job->spec.priority, .evictions_max = p->evictions_max };
+  KqEvictRule rule
+      = { .priority_below = job->spec.priority, .evictions_max = p->evictions_max };
   KqEviction e;
   KqWorker *w;
   if (!p->eviction || j->n_reservations >= RESERVATIONS_MAX)
@@ -193,17 +194,17 @@
   if (job->spec.priority != KQ_PRIORITY_URGENT)
     {
       if (!p->quotas || now < j->next_reclaim
-          || !kq_quota_guarantees (&j->quota, job->team, *need))
+          || !kq_quota_within_guarantee (&j->quota, job->team, *need))
         return false;
       j->next_reclaim = now + RECLAIM_PERIOD;
-      rule.below = KQ_PRIORITY_URGENT;
+      rule.priority_below = KQ_PRIORITY_URGENT;
       rule.quota = &j->quota;
       rule.team = job->team;
     }
   w = plan_room (j, need, &rule, now, &e);
   if (w == NULL)
     return false;
-  kq_worker_promise (w, job, *need, now + RESERVATION_TIME);
+  kq_worker_reserve (w, job, *need, now + RESERVATION_TIME);
   j->n_reservations++;
   kq_jobs_refresh_worker (j, w, now);
   for (int i = 0; i < e.n; i++)
@@ -245,20 +246,20 @@
   KqWorker *best = NULL;
   uint32_t n = j->workers.n;
   uint32_t at = n > 0 ? (uint32_t)kq_rand_below (&j->rand, n) : 0;
-  if ((other != NULL && other->promised != NULL) || !overtaken (j, job, need, now))
+  if ((other != NULL && other->reserved_worker != NULL) || !overtaken (j, job, need, now))
     return;
   for (uint32_t i = 0; i < n && i < ROOM_WORKERS_MAX; i++)
     {
       KqWorker *w = j->workers.all[(at + i) % n];
-      KqSize whole = kq_size_sub (w->whole, w->row.reserved);
-      if (w->promise == 0 && !w->kept && kq_worker_may_start (w, &j->times, now)
-          && kq_size_fits (need, &whole)
+      KqSize whole = kq_size_sub (w->capacity, w->row.reserved);
+      if (w->reserved_for == 0 && !w->urgent_only
+          && kq_worker_may_start (w, &j->times, now) && kq_size_fits (need, &whole)
           && (best == NULL || fit_fraction (w, need) > fit_fraction (best, need)))
         best = w;
     }
   if (best == NULL)
     return;
-  kq_worker_promise (best, job, *need, now + LARGE_JOB_RESERVATION_TIME);
+  kq_worker_reserve (best, job, *need, now + LARGE_JOB_RESERVATION_TIME);
   j->n_reservations++;
   j->large_job = job->id;
   kq_jobs_refresh_worker (j, best, now);
@@ -289,7 +290,7 @@
 next_to_evacuate (KqJobs *j, const KqWorker *w)
 {
   KqJob *best = NULL;
-  for (KqJob *job = w->jobs; job != NULL; job = job->next_on)
+  for (KqJob *job = w->jobs; job != NULL; job = job->next_on_worker)
     if (job->phase == KQ_JOB_PHASE_RUNNING && !job->cancel_wanted
         && (best == NULL || evacuates_before (job, best))
         && kq_fit_tree_find (&j->workers.room, 0, &job->size) != KQ_FIT_NONE)
@@ -321,21 +322,21 @@
   uint32_t n = j->n_live >= URGENT_RESERVE_WORKERS_MIN ? j->n_live : 0;
   uint32_t keep = (uint32_t)(n * p->urgent_percent / 100);
   for (uint32_t i = 0; i < j->workers.n; i++)
-    j->workers.all[i]->kept = false;
+    j->workers.all[i]->urgent_only = false;
   while (keep-- > 0)
     {
       KqWorker *best = NULL;
       for (uint32_t i = 0; i < j->workers.n; i++)
         {
           KqWorker *w = j->workers.all[i];
-          if (w->kept || !w->in_hosts || w->host != KQ_HOST_LIVE)
+          if (w->urgent_only || !w->in_hosts || w->host != KQ_HOST_LIVE)
             continue;
           if (best == NULL || kq_hash2 (w->id, 1) < kq_hash2 (best->id, 1))
             best = w;
         }
       if (best == NULL)
         break;
-      best->kept = true;
+      best->urgent_only = true;
     }
   for (uint32_t i = 0; i < j->workers.n; i++)
     kq_jobs_refresh_worker (j, j->workers.all[i], now);
--- a/src/job/jobs_policy_test.c
+++ b/src/job/jobs_policy_test.c
@@ -96,7 +96,7 @@
 /* One team's jobs fill the fleet when another team claims its guarantee. The other team
  * must get its guarantee and no more, by one eviction every two seconds. */
 static void
-test_guarantee_is_taken_back_gently (void **state)
+test_guarantee_is_reclaimed_gradually (void **state)
 {
   KqRig *r = new_rig (4, 2);
   KqTeamRow row = kq_row_default (KQ_ROW_TEAM, KQ_STR ("seal")).u.team;
@@ -339,7 +339,7 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_urgent_job_evicts),
-    cmocka_unit_test (test_guarantee_is_taken_back_gently),
+    cmocka_unit_test (test_guarantee_is_reclaimed_gradually),
     cmocka_unit_test (test_leaving_host),
     cmocka_unit_test (test_rack_loss),
     cmocka_unit_test (test_spread),
--- a/src/job/jobs_reply.c
+++ b/src/job/jobs_reply.c
@@ -19,7 +19,7 @@
 {
   KqJob *job = kq_job_find (&j->set, key.job);
   if (job == NULL || job->state != KQ_JOB_STATE_ASSIGNED || job->attempt != key.attempt
-      || job->on != w)
+      || job->assigned_worker != w)
     return NULL;
   return job;
 }
@@ -30,9 +30,9 @@
   KqClassRow row = kq_jobs_class (j, &job->spec.class_name);
   uint32_t attempts_max = (uint32_t)row.attempts_max;
   bool blame;
-  kq_jobs_record_outcome (j, job->on, job, true, now);
+  kq_jobs_record_outcome (j, job->assigned_worker, job, true, now);
   /* A limited number of failures on bad workers doesn't use up the job's attempts. */
-  blame = kq_health_blames_job (&job->on->health)
+  blame = kq_health_blames_job (&job->assigned_worker->health)
           || job->excused >= EXCUSED_FACTOR * attempts_max;
   if (job->cancel_wanted)
     kq_jobs_end (j, job, KQ_JOB_STATE_CANCELLED, KQ_OK, t->run_us, now);
@@ -50,7 +50,7 @@
     case KQ_TASK_RUNNING:
       break;
     case KQ_TASK_FINISHED:
-      kq_jobs_record_outcome (j, job->on, job, false, now);
+      kq_jobs_record_outcome (j, job->assigned_worker, job, false, now);
       if (job->cancel_wanted)
         kq_jobs_end (j, job, KQ_JOB_STATE_CANCELLED, KQ_OK, t->run_us, now);
       else
@@ -110,7 +110,7 @@
     }
   /* A closed attempt, or a job that this shard doesn't have: a later attempt may be
    * running elsewhere, so this task must stop. */
-  w->foreign = kq_size_add (w->foreign, t->size);
+  w->unknown_used = kq_size_add (w->unknown_used, t->size);
   kq_jobs_command (j, KQ_WORKER_STOP, w, t->task, out);
 }
 
@@ -158,17 +158,17 @@
   /* The second step of the handshake waits for the answers to the STOPs. Repeating the
    * first at once would be a busy loop. */
   if (w->n_fences > 0 && w->lease.state == KQ_LEASE_ASKED)
-    w->lease.next = now + STOP_RETRY_TIME / 4;
+    w->lease.next_call_at = now + STOP_RETRY_TIME / 4;
   w->leaving = r->leaving;
-  w->whole = r->whole;
-  w->foreign = (KqSize){ 0 };
+  w->capacity = r->whole;
+  w->unknown_used = (KqSize){ 0 };
   w->list_number++;
   w->n_acks = 0;
   for (size_t i = 0; i < r->n_tasks; i++)
     reconcile_task (j, w, &r->tasks[i], now, out);
   for (KqJob *job = w->jobs, *next; job != NULL; job = next)
     {
-      next = job->next_on;
+      next = job->next_on_worker;
       if (job->seen_in_list != w->list_number)
         reconcile_missing (j, w, job, r->sent_at, now, out);
     }
@@ -198,7 +198,7 @@
     case KQ_ERR_NO_LEASE:
       if (job->phase == KQ_JOB_PHASE_RUNNING || job->phase == KQ_JOB_PHASE_EVICTING)
         break;
-      w->not_before = now + REFUSED_PAUSE;
+      w->start_not_before = now + REFUSED_PAUSE;
       if (r->result == KQ_ERR_WORKER_REFUSED)
         kq_jobs_record_outcome (j, w, job, true, now);
       kq_jobs_attempt_stopped (j, job, KQ_RETRY_NOT_RUN, NULL, now);
@@ -220,7 +220,7 @@
     return;
   kq_worker_unfence (w, r->task);
   if (w->n_fences == 0 && w->lease.state == KQ_LEASE_ASKED)
-    w->lease.next = now;
+    w->lease.next_call_at = now;
   if (job == NULL)
     return;
   if (job->cancel_wanted)
--- a/src/job/jobs_tick.c
+++ b/src/job/jobs_tick.c
@@ -15,7 +15,7 @@
 #define SCAN_PERIOD (250 * KQ_MS)
 /* Sizes that found no room, remembered during one scheduling round. */
 #define FAILED_SIZES_MAX 8
-/* Parked jobs checked in one scan. */
+/* Unplaceable jobs checked in one scan. */
 #define PARKED_BATCH 64
 
 void
@@ -62,15 +62,16 @@
 kq_jobs_stop (KqJobs *j, KqJob *job, KqTime now, KqOutbox *out)
 {
   kq_jobs_set_phase (j, job, KQ_JOB_PHASE_STOPPING, now);
-  kq_jobs_command (j, KQ_WORKER_STOP, job->on, (KqTaskKey){ job->id, job->attempt }, out);
+  kq_jobs_command (j, KQ_WORKER_STOP, job->assigned_worker,
+                   (KqTaskKey){ job->id, job->attempt }, out);
 }
 
 void
 kq_jobs_evict (KqJobs *j, KqJob *job, KqTime now, KqOutbox *out)
 {
   kq_jobs_set_phase (j, job, KQ_JOB_PHASE_EVICTING, now);
-  kq_jobs_command (j, KQ_WORKER_CHECKPOINT, job->on, (KqTaskKey){ job->id, job->attempt },
-                   out);
+  kq_jobs_command (j, KQ_WORKER_CHECKPOINT, job->assigned_worker,
+                   (KqTaskKey){ job->id, job->attempt }, out);
 }
 
 /* Collects the acknowledgements whose records are committed; the others wait for the next
@@ -120,11 +121,11 @@
 {
   int n = 0;
   while (n < RENEW_BATCH && j->workers.first_due != NULL
-         && j->workers.first_due->lease.next <= now)
+         && j->workers.first_due->lease.next_call_at <= now)
     {
       KqWorker *w = j->workers.first_due;
       if (w->host == KQ_HOST_GONE)
-        w->lease.next = KQ_TIME_NEVER;
+        w->lease.next_call_at = KQ_TIME_NEVER;
       else
         {
           renew_one (j, w, now, out);
@@ -136,7 +137,7 @@
 }
 
 void
-kq_jobs_count_out (KqJobs *j, KqWorker *w, KqTime now)
+kq_jobs_close_attempts (KqJobs *j, KqWorker *w, KqTime now)
 {
   if (w->n_jobs > 0)
     kq_log (KQ_LOG_WARN, "job", "A worker is lost. worker=%.*s tasks=%d",
@@ -152,12 +153,13 @@
     }
 }
 
-/* A parked job may become placeable as the sizes of its class are learned. */
+/* An unplaceable job may become placeable as the sizes of its class are learned. */
 static void
-check_parked (KqJobs *j, KqTime now)
+check_unplaceable (KqJobs *j, KqTime now)
 {
   int left = PARKED_BATCH;
-  for (KqJob *job = j->queue.parked.first, *next; job != NULL && left-- > 0; job = next)
+  for (KqJob *job = j->queue.unplaceable.first, *next; job != NULL && left-- > 0;
+       job = next)
     {
       next = job->next;
       if (!kq_jobs_check_possible (j, job, now))
@@ -171,14 +173,14 @@
   for (uint32_t i = 0; i < j->workers.n; i++)
     {
       KqWorker *w = j->workers.all[i];
-      if (kq_lease_lapse (&w->lease, now))
-        kq_jobs_count_out (j, w, now);
-      if (w->promise != 0 && now >= w->promise_until)
-        kq_jobs_cancel_reservation (j, kq_job_find (&j->set, w->promise), now);
+      if (kq_lease_check_expired (&w->lease, now))
+        kq_jobs_close_attempts (j, w, now);
+      if (w->reserved_for != 0 && now >= w->reserved_until)
+        kq_jobs_cancel_reservation (j, kq_job_find (&j->set, w->reserved_for), now);
       kq_jobs_update_task_limit (j, w, now);
       kq_jobs_refresh_worker (j, w, now);
     }
-  check_parked (j, now);
+  check_unplaceable (j, now);
   kq_jobs_account (j); /* asserts that every accepted job is counted */
   /* A job that was held back because it would disturb a service may start once its
    * interference has been learned anew. */
@@ -190,8 +192,8 @@
 kq_jobs_required_size (const KqJobs *j, const KqJob *job)
 {
   if (!kq_jobs_policy (j)->learned_sizes)
-    return job->want;
-  return kq_sizes_need (&j->sizes, job->class_index, job->want, j->largest);
+    return job->declared_size;
+  return kq_sizes_need (&j->sizes, job->class_index, job->declared_size, j->largest);
 }
 
 bool
@@ -205,7 +207,7 @@
     hosts_known = j->workers.all[i]->in_hosts;
   if (!hosts_known || kq_place_possible (&p, &need, (KqSize){ 0 }, reason, sizeof reason))
     {
-      if (job->blocked == KQ_ERR_JOB_UNPLACEABLE)
+      if (job->blocked_reason == KQ_ERR_JOB_UNPLACEABLE)
         kq_jobs_set_blocked (j, job, KQ_OK, now);
       return false;
     }
@@ -242,8 +244,8 @@
 start_reserved (SchedulingRound *r, KqJob *job)
 {
   KqJobs *j = r->j;
-  KqWorker *w = job->promised;
-  KqSize need = w->promise_size;
+  KqWorker *w = job->reserved_worker;
+  KqSize need = w->reserved_size;
   KqSize room = kq_size_add (kq_worker_free (w), need);
   if (!kq_size_fits (&need, &room) || !kq_worker_may_start (w, &j->times, r->now))
     return false;
@@ -270,11 +272,11 @@
   r->tries_left--;
   if (p.policy->quotas && !kq_quota_allows (&j->quota, job->team, need))
     {
-      job->blocked = KQ_ERR_JOB_QUOTA;
+      job->blocked_reason = KQ_ERR_JOB_QUOTA;
       return false;
     }
-  job->blocked = KQ_ERR_NO_ROOM;
-  if (job->promised != NULL)
+  job->blocked_reason = KQ_ERR_NO_ROOM;
+  if (job->reserved_worker != NULL)
     return start_reserved (r, job);
   if (known_not_to_fit (r, &need))
     {
@@ -284,14 +286,14 @@
   if (job->spec.priority != KQ_PRIORITY_URGENT
       && r->disturbing_classes >> job->class_index & 1)
     {
-      job->blocked = KQ_ERR_JOB_DISTURBS;
+      job->blocked_reason = KQ_ERR_JOB_DISTURBS;
       return false;
     }
   w = kq_place_choose (&p, job, &need);
-  if (w == NULL && p.disturbs && job->spec.priority != KQ_PRIORITY_URGENT)
+  if (w == NULL && p.only_disturbing && job->spec.priority != KQ_PRIORITY_URGENT)
     {
       r->disturbing_classes |= (uint64_t)1 << job->class_index;
-      job->blocked = KQ_ERR_JOB_DISTURBS;
+      job->blocked_reason = KQ_ERR_JOB_DISTURBS;
       return false;
     }
   if (w == NULL)
@@ -375,7 +377,7 @@
   if (store_ok || j->store_ok)
     j->store_lost_at = now;
   j->store_ok = store_ok;
-  j->renewing = store_ok || now - j->store_lost_at <= j->times.blind;
+  j->renewing = store_ok || now - j->store_lost_at <= j->times.renew_without_store;
 }
 
 KqSeq
@@ -393,7 +395,7 @@
     scan_workers (j, now);
   if (store_ok)
     kq_jobs_record_learned (j, now);
-  if (kq_queue_wake (&j->queue, now))
+  if (kq_queue_move_due (&j->queue, now))
     j->dirty = true;
   if (!store_ok)
     return j->send_after;
@@ -405,13 +407,13 @@
 }
 
 KqTime
-kq_jobs_wake (const KqJobs *j, KqTime now)
+kq_jobs_next_tick (const KqJobs *j, KqTime now)
 {
-  KqTime next = MIN (j->next_scan, kq_queue_next (&j->queue));
+  KqTime next = MIN (j->next_scan, kq_queue_next_due_time (&j->queue));
   if (!j->open)
     return KQ_TIME_NEVER;
   if (j->renewing && j->workers.first_due != NULL)
-    next = MIN (next, j->workers.first_due->lease.next);
+    next = MIN (next, j->workers.first_due->lease.next_call_at);
   if (j->dirty && j->store_ok)
     next = now;
   return MAX (next, now);
--- a/src/job/lease.c
+++ b/src/job/lease.c
@@ -5,8 +5,8 @@
 void
 kq_lease_open (KqLease *l, const KqLeaseTimes *t, KqTime now)
 {
-  *l = (KqLease){ .state = KQ_LEASE_UNKNOWN, .next = now };
-  l->expired_by = now + t->lease + t->blind + KQ_LEASE_MARGIN;
+  *l = (KqLease){ .state = KQ_LEASE_UNKNOWN, .next_call_at = now };
+  l->expired_by = now + t->lease + t->renew_without_store + KQ_LEASE_MARGIN;
 }
 
 static KqTime
@@ -22,7 +22,7 @@
   assert (token != 0);
   l->in_flight = true;
   l->token = token;
-  l->next = now + t->renew;
+  l->next_call_at = now + t->renew;
   l->echoed_call_sent_at = l->stamp_call_sent_at;
   if (l->stamp != 0)
     l->expired_by
@@ -52,7 +52,7 @@
         l->expired_by = now + t->lease;
       l->state = KQ_LEASE_ASKED;
       l->live_until = 0;
-      l->next = now;
+      l->next_call_at = now;
     }
   l->stamp = r->stamp;
   l->stamp_call_sent_at = r->sent_at;
@@ -72,7 +72,7 @@
       return true;
     case KQ_ERR_OLD_EPOCH:
       l->state = KQ_LEASE_SHUT_OUT;
-      l->next = KQ_TIME_NEVER;
+      l->next_call_at = KQ_TIME_NEVER;
       return false;
     case KQ_ERR_NO_LEASE:
       l->stamp = 0; /* the handshake begins again */
@@ -83,7 +83,7 @@
 }
 
 bool
-kq_lease_lapse (KqLease *l, KqTime now)
+kq_lease_check_expired (KqLease *l, KqTime now)
 {
   if (l->state == KQ_LEASE_LAPSED || l->state == KQ_LEASE_SHUT_OUT || now < l->expired_by)
     return false;
--- a/src/job/lease.h
+++ b/src/job/lease.h
@@ -12,8 +12,8 @@
  * else renews, so after expired_by the worker's tasks have certainly stopped.
  *
  * After a takeover the previous owner's renewals count too; if it can't reach the store,
- * it goes on for the blind time. Until the lease, the blind time and the margin have
- * passed, a worker that doesn't answer may still run tasks. */
+ * it goes on for renew_without_store. Until the lease, renew_without_store and the margin
+ * have passed, a worker that doesn't answer may still run tasks. */
 
 #include "port/worker.h"
 
@@ -25,7 +25,8 @@
 {
   KqTime lease; /* how long a renewal lasts */
   KqTime renew; /* period of renewals */
-  KqTime blind; /* how long an owner renews at most while the store is away */
+  KqTime
+      renew_without_store; /* how long an owner renews at most while the store is away */
 } KqLeaseTimes;
 
 typedef enum
@@ -47,8 +48,8 @@
   KqTime live_until;          /* it certainly lives until then */
   KqTime expired_by;          /* it has certainly ended by then */
   bool in_flight;
-  uint64_t token; /* of the call in flight */
-  KqTime next;    /* when the next call is due */
+  uint64_t token;      /* of the call in flight */
+  KqTime next_call_at; /* when the next call is due */
 } KqLease;
 
 /* A lease of unknown state, whose first call is due at once. */
@@ -61,7 +62,7 @@
 bool kq_lease_reply (KqLease *l, const KqLeaseTimes *t, const KqWorkerReply *r,
                      KqTime now);
 /* True once, when the lease has certainly ended; the state is LAPSED from then on. */
-bool kq_lease_lapse (KqLease *l, KqTime now);
+bool kq_lease_check_expired (KqLease *l, KqTime now);
 /* Whether a START sent now is certain to find the lease alive: it lives for at least a
  * third of the renewal period more. */
 bool kq_lease_usable (const KqLease *l, const KqLeaseTimes *t, KqTime now);
--- a/src/job/place.c
+++ b/src/job/place.c
@@ -72,7 +72,7 @@
 }
 
 void
-kq_spread_change (KqSpread *s, const KqWorker *w, uint16_t class_index, int n)
+kq_spread_add (KqSpread *s, const KqWorker *w, uint16_t class_index, int n)
 {
   if (w->rack_index >= s->n_racks || w->depot_index >= s->n_depots)
     return;
@@ -92,7 +92,7 @@
 disturbance (const KqPlacer *p, const KqWorker *w, const KqJob *job, const KqSize *need)
 {
   const KqMix *mix = &w->history.mix;
-  int band = kq_load_band (w->used.cpu_milli + need->cpu_milli, w->whole.cpu_milli);
+  int band = kq_load_band (w->used.cpu_milli + need->cpu_milli, w->capacity.cpu_milli);
   double sum = class_weight (p, job->class_index)
                * kq_interference_sum (p->interference, job->class_index, mix, band);
   for (int i = 0; i < mix->n; i++)
@@ -125,7 +125,7 @@
                  const KqSize *need)
 {
   const KqMix *mix = &w->history.mix;
-  int band = kq_load_band (w->used.cpu_milli + need->cpu_milli, w->whole.cpu_milli);
+  int band = kq_load_band (w->used.cpu_milli + need->cpu_milli, w->capacity.cpu_milli);
   for (int i = 0; i < mix->n; i++)
     {
       uint16_t c = mix->parts[i].class_index;
@@ -145,8 +145,8 @@
 free_share (const KqWorker *w)
 {
   KqSize room = kq_worker_free (w);
-  double cpu = (double)room.cpu_milli / (double)MAX (w->whole.cpu_milli, 1);
-  double memory = (double)room.memory_mb / (double)MAX (w->whole.memory_mb, 1);
+  double cpu = (double)room.cpu_milli / (double)MAX (w->capacity.cpu_milli, 1);
+  double memory = (double)room.memory_mb / (double)MAX (w->capacity.memory_mb, 1);
   return (cpu + memory) / 2;
 }
 
@@ -191,7 +191,7 @@
 choose_in (KqPlacer *p, KqFitTree *t, const KqJob *job, const KqSize *need)
 {
   KqWorker *best = find_worker (p, t, 0, need);
-  KqRand rand = kq_rand (*p->draws);
+  KqRand rand = kq_rand (*p->rand_state);
   double best_cost;
   if (best == NULL || p->rule == KQ_PLACE_FIRST_FIT)
     return best;
@@ -210,8 +210,8 @@
           best_cost = cost;
         }
     }
-  *p->draws = kq_rand_next (&rand);
-  p->disturbs |= isinf (best_cost);
+  *p->rand_state = kq_rand_next (&rand);
+  p->only_disturbing |= isinf (best_cost);
   return isinf (best_cost) ? NULL : best;
 }
 
@@ -221,7 +221,7 @@
   KqWorker *w = choose_in (p, &p->workers->room, job, need);
   if (w == NULL && job->spec.priority == KQ_PRIORITY_URGENT)
     w = choose_in (p, &p->workers->urgent_room, job, need);
-  if (w == NULL && p->disturbs && job->spec.priority == KQ_PRIORITY_URGENT)
+  if (w == NULL && p->only_disturbing && job->spec.priority == KQ_PRIORITY_URGENT)
     {
       p->ignore_disturbance = true;
       w = choose_in (p, &p->workers->room, job, need);
@@ -245,8 +245,8 @@
   for (uint32_t i = 0; i < p->workers->n; i++)
     {
       const KqWorker *w = p->workers->all[i];
-      KqSize whole = kq_size_sub (w->whole, w->row.reserved);
-      if (w->host == KQ_HOST_GONE || !w->in_hosts || w->kept)
+      KqSize whole = kq_size_sub (w->capacity, w->row.reserved);
+      if (w->host == KQ_HOST_GONE || !w->in_hosts || w->urgent_only)
         continue;
       if (kq_size_fits (need, &whole))
         return true;
--- a/src/job/place.h
+++ b/src/job/place.h
@@ -46,7 +46,7 @@
 /* Sets the worker's rack_index and depot_index; unknown racks and depots are added. */
 void kq_spread_locate (KqSpread *s, KqWorker *w);
 /* Adds n tasks of the class on the worker; n may be negative. */
-void kq_spread_change (KqSpread *s, const KqWorker *w, uint16_t class_index, int n);
+void kq_spread_add (KqSpread *s, const KqWorker *w, uint16_t class_index, int n);
 
 typedef struct
 {
@@ -57,10 +57,10 @@
   const KqInterference *interference;
   const KqClasses *classes;
   const KqSpread *spread;
-  uint64_t *draws; /* state of the random numbers */
+  uint64_t *rand_state; /* state of the random numbers */
   KqTime now;
   bool ignore_disturbance; /* no limit on the slowdown of services: for urgent jobs */
-  bool disturbs;           /* out: had room only beside services it slows too much */
+  bool only_disturbing;    /* out: had room only beside services it slows too much */
 } KqPlacer;
 
 /* A worker with room for `need`, or NULL. Only urgent jobs get workers that are kept for
--- a/src/job/policy_test.c
+++ b/src/job/policy_test.c
@@ -134,14 +134,14 @@
       kq_health_outcome (&f, &good, 0, 100 + job, false, 50, 10, 0);
     }
   assert_int_equal (good.state, KQ_HEALTH_GOOD);
-  assert_int_equal (kq_health_allows (&f, &bad, 10 * KQ_SEC), 0);
-  assert_int_equal (kq_health_allows (&f, &bad, 31 * KQ_SEC), 1);
+  assert_int_equal (kq_health_task_limit (&f, &bad, 10 * KQ_SEC), 0);
+  assert_int_equal (kq_health_task_limit (&f, &bad, 31 * KQ_SEC), 1);
   kq_health_outcome (&f, &bad, 0, 9, true, 50, 10, 32 * KQ_SEC);
-  assert_int_equal (kq_health_allows (&f, &bad, 90 * KQ_SEC), 0); /* pause doubled */
-  assert_int_equal (kq_health_allows (&f, &bad, 93 * KQ_SEC), 1);
+  assert_int_equal (kq_health_task_limit (&f, &bad, 90 * KQ_SEC), 0); /* pause doubled */
+  assert_int_equal (kq_health_task_limit (&f, &bad, 93 * KQ_SEC), 1);
   while (bad.state != KQ_HEALTH_GOOD)
     {
-      assert_int_equal (kq_health_allows (&f, &bad, 94 * KQ_SEC), allowed);
+      assert_int_equal (kq_health_task_limit (&f, &bad, 94 * KQ_SEC), allowed);
       kq_health_outcome (&f, &bad, 0, 10, false, 50, 10, 94 * KQ_SEC);
       allowed *= 2;
     }
@@ -191,10 +191,10 @@
 static void
 test_eviction (void **state)
 {
-  KqWorker w = { .whole = { 4000, 4000, 0 }, .task_limit = 99 };
+  KqWorker w = { .capacity = { 4000, 4000, 0 }, .task_limit = 99 };
   KqJob jobs[4] = { running_job (1, 1000, 0), running_job (2, 1000, 0),
                     running_job (3, 1000, 0), running_job (4, 1000, 0) };
-  KqEvictRule rule = { .below = KQ_PRIORITY_URGENT, .evictions_max = 3 };
+  KqEvictRule rule = { .priority_below = KQ_PRIORITY_URGENT, .evictions_max = 3 };
   KqSize need = { 1000, 100, 0 };
   KqEviction e;
   (void)state;
@@ -211,7 +211,7 @@
   assert_int_equal (e.n, 2);
   need.cpu_milli = 3000;
   assert_false (kq_evict_plan (&w, &need, &rule, 610 * KQ_SEC, &e));
-  rule.below = KQ_PRIORITY_NORMAL;
+  rule.priority_below = KQ_PRIORITY_NORMAL;
   need.cpu_milli = 1000;
   assert_false (kq_evict_plan (&w, &need, &rule, 610 * KQ_SEC, &e));
 }
@@ -222,12 +222,12 @@
 {
   KqRemedy r;
   for (int i = 0; i < 3; i++)
-    kq_remedy_note (w, service, slowdown, now - KQ_SEC);
+    kq_remedy_record_slowdown (w, service, slowdown, now - KQ_SEC);
   r = kq_remedy_choose (w, f, p, now);
   if (r.kind == KQ_REMEDY_THROTTLE)
     r.job->throttle_percent = r.percent;
   if (r.kind != KQ_REMEDY_NONE)
-    kq_remedy_done (w, now);
+    kq_remedy_applied (w, now);
   return r;
 }
 
@@ -240,7 +240,7 @@
 {
   KqInterference *f = calloc (1, sizeof *f);
   KqPolicyRow p = { .throttle = true, .eviction = true, .evictions_max = 3 };
-  KqWorker w = { .whole = { 4000, 4000, 0 } };
+  KqWorker w = { .capacity = { 4000, 4000, 0 } };
   KqJob jobs[3]
       = { running_job (1, 1000, 0), running_job (2, 1000, 0), running_job (3, 1000, 0) };
   KqRemedy r;
@@ -256,8 +256,8 @@
   r = choose_after_reports (&w, &jobs[0], 1.5, f, &p, 100 * KQ_SEC);
   assert_ptr_equal (r.job, &jobs[2]);
   assert_int_equal (r.percent, 50);
-  kq_remedy_note (&w, &jobs[0], 1.5, 90 * KQ_SEC);
-  kq_remedy_note (&w, &jobs[0], 1.5, 95 * KQ_SEC);
+  kq_remedy_record_slowdown (&w, &jobs[0], 1.5, 90 * KQ_SEC);
+  kq_remedy_record_slowdown (&w, &jobs[0], 1.5, 95 * KQ_SEC);
   assert_int_equal (kq_remedy_choose (&w, f, &p, 110 * KQ_SEC).kind, KQ_REMEDY_NONE);
   assert_int_equal (choose_after_reports (&w, &jobs[0], 1.15, f, &p, 150 * KQ_SEC).kind,
                     KQ_REMEDY_NONE);
@@ -302,8 +302,8 @@
   kq_quota_charge (&q, c, (KqSize){ 10000, 10000, 0 });
   assert_true (kq_quota_rank (&q, c) < kq_quota_rank (&q, b));
   assert_true (kq_quota_rank (&q, b) < kq_quota_rank (&q, a));
-  assert_true (kq_quota_guarantees (&q, c, (KqSize){ 10000, 0, 0 }));
-  assert_false (kq_quota_guarantees (&q, c, (KqSize){ 11000, 0, 0 }));
+  assert_true (kq_quota_within_guarantee (&q, c, (KqSize){ 10000, 0, 0 }));
+  assert_false (kq_quota_within_guarantee (&q, c, (KqSize){ 11000, 0, 0 }));
   assert_true (kq_quota_borrows (&q, a));
   kq_quota_clear (&q);
 }
--- a/src/job/queue.c
+++ b/src/job/queue.c
@@ -36,7 +36,7 @@
   else
     l->last = job;
   l->n++;
-  l->wanted = kq_size_add (l->wanted, job->want);
+  l->wanted = kq_size_add (l->wanted, job->declared_size);
 }
 
 static void
@@ -52,7 +52,7 @@
     l->last = job->prev;
   job->next = job->prev = NULL;
   l->n--;
-  l->wanted = kq_size_sub (l->wanted, job->want);
+  l->wanted = kq_size_sub (l->wanted, job->declared_size);
 }
 
 KqJobList *
@@ -74,8 +74,8 @@
 {
   if (job->delayed)
     return &q->delayed;
-  if (job->blocked == KQ_ERR_JOB_UNPLACEABLE)
-    return &q->parked;
+  if (job->blocked_reason == KQ_ERR_JOB_UNPLACEABLE)
+    return &q->unplaceable;
   return kq_queue_list (q, job->team, job->spec.priority);
 }
 
@@ -111,7 +111,7 @@
 }
 
 bool
-kq_queue_wake (KqQueue *q, KqTime now)
+kq_queue_move_due (KqQueue *q, KqTime now)
 {
   bool any = false;
   for (KqJob *job = q->delayed.first, *next; job != NULL; job = next)
@@ -127,7 +127,7 @@
 }
 
 KqTime
-kq_queue_next (const KqQueue *q)
+kq_queue_next_due_time (const KqQueue *q)
 {
   KqTime next = KQ_TIME_NEVER;
   for (const KqJob *job = q->delayed.first; job != NULL; job = job->next)
--- a/src/job/queue.h
+++ b/src/job/queue.h
@@ -5,8 +5,8 @@
  *
  * The links of the lists are in the jobs, so that a cancelled job is removed in O(1): a
  * wave of 20,000 cancellations costs 20,000 steps, not 20,000 scans. A job whose retry
- * isn't due yet is in `delayed`. One that no worker can hold is in `parked`, where it
- * doesn't block others. */
+ * isn't due yet is in `delayed`. One that no worker can hold is in `unplaceable`, where
+ * it doesn't block others. */
 
 #include "job/job.h"
 
@@ -25,7 +25,7 @@
   KqJobList (*teams)[KQ_PRIORITIES];
   size_t n_teams;
   KqJobList delayed;
-  KqJobList parked;
+  KqJobList unplaceable;
   size_t n;
 } KqQueue;
 
@@ -36,11 +36,12 @@
 void kq_queue_remove (KqQueue *q, KqJob *job);
 /* The list of a team and priority; valid until a new team is added. */
 KqJobList *kq_queue_list (KqQueue *q, size_t team, KqPriority p);
-/* The total size that a team's waiting jobs want, without delayed and parked ones. */
+/* The total size that a team's waiting jobs want, without delayed and unplaceable ones.
+ */
 KqSize kq_queue_wanted (const KqQueue *q, size_t team);
 /* Moves delayed jobs that are due to their team's list; true when there were any. */
-bool kq_queue_wake (KqQueue *q, KqTime now);
+bool kq_queue_move_due (KqQueue *q, KqTime now);
 /* When the next delayed job is due, or KQ_TIME_NEVER. */
-KqTime kq_queue_next (const KqQueue *q);
+KqTime kq_queue_next_due_time (const KqQueue *q);
 
 #endif
--- a/src/job/quota.c
+++ b/src/job/quota.c
@@ -168,7 +168,7 @@
 }
 
 bool
-kq_quota_guarantees (const KqQuota *q, size_t team, KqSize more)
+kq_quota_within_guarantee (const KqQuota *q, size_t team, KqSize more)
 {
   const KqTeam *t = &q->teams[team];
   KqSize used = kq_size_add (total_used (t), more);
@@ -183,7 +183,7 @@
 bool
 kq_quota_borrows (const KqQuota *q, size_t team)
 {
-  return !kq_quota_guarantees (q, team, (KqSize){ 0 });
+  return !kq_quota_within_guarantee (q, team, (KqSize){ 0 });
 }
 
 void
--- a/src/job/quota.h
+++ b/src/job/quota.h
@@ -62,7 +62,7 @@
 /* Whether the team uses more than it is guaranteed (it has borrowed). */
 bool kq_quota_borrows (const KqQuota *q, size_t team);
 /* Whether the team with `more` is still within its guarantee; false if it has none. */
-bool kq_quota_guarantees (const KqQuota *q, size_t team, KqSize more);
+bool kq_quota_within_guarantee (const KqQuota *q, size_t team, KqSize more);
 void kq_quota_charge (KqQuota *q, size_t team, KqSize s);
 void kq_quota_release (KqQuota *q, size_t team, KqSize s);
 
--- a/src/job/remedy.c
+++ b/src/job/remedy.c
@@ -17,21 +17,21 @@
 #define LAST_STEP_PERCENT 25
 
 void
-kq_remedy_note (KqWorker *w, KqJob *service, double slowdown, KqTime at)
+kq_remedy_record_slowdown (KqWorker *w, KqJob *service, double slowdown, KqTime at)
 {
   if (at <= w->remedy_at)
     return;
   if (service->slow_reports++ == 0)
-    service->slow = slowdown;
+    service->smoothed_slowdown = slowdown;
   else
-    service->slow += SMOOTHING * (slowdown - service->slow);
+    service->smoothed_slowdown += SMOOTHING * (slowdown - service->smoothed_slowdown);
 }
 
 void
-kq_remedy_done (KqWorker *w, KqTime now)
+kq_remedy_applied (KqWorker *w, KqTime now)
 {
   w->remedy_at = w->calm_since = now;
-  for (KqJob *job = w->jobs; job != NULL; job = job->next_on)
+  for (KqJob *job = w->jobs; job != NULL; job = job->next_on_worker)
     job->slow_reports = 0;
 }
 
@@ -39,9 +39,9 @@
 worst_service (const KqWorker *w)
 {
   KqJob *worst = NULL;
-  for (KqJob *job = w->jobs; job != NULL; job = job->next_on)
+  for (KqJob *job = w->jobs; job != NULL; job = job->next_on_worker)
     if (job->service && job->slow_reports >= REPORTS_MIN
-        && (worst == NULL || job->slow > worst->slow))
+        && (worst == NULL || job->smoothed_slowdown > worst->smoothed_slowdown))
       worst = job;
   return worst;
 }
@@ -59,10 +59,10 @@
 worst_neighbour (const KqWorker *w, const KqJob *victim, const KqInterference *f,
                  bool movable, int64_t evictions_max, KqTime now)
 {
-  int band = kq_load_band (w->used.cpu_milli, w->whole.cpu_milli);
+  int band = kq_load_band (w->used.cpu_milli, w->capacity.cpu_milli);
   KqJob *worst = NULL;
   double worst_harm = HARM_MIN;
-  for (KqJob *job = w->jobs; job != NULL; job = job->next_on)
+  for (KqJob *job = w->jobs; job != NULL; job = job->next_on_worker)
     {
       double harm;
       if (!may_act_on (job, now))
@@ -112,7 +112,7 @@
 lift_throttle (const KqWorker *w)
 {
   KqJob *oldest = NULL;
-  for (KqJob *job = w->jobs; job != NULL; job = job->next_on)
+  for (KqJob *job = w->jobs; job != NULL; job = job->next_on_worker)
     if (job->throttle_percent < 100 && job->phase == KQ_JOB_PHASE_RUNNING
         && (oldest == NULL || job->throttle_at < oldest->throttle_at))
       oldest = job;
@@ -127,12 +127,12 @@
                   KqTime now)
 {
   const KqJob *victim = worst_service (w);
-  if (victim != NULL && victim->slow > SLOWDOWN_HIGH)
+  if (victim != NULL && victim->smoothed_slowdown > SLOWDOWN_HIGH)
     {
       w->calm_since = now;
       return choose_for_victim (w, victim, f, policy, now);
     }
-  if (victim != NULL && victim->slow > SLOWDOWN_LOW)
+  if (victim != NULL && victim->smoothed_slowdown > SLOWDOWN_LOW)
     w->calm_since = now;
   if (now - w->calm_since < CALM_TIME)
     return (KqRemedy){ KQ_REMEDY_NONE, NULL, 0 };
--- a/src/job/remedy.h
+++ b/src/job/remedy.h
@@ -33,11 +33,11 @@
 
 /* Records a service's reported slowdown (1.0: undisturbed) at the time `at`; one from
  * before the worker's last remedy is ignored. */
-void kq_remedy_note (KqWorker *w, KqJob *service, double slowdown, KqTime at);
+void kq_remedy_record_slowdown (KqWorker *w, KqJob *service, double slowdown, KqTime at);
 /* The next remedy on the worker, or KQ_REMEDY_NONE; the caller carries it out. */
 KqRemedy kq_remedy_choose (KqWorker *w, const KqInterference *f,
                            const KqPolicyRow *policy, KqTime now);
 /* To be called when the chosen remedy is being carried out. */
-void kq_remedy_done (KqWorker *w, KqTime now);
+void kq_remedy_applied (KqWorker *w, KqTime now);
 
 #endif
--- a/src/job/workers.c
+++ b/src/job/workers.c
@@ -58,17 +58,17 @@
 KqSize
 kq_worker_free (const KqWorker *w)
 {
-  KqSize s = kq_size_sub (w->whole, w->row.reserved);
-  s = kq_size_sub (kq_size_sub (s, w->used), w->foreign);
-  return w->promise != 0 ? kq_size_sub (s, w->promise_size) : s;
+  KqSize s = kq_size_sub (w->capacity, w->row.reserved);
+  s = kq_size_sub (kq_size_sub (s, w->used), w->unknown_used);
+  return w->reserved_for != 0 ? kq_size_sub (s, w->reserved_size) : s;
 }
 
 bool
 kq_worker_may_start (const KqWorker *w, const KqLeaseTimes *t, KqTime now)
 {
-  return w->answered && !w->leaving && w->not_before <= now && w->n_jobs < w->task_limit
-         && w->in_hosts && w->host == KQ_HOST_LIVE && w->row.mode == KQ_WORKER_NORMAL
-         && kq_lease_usable (&w->lease, t, now);
+  return w->answered && !w->leaving && w->start_not_before <= now
+         && w->n_jobs < w->task_limit && w->in_hosts && w->host == KQ_HOST_LIVE
+         && w->row.mode == KQ_WORKER_NORMAL && kq_lease_usable (&w->lease, t, now);
 }
 
 void
@@ -78,37 +78,37 @@
   KqSize room = none;
   if (kq_worker_may_start (w, t, now))
     room = kq_worker_free (w);
-  kq_fit_tree_set (&ws->room, w->index, w->kept ? none : room);
-  kq_fit_tree_set (&ws->urgent_room, w->index, w->kept ? room : none);
+  kq_fit_tree_set (&ws->room, w->index, w->urgent_only ? none : room);
+  kq_fit_tree_set (&ws->urgent_room, w->index, w->urgent_only ? room : none);
 }
 
 void
-kq_worker_promise (KqWorker *w, KqJob *job, KqSize size, KqTime until)
+kq_worker_reserve (KqWorker *w, KqJob *job, KqSize size, KqTime until)
 {
-  assert (w->promise == 0 && job->promised == NULL);
-  w->promise = job->id;
-  w->promise_size = size;
-  w->promise_until = until;
-  job->promised = w;
+  assert (w->reserved_for == 0 && job->reserved_worker == NULL);
+  w->reserved_for = job->id;
+  w->reserved_size = size;
+  w->reserved_until = until;
+  job->reserved_worker = w;
 }
 
 void
-kq_worker_unpromise (KqWorker *w, KqJob *job)
+kq_worker_cancel_reservation (KqWorker *w, KqJob *job)
 {
-  assert (w->promise == job->id);
-  w->promise = 0;
-  job->promised = NULL;
+  assert (w->reserved_for == job->id);
+  w->reserved_for = 0;
+  job->reserved_worker = NULL;
 }
 
 void
 kq_worker_add (KqWorker *w, KqJob *job)
 {
-  assert (job->on == NULL);
-  job->on = w;
-  job->prev_on = NULL;
-  job->next_on = w->jobs;
+  assert (job->assigned_worker == NULL);
+  job->assigned_worker = w;
+  job->prev_on_worker = NULL;
+  job->next_on_worker = w->jobs;
   if (w->jobs != NULL)
-    w->jobs->prev_on = job;
+    w->jobs->prev_on_worker = job;
   w->jobs = job;
   w->n_jobs++;
   w->used = kq_size_add (w->used, job->charged);
@@ -117,15 +117,15 @@
 void
 kq_worker_remove (KqWorker *w, KqJob *job)
 {
-  assert (job->on == w);
-  if (job->prev_on != NULL)
-    job->prev_on->next_on = job->next_on;
+  assert (job->assigned_worker == w);
+  if (job->prev_on_worker != NULL)
+    job->prev_on_worker->next_on_worker = job->next_on_worker;
   else
-    w->jobs = job->next_on;
-  if (job->next_on != NULL)
-    job->next_on->prev_on = job->prev_on;
-  job->on = NULL;
-  job->next_on = job->prev_on = NULL;
+    w->jobs = job->next_on_worker;
+  if (job->next_on_worker != NULL)
+    job->next_on_worker->prev_on_worker = job->prev_on_worker;
+  job->assigned_worker = NULL;
+  job->next_on_worker = job->prev_on_worker = NULL;
   w->n_jobs--;
   w->used = kq_size_sub (w->used, job->charged);
   assert (w->n_jobs > 0 || kq_size_is_zero (&w->used));
@@ -169,14 +169,15 @@
 kq_workers_schedule (KqWorkers *ws, KqWorker *w)
 {
   KqWorker *after;
-  if (w->scheduled_at == w->lease.next)
+  if (w->scheduled_at == w->lease.next_call_at)
     return;
   unlink_due (ws, w);
-  w->scheduled_at = w->lease.next;
-  if (ws->first_due != NULL && w->lease.next < ws->first_due->lease.next)
+  w->scheduled_at = w->lease.next_call_at;
+  if (ws->first_due != NULL && w->lease.next_call_at < ws->first_due->lease.next_call_at)
     after = NULL;
   else
-    for (after = ws->last_due; after != NULL && after->lease.next > w->lease.next;)
+    for (after = ws->last_due;
+         after != NULL && after->lease.next_call_at > w->lease.next_call_at;)
       after = after->prev_due;
   w->prev_due = after;
   w->next_due = after != NULL ? after->next_due : ws->first_due;
--- a/src/job/workers.h
+++ b/src/job/workers.h
@@ -6,7 +6,7 @@
  * Only the worker itself knows what runs there. This state adds what has been decided
  * and doesn't show there yet: an attempt is charged from the moment it is assigned until
  * there is proof that it stopped. Tasks that a worker lists and that no job here
- * accounts for (foreign ones) are charged too, until the worker no longer lists them. */
+ * accounts for (unknown ones) are charged too, until the worker no longer lists them. */
 
 #include "job/fit_tree.h"
 #include "job/health.h"
@@ -46,20 +46,20 @@
   bool answered; /* has answered under this owner's epoch */
   bool leaving;  /* reported by the worker itself */
   KqWorkerRow row;
-  KqSize whole;   /* the worker's size */
-  KqSize used;    /* charged for attempts of our jobs */
-  KqSize foreign; /* listed tasks of no job here */
+  KqSize capacity;     /* the worker's size */
+  KqSize used;         /* charged for attempts of our jobs */
+  KqSize unknown_used; /* listed tasks of no job here */
   KqLease lease;
   KqHealth health;
-  int task_limit;    /* set by health.c */
-  KqTime not_before; /* it refused a START: no other before then */
+  int task_limit;          /* set by health.c */
+  KqTime start_not_before; /* it refused a START: no other before then */
   uint16_t rack_index;
   uint16_t depot_index;
-  bool kept; /* for urgent jobs */
+  bool urgent_only; /* for urgent jobs */
   /* Room reserved for one job while it is being made free; 0: for none. */
-  KqJobId promise;
-  KqSize promise_size;
-  KqTime promise_until;
+  KqJobId reserved_for;
+  KqSize reserved_size;
+  KqTime reserved_until;
   KqHistory history;
   KqTime remedy_at;  /* time of the last remedy; see remedy.c */
   KqTime calm_since; /* no service was slow and no remedy chosen since */
@@ -92,8 +92,8 @@
 KqWorker *kq_workers_get (KqWorkers *ws, KqWorkerId id); /* creates it if necessary */
 /* Reserves room for the job, or ends that. A worker and a job have one reservation at
  * most. */
-void kq_worker_promise (KqWorker *w, KqJob *job, KqSize size, KqTime until);
-void kq_worker_unpromise (KqWorker *w, KqJob *job);
+void kq_worker_reserve (KqWorker *w, KqJob *job, KqSize size, KqTime until);
+void kq_worker_cancel_reservation (KqWorker *w, KqJob *job);
 /* Free resources, whether or not the worker may start tasks. */
 KqSize kq_worker_free (const KqWorker *w);
 bool kq_worker_may_start (const KqWorker *w, const KqLeaseTimes *t, KqTime now);
--- a/src/node/core.c
+++ b/src/node/core.c
@@ -58,7 +58,7 @@
   KqJobsConfig jc = { .self = config->self.id,
                       .lease = s->worker_lease_ms * KQ_MS,
                       .renew = s->worker_lease_ms * KQ_MS / 3,
-                      .blind = s->blind_ms * KQ_MS,
+                      .renew_without_store = s->blind_ms * KQ_MS,
                       .seed = config->seed,
                       .counters = config->counters };
   KqOwnerTimes ot = { .lease = mc.lease, .blind_max = s->blind_ms * KQ_MS };
--- a/src/node/shard_host.c
+++ b/src/node/shard_host.c
@@ -155,8 +155,8 @@
   KqOutbox items = { 0 };
   KqSeq after;
   h->state = KQ_HOST_ACTIVE;
-  kq_claims_opened (h->claims, now);
-  after = kq_jobs_opened (h->jobs, h->epoch, now, &items);
+  kq_claims_recovered (h->claims, now);
+  after = kq_jobs_recovered (h->jobs, h->epoch, now, &items);
   hold_until_committed (h, after, &items);
   kq_outbox_free (&items);
   kq_log (KQ_LOG_INFO, PART, "Shard recovered. shard=%u epoch=%llu", h->shard,
@@ -268,9 +268,9 @@
     case KQ_MSG_JOB_CALL:
       return kq_jobs_call (h->jobs, &m->u.job_call, now, items);
     case KQ_MSG_JOB_MOVE:
-      return kq_jobs_arrive (h->jobs, &m->u.job_move, now, items);
+      return kq_jobs_receive_move (h->jobs, &m->u.job_move, now, items);
     case KQ_MSG_JOB_MOVED:
-      return kq_jobs_moved (h->jobs, &m->u.job_moved, now);
+      return kq_jobs_confirm_move (h->jobs, &m->u.job_moved, now);
     case KQ_MSG_CLAIM_BEGIN:
       return kq_claims_begin (h->claims, &m->u.claim_begin,
                               claim_ttl (h, m->u.claim_begin.service), now, items);
@@ -321,7 +321,7 @@
                                  KqTime now)
 {
   if (h->state == KQ_HOST_ACTIVE)
-    kq_jobs_set_others (h->jobs, d, n, now);
+    kq_jobs_set_other_digests (h->jobs, d, n, now);
 }
 
 void
--- a/src/request/account.c
+++ b/src/request/account.c
@@ -66,7 +66,7 @@
 }
 
 void
-kq_account_taken (KqAccount *a, KqStr service)
+kq_account_accepted (KqAccount *a, KqStr service)
 {
   ServiceCounts *c = get_counts (a, service);
   c->taken++;
--- a/src/request/account.h
+++ b/src/request/account.h
@@ -26,8 +26,8 @@
 KqAccount *kq_account_new (void);
 void kq_account_free (KqAccount *a);
 /* A request for the service was accepted. */
-void kq_account_taken (KqAccount *a, KqStr service);
-/* A request that was counted by kq_account_taken has ended. */
+void kq_account_accepted (KqAccount *a, KqStr service);
+/* A request that was counted by kq_account_accepted has ended. */
 void kq_account_ended (KqAccount *a, KqStr service, KqRequestEnd end);
 /* Returns a new JSON object with the counts of each service, by its name. */
 json_t *kq_account_json (const KqAccount *a);
--- a/src/request/claim_records.c
+++ b/src/request/claim_records.c
@@ -76,7 +76,7 @@
 }
 
 bool
-kq_claim_record_open (KqClaimRecordType t, KqStr body, KqUnpacked *u, KqClaimFields *f)
+kq_claim_record_unpack (KqClaimRecordType t, KqStr body, KqUnpacked *u, KqClaimFields *f)
 {
   KqReader r;
   *f = (KqClaimFields){ 0 };
--- a/src/request/claim_records.h
+++ b/src/request/claim_records.h
@@ -41,8 +41,8 @@
 void kq_claim_record_pack (KqClaimRecordType t, const KqClaimFields *f, KqBuf *out);
 /* Unpacks a record's body. If true, the strings of f point into u, and both must be freed
  * by kq_claim_record_clear. False: the body is damaged; nothing to free. */
-bool kq_claim_record_open (KqClaimRecordType t, KqStr body, KqUnpacked *u,
-                           KqClaimFields *f);
+bool kq_claim_record_unpack (KqClaimRecordType t, KqStr body, KqUnpacked *u,
+                             KqClaimFields *f);
 void kq_claim_record_clear (KqUnpacked *u, KqClaimFields *f);
 
 #endif
--- a/src/request/claim_set.c
+++ b/src/request/claim_set.c
@@ -20,9 +20,9 @@
 kq_claim_set_find (const KqClaimSet *c, KqStr service, KqStr caller, KqStr key)
 {
   KqMapNode *n = kq_map_find (&c->by_key, key_hash (service, caller, key));
-  for (; n != NULL; n = kq_map_more (n))
+  for (; n != NULL; n = kq_map_next (n))
     {
-      KqClaim *claim = n->owner;
+      KqClaim *claim = n->container;
       if (kq_str_eq (claim->key, key) && kq_str_eq (kq_name_str (&claim->caller), caller)
           && kq_str_eq (kq_name_str (&claim->service), service))
         return claim;
@@ -34,16 +34,16 @@
 kq_claim_set_find_flight (const KqClaimSet *c, KqFlightId f)
 {
   KqMapNode *n = kq_map_find (&c->by_flight, flight_hash (f));
-  while (n != NULL && !kq_flight_eq (((KqClaim *)n->owner)->flight, f))
-    n = kq_map_more (n);
-  return n != NULL ? n->owner : NULL;
+  while (n != NULL && !kq_flight_eq (((KqClaim *)n->container)->flight, f))
+    n = kq_map_next (n);
+  return n != NULL ? n->container : NULL;
 }
 
 KqClaim *
 kq_claim_set_find_number (const KqClaimSet *c, uint64_t number)
 {
   KqMapNode *n = kq_map_find (&c->by_number, number);
-  return n != NULL ? n->owner : NULL;
+  return n != NULL ? n->container : NULL;
 }
 
 static size_t
@@ -55,7 +55,7 @@
 void
 kq_claim_set_expire_at (KqClaimSet *c, KqClaim *claim, KqTime at)
 {
-  if (claim->by_expiry.place > 0)
+  if (claim->by_expiry.index > 0)
     kq_heap_remove (&c->by_expiry, &claim->by_expiry);
   kq_heap_add (&c->by_expiry, &claim->by_expiry, at, c->next_order++, claim);
 }
--- a/src/request/claims.c
+++ b/src/request/claims.c
@@ -85,7 +85,7 @@
   assert (!c->recovered);
   if (r->version != KQ_CLAIM_RECORD_VERSION)
     return KQ_ERR_JOURNAL_VERSION;
-  if (!kq_claim_record_open ((KqClaimRecordType)r->type, r->body, &u, &f))
+  if (!kq_claim_record_unpack ((KqClaimRecordType)r->type, r->body, &u, &f))
     return KQ_ERR_JOURNAL_DAMAGED;
   apply_fields (c, (KqClaimRecordType)r->type, &f, r->body, now);
   kq_claim_record_clear (&u, &f);
@@ -93,7 +93,7 @@
 }
 
 void
-kq_claims_opened (KqClaims *c, KqTime now)
+kq_claims_recovered (KqClaims *c, KqTime now)
 {
   c->recovered = true;
   for (KqClaim *claim = c->set.first; claim != NULL; claim = claim->next)
@@ -143,8 +143,8 @@
   else if (claim->state == KQ_CLAIM_STATE_ANSWERED && claim->answer.len == 0)
     snapshot_add (s, KQ_CLAIM_RECORD_ANSWERED, &f);
   else if (claim->state == KQ_CLAIM_STATE_ANSWERED
-           && kq_claim_record_open (KQ_CLAIM_RECORD_ANSWERED, kq_buf_str (&claim->answer),
-                                    &u, &f))
+           && kq_claim_record_unpack (KQ_CLAIM_RECORD_ANSWERED,
+                                      kq_buf_str (&claim->answer), &u, &f))
     {
       f.ttl = left;
       snapshot_add (s, KQ_CLAIM_RECORD_ANSWERED, &f);
@@ -196,7 +196,8 @@
   KqMsg m = { .kind = KQ_MSG_CLAIM_REPLY };
   KqUnpacked u;
   KqClaimFields f;
-  if (record.len == 0 || !kq_claim_record_open (KQ_CLAIM_RECORD_ANSWERED, record, &u, &f))
+  if (record.len == 0
+      || !kq_claim_record_unpack (KQ_CLAIM_RECORD_ANSWERED, record, &u, &f))
     {
       reply (out, to, KQ_CLAIM_UNKNOWN, KQ_ERR_CLAIM_NOT_KEPT, number);
       return;
@@ -264,7 +265,7 @@
                       .service = m->service,
                       .caller = m->caller,
                       .key = m->key,
-                      .request_hash = m->body_hash };
+                      .request_hash = m->request_hash };
   if (claim == NULL)
     {
       /* Refused while recovering, without room or with lagging commits. */
@@ -274,7 +275,7 @@
       reply (out, m->flight, KQ_CLAIM_REFUSED, KQ_ERR_CLAIM_UNAVAILABLE, 0);
       return 0;
     }
-  if (claim->request_hash != m->body_hash)
+  if (claim->request_hash != m->request_hash)
     {
       reply (out, m->flight, KQ_CLAIM_REFUSED, KQ_ERR_CLAIM_MISMATCH, claim->number);
       return 0;
@@ -402,7 +403,7 @@
   KqHeapNode *top;
   while ((top = kq_heap_top (&c->set.waiters_by_timeout)) != NULL && top->key <= now)
     {
-      KqClaimWaiter *w = top->owner;
+      KqClaimWaiter *w = top->container;
       KqClaimWaiter **at = &w->claim->waiters;
       while (*at != w)
         at = &(*at)->next;
@@ -424,7 +425,7 @@
   time_out_waiters (c, now, out);
   while ((top = kq_heap_top (&c->set.by_expiry)) != NULL && top->key <= now)
     {
-      KqClaim *claim = top->owner;
+      KqClaim *claim = top->container;
       if (claim->state == KQ_CLAIM_STATE_OPEN)
         seq = mark_unknown (c, claim, now, out);
       else
--- a/src/request/claims.h
+++ b/src/request/claims.h
@@ -44,7 +44,7 @@
 KqResult kq_claims_apply (KqClaims *c, const KqRecord *r, KqTime now);
 /* Ends recovery. Open claims become unknown unless the process of the entry node that
  * opened them reports their end within a grace time. */
-void kq_claims_opened (KqClaims *c, KqTime now);
+void kq_claims_recovered (KqClaims *c, KqTime now);
 /* Calls `add` for each of the records from which the state can be rebuilt. */
 void kq_claims_snapshot (const KqClaims *c, KqTime now,
                          void (*add) (void *arg, const KqRecord *r), void *arg);
--- a/src/request/claims_test.c
+++ b/src/request/claims_test.c
@@ -38,7 +38,7 @@
   *f = (Fixture){ .now = KQ_SEC };
   f->claims = kq_claims_new (3, port (&f->log));
   kq_outbox_init (&f->out);
-  kq_claims_opened (f->claims, f->now);
+  kq_claims_recovered (f->claims, f->now);
 }
 
 static void
@@ -57,7 +57,7 @@
   f->claims = kq_claims_new (3, port (&f->log));
   for (size_t i = 0; i < f->log.n_records; i++)
     kq_claims_apply (f->claims, &f->log.records[i], f->now);
-  kq_claims_opened (f->claims, f->now);
+  kq_claims_recovered (f->claims, f->now);
 }
 
 static KqFlightId
@@ -73,7 +73,7 @@
                         .shard = 3,
                         .service = KQ_STR ("pickup"),
                         .caller = KQ_STR ("parent-7"),
-                        .body_hash = body_hash };
+                        .request_hash = body_hash };
   m.key = kq_str (key);
   f->after = kq_claims_begin (f->claims, &m, TTL, f->now, &f->out);
 }
--- a/src/request/decisions_test.c
+++ b/src/request/decisions_test.c
@@ -34,14 +34,14 @@
       KqHeapNode *n = &nodes[kq_rand_below (&rand, N)];
       int64_t key = (int64_t)kq_rand_below (&rand, 50);
       const KqHeapNode *least = NULL;
-      if (n->place == 0)
+      if (n->index == 0)
         kq_heap_add (&h, n, key, (uint64_t)(n - nodes), n);
       else if (key < 25)
-        kq_heap_move (&h, n, key);
+        kq_heap_set_key (&h, n, key);
       else
         kq_heap_remove (&h, n);
       for (int i = 0; i < N; i++)
-        if (nodes[i].place > 0
+        if (nodes[i].index > 0
             && (least == NULL || nodes[i].key < least->key
                 || (nodes[i].key == least->key && nodes[i].order < least->order)))
           least = &nodes[i];
@@ -64,9 +64,9 @@
     {
       KqMapNode *n = kq_map_find (&m, (uint64_t)i / 2);
       assert_true (n == &nodes[i] || n == &nodes[i + 1]);
-      n = kq_map_more (n);
+      n = kq_map_next (n);
       assert_true (n == &nodes[i] || n == &nodes[i + 1]);
-      assert_null (kq_map_more (n));
+      assert_null (kq_map_next (n));
       kq_map_remove (&m, &nodes[i]);
       assert_ptr_equal (kq_map_find (&m, (uint64_t)i / 2), &nodes[i + 1]);
     }
@@ -504,14 +504,14 @@
   (void)state;
   for (int i = 0; i < 60 * 100; i++)
     {
-      kq_retry_first (&b, 10, now);
+      kq_retry_count_first_try (&b, 10, now);
       retries += kq_retry_take (&b, now);
       retries += kq_retry_take (&b, now);
       now += 10 * KQ_MS;
     }
   assert_in_range (retries, 570, 670);
   for (int i = 0; i < 100000; i++)
-    kq_retry_first (&b, 10, now);
+    kq_retry_count_first_try (&b, 10, now);
   now += 3600 * KQ_SEC;
   for (retries = 0; kq_retry_take (&b, now); retries++)
     continue;
@@ -584,8 +584,8 @@
   KqTime at = now;
   int tries = 1;
   (void)state;
-  assert_int_equal (kq_retry_for_successor (0, 1, now), 0);
-  for (KqTime next = now; next != 0; next = kq_retry_for_successor (now, tries, at))
+  assert_int_equal (kq_retry_successor_time (0, 1, now), 0);
+  for (KqTime next = now; next != 0; next = kq_retry_successor_time (now, tries, at))
     {
       assert_true (next - at <= 250 * KQ_MS);
       at = next;
--- a/src/request/dispatch.c
+++ b/src/request/dispatch.c
@@ -57,18 +57,18 @@
 find_flight (const KqDispatch *d, KqFlightId id)
 {
   KqMapNode *node = kq_map_find (&d->flights, flight_hash (id));
-  while (node != NULL && !kq_flight_eq (((Flight *)node->owner)->flight, id))
-    node = kq_map_more (node);
-  return node != NULL ? node->owner : NULL;
+  while (node != NULL && !kq_flight_eq (((Flight *)node->container)->flight, id))
+    node = kq_map_next (node);
+  return node != NULL ? node->container : NULL;
 }
 
 static KqServiceQueue *
 find_service (const KqDispatch *d, KqStr name)
 {
   KqMapNode *node = kq_map_find (&d->services, kq_str_hash (name));
-  for (; node != NULL; node = kq_map_more (node))
+  for (; node != NULL; node = kq_map_next (node))
     {
-      KqServiceQueue *s = node->owner;
+      KqServiceQueue *s = node->container;
       if (kq_str_eq (kq_name_str (&s->name), name))
         return s;
     }
@@ -120,7 +120,7 @@
 static void
 free_flight (KqDispatch *d, Flight *f)
 {
-  if (f->by_long_at.place > 0)
+  if (f->by_long_at.index > 0)
     kq_heap_remove (&d->by_long_at, &f->by_long_at);
   kq_map_remove (&d->flights, &f->by_flight);
   free (f);
@@ -132,7 +132,7 @@
   KqMapNode *node;
   while ((node = kq_map_any (&d->flights)) != NULL)
     {
-      Flight *f = node->owner;
+      Flight *f = node->container;
       if (f->runner == NULL)
         dequeue (d, f);
       free_flight (d, f);
@@ -140,8 +140,8 @@
   while ((node = kq_map_any (&d->services)) != NULL)
     {
       kq_map_remove (&d->services, node);
-      kq_service_clear (node->owner);
-      free (node->owner);
+      kq_service_clear (node->container);
+      free (node->container);
     }
   kq_pool_free (&d->pool);
   kq_map_free (&d->flights);
@@ -171,7 +171,7 @@
   for (size_t b = 0; b < d->services.n_buckets; b++)
     for (KqMapNode *n = d->services.buckets[b]; n != NULL; n = n->next)
       {
-        KqServiceQueue *s = n->owner;
+        KqServiceQueue *s = n->container;
         const KqRow *row
             = kq_table_find (d->table, KQ_ROW_SERVICE, kq_name_str (&s->name));
         s->in_table = row != NULL;
@@ -209,7 +209,7 @@
     return;
   for (size_t b = 0; b < d->services.n_buckets; b++)
     for (KqMapNode *n = d->services.buckets[b]; n != NULL; n = n->next)
-      kq_service_set_groups (n->owner, &d->pool);
+      kq_service_set_groups (n->container, &d->pool);
 }
 
 void
@@ -294,7 +294,7 @@
   KqHeapNode *top;
   while ((top = kq_heap_top (&d->by_long_at)) != NULL && top->key <= now)
     {
-      Flight *f = top->owner;
+      Flight *f = top->container;
       KqServiceQueue *s = f->service;
       kq_heap_remove (&d->by_long_at, top);
       kq_run_times_add (&s->run_times, f->class_id, now - f->sent_at, now);
@@ -376,7 +376,7 @@
   KqHeapNode *top = kq_heap_top (&d->by_latest_start);
   if (top != NULL && top->key <= now)
     {
-      refuse (d, top->owner, KQ_ERR_DEADLINE_PASSED, now, event);
+      refuse (d, top->container, KQ_ERR_DEADLINE_PASSED, now, event);
       return true;
     }
   for (size_t i = 0; i < d->n_active; i++)
@@ -465,7 +465,7 @@
 }
 
 KqTime
-kq_dispatch_wake (const KqDispatch *d, KqTime now)
+kq_dispatch_wake_time (const KqDispatch *d, KqTime now)
 {
   KqHeapNode *top = kq_heap_top (&d->by_latest_start);
   KqTime wake = top != NULL ? top->key : KQ_TIME_NEVER;
@@ -552,7 +552,7 @@
   for (size_t b = 0; b < d->services.n_buckets; b++)
     for (KqMapNode *node = d->services.buckets[b]; node != NULL; node = node->next)
       {
-        const KqServiceQueue *s = node->owner;
+        const KqServiceQueue *s = node->container;
         if (n < max && s->in_table && kq_service_live_runners (s) > 0)
           out[n++] = kq_service_digest (s);
       }
@@ -585,10 +585,10 @@
   (void)now;
   for (size_t b = 0; b < d->services.n_buckets; b++)
     for (KqMapNode *n = d->services.buckets[b]; n != NULL; n = n->next)
-      json_array_append_new (services, kq_service_state (n->owner));
+      json_array_append_new (services, kq_service_state (n->container));
   for (size_t b = 0; b < d->pool.runners.n_buckets; b++)
     for (KqMapNode *n = d->pool.runners.buckets[b]; n != NULL; n = n->next)
-      json_array_append_new (runners, kq_runner_state (n->owner));
+      json_array_append_new (runners, kq_runner_state (n->container));
   return json_pack ("{s:I,s:I,s:o,s:o}", "queued", (json_int_t)kq_dispatch_queued (d),
                     "running", (json_int_t)kq_dispatch_running (d), "services", services,
                     "runners", runners);
--- a/src/request/dispatch.h
+++ b/src/request/dispatch.h
@@ -98,7 +98,7 @@
 bool kq_dispatch_next (KqDispatch *d, KqTime now, KqDispatchEvent *e);
 /* When kq_dispatch_next may have an event although nothing else was called;
  * KQ_TIME_NEVER: never. */
-KqTime kq_dispatch_wake (const KqDispatch *d, KqTime now);
+KqTime kq_dispatch_wake_time (const KqDispatch *d, KqTime now);
 /* A sent flight has ended at its runner: frees the slot, and updates run times, limit and
  * outlier state. Ignores flights that aren't known. */
 void kq_dispatch_done (KqDispatch *d, KqFlightId flight, KqOutcome o, KqTime now);
--- a/src/request/dispatch_test.c
+++ b/src/request/dispatch_test.c
@@ -307,11 +307,11 @@
   assert_int_equal (offer_for (&f, SECOND), KQ_OK);
   assert_int_equal (offer_for (&f, SECOND), KQ_OK);
   assert_int_equal (send_all (&f, NULL), 1);
-  wake = kq_dispatch_wake (f.d, f.now);
+  wake = kq_dispatch_wake_time (f.d, f.now);
   assert_true (wake == f.now + SECOND);
   f.now = wake;
   expect_refusal (&f, 3, KQ_ERR_DEADLINE_PASSED);
-  assert_true (kq_dispatch_wake (f.d, f.now) == KQ_TIME_NEVER);
+  assert_true (kq_dispatch_wake_time (f.d, f.now) == KQ_TIME_NEVER);
   stop (&f);
 }
 
--- a/src/request/entry.c
+++ b/src/request/entry.c
@@ -125,7 +125,7 @@
 static KqTime
 successor_retry_time (const KqFlight *f, KqResult code, KqRan ran, KqTime now)
 {
-  KqTime next = kq_retry_for_successor (f->handed_back_at, f->tries, now);
+  KqTime next = kq_retry_successor_time (f->handed_back_at, f->tries, now);
   bool no_owner = code == KQ_ERR_NO_TARGET || code == KQ_ERR_DRAINING;
   return no_owner && ran == KQ_RAN_NO && next < f->deadline ? next : 0;
 }
@@ -210,7 +210,7 @@
   b->service = kq_name_str (&f->service);
   b->caller = kq_name_str (&f->caller);
   b->key = f->key;
-  b->body_hash = kq_flight_request_hash (f);
+  b->request_hash = kq_flight_request_hash (f);
   send_msg (g, g->config.self, &m);
 }
 
@@ -237,7 +237,7 @@
    * budget, each roll-out would refuse the part of the queue that exceeds it. */
   if (code == KQ_ERR_DRAINING && ran == KQ_RAN_NO)
     return true;
-  if (kq_route_may_retry (g->route, kq_name_str (&f->service), now))
+  if (kq_route_take_retry (g->route, kq_name_str (&f->service), now))
     return true;
   kq_counter_result (g->config.counters, KQ_ERR_RETRY_BUDGET);
   return false;
@@ -299,8 +299,9 @@
 grant_credit (KqGateway *g, KqFlight *f)
 {
   KqMsg m = { .kind = KQ_MSG_RESP_CREDIT };
-  uint64_t wanted = f->answer_consumed + KQ_WINDOW;
-  if (f->state != KQ_FLIGHT_ANSWERING || wanted < f->answer_credit + KQ_WINDOW / 4)
+  uint64_t wanted = f->answer_consumed + KQ_CREDIT_WINDOW_BYTES;
+  if (f->state != KQ_FLIGHT_ANSWERING
+      || wanted < f->answer_credit + KQ_CREDIT_WINDOW_BYTES / 4)
     return;
   m.u.credit.flight = kq_flight_try_id (f);
   m.u.credit.bytes = wanted - f->answer_credit;
@@ -461,7 +462,7 @@
     default:
       f->body_credit += m->u.credit.bytes;
       kq_entry_send_body (g, f);
-      if (f->exchange != NULL && f->body.len < KQ_WINDOW)
+      if (f->exchange != NULL && f->body.len < KQ_CREDIT_WINDOW_BYTES)
         kq_http_resume_upload (f->exchange);
       break;
     }
--- a/src/request/fair.c
+++ b/src/request/fair.c
@@ -35,9 +35,9 @@
 find_flow (const KqFairQueue *f, const KqFlow *parent, uint64_t id)
 {
   KqMapNode *n = kq_map_find (&f->flows, kq_hash2 (parent->id, id));
-  for (; n != NULL; n = kq_map_more (n))
+  for (; n != NULL; n = kq_map_next (n))
     {
-      KqFlow *flow = n->owner;
+      KqFlow *flow = n->container;
       if (flow->parent == parent && flow->id == id)
         return flow;
     }
@@ -86,7 +86,7 @@
          && (f->queued == 0 || top->key <= f->root->virtual_time))
     {
       kq_heap_remove (&f->idle_callers, top);
-      free_flow (f, top->owner);
+      free_flow (f, top->container);
     }
 }
 
@@ -126,8 +126,8 @@
 first_item (const KqFlow *flow)
 {
   while (flow->active.n > 0)
-    flow = kq_heap_top (&flow->active)->owner;
-  return kq_heap_top (&flow->items)->owner;
+    flow = kq_heap_top (&flow->active)->container;
+  return kq_heap_top (&flow->items)->container;
 }
 
 /* Start tag of the flow's next item. */
@@ -146,13 +146,13 @@
 update_tag (KqFairQueue *f, KqFlow *flow)
 {
   flow->by_tag.order = first_item (flow)->by_deadline.order;
-  kq_heap_move (&flow->parent->active, &flow->by_tag, start_tag (f, flow));
+  kq_heap_set_key (&flow->parent->active, &flow->by_tag, start_tag (f, flow));
 }
 
 static void
 activate (KqFairQueue *f, KqFlow *flow)
 {
-  if (flow->by_tag.place > 0)
+  if (flow->by_tag.index > 0)
     kq_heap_remove (&f->idle_callers, &flow->by_tag);
   kq_heap_add (&flow->parent->active, &flow->by_tag, 0, f->order++, flow);
   if (is_caller (f, flow))
@@ -262,5 +262,5 @@
   if (flow->queued > 0)
     update_tag (f, flow);
   else
-    kq_heap_move (&f->idle_callers, &flow->by_tag, flow->tag);
+    kq_heap_set_key (&f->idle_callers, &flow->by_tag, flow->tag);
 }
--- a/src/request/flight.c
+++ b/src/request/flight.c
@@ -108,10 +108,10 @@
   assert (kq_flight_can_resend (f));
   f->body_sent = 0;
   f->body_end_sent = f->body_length == 0;
-  f->body_credit = KQ_WINDOW;
+  f->body_credit = KQ_CREDIT_WINDOW_BYTES;
   f->answer_offset = 0;
   f->answer_consumed = 0;
-  f->answer_credit = KQ_WINDOW;
+  f->answer_credit = KQ_CREDIT_WINDOW_BYTES;
 }
 
 bool
--- a/src/request/flight.h
+++ b/src/request/flight.h
@@ -24,7 +24,7 @@
 /* Flow control: bytes of a request's body (or of an answer) that may be sent before the
  * receiver grants credit for more. This bounds the memory of a flight on each side. With
  * 20 ms between the regions, 256 KB are three times what fills a 30 Mbit/s link. */
-#define KQ_WINDOW (256 * 1024)
+#define KQ_CREDIT_WINDOW_BYTES (256 * 1024)
 /* An answer up to this length is stored with its claim. */
 #define KQ_CLAIM_ANSWER_MAX_BYTES (64 * 1024)
 
--- a/src/request/gateway.c
+++ b/src/request/gateway.c
@@ -39,7 +39,7 @@
 refuse_request (KqGateway *g, KqHttpExchange *x, KqStr service, KqResult code,
                 KqTime retry)
 {
-  kq_account_taken (g->account, service);
+  kq_account_accepted (g->account, service);
   kq_account_ended (g->account, service, KQ_END_REFUSED);
   kq_counter_result (g->config.counters, code);
   kq_problem_reply (x, code, KQ_RAN_NO, retry, kq_str (""), kq_str (""));
@@ -152,7 +152,7 @@
   bool stream = f->key.len == 0
                 && (f->body_length < 0 || f->body_length > KQ_RESEND_BODY_MAX_BYTES);
   g_hash_table_insert (g->flights, &f->id.number, f);
-  kq_account_taken (g->account, kq_name_str (&f->service));
+  kq_account_accepted (g->account, kq_name_str (&f->service));
   kq_http_set_data (f->exchange, f);
   f->state = KQ_FLIGHT_COLLECTING;
   if (!stream)
@@ -228,7 +228,7 @@
   if (f->body_kept && f->body.len > KQ_RESEND_BODY_MAX_BYTES)
     f->body_kept = false;
   kq_entry_send_body (g, f);
-  if (f->body.len >= KQ_WINDOW)
+  if (f->body.len >= KQ_CREDIT_WINDOW_BYTES)
     kq_http_pause_upload (f->exchange);
 }
 
@@ -460,7 +460,7 @@
 report_drained (KqGateway *g)
 {
   KqMail *m;
-  if (!g->draining || g->drained_reported || kq_gateway_open (g) > 0
+  if (!g->draining || g->drained_reported || kq_gateway_open_requests (g) > 0
       || kq_calls_open (g->calls) > 0)
     return;
   g->drained_reported = true;
@@ -580,7 +580,7 @@
 }
 
 size_t
-kq_gateway_open (const KqGateway *g)
+kq_gateway_open_requests (const KqGateway *g)
 {
   return (size_t)kq_account_in_flight (g->account);
 }
--- a/src/request/gateway.h
+++ b/src/request/gateway.h
@@ -37,6 +37,6 @@
 int kq_gateway_port (const KqGateway *g);
 KqTask *kq_gateway_task (KqGateway *g);
 /* Requests that have no final answer yet. */
-size_t kq_gateway_open (const KqGateway *g);
+size_t kq_gateway_open_requests (const KqGateway *g);
 
 #endif
--- a/src/request/heap.c
+++ b/src/request/heap.c
@@ -15,13 +15,13 @@
 put (KqHeap *h, size_t place, KqHeapNode *node)
 {
   h->nodes[place] = node;
-  node->place = place;
+  node->index = place;
 }
 
 static void
 sift_up (KqHeap *h, KqHeapNode *node)
 {
-  size_t place = node->place;
+  size_t place = node->index;
   while (place > 1 && before (node, h->nodes[place / 2]))
     {
       put (h, place, h->nodes[place / 2]);
@@ -33,7 +33,7 @@
 static void
 sift_down (KqHeap *h, KqHeapNode *node)
 {
-  size_t place = node->place;
+  size_t place = node->index;
   while (place * 2 <= h->n)
     {
       size_t child = place * 2;
@@ -55,14 +55,14 @@
 }
 
 void
-kq_heap_add (KqHeap *h, KqHeapNode *node, int64_t key, uint64_t order, void *owner)
+kq_heap_add (KqHeap *h, KqHeapNode *node, int64_t key, uint64_t order, void *container)
 {
   if (h->n + 1 >= h->capacity)
     {
       h->capacity = h->capacity > 0 ? h->capacity * 2 : 16;
       h->nodes = kq_realloc (h->nodes, h->capacity * sizeof (KqHeapNode *));
     }
-  *node = (KqHeapNode){ key, order, ++h->n, owner };
+  *node = (KqHeapNode){ key, order, ++h->n, container };
   sift_up (h, node);
 }
 
@@ -70,21 +70,21 @@
 kq_heap_remove (KqHeap *h, KqHeapNode *node)
 {
   KqHeapNode *last = h->nodes[h->n];
-  assert (node->place > 0 && h->nodes[node->place] == node);
+  assert (node->index > 0 && h->nodes[node->index] == node);
   h->n--;
   if (last != node)
     {
-      put (h, node->place, last);
+      put (h, node->index, last);
       sift_up (h, last);
       sift_down (h, last);
     }
-  node->place = 0;
+  node->index = 0;
 }
 
 void
-kq_heap_move (KqHeap *h, KqHeapNode *node, int64_t key)
+kq_heap_set_key (KqHeap *h, KqHeapNode *node, int64_t key)
 {
-  assert (node->place > 0 && h->nodes[node->place] == node);
+  assert (node->index > 0 && h->nodes[node->index] == node);
   node->key = key;
   sift_up (h, node);
   sift_down (h, node);
--- a/src/request/heap.h
+++ b/src/request/heap.h
@@ -14,8 +14,8 @@
 {
   int64_t key;
   uint64_t order;
-  size_t place; /* index in the heap's array; 1: the top, 0: in no heap */
-  void *owner;  /* the struct that contains the node */
+  size_t index;    /* index in the heap's array; 1: the top, 0: in no heap */
+  void *container; /* the struct that contains the node */
 } KqHeapNode;
 
 typedef struct
@@ -27,10 +27,11 @@
 
 /* Frees the array; nodes still in the heap are not freed. */
 void kq_heap_free (KqHeap *h);
-void kq_heap_add (KqHeap *h, KqHeapNode *node, int64_t key, uint64_t order, void *owner);
+void kq_heap_add (KqHeap *h, KqHeapNode *node, int64_t key, uint64_t order,
+                  void *container);
 void kq_heap_remove (KqHeap *h, KqHeapNode *node);
 /* Changes the key of a node, which must be in the heap. */
-void kq_heap_move (KqHeap *h, KqHeapNode *node, int64_t key);
+void kq_heap_set_key (KqHeap *h, KqHeapNode *node, int64_t key);
 KqHeapNode *kq_heap_top (const KqHeap *h); /* NULL: empty */
 
 #endif
--- a/src/request/map.c
+++ b/src/request/map.c
@@ -42,13 +42,13 @@
 }
 
 void
-kq_map_add (KqMap *m, KqMapNode *node, uint64_t hash, void *owner)
+kq_map_add (KqMap *m, KqMapNode *node, uint64_t hash, void *container)
 {
   KqMapNode **link;
   if (m->n >= m->n_buckets)
     grow (m);
   link = bucket (m, hash);
-  *node = (KqMapNode){ *link, hash, owner };
+  *node = (KqMapNode){ *link, hash, container };
   *link = node;
   if ((size_t)(link - m->buckets) < m->first)
     m->first = (size_t)(link - m->buckets);
@@ -82,7 +82,7 @@
 }
 
 KqMapNode *
-kq_map_more (const KqMapNode *node)
+kq_map_next (const KqMapNode *node)
 {
   KqMapNode *next = node->next;
   while (next != NULL && next->hash != node->hash)
--- a/src/request/map.h
+++ b/src/request/map.h
@@ -14,7 +14,7 @@
 {
   struct KqMapNode *next;
   uint64_t hash;
-  void *owner; /* the struct that contains the node */
+  void *container; /* the struct that contains the node */
 } KqMapNode;
 
 typedef struct
@@ -27,11 +27,11 @@
 
 /* Frees the table; nodes still in it are not freed. */
 void kq_map_free (KqMap *m);
-void kq_map_add (KqMap *m, KqMapNode *node, uint64_t hash, void *owner);
+void kq_map_add (KqMap *m, KqMapNode *node, uint64_t hash, void *container);
 void kq_map_remove (KqMap *m, KqMapNode *node);
 /* The first node with the hash, and the next node with the same hash; NULL: none. */
 KqMapNode *kq_map_find (const KqMap *m, uint64_t hash);
-KqMapNode *kq_map_more (const KqMapNode *node);
+KqMapNode *kq_map_next (const KqMapNode *node);
 /* Any node, for removing them all; NULL: the map is empty. */
 KqMapNode *kq_map_any (KqMap *m);
 
--- a/src/request/pool.c
+++ b/src/request/pool.c
@@ -64,7 +64,7 @@
 {
   bool wanted = is_live (r) && r->outlier.state == KQ_OUTLIER_EJECTED && r->ours == 0
                 && r->foreign < slot_count (r);
-  if (r->by_probe.place > 0)
+  if (r->by_probe.index > 0)
     kq_heap_remove (&r->group->probes, &r->by_probe);
   if (wanted)
     kq_heap_add (&r->group->probes, &r->by_probe, r->outlier.probe_at, r->info.id, r);
@@ -171,7 +171,7 @@
 {
   kq_outlier_leave (&r->group->peers, &r->outlier);
   add_to_totals (r, -1);
-  if (r->by_probe.place > 0)
+  if (r->by_probe.index > 0)
     kq_heap_remove (&r->group->probes, &r->by_probe);
   for (int checks = 0; checks < KQ_CHECK_SETS; checks++)
     {
@@ -197,7 +197,7 @@
 {
   KqMapNode *node;
   while ((node = kq_map_any (&p->runners)) != NULL)
-    free_runner (p, node->owner);
+    free_runner (p, node->container);
   for (size_t i = 0; i < p->n_groups; i++)
     {
       KqGroup *g = p->groups[i];
@@ -215,7 +215,7 @@
 kq_pool_find (const KqPool *p, KqRunnerId id)
 {
   KqMapNode *node = kq_map_find (&p->runners, id);
-  return node != NULL ? node->owner : NULL;
+  return node != NULL ? node->container : NULL;
 }
 
 void
@@ -344,7 +344,7 @@
   for (size_t i = 0; i < n; i++)
     {
       KqHeapNode *top = kq_heap_top (&groups[i]->probes);
-      KqRunner *r = top != NULL && top->key <= now ? top->owner : NULL;
+      KqRunner *r = top != NULL && top->key <= now ? top->container : NULL;
       if (r != NULL && (may_lose || r->outlier.unreachable))
         return r;
     }
@@ -366,7 +366,7 @@
   p->n_running++;
   update_free_lists (r);
   /* Only one probe at a time. */
-  if (r->by_probe.place > 0)
+  if (r->by_probe.index > 0)
     kq_heap_remove (&r->group->probes, &r->by_probe);
 }
 
--- a/src/request/retry.c
+++ b/src/request/retry.c
@@ -32,7 +32,7 @@
 }
 
 void
-kq_retry_first (KqRetryBudget *b, int64_t percent, KqTime now)
+kq_retry_count_first_try (KqRetryBudget *b, int64_t percent, KqTime now)
 {
   update (b, now);
   b->tokens += (double)percent / 100;
@@ -49,7 +49,7 @@
 }
 
 KqTime
-kq_retry_for_successor (KqTime handed_back_at, int tries, KqTime now)
+kq_retry_successor_time (KqTime handed_back_at, int tries, KqTime now)
 {
   if (handed_back_at == 0 || tries >= SUCCESSOR_TRIES_MAX
       || now - handed_back_at >= KQ_RETRY_SUCCESSOR_WAIT)
--- a/src/request/retry.h
+++ b/src/request/retry.h
@@ -31,7 +31,7 @@
 } KqRetryBudget;
 
 /* Counts a first try. percent: retry_percent of the service row. */
-void kq_retry_first (KqRetryBudget *b, int64_t percent, KqTime now);
+void kq_retry_count_first_try (KqRetryBudget *b, int64_t percent, KqTime now);
 /* Takes one retry from the budget; false: there is none left. */
 bool kq_retry_take (KqRetryBudget *b, KqTime now);
 /* How long to wait before retry n, counted from 1. */
@@ -45,6 +45,6 @@
  *
  * handed_back_at: when the owner handed the request back; 0: never. tries: so far.
  * Returns 0 if the request should not wait, or has waited too long. */
-KqTime kq_retry_for_successor (KqTime handed_back_at, int tries, KqTime now);
+KqTime kq_retry_successor_time (KqTime handed_back_at, int tries, KqTime now);
 
 #endif
--- a/src/request/route.c
+++ b/src/request/route.c
@@ -99,9 +99,10 @@
 find_service (const KqRoute *r, KqStr name)
 {
   KqMapNode *node = kq_map_find (&r->services, kq_str_hash (name));
-  while (node != NULL && !kq_str_eq (kq_name_str (&((Service *)node->owner)->name), name))
-    node = kq_map_more (node);
-  return node != NULL ? node->owner : NULL;
+  while (node != NULL
+         && !kq_str_eq (kq_name_str (&((Service *)node->container)->name), name))
+    node = kq_map_next (node);
+  return node != NULL ? node->container : NULL;
 }
 
 static Service *
@@ -121,7 +122,7 @@
 find_node (const KqRoute *r, KqNodeId id)
 {
   KqMapNode *node = kq_map_find (&r->nodes, id);
-  return node != NULL ? node->owner : NULL;
+  return node != NULL ? node->container : NULL;
 }
 
 static Tier
@@ -179,7 +180,7 @@
     kq_route_drop_node (r, node->hash);
   while ((node = kq_map_any (&r->services)) != NULL)
     {
-      Service *s = node->owner;
+      Service *s = node->container;
       kq_map_remove (&r->services, node);
       for (int t = 0; t < TIERS; t++)
         free (s->endpoints[t]);
@@ -202,7 +203,7 @@
   for (size_t b = 0; b < r->services.n_buckets; b++)
     for (KqMapNode *n = r->services.buckets[b]; n != NULL; n = n->next)
       {
-        Service *s = n->owner;
+        Service *s = n->container;
         s->row = find_row (r, kq_name_str (&s->name));
       }
 }
@@ -466,11 +467,11 @@
 {
   Service *s = get_table_service (r, service);
   if (s != NULL)
-    kq_retry_first (&s->budget, s->row->retry_percent, now);
+    kq_retry_count_first_try (&s->budget, s->row->retry_percent, now);
 }
 
 bool
-kq_route_may_retry (KqRoute *r, KqStr service, KqTime now)
+kq_route_take_retry (KqRoute *r, KqStr service, KqTime now)
 {
   Service *s = get_table_service (r, service);
   if (s == NULL)
--- a/src/request/route.h
+++ b/src/request/route.h
@@ -60,7 +60,7 @@
 void kq_route_first_try (KqRoute *r, KqStr service, KqTime now);
 /* Whether a retry is allowed; if so, takes it from the budget. Always allowed if the
  * service row has no retry budget (`retry` false). */
-bool kq_route_may_retry (KqRoute *r, KqStr service, KqTime now);
+bool kq_route_take_retry (KqRoute *r, KqStr service, KqTime now);
 /* Backoff with jitter before retry n, counted from 1. */
 KqTime kq_route_backoff (KqRoute *r, int n);
 
--- a/src/request/route_test.c
+++ b/src/request/route_test.c
@@ -242,11 +242,11 @@
   for (int i = 0; i < 100; i++)
     kq_route_first_try (f.r, SERVICE, f.now);
   for (int i = 0; i < 100; i++)
-    allowed += kq_route_may_retry (f.r, SERVICE, f.now);
+    allowed += kq_route_take_retry (f.r, SERVICE, f.now);
   assert_in_range (allowed, 10, 13);
-  assert_false (kq_route_may_retry (f.r, KQ_STR ("none"), f.now));
+  assert_false (kq_route_take_retry (f.r, KQ_STR ("none"), f.now));
   set_row (&f, false, true, false);
-  assert_true (kq_route_may_retry (f.r, SERVICE, f.now));
+  assert_true (kq_route_take_retry (f.r, SERVICE, f.now));
   stop (&f);
 }
 
--- a/src/request/runner_flight.c
+++ b/src/request/runner_flight.c
@@ -46,8 +46,8 @@
 {
   KqMsg m = { .kind = KQ_MSG_REQ_CREDIT };
   size_t held = f->call != NULL ? kq_http_call_unfed (f->call) : f->body.len;
-  uint64_t wanted = f->body_received - held + KQ_WINDOW;
-  if (f->body_end || wanted < f->body_granted + KQ_WINDOW / 4)
+  uint64_t wanted = f->body_received - held + KQ_CREDIT_WINDOW_BYTES;
+  if (f->body_end || wanted < f->body_granted + KQ_CREDIT_WINDOW_BYTES / 4)
     return;
   m.u.credit.flight = f->id;
   m.u.credit.bytes = wanted - f->body_granted;
@@ -283,8 +283,8 @@
   f->deadline = now + o->deadline_us;
   f->body_length = o->body_length;
   f->body_end = o->body_length == 0;
-  f->body_granted = KQ_WINDOW;
-  f->answer_allowed = KQ_WINDOW;
+  f->body_granted = KQ_CREDIT_WINDOW_BYTES;
+  f->answer_allowed = KQ_CREDIT_WINDOW_BYTES;
   /* The copy of path and headers is made as at the entry node; it now belongs to f. */
   kq_flight_set_request (&text, o->path, o->claim_key, o->headers, o->n_headers);
   f->text = text.text;
--- a/src/request/runner_task.c
+++ b/src/request/runner_task.c
@@ -357,7 +357,7 @@
   (void)ev;
   (void)events;
   end_overdue (t, now);
-  if (kq_dispatch_wake (t->dispatch, now) <= now)
+  if (kq_dispatch_wake_time (t->dispatch, now) <= now)
     kq_runner_run_queue (t, now);
   send_digest (t, now);
   send_drained (t);
@@ -406,7 +406,7 @@
 }
 
 size_t
-kq_runner_task_open (const KqRunnerTask *t)
+kq_runner_task_open_flights (const KqRunnerTask *t)
 {
   return g_hash_table_size (t->flights);
 }
--- a/src/wire/msg.h
+++ b/src/wire/msg.h
@@ -205,7 +205,7 @@
   KqStr service;
   KqStr caller;
   KqStr key;
-  uint64_t body_hash; /* over method, path and body */
+  uint64_t request_hash; /* over method, path and body */
 } KqMsgClaimBegin;
 
 typedef enum
--- a/src/wire/msg_request.c
+++ b/src/wire/msg_request.c
@@ -208,7 +208,7 @@
   kq_pack_str (p, b->service);
   kq_pack_str (p, b->caller);
   kq_pack_str (p, b->key);
-  kq_pack_u64 (p, b->body_hash);
+  kq_pack_u64 (p, b->request_hash);
 }
 
 static void
@@ -219,7 +219,7 @@
   b->service = kq_read_str (r);
   b->caller = kq_read_str (r);
   b->key = kq_read_str (r);
-  b->body_hash = kq_read_u64 (r);
+  b->request_hash = kq_read_u64 (r);
 }
 
 static void
