--- a/bench/fleet_faults.c
+++ b/bench/fleet_faults.c
@@ -101,13 +101,13 @@
       s->latency = SLOW;
       break;
     case KQ_FAULT_LOST_AFTER:
-      s->p[KQ_FATE_LOST_AFTER] = LOST_OFTEN;
+      s->p[KQ_STORE_FAULT_LOST_AFTER] = LOST_OFTEN;
       break;
     case KQ_FAULT_LOST_BEFORE:
-      s->p[KQ_FATE_LOST_BEFORE] = LOST_OFTEN;
+      s->p[KQ_STORE_FAULT_LOST_BEFORE] = LOST_OFTEN;
       break;
     case KQ_FAULT_LATE_EFFECT:
-      s->p[KQ_FATE_LATE_EFFECT] = LOST_OFTEN;
+      s->p[KQ_STORE_FAULT_LATE_EFFECT] = LOST_OFTEN;
       break;
     case KQ_FAULT_DIES:
       kq_fleet_stop_node (f, node);
@@ -134,7 +134,7 @@
     case KQ_FAULT_LEASE_LAPSES:
       f->lapsed_until = f->now + LEASE;
       if (n->up)
-        kq_store_fake_lapse (f->store, kq_member_lease (n->member), f->now);
+        kq_store_fake_expire_lease (f->store, kq_member_lease (n->member), f->now);
       break;
     }
 }
@@ -217,7 +217,7 @@
           kq_store_fake_call (f->store, reader, &item.u.store, f->now);
           kq_out_clear (&item);
         }
-      f->now = kq_store_fake_due (f->store);
+      f->now = kq_store_fake_next_time (f->store);
       while (kq_store_fake_next (f->store, f->now, &client, &reply))
         if (client == reader)
           kq_journal_reply (j, &reply, f->now, &out);
--- a/bench/fleet_nodes.c
+++ b/bench/fleet_nodes.c
@@ -85,7 +85,8 @@
   f->trigger_on = false;
   f->triggered = true;
   if (f->trigger_fault == KQ_FAULT_LOST_AFTER)
-    kq_store_fake_script (f->store, op->kind, f->trigger_prefix, 0, KQ_FATE_LOST_AFTER);
+    kq_store_fake_script (f->store, op->kind, f->trigger_prefix, 0,
+                          KQ_STORE_FAULT_LOST_AFTER);
   else
     kq_fleet_fault (f, f->trigger_fault, i);
 }
@@ -137,9 +138,10 @@
   n->info.depot = kq_name (kq_str (name));
   n->info.mesh_address = kq_name (KQ_STR ("127.0.0.1:1"));
   n->info.operator_address = kq_name (KQ_STR ("127.0.0.1:2"));
-  KqMemberConfig c = {
-    .self = n->info, .lease = 10 * KQ_SEC, .beat = KQ_SEC / 2, .suspect = 2 * KQ_SEC
-  };
+  KqMemberConfig c = { .self = n->info,
+                       .lease = 10 * KQ_SEC,
+                       .heartbeat_interval = KQ_SEC / 2,
+                       .suspect_after = 2 * KQ_SEC };
   n->member = kq_member_new (&c, kq_rand_next (&f->rand));
   n->owner = kq_owner_new (&n->info, a ? 0 : REGION_A_SHARDS,
                            a ? REGION_A_SHARDS : KQ_FLEET_SHARDS - REGION_A_SHARDS,
@@ -168,7 +170,7 @@
   if (!n->up)
     return;
   n->up = false;
-  kq_store_fake_forget (f->store, i);
+  kq_store_fake_drop_answers (f->store, i);
   for (uint32_t s = 0; s < KQ_FLEET_SHARDS; s++)
     {
       drop_shard (&n->shards[s]);
@@ -285,7 +287,7 @@
       note (f, (uint64_t)e.kind << 32 | e.shard << 8 | (uint64_t)i);
       switch (e.kind)
         {
-        case KQ_OWNER_TOOK:
+        case KQ_OWNER_TAKEN:
           if (e.epoch <= f->truth[e.shard].epoch)
             kq_fleet_violate (f, "epoch taken twice", e.shard, i, e.epoch);
           f->truth[e.shard].epoch = e.epoch;
@@ -295,7 +297,7 @@
         case KQ_OWNER_LOST:
           drop_shard (&n->shards[e.shard]);
           break;
-        case KQ_OWNER_GIVE_UP: /* see run_shard */
+        case KQ_OWNER_HANDOVER: /* see run_shard */
           break;
         }
     }
@@ -330,7 +332,7 @@
   if (state == KQ_JOURNAL_DAMAGED)
     kq_fleet_violate (f, kq_journal_damage (shard->journal)->what, s, i, 0);
   if (state == KQ_JOURNAL_FENCED)
-    kq_owner_fenced (n->owner, s, f->now);
+    kq_owner_step_down (n->owner, s, f->now);
   else if (kq_owner_state (n->owner, s) == KQ_OWN_RELEASING
            && (state != KQ_JOURNAL_OPEN || kq_journal_lag (shard->journal, f->now) == 0))
     {
@@ -431,7 +433,7 @@
       if (!n->up || !kq_owner_is_mine (n->owner, s, n->member, f->now))
         continue;
       all++;
-      sure += !kq_owner_blind (n->owner, n->member, f->now);
+      sure += !kq_owner_valid_in_outage (n->owner, n->member, f->now);
     }
   if (sure > 1 && f->now > f->lapsed_until)
     kq_fleet_violate (f, "two owners", s, sure, 0);
@@ -518,7 +520,7 @@
 void
 kq_fleet_step (KqFleet *f)
 {
-  KqTime at = kq_store_fake_due (f->store);
+  KqTime at = kq_store_fake_next_time (f->store);
   int node = -1;
   int restart = -1;
   size_t flight = f->n_flights;
@@ -550,7 +552,7 @@
     tick_node (f, node);
   else if (restart >= 0)
     kq_fleet_start_node (f, restart);
-  else if (kq_store_fake_due (f->store) <= f->now)
+  else if (kq_store_fake_next_time (f->store) <= f->now)
     {
       if (!kq_store_fake_next (f->store, f->now, &node, &r))
         return;
--- a/bench/job_fake.c
+++ b/bench/job_fake.c
@@ -194,7 +194,7 @@
   kq_fake_worker_tick (w, now);
   r->result = KQ_ERR_OLD_EPOCH;
   r->worker_epoch = w->epoch;
-  r->whole = w->whole;
+  r->capacity = w->whole;
   if (c->epoch < w->epoch)
     return;
   w->epoch = r->worker_epoch = c->epoch;
--- a/bench/job_rig.c
+++ b/bench/job_rig.c
@@ -214,7 +214,7 @@
 new_host (size_t i, KqSize whole, size_t per_rack)
 {
   char name[40];
-  KqHost h = { .id = i + 1, .state = KQ_HOST_LIVE, .whole = whole };
+  KqHost h = { .id = i + 1, .state = KQ_HOST_LIVE, .capacity = whole };
   snprintf (name, sizeof name, "w%zu", i);
   h.name = kq_name (kq_str (name));
   snprintf (name, sizeof name, "rack%zu", i / per_rack);
@@ -330,7 +330,7 @@
 void
 kq_rig_submit (KqRig *r, KqJobId id, const KqJobSpec *spec)
 {
-  KqMsgJobSubmit m = { .call = id, .asker = 7, .shard = 1, .spec = *spec };
+  KqMsgJobSubmit m = { .call = id, .reply_to = 7, .shard = 1, .spec = *spec };
   KqOutbox out;
   m.job = ((KqJobId)1 << 48) | id;
   kq_outbox_init (&out);
@@ -340,7 +340,7 @@
 void
 kq_rig_call (KqRig *r, KqJobCallKind kind, KqJobId id)
 {
-  KqMsgJobCall m = { .call = id, .asker = 7, .shard = 1, .kind = kind };
+  KqMsgJobCall m = { .call = id, .reply_to = 7, .shard = 1, .kind = kind };
   KqOutbox out;
   m.job = ((KqJobId)1 << 48) | id;
   kq_outbox_init (&out);
--- a/bench/lives.c
+++ b/bench/lives.c
@@ -113,7 +113,7 @@
     return;
   o = (KqOrder){ .kind = KQ_ORDER_SEEN };
   o.u.seen.ends = list->ended[list->n_ended - 1].number;
-  o.u.seen.born_ms = list->born_ms;
+  o.u.seen.started_ms = list->started_ms;
   order (l, r, &o);
 }
 
@@ -302,7 +302,7 @@
 {
   Lives *l = kq_alloc (sizeof *l);
   KqCounters *counters = kq_counters_new ();
-  KqRunnerCalls *calls = NULL;
+  KqRunnerClient *calls = NULL;
   int result = -1;
   *out = (KqLivesReport){ 0 };
   l->plan = p;
@@ -310,7 +310,7 @@
   l->rand = kq_rand (p->seed);
   if (p->runners > RUNNERS_MAX || !procs_init (&l->procs, p->build))
     goto out;
-  calls = kq_runners_new (l->procs.loop);
+  calls = kq_runner_client_new (l->procs.loop);
   l->agent = kq_agent_new (&(KqAgentConfig){ .loop = l->procs.loop,
                                              .calls = calls,
                                              .lease_ms = LEASE_MS,
@@ -335,7 +335,7 @@
   result = 0;
 end:
   kq_agent_free (l->agent);
-  kq_runners_calls_free (calls);
+  kq_runner_client_free (calls);
   procs_end (&l->procs, out->breaches > 0);
 out:
   kq_counters_free (counters);
--- a/bench/place_main.c
+++ b/bench/place_main.c
@@ -245,7 +245,7 @@
     {
       KqJobSpec s = kq_rig_spec ("plan", i % 3 ? "route" : "seal",
                                  (KqSize){ 1000 + (int64_t)(i % 7) * 300, 4096, 0 });
-      KqMsgJobSubmit m = { .call = i, .asker = 7, .shard = 1, .spec = s };
+      KqMsgJobSubmit m = { .call = i, .reply_to = 7, .shard = 1, .spec = s };
       KqOutbox out;
       m.job = ((KqJobId)1 << 48) | i;
       kq_outbox_init (&out);
@@ -334,7 +334,7 @@
         {
           old[i] = fresh[i];
           fresh[i].used = q[i].teams[0].used;
-          fresh[i].wanted = q[i].teams[0].own_wanted;
+          fresh[i].queued = q[i].teams[0].own_wanted;
         }
       for (uint32_t i = 0; step % BEAT == 0 && i < SHARDS; i++)
         kq_quota_set_others (&q[i], d, SHARDS, i);
--- a/bench/place_model.c
+++ b/bench/place_model.c
@@ -153,7 +153,7 @@
   m->rig.started = note_start;
   m->rig.arg = m;
   for (size_t i = 0; i < d->accelerated; i++)
-    m->rig.workers[i].whole.accelerators = m->rig.hosts[i].whole.accelerators = 4;
+    m->rig.workers[i].whole.accelerators = m->rig.hosts[i].capacity.accelerators = 4;
   row.u.policy = *policy;
   kq_rig_row (&m->rig, &row);
   add_class_rows (m);
--- a/bench/procs.c
+++ b/bench/procs.c
@@ -330,7 +330,7 @@
 }
 
 static void
-on_done (void *arg, KqHttpCall *c, KqHttpEnd end)
+on_done (void *arg, KqHttpCall *c, KqHttpOutcome end)
 {
   Asking *a = arg;
   (void)c;
@@ -355,7 +355,7 @@
                       .body = r->body,
                       .connect_ms = 2000,
                       .total_ms = r->total_ms > 0 ? r->total_ms : 15000,
-                      .once = strcmp (r->method, "POST") == 0 };
+                      .fresh_connection = strcmp (r->method, "POST") == 0 };
   a->done = done;
   a->arg = arg;
   a->answer.started_at = kq_time_now ();
--- a/bench/procs.h
+++ b/bench/procs.h
@@ -60,7 +60,7 @@
 /* One answer. */
 typedef struct
 {
-  KqHttpEnd end;
+  KqHttpOutcome end;
   int status;
   KqBuf body;
   char ran[16]; /* "no" or "unknown" of a problem answer, else "" */
--- a/bench/sched_desk.c
+++ b/bench/sched_desk.c
@@ -78,7 +78,7 @@
 static void
 list (KqSchedDesk *d, const char *runner, KqRunnerList l)
 {
-  l.born_ms = d->born_ms;
+  l.started_ms = d->started_ms;
   l.lease_left_ms = 5000;
   l.order = d->results;
   l.assignment = *assignment (d, kq_str (runner));
@@ -95,7 +95,7 @@
 void
 kq_sched_desk_list_cut (KqSchedDesk *d, const char *runner, const KqEndRow *end)
 {
-  list (d, runner, (KqRunnerList){ .ended = end, .n_ended = 1, .ended_cut = true });
+  list (d, runner, (KqRunnerList){ .ended = end, .n_ended = 1, .more_ended = true });
 }
 
 void
@@ -245,7 +245,7 @@
   KqSchedDesk *d = calloc (1, sizeof *d);
   kq_log_set_level (KQ_LOG_ERROR);
   d->now = 100 * KQ_SEC;
-  d->born_ms = 1;
+  d->started_ms = 1;
   d->starts_out = g_array_new (FALSE, FALSE, sizeof (KqSchedDeskStart));
   d->counters = kq_counters_new ();
   new_sched (d, 5);
--- a/bench/sched_desk.h
+++ b/bench/sched_desk.h
@@ -42,7 +42,7 @@
   uint64_t results;
   uint64_t assignment[3]; /* of r0 to r2, as ordered last */
   KqBuf known;            /* the stored list of runners */
-  int64_t born_ms;        /* of the life that lists come from; 1 at first */
+  int64_t started_ms;     /* of the life that lists come from; 1 at first */
   int drops;              /* orders to look after a runner no longer, so far */
 } KqSchedDesk;
 
--- a/bench/sched_load.c
+++ b/bench/sched_load.c
@@ -363,7 +363,7 @@
 }
 
 static void
-end_run (Load *l, Runner *r, guint at, KqEndHow how)
+end_run (Load *l, Runner *r, guint at, KqEndReason how)
 {
   const Run *run = &g_array_index (r->runs, Run, at);
   End *e = kq_alloc (sizeof *e);
@@ -433,7 +433,7 @@
   guint n = r->runs->len;
   KqRunRow *rows = kq_alloc ((n + 1) * sizeof *rows);
   KqEndRow *ends = kq_alloc ((r->ends->len + 1) * sizeof *ends);
-  KqRunnerList list = { .born_ms = 1,
+  KqRunnerList list = { .started_ms = 1,
                         .lease_left_ms = LEASE_MS,
                         .order = r->results,
                         .assignment = r->assignment,
@@ -533,7 +533,7 @@
           = { .service = KQ_STR ("desk"),
               .address = KQ_STR ("127.0.0.1:1"),
               .kind = KQ_STR ("a"),
-              .born_ms = 1,
+              .started_ms = 1,
               .room = { (int64_t)(CPU_MILLI * size), (int64_t)(MEM_MB * size), 0 } };
       snprintf (r->id, sizeof r->id, "r%d", i);
       snprintf (rack, sizeof rack, "k%d", i / RACK);
--- a/bench/sched_rig.c
+++ b/bench/sched_rig.c
@@ -215,7 +215,7 @@
                           .failure_domain = KQ_STR ("north"),
                           .kind = KQ_STR ("a"),
                           .rack = KQ_STR ("r1"),
-                          .left_ms = 2500,
+                          .remaining_ms = 2500,
                           .room = g->room };
       if (g->alive)
         kq_sched_entry (r->sched, &e, r->now);
@@ -318,7 +318,7 @@
       g->alive = true;
       g->rate = i % 2 == 0 ? 1.0 : 0.98;
       g->born_at = r->now - (KqTime)(i + 1) * KQ_SEC;
-      g->born_ms = i + 1;
+      g->started_ms = i + 1;
       g->runs = g_ptr_array_new_with_free_func (free_run);
       g->ends = g_ptr_array_new_with_free_func (free_end);
       g->highest = g_hash_table_new_full (g_str_hash, g_str_equal, free, NULL);
--- a/bench/sched_rig.h
+++ b/bench/sched_rig.h
@@ -37,7 +37,7 @@
   uint64_t number;
   char *task;
   uint32_t run;
-  KqEndHow how;
+  KqEndReason how;
   KqTime at;
   bool lapsed; /* its runner's lease has ended since */
 } KqSchedRigEnd;
@@ -51,7 +51,7 @@
   KqTime deaf_until; /* calls pass, answers don't */
   double rate;       /* of its clock, by true time */
   KqTime born_at;
-  int64_t born_ms;
+  int64_t started_ms;
   int64_t lease_end_ms;
   uint64_t fence;
   uint64_t next_end;
@@ -125,7 +125,7 @@
   uint32_t run;
   int64_t lease_end_ms; /* -1: none */
   uint64_t seen;
-  int64_t born_ms; /* not 0: only on a connection of that life */
+  int64_t started_ms; /* not 0: only on a connection of that life */
   KqTime wait;
   uint64_t order; /* results told when the question left */
   KqTime way;
--- a/bench/sched_rig_agent.c
+++ b/bench/sched_rig_agent.c
@@ -22,10 +22,10 @@
 }
 
 static void
-note_clock (KqSchedRigHeld *h, int64_t clock_ms, int64_t born_ms, KqTime sent_at,
+note_clock (KqSchedRigHeld *h, int64_t clock_ms, int64_t started_ms, KqTime sent_at,
             KqTime now)
 {
-  KqLeaseReply n = { clock_ms, born_ms, sent_at };
+  KqLeaseReply n = { clock_ms, started_ms, sent_at };
   if (kq_lease_update (&h->lease, &n, KQ_SCHED_RIG_LEASE_MS, now))
     h->ends_seen = 0;
 }
@@ -104,7 +104,7 @@
   c.wait = h->lease.clock_ms < 0 || h->failures > 0 || h->halt != 0 ? 0 : wait_of (h);
   c.seen = h->failures > 0 || h->listed_at == 0 ? 0 : h->ends_seen;
   if (c.seen > 0)
-    c.born_ms = h->lease.born_ms;
+    c.started_ms = h->lease.started_ms;
   c.lease_end_ms = grant (r, agent, h);
   h->asking = true;
   kq_sched_rig_trace_runner (r, runner, agent, "asks, lease until", c.lease_end_ms);
@@ -145,7 +145,7 @@
     return;
   h->failures = 0;
   h->told_at = 0;
-  note_clock (h, e->clock_ms, i.u.list.born_ms, c->sent_at, r->now);
+  note_clock (h, e->clock_ms, i.u.list.started_ms, c->sent_at, r->now);
   h->listed_at = r->now;
   h->ends_told = i.u.list.n_ended > 0 ? i.u.list.ended[i.u.list.n_ended - 1].number : 0;
   i.u.list.lease_left_ms = kq_lease_left_ms (&h->lease, r->now);
@@ -246,7 +246,7 @@
     {
       int64_t end = grant (r, agent, h);
       c.lease_end_ms = end >= 0 ? end : h->lease.end_ms;
-      c.born_ms = h->lease.born_ms;
+      c.started_ms = h->lease.started_ms;
     }
   c.task = kq_str_dup (start ? o->u.start.task : o->u.stop.task);
   send_call (r, c);
@@ -292,7 +292,7 @@
       carry_out (r, agent, runner, o);
       break;
     case KQ_ORDER_SEEN:
-      if (o->u.seen.ends > h->ends_seen && o->u.seen.born_ms == h->lease.born_ms)
+      if (o->u.seen.ends > h->ends_seen && o->u.seen.started_ms == h->lease.started_ms)
         h->ends_seen = o->u.seen.ends;
       h->watched = o->u.seen.watched;
       if (!h->asking && h->ends_told <= h->ends_seen)
--- a/bench/sched_rig_runner.c
+++ b/bench/sched_rig_runner.c
@@ -137,7 +137,7 @@
 }
 
 static void
-end_run (KqSchedRig *r, KqSchedRigRunner *g, guint at, KqEndHow how)
+end_run (KqSchedRig *r, KqSchedRigRunner *g, guint at, KqEndReason how)
 {
   KqSchedRigRun *run = g_ptr_array_index (g->runs, at);
   KqSchedRigEnd *e = kq_alloc (sizeof *e);
@@ -309,7 +309,7 @@
       ends[k] = (KqEndRow){ end->number, kq_str (end->task), end->run, end->how,
                             KQ_STR ("") };
     }
-  i.u.list = (KqRunnerList){ .born_ms = g->born_ms,
+  i.u.list = (KqRunnerList){ .started_ms = g->started_ms,
                              .running = rows,
                              .n_running = g->runs->len,
                              .ended = ends,
@@ -406,7 +406,7 @@
 {
   const KqSchedRigCall *c = &e->call;
   KqSchedRigRunner *g = &r->runners[c->runner];
-  if (!g->alive || (c->born_ms != 0 && c->born_ms != g->born_ms))
+  if (!g->alive || (c->started_ms != 0 && c->started_ms != g->started_ms))
     answer (r, c, KQ_ORDER_UNHEALTHY); /* it has not left */
   else if (cut_off (r, c))
     answer (r, c, KQ_ORDER_UNKNOWN);
@@ -478,7 +478,7 @@
   g->next_end = 0;
   g->lease_end_ms = 0;
   g->born_at = r->now;
-  g->born_ms += 100;
+  g->started_ms += 100;
 }
 
 KqStep
--- a/bench/shard_main.c
+++ b/bench/shard_main.c
@@ -209,7 +209,7 @@
 static KqTime
 next_time (const Fleet *f, KqTime next_start)
 {
-  KqTime due = kq_store_fake_due (f->store);
+  KqTime due = kq_store_fake_next_time (f->store);
   for (uint32_t s = 0; s < f->n_shards; s++)
     if (kq_journal_due (f->journals[s]) < due)
       due = kq_journal_due (f->journals[s]);
@@ -259,7 +259,7 @@
     {
       while (kq_journal_state (f->journals[s]) != KQ_JOURNAL_OPEN)
         {
-          f->now = kq_store_fake_due (f->store);
+          f->now = kq_store_fake_next_time (f->store);
           take_replies (f);
         }
       while (kq_journal_next_record (f->journals[s], &r))
--- a/bench/soak.c
+++ b/bench/soak.c
@@ -13,7 +13,7 @@
 lose_some (KqFleet *f)
 {
   KqStoreFaults *s = kq_store_fake_faults (kq_fleet_store (f));
-  for (int fate = KQ_FATE_LOST_BEFORE; fate < KQ_FATE_COUNT; fate++)
+  for (int fate = KQ_STORE_FAULT_LOST_BEFORE; fate < KQ_STORE_FAULT_COUNT; fate++)
     s->p[fate] = BACKGROUND_LOSS;
 }
 
--- a/bench/table_main.c
+++ b/bench/table_main.c
@@ -195,7 +195,7 @@
 {
   KqShardDigest d = { .shard = shard, .epoch = 3, .workers = 64 };
   d.depot = kq_name (KQ_STR ("depot-12"));
-  d.free = d.largest_free = d.largest_whole = (KqSize){ 640000, 2500000, 90 };
+  d.free = d.largest_free = d.largest_capacity = (KqSize){ 640000, 2500000, 90 };
   d.queued_jobs = 70;
   d.running_tasks = 1030;
   d.services = kq_alloc (SERVICES * sizeof *d.services);
@@ -216,7 +216,7 @@
       char name[32];
       snprintf (name, sizeof name, "team-%d", i);
       d.teams[i].team = kq_name (kq_str (name));
-      d.teams[i].used = d.teams[i].wanted = (KqSize){ 64000, 250000, 2 };
+      d.teams[i].used = d.teams[i].queued = (KqSize){ 64000, 250000, 2 };
     }
   return d;
 }
--- a/bench/table_sim.c
+++ b/bench/table_sim.c
@@ -128,7 +128,7 @@
   if (i < 0 || !f->nodes[i].up || f->cut[n->index][i])
     return;
   KqTableSimNode *r = &f->nodes[i];
-  bool table = (*msg)->kind == KQ_MSG_TABLE || (*msg)->kind == KQ_MSG_TABLE_WANT;
+  bool table = (*msg)->kind == KQ_MSG_TABLE || (*msg)->kind == KQ_MSG_TABLE_REQUEST;
   if (table && f->mute_tables)
     return;
   bool far = r->region != n->region;
@@ -159,7 +159,7 @@
       kq_out_clear (&item);
     }
   kq_outbox_free (out);
-  while (kq_table_dist_result (n->dist, &r))
+  while (kq_table_dist_take_result (n->dist, &r))
     {
       assert (!f->done[r.call]);
       f->results[r.call] = r;
@@ -196,7 +196,7 @@
 tell_peer (KqTableSim *f, KqTableSimNode *n, KqNodeId id, uint64_t revision, int region)
 {
   KqOutbox out = { 0 };
-  kq_table_dist_peer (n->dist, id, revision, region != n->region, f->now, &out);
+  kq_table_dist_peer_revision (n->dist, id, revision, region != n->region, f->now, &out);
   if (!kq_outbox_empty (&out))
     carry_out (f, n, &out);
 }
@@ -304,7 +304,7 @@
     {
       step (f);
       KqTime next = s->next_tick;
-      KqTime due = kq_store_fake_due (f->store);
+      KqTime due = kq_store_fake_next_time (f->store);
       if (due < next)
         next = due;
       if (s->n_flying > 0 && s->flying[0].at < next)
@@ -339,8 +339,9 @@
   n->dist = kq_table_dist_new (n->info.id, seed);
   if (f->members)
     {
-      KqMemberConfig c = { .self = n->info, .lease = 10 * KQ_SEC, .beat = NEAR_BEAT };
-      c.suspect = 2 * KQ_SEC;
+      KqMemberConfig c
+          = { .self = n->info, .lease = 10 * KQ_SEC, .heartbeat_interval = NEAR_BEAT };
+      c.suspect_after = 2 * KQ_SEC;
       n->member = kq_member_new (&c, seed);
     }
 }
--- a/bench/whole.c
+++ b/bench/whole.c
@@ -147,8 +147,8 @@
 static bool
 owns (const KqWhole *w, int node, uint32_t shard)
 {
-  KqShardHost *h = kq_core_shard (w->nodes[node].core, shard);
-  return h != NULL && kq_shard_host_state (h) == KQ_HOST_ACTIVE;
+  KqShard *h = kq_core_shard (w->nodes[node].core, shard);
+  return h != NULL && kq_shard_state (h) == KQ_SHARD_ACTIVE;
 }
 
 /* Whether the message was one that an owner has taken in, and which step that is. */
@@ -247,7 +247,7 @@
   kq_core_free (n->core);
   n->core = NULL;
   kq_outbox_free (&n->out);
-  kq_store_fake_forget (w->store, i);
+  kq_store_fake_drop_answers (w->store, i);
   kq_whole_add (w, EVENT_RESTART, w->now + down)->node = i;
 }
 
@@ -450,7 +450,7 @@
 static void
 step (KqWhole *w)
 {
-  KqTime due = kq_store_fake_due (w->store);
+  KqTime due = kq_store_fake_next_time (w->store);
   KqWholeEvent e;
   if (w->n_events == 0 || due < w->events[0].at)
     {
@@ -515,8 +515,8 @@
     {
       for (uint32_t s = 0; w->nodes[i].core != NULL && s < SHARDS; s++)
         {
-          KqShardHost *h = kq_core_shard (w->nodes[i].core, s);
-          const KqJobs *j = h != NULL ? kq_shard_host_jobs (h) : NULL;
+          KqShard *h = kq_core_shard (w->nodes[i].core, s);
+          const KqJobs *j = h != NULL ? kq_shard_jobs (h) : NULL;
           if (j != NULL)
             w->result.moved += kq_jobs_account (j).moved;
         }
--- a/bench/whole_faults.c
+++ b/bench/whole_faults.c
@@ -32,7 +32,7 @@
   KqCore *c = w->nodes[node].core;
   uint64_t lease = c != NULL ? kq_member_lease (kq_core_member (c)) : 0;
   if (lease != 0)
-    kq_store_fake_lapse (w->store, lease, w->now);
+    kq_store_fake_expire_lease (w->store, lease, w->now);
 }
 
 /* Everything that a run may break. Several may hold at once; all end at the next heal. */
@@ -60,7 +60,7 @@
       s->latency = 50 * KQ_MS + (KqTime)kq_rand_below (&w->rand, 400 * KQ_MS);
       break;
     case 4:
-      s->p[KQ_FATE_LOST_AFTER] = s->p[KQ_FATE_LATE_EFFECT] = 0.1;
+      s->p[KQ_STORE_FAULT_LOST_AFTER] = s->p[KQ_STORE_FAULT_LATE_EFFECT] = 0.1;
       break;
     case 5:
       s->watches_silent = true;
@@ -110,7 +110,7 @@
       s->latency = 400 * KQ_MS;
       break;
     case KQ_MATRIX_ANSWER_LOST:
-      s->p[KQ_FATE_LOST_AFTER] = 0.5;
+      s->p[KQ_STORE_FAULT_LOST_AFTER] = 0.5;
       break;
     case KQ_MATRIX_DIES:
       kq_whole_kill (w, node, 4 * KQ_SEC);
--- a/bench/whole_load.c
+++ b/bench/whole_load.c
@@ -34,14 +34,14 @@
     }
   snprintf (key, sizeof key, "job-%zu", number);
   s->call = number + 1;
-  s->asker = w->nodes[entry].id;
+  s->reply_to = w->nodes[entry].id;
   s->shard = UINT32_MAX;
   s->spec.team = kq_name (KQ_STR ("rounds"));
   s->spec.class_name = kq_name (KQ_STR ("plan"));
   s->spec.key = kq_name (kq_str (key));
   s->spec.priority = (KqPriority)(KQ_PRIORITY_LOW + number % 4);
   s->spec.size = (KqSize){ 500 + 500 * (int64_t)(number % 3), 500, 0 };
-  kq_whole_send (w, entry, s->asker, &m);
+  kq_whole_send (w, entry, s->reply_to, &m);
 }
 
 void
@@ -49,7 +49,7 @@
 {
   KqMsg m = { .kind = KQ_MSG_JOB_CALL };
   m.u.job_call.call = number + 1;
-  m.u.job_call.asker = w->nodes[entry].id;
+  m.u.job_call.reply_to = w->nodes[entry].id;
   m.u.job_call.shard = KQ_JOB_SHARD (w->jobs[number].id);
   m.u.job_call.kind = kind;
   m.u.job_call.job = w->jobs[number].id;
--- a/fuzz/fuzz_hosts.c
+++ b/fuzz/fuzz_hosts.c
@@ -14,7 +14,8 @@
   for (size_t i = 0; i < l.n_hosts; i++)
     {
       kq_fuzz_check (kq_name_valid (kq_name_str (&l.hosts[i].name)), "a host has a name");
-      kq_fuzz_check (l.hosts[i].whole.cpu_milli >= 0 && l.hosts[i].whole.memory_mb >= 0,
+      kq_fuzz_check (l.hosts[i].capacity.cpu_milli >= 0
+                         && l.hosts[i].capacity.memory_mb >= 0,
                      "a host's size isn't negative");
     }
   kq_hosts_free (&l);
--- a/fuzz/fuzz_platform.c
+++ b/fuzz/fuzz_platform.c
@@ -52,8 +52,8 @@
   json_error_t e;
   json_t *j = json_loadb (text.ptr, text.len, 0, &e);
   KqRunnerReply r = { 0 };
-  kq_list_read (j, &r);
-  kq_list_clear (&r);
+  kq_runner_reply_read (j, &r);
+  kq_runner_reply_clear (&r);
   json_decref (j);
 }
 
@@ -89,7 +89,7 @@
 {
   KqFleetSettings s;
   KqSettingsFault faults[8];
-  kq_fleet_settings_is (text);
+  kq_fleet_settings_detect (text);
   kq_fleet_settings_parse (text, &s, faults, 8);
 }
 
--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -32,7 +32,7 @@
 kq_agent_order (KqAgent *a, uint64_t epoch, const KqOrder *o, KqTime now)
 {
   char id[KQ_NAME_MAX + 1];
-  KqRunnerAim to;
+  KqRunnerDest to;
   KqAgentRunner *h;
   if (epoch < a->epoch || !kq_str_copy (o->runner, id, sizeof id))
     return;
@@ -76,7 +76,7 @@
                                                              o->u.pace.run) });
       break;
     case KQ_ORDER_SEEN:
-      if (o->u.seen.ends > h->ends_acked && o->u.seen.born_ms == h->lease.born_ms)
+      if (o->u.seen.ends > h->ends_acked && o->u.seen.started_ms == h->lease.started_ms)
         h->ends_acked = o->u.seen.ends;
       h->watched = o->u.seen.watched;
       if (!h->polling && h->ends_listed <= h->ends_acked)
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -16,8 +16,8 @@
 typedef struct
 {
   KqLoop *loop;
-  KqRunnerCalls *calls;
-  KqAdviceCalls *advice; /* NULL: no advice service is configured */
+  KqRunnerClient *calls;
+  KqAdviceClient *advice; /* NULL: no advice service is configured */
   int64_t lease_ms;
   int64_t renew_without_leader_ms; /* how long leases are renewed without a message of a
                                       leader */
--- a/src/agent/agent_runner.c
+++ b/src/agent/agent_runner.c
@@ -82,7 +82,7 @@
 void
 kq_agent_runner_update_lease (KqAgentRunner *h, const KqRunnerReply *r, KqTime now)
 {
-  KqLeaseReply n = { r->clock_ms, r->born_ms, r->sent_at };
+  KqLeaseReply n = { r->clock_ms, r->started_ms, r->called_at };
   /* The runner has restarted and numbers its ends from 1 again. An acknowledgement of the
    * earlier numbers would make it drop ends that nobody has read. */
   if (!kq_lease_update (&h->lease, &n, h->agent->config.lease_ms, now))
@@ -91,13 +91,13 @@
   kq_conns_runner_restarted (&h->conns);
 }
 
-KqRunnerAim
+KqRunnerDest
 kq_agent_runner_aim (const KqAgentRunner *h, int timeout_ms)
 {
-  return (KqRunnerAim){ .address = kq_str (h->address),
-                        .id = kq_str (h->id),
-                        .epoch = h->epoch,
-                        .timeout_ms = timeout_ms };
+  return (KqRunnerDest){ .address = kq_str (h->address),
+                         .id = kq_str (h->id),
+                         .epoch = h->epoch,
+                         .timeout_ms = timeout_ms };
 }
 
 /* Whether the leader still waits for leases that are granted now before it starts the
--- a/src/agent/agent_test.c
+++ b/src/agent/agent_test.c
@@ -46,7 +46,7 @@
 }
 
 void
-kq_runner_renew (KqRunnerCalls *c, const KqRunnerAim *a, int64_t lease_end_ms,
+kq_runner_renew (KqRunnerClient *c, const KqRunnerDest *a, int64_t lease_end_ms,
                  uint64_t ends_seen, int wait_ms, KqRunnerCallback cb)
 {
   (void)c;
@@ -65,7 +65,7 @@
 }
 
 void
-kq_runner_start (KqRunnerCalls *c, const KqRunnerAim *a, KqStr task, uint32_t run,
+kq_runner_start (KqRunnerClient *c, const KqRunnerDest *a, KqStr task, uint32_t run,
                  KqStr spec, KqStr checkpoint, KqStr ticket, int64_t lease_end_ms,
                  KqRunnerCallback cb)
 {
@@ -82,14 +82,14 @@
 }
 
 void
-kq_runner_stop (KqRunnerCalls *c, const KqRunnerAim *a, KqStr task, uint32_t run,
+kq_runner_stop (KqRunnerClient *c, const KqRunnerDest *a, KqStr task, uint32_t run,
                 KqRunnerCallback cb)
 {
   kq_runner_start (c, a, task, run, KQ_STR (""), KQ_STR (""), KQ_STR (""), -1, cb);
 }
 
 void
-kq_runner_pace (KqRunnerCalls *c, const KqRunnerAim *a, KqStr task, uint32_t run,
+kq_runner_pace (KqRunnerClient *c, const KqRunnerDest *a, KqStr task, uint32_t run,
                 int percent, KqRunnerCallback cb)
 {
   (void)percent;
@@ -150,10 +150,12 @@
 }
 
 static void
-answer_poll (KqOrderResult result, int64_t born_ms, int64_t clock_ms, KqTime now)
+answer_poll (KqOrderResult result, int64_t started_ms, int64_t clock_ms, KqTime now)
 {
-  KqRunnerReply r
-      = { .result = result, .clock_ms = clock_ms, .born_ms = born_ms, .left_at = now };
+  KqRunnerReply r = { .result = result,
+                      .clock_ms = clock_ms,
+                      .started_ms = started_ms,
+                      .send_started_at = now };
   KqRunnerCallback cb = t.poll;
   assert_non_null (cb.done);
   t.poll = (KqRunnerCallback){ 0 };
@@ -175,7 +177,7 @@
 static void
 answer_verification (KqOrderResult result, KqTime left_at, KqTime now)
 {
-  KqRunnerReply r = { .result = result, .clock_ms = -1, .left_at = left_at };
+  KqRunnerReply r = { .result = result, .clock_ms = -1, .send_started_at = left_at };
   KqRunnerCallback cb = t.verification;
   if (cb.done == NULL)
     return;
@@ -221,7 +223,7 @@
 static void
 answer_start (int64_t clock_ms, KqTime sent_at, KqTime now)
 {
-  KqRunnerReply r = { .result = KQ_ORDER_OK, .clock_ms = clock_ms, .sent_at = sent_at };
+  KqRunnerReply r = { .result = KQ_ORDER_OK, .clock_ms = clock_ms, .called_at = sent_at };
   t.start.done (t.start.arg, &r, now);
 }
 
@@ -347,7 +349,7 @@
   assert_int_equal (t.last_item, KQ_AGENT_ITEM_LIST);
   assert_int_equal (t.assignment, 8);
   assign_runner (9);
-  answer_poll (KQ_ORDER_OTHER_LIFE, 0, -1, now);
+  answer_poll (KQ_ORDER_OTHER_RUNNER, 0, -1, now);
   assert_int_equal (t.last_item, KQ_AGENT_ITEM_UNREACHED);
   assert_int_equal (t.assignment, 9);
   start_task (now);
--- a/src/agent/frame.c
+++ b/src/agent/frame.c
@@ -36,7 +36,7 @@
       break;
     case KQ_ORDER_SEEN:
       kq_pack_u64 (p, o->u.seen.ends);
-      kq_pack_i64 (p, o->u.seen.born_ms);
+      kq_pack_i64 (p, o->u.seen.started_ms);
       kq_pack_bool (p, o->u.seen.watched);
       break;
     case KQ_ORDER_ADVISE:
@@ -67,7 +67,7 @@
   o->u.advise.n_runners = n;
   for (size_t i = 0; i < n; i++)
     list[i] = kq_read_str (&rows);
-  kq_read_join (r, &rows);
+  kq_read_array_end (r, &rows);
 }
 
 /* False: the kind of order is unknown. */
@@ -102,7 +102,7 @@
       return true;
     case KQ_ORDER_SEEN:
       o->u.seen.ends = kq_read_u64 (r);
-      o->u.seen.born_ms = kq_read_i64 (r);
+      o->u.seen.started_ms = kq_read_i64 (r);
       o->u.seen.watched = kq_read_bool (r);
       return true;
     case KQ_ORDER_ADVISE:
--- a/src/agent/frame_rows.c
+++ b/src/agent/frame_rows.c
@@ -8,23 +8,23 @@
 void
 kq_agent_item_pack_list_head (KqPacker *p, const KqRunnerList *l)
 {
-  kq_pack_i64 (p, l->born_ms);
+  kq_pack_i64 (p, l->started_ms);
   kq_pack_i64 (p, l->lease_left_ms);
   kq_pack_u64 (p, l->order);
   kq_pack_u64 (p, l->assignment);
   kq_pack_u64 (p, l->halt);
-  kq_pack_bool (p, l->ended_cut);
+  kq_pack_bool (p, l->more_ended);
 }
 
 void
 kq_agent_item_read_list_head (KqReader *r, KqRunnerList *l)
 {
-  l->born_ms = kq_read_i64 (r);
+  l->started_ms = kq_read_i64 (r);
   l->lease_left_ms = kq_read_i64 (r);
   l->order = kq_read_u64 (r);
   l->assignment = kq_read_u64 (r);
   l->halt = kq_read_u64 (r);
-  l->ended_cut = kq_read_bool (r);
+  l->more_ended = kq_read_bool (r);
 }
 
 void
@@ -54,7 +54,7 @@
       kq_pack_u64 (p, row->number);
       kq_pack_str (p, row->task);
       kq_pack_u64 (p, row->run);
-      kq_pack_i64 (p, row->how);
+      kq_pack_i64 (p, row->reason);
       kq_pack_str (p, row->checkpoint);
     }
 }
@@ -89,9 +89,9 @@
       list[i].checkpoint = kq_read_str (&row);
       list[i].percent = (int)kq_read_i64 (&row);
       list[i].load = (int)kq_read_i64 (&row);
-      kq_read_join (&rows, &row);
+      kq_read_array_end (&rows, &row);
     }
-  kq_read_join (r, &rows);
+  kq_read_array_end (r, &rows);
 }
 
 void
@@ -111,13 +111,13 @@
       list[i].task = kq_read_str (&row);
       list[i].run = (uint32_t)kq_read_u64 (&row);
       how = kq_read_i64 (&row);
-      if (how < KQ_END_DONE || how > KQ_END_ALONE)
+      if (how < KQ_END_DONE || how > KQ_END_GANG_INCOMPLETE)
         row.bad = true;
-      list[i].how = (KqEndHow)how;
+      list[i].reason = (KqEndReason)how;
       list[i].checkpoint = kq_read_str (&row);
-      kq_read_join (&rows, &row);
+      kq_read_array_end (&rows, &row);
     }
-  kq_read_join (r, &rows);
+  kq_read_array_end (r, &rows);
 }
 
 /* The number of a row's fields says what it holds: slot, percent and load; also the
@@ -172,7 +172,7 @@
       out->row.task = kq_read_str (&r);
       out->row.run = (uint32_t)kq_read_u64 (&r);
     }
-  kq_read_join (rows, &r);
+  kq_read_array_end (rows, &r);
 }
 
 void
@@ -187,12 +187,12 @@
   c->rows = list = kq_alloc ((c->n_rows + 1) * sizeof *list);
   for (size_t i = 0; i < c->n_rows; i++)
     read_changed_row (&rows, &list[i]);
-  kq_read_join (r, &rows);
+  kq_read_array_end (r, &rows);
   c->n_gone = kq_agent_item_open_rows (r, &slots);
   c->gone = gone = kq_alloc ((c->n_gone + 1) * sizeof *gone);
   for (size_t i = 0; i < c->n_gone; i++)
     gone[i] = (uint32_t)kq_read_u64 (&slots);
-  kq_read_join (r, &slots);
+  kq_read_array_end (r, &slots);
 }
 
 void
@@ -231,7 +231,7 @@
       kq_read_array (&rows, &row);
       list[i].runner = kq_read_str (&row);
       list[i].ticket = kq_read_str (&row);
-      kq_read_join (&rows, &row);
+      kq_read_array_end (&rows, &row);
     }
-  kq_read_join (r, &rows);
+  kq_read_array_end (r, &rows);
 }
--- a/src/agent/frame_test.c
+++ b/src/agent/frame_test.c
@@ -36,18 +36,18 @@
   (void)state;
   i.u.list = (KqRunnerList){ 99, 5000, 3, 4, 8, running, 1, ended, 1, true };
   o = round_trip (&i, &b);
-  assert_int_equal (o.u.list.born_ms, 99);
+  assert_int_equal (o.u.list.started_ms, 99);
   assert_int_equal (o.u.list.lease_left_ms, 5000);
   assert_int_equal (o.u.list.order, 3);
   assert_int_equal (o.u.list.assignment, 4);
   assert_int_equal (o.u.list.halt, 8);
-  assert_true (o.u.list.ended_cut);
+  assert_true (o.u.list.more_ended);
   assert_int_equal (o.u.list.n_running, 1);
   assert_true (kq_str_eq (o.u.list.running[0].task, KQ_STR ("j.0.1.2")));
   assert_int_equal (o.u.list.running[0].percent, 41);
   assert_int_equal (o.u.list.running[0].load, 12);
   assert_int_equal (o.u.list.ended[0].number, 58);
-  assert_int_equal (o.u.list.ended[0].how, KQ_END_FAILED);
+  assert_int_equal (o.u.list.ended[0].reason, KQ_END_FAILED);
   kq_agent_item_clear (&o);
   kq_buf_free (&b);
 }
@@ -105,11 +105,11 @@
   assert_int_equal (o.u.order.u.take.assignment, 5);
   i.u.order.kind = KQ_ORDER_SEEN;
   i.u.order.u.seen.ends = 12;
-  i.u.order.u.seen.born_ms = 34;
+  i.u.order.u.seen.started_ms = 34;
   i.u.order.u.seen.watched = true;
   o = round_trip (&i, &b);
   assert_int_equal (o.u.order.u.seen.ends, 12);
-  assert_int_equal (o.u.order.u.seen.born_ms, 34);
+  assert_int_equal (o.u.order.u.seen.started_ms, 34);
   assert_true (o.u.order.u.seen.watched);
   i.u.order.kind = KQ_ORDER_RENEW;
   i.u.order.u.renew.halt = 56;
--- a/src/agent/lease.c
+++ b/src/agent/lease.c
@@ -23,7 +23,7 @@
 {
   if (l->clock_ms < 0)
     return false;
-  if (n->born_ms != 0 && l->born_ms != 0 && n->born_ms != l->born_ms)
+  if (n->started_ms != 0 && l->started_ms != 0 && n->started_ms != l->started_ms)
     return true;
   return n->clock_ms < estimate_clock_ms (l, now) - length_ms;
 }
@@ -33,16 +33,16 @@
 {
   bool first = l->clock_ms < 0;
   bool restarted;
-  if (n->clock_ms < 0 || (n->born_ms == 0 && n->sent_at < l->restart_seen_at))
+  if (n->clock_ms < 0 || (n->started_ms == 0 && n->sent_at < l->restart_seen_at))
     return false;
   restarted = shows_restart (l, n, length_ms, now);
   if (restarted)
     {
-      l->born_ms = 0;
+      l->started_ms = 0;
       l->restart_seen_at = now;
     }
-  if (n->born_ms != 0)
-    l->born_ms = n->born_ms;
+  if (n->started_ms != 0)
+    l->started_ms = n->started_ms;
   if (!first && !restarted && n->clock_ms < l->clock_ms)
     return false; /* a newer answer has arrived before */
   l->clock_ms = n->clock_ms;
--- a/src/agent/lease.h
+++ b/src/agent/lease.h
@@ -14,7 +14,7 @@
 
 typedef struct
 {
-  int64_t born_ms;        /* start of the runner's process, Unix time; 0: not known */
+  int64_t started_ms;     /* start of the runner's process, Unix time; 0: not known */
   KqTime restart_seen_at; /* when a restart was noticed; answers to earlier calls
                              may come from the process before; 0: never */
   int64_t clock_ms;       /* the runner's clock, as in its last answer; -1: none */
@@ -25,9 +25,9 @@
 /* The part of a runner's answer that concerns its lease. */
 typedef struct
 {
-  int64_t clock_ms; /* -1: not given */
-  int64_t born_ms;  /* 0: not given */
-  KqTime sent_at;   /* when the call was sent */
+  int64_t clock_ms;   /* -1: not given */
+  int64_t started_ms; /* 0: not given */
+  KqTime sent_at;     /* when the call was sent */
 } KqLeaseReply;
 
 void kq_lease_init (KqLease *l);
--- a/src/agent/renew.c
+++ b/src/agent/renew.c
@@ -61,7 +61,7 @@
 report_list (KqAgentRunner *h, const KqRunnerReply *r, const KqAgentCall *c, KqTime now)
 {
   KqAgentItem i = { .kind = KQ_AGENT_ITEM_LIST };
-  i.u.list = (KqRunnerList){ .born_ms = r->born_ms,
+  i.u.list = (KqRunnerList){ .started_ms = r->started_ms,
                              .lease_left_ms = kq_lease_left_ms (&h->lease, now),
                              .order = c->outcomes_sent,
                              .halt = h->halt,
@@ -70,7 +70,7 @@
                              .n_running = r->n_running,
                              .ended = r->ended,
                              .n_ended = r->n_ended,
-                             .ended_cut = r->ended_cut };
+                             .more_ended = r->more_ended };
   if (h->agent->sends_changes)
     report_changes (h, &i.u.list);
   else
@@ -101,7 +101,7 @@
     {
     case KQ_ORDER_OK:
       kq_agent_runner_update_lease (h, r, now);
-      kq_conns_verified (&h->conns, c->in_use, r->left_at);
+      kq_conns_verified (&h->conns, c->in_use, r->send_started_at);
       if (h->failures >= SILENT_AFTER_FAILURES)
         kq_log (
             KQ_LOG_INFO, PART,
@@ -132,8 +132,8 @@
                 "Runner doesn't answer. runner=%s result=%s unsent=%d lease_left_ms=%lld",
                 h->id, kq_order_result_name (r->result), r->unsent,
                 (long long)kq_lease_left_ms (&h->lease, now));
-      if (h->failures >= SILENT_AFTER_FAILURES || r->result == KQ_ORDER_OTHER_LIFE)
-        report_unreached (h, r->result == KQ_ORDER_OTHER_LIFE, now);
+      if (h->failures >= SILENT_AFTER_FAILURES || r->result == KQ_ORDER_OTHER_RUNNER)
+        report_unreached (h, r->result == KQ_ORDER_OTHER_RUNNER, now);
       h = kq_agent_call_runner (c);
       if (h != NULL)
         kq_agent_runner_poll_in (h, RETRY_DELAY);
@@ -154,7 +154,7 @@
 kq_agent_runner_poll (KqAgentRunner *h, KqTime now)
 {
   KqAgent *a = h->agent;
-  KqRunnerAim to;
+  KqRunnerDest to;
   KqAgentCall *c;
   uint64_t acked;
   int wait = poll_wait_ms (h);
--- a/src/agent/starts.c
+++ b/src/agent/starts.c
@@ -37,7 +37,7 @@
                 "Order came to nothing. task=%s run=%u runner=%s order=%s unsent=%d "
                 "took_ms=%lld",
                 c->task, c->run, h->id, kq_order_kind_name (c->kind), r->unsent,
-                (long long)((now - r->sent_at) / KQ_MS));
+                (long long)((now - r->called_at) / KQ_MS));
       o = (KqOrderOutcome){
         .kind = c->kind, .task = kq_str (c->task), .run = c->run, .result = r->result
       };
@@ -53,7 +53,7 @@
 static void
 send_start (KqAgentRunner *h, KqStart *st, KqTime now)
 {
-  KqRunnerAim to = kq_agent_runner_aim (h, KQ_AGENT_CALL_MS);
+  KqRunnerDest to = kq_agent_runner_aim (h, KQ_AGENT_CALL_MS);
   KqAgentCall *c = kq_agent_call_new (h, KQ_ORDER_START, kq_str (st->task), st->run);
   int64_t end = kq_agent_runner_grant_lease (h, now);
   c->start = st;
@@ -98,7 +98,7 @@
   if (r->result == KQ_ORDER_OK)
     {
       kq_agent_runner_update_lease (h, r, now);
-      kq_conns_verified (&h->conns, c->in_use, r->left_at);
+      kq_conns_verified (&h->conns, c->in_use, r->send_started_at);
       kq_starts_send (h, now);
     }
   else
@@ -110,7 +110,7 @@
 void
 kq_starts_verify_connection (KqAgentRunner *h)
 {
-  KqRunnerAim to = kq_agent_runner_aim (h, KQ_AGENT_CALL_MS);
+  KqRunnerDest to = kq_agent_runner_aim (h, KQ_AGENT_CALL_MS);
   KqAgentCall *c = kq_agent_call_new (h, KQ_ORDER_RENEW, KQ_STR (""), 0);
   h->verifying = true;
   ++*h->agent->verifications;
--- a/src/agent/state.h
+++ b/src/agent/state.h
@@ -91,7 +91,7 @@
 /* The same as the call ends: it no longer counts as in flight. */
 KqAgentRunner *kq_agent_call_ended (const KqAgentCall *c, const KqRunnerReply *r);
 void kq_agent_runner_update_lease (KqAgentRunner *h, const KqRunnerReply *r, KqTime now);
-KqRunnerAim kq_agent_runner_aim (const KqAgentRunner *h, int timeout_ms);
+KqRunnerDest kq_agent_runner_aim (const KqAgentRunner *h, int timeout_ms);
 /* Grants a whole lease; returns its end on the runner's clock. -1: nothing may be granted
  * now. */
 int64_t kq_agent_runner_grant_lease (KqAgentRunner *h, KqTime now);
--- a/src/api/calls.c
+++ b/src/api/calls.c
@@ -55,11 +55,11 @@
     {
     case KQ_MSG_JOB_SUBMIT:
       msg->u.job_submit.call = number;
-      msg->u.job_submit.asker = self;
+      msg->u.job_submit.reply_to = self;
       break;
     case KQ_MSG_JOB_CALL:
       msg->u.job_call.call = number;
-      msg->u.job_call.asker = self;
+      msg->u.job_call.reply_to = self;
       break;
     default:
       msg->u.query.call = number;
@@ -158,7 +158,7 @@
 }
 
 void
-kq_calls_gone (KqCalls *c, const KqHttpExchange *x)
+kq_calls_detach (KqCalls *c, const KqHttpExchange *x)
 {
   for (Call *call = c->first; call != NULL; call = call->next)
     {
@@ -190,7 +190,7 @@
 }
 
 size_t
-kq_calls_open (const KqCalls *c)
+kq_calls_n_open (const KqCalls *c)
 {
   size_t n = 0;
   for (const Call *call = c->first; call != NULL; call = call->next)
--- a/src/api/calls.h
+++ b/src/api/calls.h
@@ -38,10 +38,10 @@
 /* Handles a JOB_REPLY or ANSWER. */
 void kq_calls_answer (KqCalls *c, const KqMsg *msg);
 /* The exchange has ended; the answer to its call will be dropped. */
-void kq_calls_gone (KqCalls *c, const KqHttpExchange *x);
+void kq_calls_detach (KqCalls *c, const KqHttpExchange *x);
 /* Ends the calls that have timed out. */
 void kq_calls_tick (KqCalls *c, KqTime now);
 /* Number of calls without an answer. */
-size_t kq_calls_open (const KqCalls *c);
+size_t kq_calls_n_open (const KqCalls *c);
 
 #endif
--- a/src/api/operator.c
+++ b/src/api/operator.c
@@ -297,7 +297,7 @@
   (void)arg;
   if (r == NULL)
     return;
-  r->too_large = r->too_large || !kq_buf_add_most (&r->body, chunk, BODY_MAX_BYTES);
+  r->too_large = r->too_large || !kq_buf_add_bounded (&r->body, chunk, BODY_MAX_BYTES);
 }
 
 static void
@@ -316,7 +316,7 @@
   KqOperator *o = arg;
   Request *r = kq_http_data (x);
   (void)whole;
-  kq_calls_gone (o->calls, x);
+  kq_calls_detach (o->calls, x);
   if (r == NULL)
     return;
   kq_buf_free (&r->body);
--- a/src/base/base_test.c
+++ b/src/base/base_test.c
@@ -62,11 +62,11 @@
 {
   KqBuf b = { 0 };
   (void)state;
-  assert_true (kq_buf_add_most (&b, KQ_STR ("abc"), 5));
-  assert_false (kq_buf_add_most (&b, KQ_STR ("def"), 5));
-  assert_true (kq_buf_add_most (&b, KQ_STR ("de"), 5));
+  assert_true (kq_buf_add_bounded (&b, KQ_STR ("abc"), 5));
+  assert_false (kq_buf_add_bounded (&b, KQ_STR ("def"), 5));
+  assert_true (kq_buf_add_bounded (&b, KQ_STR ("de"), 5));
   assert_true (kq_str_eq (kq_buf_str (&b), KQ_STR ("abcde")));
-  assert_false (kq_buf_add_most (&b, kq_str_n ("x", SIZE_MAX), 5));
+  assert_false (kq_buf_add_bounded (&b, kq_str_n ("x", SIZE_MAX), 5));
   kq_buf_free (&b);
 }
 
--- a/src/base/str.c
+++ b/src/base/str.c
@@ -242,7 +242,7 @@
 }
 
 bool
-kq_buf_add_most (KqBuf *b, KqStr s, size_t max)
+kq_buf_add_bounded (KqBuf *b, KqStr s, size_t max)
 {
   if (s.len > max || b->len > max - s.len)
     return false;
--- a/src/base/str.h
+++ b/src/base/str.h
@@ -67,7 +67,7 @@
 void kq_buf_add_str (KqBuf *b, KqStr s);
 /* Appends s unless the buffer would then hold more than `max` bytes; false: not appended.
  */
-bool kq_buf_add_most (KqBuf *b, KqStr s, size_t max);
+bool kq_buf_add_bounded (KqBuf *b, KqStr s, size_t max);
 void kq_buf_printf (KqBuf *b, const char *fmt, ...)
     __attribute__ ((format (printf, 2, 3)));
 void kq_buf_drop (KqBuf *b, size_t len); /* removes the first `len` bytes */
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -332,7 +332,7 @@
 is_fleet (const char *path)
 {
   KqBuf text = { 0 };
-  bool yes = read_file (path, &text) && kq_fleet_settings_is (kq_buf_str (&text));
+  bool yes = read_file (path, &text) && kq_fleet_settings_detect (kq_buf_str (&text));
   kq_buf_free (&text);
   return yes;
 }
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -85,7 +85,7 @@
   Call *c = arg;
   KqElection *l = c->serial == c->lead->serial ? c->lead : NULL;
   if (r->result != KQ_KV_UNKNOWN && r->result != KQ_KV_REFUSED)
-    c->lead->config.answered (c->lead->config.arg, r->sent_at, now);
+    c->lead->config.answered (c->lead->config.arg, r->called_at, now);
   free (c);
   return l;
 }
@@ -152,8 +152,8 @@
   switch (r->result)
     {
     case KQ_KV_OK:
-      if (r->sent_at + l->config.ttl_ms * KQ_MS > l->valid_until)
-        l->valid_until = r->sent_at + l->config.ttl_ms * KQ_MS;
+      if (r->called_at + l->config.ttl_ms * KQ_MS > l->valid_until)
+        l->valid_until = r->called_at + l->config.ttl_ms * KQ_MS;
       break;
     case KQ_KV_NOT_FOUND:
       stop_leading (l, "the lease has ended", now);
@@ -170,7 +170,8 @@
 renew (KqElection *l)
 {
   set_timer (l, (int)(l->config.ttl_ms / RENEWALS_PER_LEASE));
-  kq_kv_keep (l->config.kv, l->lease, (int)l->config.ttl_ms, callback (l, on_renewed));
+  kq_kv_lease_renew (l->config.kv, l->lease, (int)l->config.ttl_ms,
+                     callback (l, on_renewed));
 }
 
 static void
@@ -279,7 +280,7 @@
       return;
     }
   l->lease = r->lease;
-  l->leased_at = r->sent_at;
+  l->leased_at = r->called_at;
   if (r->ttl_ms > 0)
     l->config.ttl_ms = r->ttl_ms;
   l->term++;
@@ -298,7 +299,8 @@
 request_lease (KqElection *l)
 {
   l->phase = LEASING;
-  kq_kv_lease (l->config.kv, l->config.ttl_ms, STORE_TIMEOUT_MS, callback (l, on_leased));
+  kq_kv_lease_grant (l->config.kv, l->config.ttl_ms, STORE_TIMEOUT_MS,
+                     callback (l, on_leased));
 }
 
 static void
@@ -350,7 +352,7 @@
 {
   kq_log (KQ_LOG_INFO, PART, "Ending the lease of an earlier process. epoch=%llu",
           (unsigned long long)l->record.epoch);
-  kq_kv_lease_end (l->config.kv, lease, STORE_TIMEOUT_MS, callback (l, ignore_reply));
+  kq_kv_lease_revoke (l->config.kv, lease, STORE_TIMEOUT_MS, callback (l, ignore_reply));
 }
 
 static void
@@ -489,7 +491,8 @@
   l->candidate = retry;
   stop_leading (l, why, now);
   if (was_leader)
-    kq_kv_lease_end (l->config.kv, lease, STORE_TIMEOUT_MS, callback (l, ignore_reply));
+    kq_kv_lease_revoke (l->config.kv, lease, STORE_TIMEOUT_MS,
+                        callback (l, ignore_reply));
   if (was_leader && retry)
     schedule_election (l, ELECTION_RETRY_MS);
 }
--- a/src/election/election_test.c
+++ b/src/election/election_test.c
@@ -117,7 +117,7 @@
 }
 
 void
-kq_kv_lease (KqKv *kv, int64_t ttl_ms, int timeout_ms, KqKvCallback cb)
+kq_kv_lease_grant (KqKv *kv, int64_t ttl_ms, int timeout_ms, KqKvCallback cb)
 {
   (void)kv;
   (void)ttl_ms;
@@ -126,7 +126,7 @@
 }
 
 void
-kq_kv_keep (KqKv *kv, uint64_t lease, int timeout_ms, KqKvCallback cb)
+kq_kv_lease_renew (KqKv *kv, uint64_t lease, int timeout_ms, KqKvCallback cb)
 {
   (void)kv;
   (void)timeout_ms;
@@ -135,7 +135,7 @@
 }
 
 void
-kq_kv_lease_end (KqKv *kv, uint64_t lease, int timeout_ms, KqKvCallback cb)
+kq_kv_lease_revoke (KqKv *kv, uint64_t lease, int timeout_ms, KqKvCallback cb)
 {
   (void)kv;
   (void)timeout_ms;
@@ -156,7 +156,7 @@
   KqKvItem both[2];
   KqKvItem term
       = { KQ_STR ("kq/term"), kq_str (fake.term), fake.term_revision, 0, false };
-  KqKvReply r = { .revision = fake.revision, .sent_at = kq_time_now () - KQ_MS };
+  KqKvReply r = { .revision = fake.revision, .called_at = kq_time_now () - KQ_MS };
   switch (p->kind)
     {
     case GET:
--- a/src/fleet/accepts.c
+++ b/src/fleet/accepts.c
@@ -94,7 +94,7 @@
   if (result == KQ_ACCEPT_UNKNOWN)
     a->unknown_at = now;
   if (result == KQ_ACCEPT_DONE)
-    a->owner.answered (a->owner.arg, r->sent_at, now);
+    a->owner.answered (a->owner.arg, r->called_at, now);
   if (r->result == KQ_KV_OK)
     a->owner.accepted (a->owner.arg, kq_buf_str (&c->stored), r->revision, now);
   if (c->peer != NULL)
--- a/src/fleet/batch.c
+++ b/src/fleet/batch.c
@@ -133,7 +133,7 @@
       b->retry_at = now + RETRY_DELAY;
       return;
     }
-  b->config.answered (b->config.arg, r->sent_at, now);
+  b->config.answered (b->config.arg, r->called_at, now);
   set_sequence (b, r->n_items == 1 ? r->items[0].revision : 0, now);
   kq_batch_write (b, now);
 }
@@ -173,7 +173,7 @@
       return;
     }
   if (r->result != KQ_KV_UNKNOWN && r->result != KQ_KV_REFUSED)
-    b->config.answered (b->config.arg, r->sent_at, now);
+    b->config.answered (b->config.arg, r->called_at, now);
   switch (r->result)
     {
     case KQ_KV_OK:
--- a/src/fleet/fleet.c
+++ b/src/fleet/fleet.c
@@ -45,9 +45,9 @@
 {
   KqFleetConfig config;
   KqKv *kv;
-  KqRunnerCalls *calls;
-  KqAdviceCalls *advice;           /* NULL: none in the settings */
-  KqMaintenanceCalls *maintenance; /* NULL: no control plane in the settings */
+  KqRunnerClient *calls;
+  KqAdviceClient *advice;           /* NULL: none in the settings */
+  KqMaintenanceClient *maintenance; /* NULL: no control plane in the settings */
   KqAgent *agent;
   KqLink *link;
   KqElection *lead;
@@ -339,7 +339,7 @@
 /* Callbacks of the front end for client accounts. */
 
 static void
-on_request (void *arg, KqAsk *a, const KqFrontRequest *r, KqTime now)
+on_request (void *arg, KqFrontExchange *a, const KqFrontRequest *r, KqTime now)
 {
   KqFleet *f = arg;
   kq_front_handler_request (f->handler, a, r, now);
@@ -418,7 +418,7 @@
 {
   KqTime elapsed = now - f->stopping_at;
   KqTime most = f->config.settings->grace_ms * KQ_MS - STOP_MARGIN;
-  bool idle = kq_front_open (f->front) == 0;
+  bool idle = kq_front_open_requests (f->front) == 0;
   if (f->stopped || (elapsed < most && !(idle && elapsed > STOP_MIN)))
     return;
   f->stopped = true;
@@ -481,7 +481,7 @@
       = { loop,           f->kv,       f->config.counters, f,
           queue_table,    store_state, store_via_leader,   query_leader,
           send_to_leader, on_answered, on_store_failed };
-  KqFrontOwner owner = { f, on_request, ready, stopping, body_max };
+  KqFrontCallbacks owner = { f, on_request, ready, stopping, body_max };
   KqAcceptsOwner accepts = { f, on_accepted, on_answered };
   f->accepts = kq_accepts_new (f->kv, &accepts);
   f->agent = kq_agent_new (&agent);
@@ -526,7 +526,7 @@
                            .failure_domain = c->settings->failure_domain,
                            .share_milli = (int)c->settings->cpu_share_milli };
   f->kv = kq_store_new (c->loop, kq_str (c->settings->store), &store);
-  f->calls = kq_runners_new (c->loop);
+  f->calls = kq_runner_client_new (c->loop);
   if (c->settings->advice[0] != '\0')
     f->advice = kq_advice_new (c->loop, kq_str (c->settings->advice));
   if (c->settings->control_plane[0] != '\0')
@@ -568,7 +568,7 @@
   kq_front_handler_free (f->handler);
   kq_accepts_free (f->accepts);
   kq_metrics_free (f->metrics);
-  kq_runners_calls_free (f->calls);
+  kq_runner_client_free (f->calls);
   kq_advice_free (f->advice);
   kq_maintenance_free (f->maintenance);
   kq_store_free (f->kv);
@@ -581,7 +581,8 @@
   if (f->stopping)
     return;
   kq_log (KQ_LOG_INFO, PART, "Stopping. leading=%d open=%zu runners=%zu",
-          f->leader != NULL, kq_front_open (f->front), kq_agent_n_runners (f->agent));
+          f->leader != NULL, kq_front_open_requests (f->front),
+          kq_agent_n_runners (f->agent));
   f->stopping = true;
   f->stopping_at = now;
   kq_election_resign (f->lead, "planned stop", false, now);
--- a/src/fleet/follow.c
+++ b/src/fleet/follow.c
@@ -182,7 +182,7 @@
     {
     case KQ_KV_OK:
       f->failures = 0;
-      f->owner.answered (f->owner.arg, r->sent_at, now);
+      f->owner.answered (f->owner.arg, r->called_at, now);
       if (f->listing)
         handle_page (f, r, now);
       else
@@ -203,12 +203,12 @@
       break;
     default:
       if (f->owner.failed != NULL)
-        f->owner.failed (f->owner.arg, r->sent_at);
-      if (f->failures++ == 0 || r->cut)
+        f->owner.failed (f->owner.arg, r->called_at);
+      if (f->failures++ == 0 || r->partial)
         kq_log (KQ_LOG_WARN, PART,
                 "The store doesn't answer. prefix=%s result=%d listing=%d cut=%d",
-                f->prefix, r->result, f->listing, r->cut);
-      pause = kq_follow_retry_ms (&f->rand, f->failures, r->cut);
+                f->prefix, r->result, f->listing, r->partial);
+      pause = kq_follow_retry_ms (&f->rand, f->failures, r->partial);
     }
   f->in_callback = false;
   if (f->freed)
--- a/src/fleet/front.c
+++ b/src/fleet/front.c
@@ -54,7 +54,7 @@
 typedef struct
 {
   KqFrontHandler *handler;
-  KqAsk *ask;
+  KqFrontExchange *ask;
   Step step;
   uint64_t call; /* of the outstanding query to the leader; 0: none */
   KqStr id;      /* owned */
@@ -103,7 +103,7 @@
             KQ_STR_ARG (q->id), step_names[q->step], kq_reply_kind_name (r->kind),
             (long long)((now - q->received_at) / KQ_MS), q->write_unknown,
             r->why != NULL ? r->why : "-");
-  kq_ask_reply (q->ask, r);
+  kq_front_exchange_reply (q->ask, r);
   if (q->call != 0)
     g_hash_table_remove (h->queries, &q->call);
   free ((char *)q->id.ptr);
@@ -151,9 +151,9 @@
 report_reach (Request *q, const KqKvReply *r, KqTime now)
 {
   if (r->result != KQ_KV_UNKNOWN && r->result != KQ_KV_REFUSED)
-    q->handler->config.answered (q->handler->config.arg, r->sent_at, now);
+    q->handler->config.answered (q->handler->config.arg, r->called_at, now);
   else
-    q->handler->config.failed (q->handler->config.arg, r->sent_at);
+    q->handler->config.failed (q->handler->config.arg, r->called_at);
 }
 
 static void
@@ -479,7 +479,8 @@
 }
 
 static Request *
-new_request (KqFrontHandler *h, KqAsk *a, const KqFrontRequest *r, KqStr id, KqTime now)
+new_request (KqFrontHandler *h, KqFrontExchange *a, const KqFrontRequest *r, KqStr id,
+             KqTime now)
 {
   Request *q = kq_alloc (sizeof *q);
   q->handler = h;
@@ -491,7 +492,7 @@
 }
 
 void
-kq_front_handler_request (KqFrontHandler *h, KqAsk *a, const KqFrontRequest *r,
+kq_front_handler_request (KqFrontHandler *h, KqFrontExchange *a, const KqFrontRequest *r,
                           KqTime now)
 {
   const KqQueueTable *t = h->config.table (h->config.arg);
--- a/src/fleet/front.h
+++ b/src/fleet/front.h
@@ -41,9 +41,9 @@
 
 KqFrontHandler *kq_front_handler_new (const KqFrontHandlerConfig *c);
 void kq_front_handler_free (KqFrontHandler *h);
-/* Handles one request; replies by kq_ask_reply exactly once. */
-void kq_front_handler_request (KqFrontHandler *h, KqAsk *a, const KqFrontRequest *r,
-                               KqTime now);
+/* Handles one request; replies by kq_front_exchange_reply exactly once. */
+void kq_front_handler_request (KqFrontHandler *h, KqFrontExchange *a,
+                               const KqFrontRequest *r, KqTime now);
 /* The leader's reply to query `call`: a KqJobState, a KqAcceptResult or a number of jobs;
  * below 0: unknown. Ignored when the request has already been replied to. */
 void kq_front_handler_answer (KqFrontHandler *h, uint64_t call, int64_t value,
--- a/src/fleet/front_test.c
+++ b/src/fleet/front_test.c
@@ -54,7 +54,7 @@
 }
 
 void
-kq_ask_reply (KqAsk *a, const KqFrontReply *r)
+kq_front_exchange_reply (KqFrontExchange *a, const KqFrontReply *r)
 {
   (void)a;
   fake.replies++;
--- a/src/fleet/leader.c
+++ b/src/fleet/leader.c
@@ -313,11 +313,11 @@
     {
       kq_log (KQ_LOG_WARN, PART, "Loading failed; retrying. phase=%d result=%d", l->phase,
               r->result);
-      retry_load (l, r->cut);
+      retry_load (l, r->partial);
       return;
     }
   l->failures = 0;
-  on_answered (l, r->sent_at, now);
+  on_answered (l, r->called_at, now);
   if (l->phase < LOAD_JOBS)
     {
       if (r->n_items == 1 && !load_value (l, r->items[0].value, now))
--- a/src/fleet/leader.h
+++ b/src/fleet/leader.h
@@ -25,8 +25,8 @@
   int64_t maintenance_ms;      /* how long a host is down for maintenance */
   KqCounters *counters;
   KqAgentInfo self;
-  KqAgent *agent;                  /* of this node */
-  KqMaintenanceCalls *maintenance; /* NULL: there is no control plane */
+  KqAgent *agent;                   /* of this node */
+  KqMaintenanceClient *maintenance; /* NULL: there is no control plane */
   void *arg;
   /* Another node is leader: the store, a runner or the control plane has a newer epoch.
    * The callee may free the leader. */
--- a/src/fleet/leader_test.c
+++ b/src/fleet/leader_test.c
@@ -64,7 +64,7 @@
 }
 
 void
-kq_kv_lease (KqKv *kv, int64_t ttl_ms, int timeout_ms, KqKvCallback cb)
+kq_kv_lease_grant (KqKv *kv, int64_t ttl_ms, int timeout_ms, KqKvCallback cb)
 {
   (void)kv;
   (void)ttl_ms;
@@ -73,7 +73,7 @@
 }
 
 void
-kq_kv_keep (KqKv *kv, uint64_t lease, int timeout_ms, KqKvCallback cb)
+kq_kv_lease_renew (KqKv *kv, uint64_t lease, int timeout_ms, KqKvCallback cb)
 {
   (void)kv;
   (void)lease;
@@ -82,7 +82,7 @@
 }
 
 void
-kq_kv_lease_end (KqKv *kv, uint64_t lease, int timeout_ms, KqKvCallback cb)
+kq_kv_lease_revoke (KqKv *kv, uint64_t lease, int timeout_ms, KqKvCallback cb)
 {
   (void)kv;
   (void)lease;
--- a/src/fleet/waves.c
+++ b/src/fleet/waves.c
@@ -164,7 +164,7 @@
     }
   if (r->result == KQ_KV_OK)
     {
-      w->config.answered (w->config.arg, r->sent_at, now);
+      w->config.answered (w->config.arg, r->called_at, now);
       return;
     }
   kq_log (KQ_LOG_WARN, PART, "The state of waves was not written. result=%d", r->result);
--- a/src/fleet/waves.h
+++ b/src/fleet/waves.h
@@ -17,7 +17,7 @@
 {
   KqLoop *loop;
   KqKv *kv;
-  KqMaintenanceCalls *calls; /* NULL: there is no control plane */
+  KqMaintenanceClient *calls; /* NULL: there is no control plane */
   KqSched *sched;
   KqName holder; /* name of this node, sent with calls to the control plane */
   uint64_t epoch;
--- a/src/http/client.c
+++ b/src/http/client.c
@@ -164,8 +164,8 @@
     }
   memcpy (to, c->body.ptr, n);
   kq_buf_drop (&c->body, n);
-  if (c->cb.want != NULL)
-    c->cb.want (c->cb.arg, c);
+  if (c->cb.want_body != NULL)
+    c->cb.want_body (c->cb.arg, c);
   return n;
 }
 
@@ -187,7 +187,7 @@
   free (c);
 }
 
-static KqHttpEnd
+static KqHttpOutcome
 end_of (const KqHttpCall *c, CURLcode code)
 {
   if (code == CURLE_OK)
@@ -196,7 +196,7 @@
    * blocked. */
   if (c->send_started_at == 0)
     return KQ_HTTP_NOT_SENT;
-  return c->timed_out || code == CURLE_OPERATION_TIMEDOUT ? KQ_HTTP_SILENT
+  return c->timed_out || code == CURLE_OPERATION_TIMEDOUT ? KQ_HTTP_TIMED_OUT
                                                           : KQ_HTTP_BROKEN;
 }
 
@@ -218,7 +218,7 @@
 static void
 finish_call (KqHttpCall *c, CURLcode code)
 {
-  KqHttpEnd end = end_of (c, code);
+  KqHttpOutcome end = end_of (c, code);
   count_bytes (c);
   if (!c->cancelled)
     c->cb.done (c->cb.arg, c, end);
@@ -528,7 +528,7 @@
     curl_easy_setopt (e, CURLOPT_CONNECTTIMEOUT_MS, (long)r->connect_ms);
   if (r->total_ms > 0)
     curl_easy_setopt (e, CURLOPT_TIMEOUT_MS, (long)r->total_ms);
-  if (r->once)
+  if (r->fresh_connection)
     {
       curl_easy_setopt (e, CURLOPT_FRESH_CONNECT, 1L);
       curl_easy_setopt (e, CURLOPT_FORBID_REUSE, 1L);
@@ -545,7 +545,7 @@
   c->cb = *cb;
   c->easy = curl_easy_init ();
   assert (c->easy != NULL);
-  c->idle_timeout_us = r->silent_ms * KQ_MS;
+  c->idle_timeout_us = r->idle_timeout_ms * KQ_MS;
   c->idle_limit_us = r->first_byte_timeout_ms > 0 ? r->first_byte_timeout_ms * KQ_MS
                                                   : c->idle_timeout_us;
   c->opened_before = r->opened_before;
@@ -576,7 +576,7 @@
 }
 
 size_t
-kq_http_call_unfed (const KqHttpCall *c)
+kq_http_call_unsent (const KqHttpCall *c)
 {
   return c->streamed ? c->body.len : 0;
 }
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -6,7 +6,7 @@
  * A response is delivered by callbacks: head, data chunks, done. A call sends its request
  * at most once: when a reused connection closes before the first response byte, libcurl
  * would repeat the request by itself, but the call ends as KQ_HTTP_BROKEN instead. With
- * `once` the request is never sent on a reused connection. */
+ * `fresh_connection` the request is never sent on a reused connection. */
 
 #include "base/result.h"
 #include "base/task.h"
@@ -20,8 +20,8 @@
   KQ_HTTP_DONE,     /* the response is complete */
   KQ_HTTP_NOT_SENT, /* no byte of the request was sent: it had no effect */
   KQ_HTTP_BROKEN,   /* sent in part or whole; the response is missing or incomplete */
-  KQ_HTTP_SILENT    /* as BROKEN, because of a timeout */
-} KqHttpEnd;
+  KQ_HTTP_TIMED_OUT /* as BROKEN, because of a timeout */
+} KqHttpOutcome;
 
 typedef struct
 {
@@ -32,9 +32,9 @@
   /* May call kq_http_call_pause, which takes effect after this chunk. */
   void (*data) (void *arg, KqHttpCall *c, KqStr chunk);
   /* Of a streamed upload: a part was sent, more may be fed. May be NULL. */
-  void (*want) (void *arg, KqHttpCall *c);
+  void (*want_body) (void *arg, KqHttpCall *c);
   /* The last callback; c is freed after it. */
-  void (*done) (void *arg, KqHttpCall *c, KqHttpEnd end);
+  void (*done) (void *arg, KqHttpCall *c, KqHttpOutcome end);
 } KqHttpCallback;
 
 typedef struct
@@ -47,10 +47,11 @@
   bool streamed;             /* the body is passed to kq_http_call_feed */
   int64_t body_length;       /* of a streamed body; -1: unknown */
   int connect_ms;            /* timeout of connecting; 0: libcurl's default */
-  int silent_ms;             /* timeout of inactivity in both directions; 0: none */
-  int first_byte_timeout_ms; /* like silent_ms, until the response begins; 0: silent_ms */
+  int idle_timeout_ms;       /* timeout of inactivity in both directions; 0: none */
+  int first_byte_timeout_ms; /* like idle_timeout_ms, until the response begins; 0:
+                                idle_timeout_ms */
   int total_ms;              /* timeout of the whole call; 0: none */
-  bool once;                 /* use a new connection and close it afterwards */
+  bool fresh_connection;     /* use a new connection and close it afterwards */
   /* Not 0: use only a connection opened at or before this time; without one the call ends
    * as NOT_SENT. A server process started later has no such connection. */
   KqTime opened_before;
@@ -67,8 +68,9 @@
                           const KqHttpCallback *cb);
 /* Appends bytes to a streamed body; end: these are the last. */
 void kq_http_call_feed (KqHttpCall *c, KqStr bytes, bool end);
-size_t kq_http_call_unfed (const KqHttpCall *c); /* body bytes not yet sent */
-/* Stops and continues the delivery of data; while paused, silent_ms doesn't apply. */
+size_t kq_http_call_unsent (const KqHttpCall *c); /* body bytes not yet sent */
+/* Stops and continues the delivery of data; while paused, idle_timeout_ms doesn't apply.
+ */
 void kq_http_call_pause (KqHttpCall *c);
 void kq_http_call_resume (KqHttpCall *c);
 /* Ends the call without callbacks; its connection is closed. */
--- a/src/http/http_test.c
+++ b/src/http/http_test.c
@@ -49,7 +49,7 @@
   int status;
   size_t received;
   KqBuf uploaded;
-  KqHttpEnd end;
+  KqHttpOutcome end;
   bool done;
   bool pause_once;
   bool stop_on_finished;
@@ -133,7 +133,7 @@
 }
 
 static void
-client_done (void *arg, KqHttpCall *c, KqHttpEnd end)
+client_done (void *arg, KqHttpCall *c, KqHttpOutcome end)
 {
   Fixture *p = arg;
   (void)c;
@@ -224,7 +224,7 @@
 /* The server closes the connection after 4 of 100 bytes. The client must report the
  * response as incomplete, and not that the request had no effect. */
 static void
-test_cut_answer_is_broken (void **state)
+test_incomplete_response_is_broken (void **state)
 {
   Fixture *p = *state;
   KqHttpRequest r = { .method = "GET" };
@@ -257,7 +257,7 @@
  * the call must not be reported as not sent. */
 static void
 expect_sent_once (Fixture *p, const KqHttpRequest *request, const char *path, bool reused,
-                  KqHttpEnd end)
+                  KqHttpOutcome end)
 {
   KqHttpRequest r = *request;
   if (reused)
@@ -287,8 +287,8 @@
   KqHttpRequest post = { .method = "POST", .body = KQ_STR ("abc") };
   for (int reused = 0; reused < 2; reused++)
     {
-      expect_sent_once (p, &get, "/never", reused, KQ_HTTP_SILENT);
-      expect_sent_once (p, &post, "/never", reused, KQ_HTTP_SILENT);
+      expect_sent_once (p, &get, "/never", reused, KQ_HTTP_TIMED_OUT);
+      expect_sent_once (p, &post, "/never", reused, KQ_HTTP_TIMED_OUT);
       expect_sent_once (p, &get, "/drop", reused, KQ_HTTP_BROKEN);
       expect_sent_once (p, &post, "/drop", reused, KQ_HTTP_BROKEN);
     }
@@ -299,7 +299,7 @@
  * would deliver the acknowledgement to the wrong process. With opened_before the call
  * must succeed on the old connection, and otherwise end as not sent. */
 static void
-test_call_keeps_to_an_old_connection (void **state)
+test_call_uses_old_connection_only (void **state)
 {
   Fixture *p = *state;
   KqHttpRequest r = { .method = "GET" };
@@ -319,16 +319,17 @@
   assert_int_equal (p->n_begun, 0);
 }
 
-/* The server accepts the request and never responds: silent_ms must end the call. */
+/* The server accepts the request and never responds: idle_timeout_ms must end the call.
+ */
 static void
-test_silent_target (void **state)
+test_unresponsive_target_times_out (void **state)
 {
   Fixture *p = *state;
-  KqHttpRequest r = { .method = "GET", .silent_ms = 200 };
+  KqHttpRequest r = { .method = "GET", .idle_timeout_ms = 200 };
   start (p, "/never", &r);
   run (p);
   assert_true (p->done);
-  assert_int_equal (p->end, KQ_HTTP_SILENT);
+  assert_int_equal (p->end, KQ_HTTP_TIMED_OUT);
 }
 
 /* A listening socket outside of the event loop, so that a test can send a response while
@@ -364,15 +365,16 @@
   return fd;
 }
 
-/* A response that arrived while the process was blocked for longer than silent_ms was
- * discarded, because the timeout was checked before the socket, and requested again. */
+/* A response that arrived while the process was blocked for longer than idle_timeout_ms
+ * was discarded, because the timeout was checked before the socket, and requested again.
+ */
 static void
 test_arrived_response_is_not_timed_out (void **state)
 {
   static const char response[] = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
   Fixture *p = *state;
   KqHttpCallback cb = { p, client_head, client_data, NULL, client_done };
-  KqHttpRequest r = { .method = "GET", .silent_ms = 300 };
+  KqHttpRequest r = { .method = "GET", .idle_timeout_ms = 300 };
   char url[64];
   int port;
   int listener = listen_plain (&port);
@@ -391,11 +393,11 @@
 }
 
 static void
-count_timeout (void *arg, KqHttpCall *c, KqHttpEnd end)
+count_timeout (void *arg, KqHttpCall *c, KqHttpOutcome end)
 {
   Fixture *p = arg;
   (void)c;
-  assert_int_equal (end, KQ_HTTP_SILENT);
+  assert_int_equal (end, KQ_HTTP_TIMED_OUT);
   if (p->received++ > 0)
     return;
   ev_timer_set (&p->stop_timer, 0.05, 0); /* before the next check for timeouts */
@@ -406,11 +408,11 @@
  * in one check. When each check ended one call, 44 calls held their slots for 4 s longer.
  */
 static void
-test_silent_calls_end_together (void **state)
+test_timed_out_calls_end_together (void **state)
 {
   Fixture *p = *state;
   KqHttpCallback cb = { p, client_head, client_data, NULL, count_timeout };
-  KqHttpRequest r = { .method = "GET", .silent_ms = 200 };
+  KqHttpRequest r = { .method = "GET", .idle_timeout_ms = 200 };
   char url[64];
   snprintf (url, sizeof url, "http://127.0.0.1:%d/never",
             kq_http_server_port (p->server));
@@ -428,7 +430,8 @@
 {
   Fixture *p = *state;
   KqHttpCallback cb = { p, client_head, client_data, NULL, client_done };
-  KqHttpRequest r = { .method = "POST", .url = "http://127.0.0.1:1/", .once = true };
+  KqHttpRequest r
+      = { .method = "POST", .url = "http://127.0.0.1:1/", .fresh_connection = true };
   kq_http_call (p->client, &r, &cb);
   run (p);
   assert_true (p->done);
@@ -442,7 +445,7 @@
 test_client_close_is_noticed (void **state)
 {
   Fixture *p = *state;
-  KqHttpRequest r = { .method = "GET", .silent_ms = 300 };
+  KqHttpRequest r = { .method = "GET", .idle_timeout_ms = 300 };
   start (p, "/never", &r);
   run (p);
   p->stop_on_finished = true;
@@ -469,14 +472,17 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test_setup_teardown (test_whole_bodies, set_up, tear_down),
     cmocka_unit_test_setup_teardown (test_streams_both_ways, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_cut_answer_is_broken, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_incomplete_response_is_broken, set_up,
+                                     tear_down),
     cmocka_unit_test_setup_teardown (test_no_repeat_on_reused_connection, set_up,
                                      tear_down),
     cmocka_unit_test_setup_teardown (test_blocked_first_write_is_sent, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_call_keeps_to_an_old_connection, set_up,
+    cmocka_unit_test_setup_teardown (test_call_uses_old_connection_only, set_up,
+                                     tear_down),
+    cmocka_unit_test_setup_teardown (test_unresponsive_target_times_out, set_up,
+                                     tear_down),
+    cmocka_unit_test_setup_teardown (test_timed_out_calls_end_together, set_up,
                                      tear_down),
-    cmocka_unit_test_setup_teardown (test_silent_target, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_silent_calls_end_together, set_up, tear_down),
     cmocka_unit_test_setup_teardown (test_arrived_response_is_not_timed_out, set_up,
                                      tear_down),
     cmocka_unit_test_setup_teardown (test_refused_connection_is_not_sent, set_up,
--- a/src/http/server.c
+++ b/src/http/server.c
@@ -171,7 +171,7 @@
   if (x->reply == REPLY_STREAMED && x->length < 0 && !x->reply_ended)
     complete = false;
   if (x->begin_called)
-    s->handler.gone (s->handler.arg, x, complete && x->reply != REPLY_NONE);
+    s->handler.finished (s->handler.arg, x, complete && x->reply != REPLY_NONE);
   free_exchange (x);
 }
 
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -29,7 +29,7 @@
   /* Some bytes of a streamed response were taken for sending. May be NULL. */
   void (*drained) (void *arg, KqHttpExchange *x);
   /* The last call for x, freed afterwards. whole: the response was sent in full. */
-  void (*gone) (void *arg, KqHttpExchange *x, bool whole);
+  void (*finished) (void *arg, KqHttpExchange *x, bool whole);
 } KqHttpHandler;
 
 /* address: numeric IPv4; port 0: chosen by the kernel. NULL if it can't be bound. */
--- a/src/job/jobs.c
+++ b/src/job/jobs.c
@@ -256,7 +256,7 @@
   w->host = h->state;
   w->in_hosts = true;
   if (!w->answered)
-    w->capacity = h->whole;
+    w->capacity = h->capacity;
   if (j->open && ((is_new && w->lease.next_call_at == 0) || returned))
     {
       kq_lease_open (&w->lease, &j->times, now);
@@ -317,7 +317,7 @@
     {
       if (d[i].shard == j->c.shard)
         continue;
-      j->others_largest = kq_size_max (j->others_largest, d[i].largest_whole);
+      j->others_largest = kq_size_max (j->others_largest, d[i].largest_capacity);
       j->others_capacity = kq_size_add (j->others_capacity, d[i].free);
       for (size_t k = 0; k < d[i].n_teams; k++)
         j->others_capacity = kq_size_add (j->others_capacity, d[i].teams[k].used);
@@ -349,7 +349,7 @@
 {
   out->shard = j->c.shard;
   out->epoch = j->epoch;
-  out->free = out->largest_free = out->largest_whole = (KqSize){ 0 };
+  out->free = out->largest_free = out->largest_capacity = (KqSize){ 0 };
   out->workers = 0;
   for (uint32_t i = 0; i < j->workers.n; i++)
     {
@@ -360,7 +360,7 @@
       out->workers++;
       out->free = kq_size_add (out->free, room);
       out->largest_free = kq_size_max (out->largest_free, room);
-      out->largest_whole = kq_size_max (out->largest_whole, w->capacity);
+      out->largest_capacity = kq_size_max (out->largest_capacity, w->capacity);
       out->depot = w->depot;
     }
   out->queued_jobs = (int32_t)j->queue.n;
--- a/src/job/jobs_call.c
+++ b/src/job/jobs_call.c
@@ -80,7 +80,7 @@
 answer:
   if (code == KQ_OK)
     json = kq_jobs_job_json (j, job, now);
-  kq_jobs_answer (j, m->asker, m->call, code, json, out);
+  kq_jobs_answer (j, m->reply_to, m->call, code, json, out);
   return j->send_after;
 }
 
@@ -161,7 +161,7 @@
     code = KQ_ERR_JOB_UNKNOWN;
   if (code != KQ_OK)
     {
-      kq_jobs_answer (j, m->asker, m->call, code, NULL, out);
+      kq_jobs_answer (j, m->reply_to, m->call, code, NULL, out);
       return 0;
     }
   if (job != NULL && m->kind != KQ_JOB_LIST && job->state == KQ_JOB_STATE_MOVED)
@@ -188,6 +188,6 @@
       json = kq_jobs_explain_json (j, job, now);
       break;
     }
-  kq_jobs_answer (j, m->asker, m->call, code, json, out);
+  kq_jobs_answer (j, m->reply_to, m->call, code, json, out);
   return j->send_after;
 }
--- a/src/job/jobs_move.c
+++ b/src/job/jobs_move.c
@@ -62,7 +62,7 @@
       KqShardDigest *d = &j->others[i];
       bool fits_now
           = kq_size_fits (need, &d->largest_free) && kq_size_fits (need, &d->free);
-      if (d->workers == 0 || !kq_size_fits (need, &d->largest_whole))
+      if (d->workers == 0 || !kq_size_fits (need, &d->largest_capacity))
         continue;
       if (!fits_now && (!allow_waiting || best_fits_now))
         continue;
--- a/src/job/jobs_move_test.c
+++ b/src/job/jobs_move_test.c
@@ -49,7 +49,7 @@
   KqHost h = { .id = 5 + (uint64_t)i,
                .name = kq_name (KQ_STR ("small")),
                .state = KQ_HOST_LIVE,
-               .whole = { 1000, 1000, 0 } };
+               .capacity = { 1000, 1000, 0 } };
   s->config = (KqJobsConfig){ .shard = (uint32_t)i + 1,
                               .self = 77,
                               .lease = 9 * KQ_SEC,
@@ -71,8 +71,8 @@
 other_is_large (Rig *r, int i, bool large)
 {
   KqShardDigest d = { .shard = (uint32_t)(2 - i), .workers = 1 };
-  d.largest_whole = large ? (KqSize){ 64000, 64000, 0 } : (KqSize){ 1000, 1000, 0 };
-  d.largest_free = d.free = d.largest_whole;
+  d.largest_capacity = large ? (KqSize){ 64000, 64000, 0 } : (KqSize){ 1000, 1000, 0 };
+  d.largest_free = d.free = d.largest_capacity;
   kq_jobs_set_other_digests (r->shards[i].jobs, &d, 1, r->now);
 }
 
@@ -166,7 +166,7 @@
   KqSeq after = 0;
   KqMsg *move;
   KqMsg *moved[2];
-  KqMsgJobCall get = { .shard = 1, .kind = KQ_JOB_GET, .job = JOB, .asker = 9 };
+  KqMsgJobCall get = { .shard = 1, .kind = KQ_JOB_GET, .job = JOB, .reply_to = 9 };
   KqOut item;
   submit (r);
   assert_int_equal (kq_jobs_account (r->shards[0].jobs).unplaceable, 1);
--- a/src/job/jobs_reply.c
+++ b/src/job/jobs_reply.c
@@ -160,7 +160,7 @@
   if (w->n_fences > 0 && w->lease.state == KQ_LEASE_ASKED)
     w->lease.next_call_at = now + STOP_RETRY_TIME / 4;
   w->leaving = r->leaving;
-  w->capacity = r->whole;
+  w->capacity = r->capacity;
   w->unknown_used = (KqSize){ 0 };
   w->list_number++;
   w->n_acks = 0;
--- a/src/job/jobs_test.c
+++ b/src/job/jobs_test.c
@@ -408,7 +408,7 @@
   submit (r, 2);
   kq_rig_run (r, KQ_SEC);
   assert_non_null (kq_rig_worker_of (r, key (2, 1)));
-  r->workers[0].whole.memory_mb = r->hosts[0].whole.memory_mb = 200000;
+  r->workers[0].whole.memory_mb = r->hosts[0].capacity.memory_mb = 200000;
   kq_rig_run (r, 4 * KQ_SEC);
   kq_rig_hosts (r);
   kq_rig_run (r, KQ_SEC);
--- a/src/job/learn_record.c
+++ b/src/job/learn_record.c
@@ -79,7 +79,7 @@
         f->cells[victim][kq_classes_index (c, &other)][band]
             = (KqCell){ effect, evidence, now };
     }
-  kq_read_join (r, &sub);
+  kq_read_array_end (r, &sub);
 }
 
 KqResult
--- a/src/job/quota.c
+++ b/src/job/quota.c
@@ -60,7 +60,7 @@
         size_t at = kq_quota_team (q, &d[i].teams[k].team);
         KqTeam *team = &q->teams[at];
         team->others_used = kq_size_add (team->others_used, d[i].teams[k].used);
-        team->others_wanted = kq_size_add (team->others_wanted, d[i].teams[k].wanted);
+        team->others_wanted = kq_size_add (team->others_wanted, d[i].teams[k].queued);
       }
 }
 
--- a/src/member/member.c
+++ b/src/member/member.c
@@ -94,7 +94,8 @@
   KqMember *m = kq_alloc (sizeof *m);
   KqBuf value = { 0 };
   assert (c->self.id == kq_str_hash (kq_name_str (&c->self.name)));
-  assert (c->beat > 0 && c->suspect >= 2 * c->beat && c->lease >= 2 * c->suspect);
+  assert (c->heartbeat_interval > 0 && c->suspect_after >= 2 * c->heartbeat_interval
+          && c->lease >= 2 * c->suspect_after);
   m->config = *c;
   m->rand = kq_rand (seed);
   kq_node_info_pack (&c->self, &value);
@@ -104,9 +105,10 @@
   m->list.self = c->self.id;
   m->list.region = c->self.region;
   m->times.lease = c->lease;
-  m->times.heartbeat_interval = c->beat;
-  m->times.suspect_after = c->suspect;
-  m->times.remote_suspect_after = c->suspect + 2 * BUNDLE_INTERVALS * c->beat;
+  m->times.heartbeat_interval = c->heartbeat_interval;
+  m->times.suspect_after = c->suspect_after;
+  m->times.remote_suspect_after
+      = c->suspect_after + 2 * BUNDLE_INTERVALS * c->heartbeat_interval;
   m->self = kq_node_list_put (&m->list, &c->self, 0);
   m->last_tick = -1;
   kq_member_set_digest (m, NULL, 0, 0, false);
@@ -131,7 +133,7 @@
   if (!same_shards (m->self, s, n))
     m->digests_changed = true;
   h.incarnation = m->config.self.incarnation;
-  h.beat = m->heartbeat_number << 1;
+  h.sequence = m->heartbeat_number << 1;
   h.table_revision = table_revision;
   h.draining = draining;
   h.shards = (KqShardDigest *)s;
@@ -258,7 +260,7 @@
   KqMsgHeartbeat *h = &msg.u.heartbeat;
   if (e == m->self)
     {
-      h->beat = m->heartbeat_number << 1;
+      h->sequence = m->heartbeat_number << 1;
       h->store_age_us = kq_member_store_silence (m, now);
     }
   else
@@ -269,7 +271,7 @@
 static void
 omit_digests (KqMsg *msg)
 {
-  msg->u.heartbeat.beat |= KQ_HEARTBEAT_NO_DIGESTS;
+  msg->u.heartbeat.sequence |= KQ_HEARTBEAT_NO_DIGESTS;
   msg->u.heartbeat.shards = NULL;
   msg->u.heartbeat.n_shards = 0;
 }
@@ -365,8 +367,8 @@
         continue;
       KqNodeEntry *to = choose_node (m, region, e->node.info.id);
       KqMsg msg = heartbeat_of (m, e, now);
-      msg.u.heartbeat.via = m->config.self.id;
-      msg.u.heartbeat.beat &= ~(uint64_t)KQ_HEARTBEAT_NO_DIGESTS;
+      msg.u.heartbeat.forwarded_by = m->config.self.id;
+      msg.u.heartbeat.sequence &= ~(uint64_t)KQ_HEARTBEAT_NO_DIGESTS;
       if (!with_digests || !e->has_digests)
         omit_digests (&msg);
       if (to != NULL)
@@ -424,7 +426,7 @@
   if (now < m->next_heartbeat_at)
     return;
   m->heartbeat_number++;
-  m->next_heartbeat_at = now + m->config.beat;
+  m->next_heartbeat_at = now + m->config.heartbeat_interval;
   m->self->node.heard_at = now;
   m->self->node.store_age_us = kq_member_store_silence (m, now);
   send_heartbeat (m, now, out);
@@ -446,7 +448,7 @@
 {
   if (m->last_tick < 0)
     first_tick (m, now);
-  else if (now - m->last_tick > PAUSE_INTERVALS * m->config.beat)
+  else if (now - m->last_tick > PAUSE_INTERVALS * m->config.heartbeat_interval)
     m->times.resumed_at = now;
   m->last_tick = now;
   m->times.store_silent = kq_member_store_silence (m, now) > m->config.lease;
@@ -462,11 +464,11 @@
 static void
 forward_heartbeat (KqMember *m, const KqMsgHeartbeat *h, KqOutbox *out)
 {
-  KqNodeEntry *via = kq_node_list_find (&m->list, h->via);
-  if (h->via == 0 || (via != NULL && same_region (m, via)))
+  KqNodeEntry *via = kq_node_list_find (&m->list, h->forwarded_by);
+  if (h->forwarded_by == 0 || (via != NULL && same_region (m, via)))
     return;
   KqMsg msg = { .kind = KQ_MSG_HEARTBEAT, .u.heartbeat = *h };
-  msg.u.heartbeat.via = m->config.self.id;
+  msg.u.heartbeat.forwarded_by = m->config.self.id;
   send_to_region (m, &msg, out);
 }
 
@@ -487,8 +489,8 @@
    * 1 again. */
   if (e->last_heartbeat != NULL
       && h->incarnation == e->last_heartbeat->u.heartbeat.incarnation
-      && KQ_HEARTBEAT_NUMBER (h->beat)
-             <= KQ_HEARTBEAT_NUMBER (e->last_heartbeat->u.heartbeat.beat))
+      && KQ_HEARTBEAT_NUMBER (h->sequence)
+             <= KQ_HEARTBEAT_NUMBER (e->last_heartbeat->u.heartbeat.sequence))
     return;
   kq_node_list_heard (&m->list, e, h, now);
   if (!same_region (m, e))
@@ -554,7 +556,7 @@
     {
       const KqNodeEntry *e = m->list.entries[i];
       if (e != m->self && same_region (m, e) && e->node.heard_at > 0
-          && now - e->node.heard_at <= m->config.suspect
+          && now - e->node.heard_at <= m->config.suspect_after
           && e->node.store_age_us + (now - e->node.heard_at) <= age)
         return true;
     }
--- a/src/member/member.h
+++ b/src/member/member.h
@@ -51,9 +51,9 @@
 typedef struct
 {
   KqNodeInfo self;
-  KqTime lease;   /* of the node's key; 10 s by default */
-  KqTime beat;    /* between heartbeats; 0.5 s by default */
-  KqTime suspect; /* silence before suspicion; 2 s by default */
+  KqTime lease;              /* of the node's key; 10 s by default */
+  KqTime heartbeat_interval; /* between heartbeats; 0.5 s by default */
+  KqTime suspect_after;      /* silence before suspicion; 2 s by default */
 } KqMemberConfig;
 
 typedef struct KqMember KqMember;
@@ -65,7 +65,7 @@
 /* Whether a heartbeat is sent without digests, in which case those sent before remain
  * valid: its empty list of shards doesn't mean "owns nothing". Callers that need digests
  * use kq_member_find or ignore such heartbeats. */
-bool kq_heartbeat_light (const KqMsgHeartbeat *h);
+bool kq_heartbeat_omits_digests (const KqMsgHeartbeat *h);
 void kq_member_heartbeat (KqMember *m, const KqMsgHeartbeat *h, KqTime now,
                           KqOutbox *out);
 /* The connection to a node went down or up. */
--- a/src/member/member_test.c
+++ b/src/member/member_test.c
@@ -246,7 +246,9 @@
 test_same_name_twice (void **state)
 {
   KqTableSim *f = kq_table_sim_new (8, 3, 1, true);
-  KqMemberConfig c = { .lease = 10 * KQ_SEC, .beat = KQ_SEC / 2, .suspect = 2 * KQ_SEC };
+  KqMemberConfig c = { .lease = 10 * KQ_SEC,
+                       .heartbeat_interval = KQ_SEC / 2,
+                       .suspect_after = 2 * KQ_SEC };
   KqOutbox out = { 0 };
   (void)state;
   assert_true (wait_until_all_see_live (f, 5 * KQ_SEC) >= 0);
@@ -308,8 +310,8 @@
       KqTableSim *f = kq_table_sim_new (seed, 5, 2, true);
       KqStoreFaults *s = kq_store_fake_faults (f->store);
       KqRand r = kq_rand (seed);
-      for (int fate = 1; fate < KQ_FATE_COUNT; fate++)
-        s->p[fate] = 0.1;
+      for (int fault = 1; fault < KQ_STORE_FAULT_COUNT; fault++)
+        s->p[fault] = 0.1;
       for (int i = 0; i < 2400; i++)
         {
           if (i % 100 == 0)
@@ -375,7 +377,7 @@
 test_digests_arrive (void **state)
 {
   KqTableSim *f = kq_table_sim_new (17, 8, 2, true);
-  KqTeamDigest teams[60] = { { .wanted = { 0 } } };
+  KqTeamDigest teams[60] = { { .queued = { 0 } } };
   KqShardDigest d = { .shard = 5, .epoch = 1, .teams = teams, .n_teams = 60 };
   (void)state;
   assert_true (wait_until_all_see_live (f, 5 * KQ_SEC) >= 0);
@@ -402,10 +404,10 @@
 /* A new service of a shard must be reported at once. If its entry in the digest waited
  * for the digest rate, the owner would get no requests for the service until then. */
 static void
-test_service_lines_travel (void **state)
+test_new_services_are_sent_at_once (void **state)
 {
   KqTableSim *f = kq_table_sim_new (18, 8, 1, true);
-  KqTeamDigest teams[60] = { { .wanted = { 0 } } };
+  KqTeamDigest teams[60] = { { .queued = { 0 } } };
   KqServiceDigest line = { .service = kq_name (KQ_STR ("quick")), .slots = 4 };
   KqShardDigest d = { .shard = 5, .epoch = 1, .teams = teams, .n_teams = 60 };
   (void)state;
@@ -440,7 +442,7 @@
     cmocka_unit_test (test_random_store_faults),
     cmocka_unit_test (test_bundles),
     cmocka_unit_test (test_digests_arrive),
-    cmocka_unit_test (test_service_lines_travel),
+    cmocka_unit_test (test_new_services_are_sent_at_once),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/member/nodes.c
+++ b/src/member/nodes.c
@@ -267,9 +267,9 @@
 }
 
 bool
-kq_heartbeat_light (const KqMsgHeartbeat *h)
+kq_heartbeat_omits_digests (const KqMsgHeartbeat *h)
 {
-  return (h->beat & KQ_HEARTBEAT_NO_DIGESTS) != 0;
+  return (h->sequence & KQ_HEARTBEAT_NO_DIGESTS) != 0;
 }
 
 /* Stores the heartbeat; one without digests keeps the digests that the same process sent
@@ -280,7 +280,8 @@
   KqMsg m = { .kind = KQ_MSG_HEARTBEAT, .u.heartbeat = *h };
   KqMsgHeartbeat *stored
       = e->last_heartbeat != NULL ? &e->last_heartbeat->u.heartbeat : NULL;
-  if (kq_heartbeat_light (h) && stored != NULL && stored->incarnation == h->incarnation)
+  if (kq_heartbeat_omits_digests (h) && stored != NULL
+      && stored->incarnation == h->incarnation)
     {
       KqShardDigest *shards = stored->shards;
       size_t n = stored->n_shards;
@@ -289,7 +290,7 @@
       stored->n_shards = n;
       return;
     }
-  e->has_digests = !kq_heartbeat_light (h);
+  e->has_digests = !kq_heartbeat_omits_digests (h);
   kq_msg_free (e->last_heartbeat);
   e->last_heartbeat = kq_msg_copy (&m);
 }
--- a/src/node/core.c
+++ b/src/node/core.c
@@ -10,7 +10,7 @@
 /* How often a host list is read. The platform updates it with a delay of seconds, so
  * reading it more often would gain nothing. Half the time after which a worker whose
  * lease isn't renewed is suspected. */
-#define HOSTS_EVERY (2 * KQ_SEC)
+#define HOSTS_READ_INTERVAL (2 * KQ_SEC)
 /* How long this node serves the runners of a shard that it no longer owns, as long as no
  * successor is known. After a loss: the time within which this node may own the shard
  * again after an outage. After a release: the longest time of a handover. */
@@ -53,15 +53,15 @@
   const KqSettings *s = config->settings;
   KqMemberConfig mc = { .self = config->self,
                         .lease = s->node_lease_ms * KQ_MS,
-                        .beat = s->heartbeat_ms * KQ_MS,
-                        .suspect = 4 * s->heartbeat_ms * KQ_MS };
+                        .heartbeat_interval = s->heartbeat_ms * KQ_MS,
+                        .suspect_after = 4 * s->heartbeat_ms * KQ_MS };
   KqJobsConfig jc = { .self = config->self.id,
                       .lease = s->worker_lease_ms * KQ_MS,
                       .renew = s->worker_lease_ms * KQ_MS / 3,
                       .renew_without_store = s->blind_ms * KQ_MS,
                       .seed = config->seed,
                       .counters = config->counters };
-  KqOwnerTimes ot = { .lease = mc.lease, .blind_max = s->blind_ms * KQ_MS };
+  KqOwnerTimes ot = { .lease = mc.lease, .outage_max = s->blind_ms * KQ_MS };
   uint32_t total = (uint32_t)kq_settings_total_shards (s);
   KqCore *c = kq_alloc (sizeof *c);
   c->config = *config;
@@ -78,11 +78,11 @@
   c->owner = kq_owner_new (&config->self, c->first, c->n_shards, config->seed + 2);
   kq_owner_set_times (c->owner, &ot);
   c->dist = kq_table_dist_new (config->self.id, config->seed + 3);
-  c->shards = kq_alloc (c->n_shards * sizeof (KqShardHost *));
+  c->shards = kq_alloc (c->n_shards * sizeof (KqShard *));
   c->hosts_announced = kq_alloc (c->n_shards * sizeof *c->hosts_announced);
   c->gone_due_at = kq_alloc (c->n_shards * sizeof *c->gone_due_at);
   for (uint32_t i = 0; i < c->n_shards; i++)
-    c->shards[i] = kq_shard_host_new (c->first + i, total, config->self.id, &jc);
+    c->shards[i] = kq_shard_new (c->first + i, total, config->self.id, &jc);
   return c;
 }
 
@@ -95,7 +95,7 @@
   while (kq_core_notice (c, &n))
     kq_hosts_free (&n.hosts);
   for (uint32_t i = 0; i < c->n_shards; i++)
-    kq_shard_host_free (c->shards[i]);
+    kq_shard_free (c->shards[i]);
   for (int d = 0; d < KQ_DEPOTS_MAX; d++)
     kq_hosts_free (&c->host_lists[d]);
   kq_table_dist_free (c->dist);
@@ -108,7 +108,7 @@
   free (c);
 }
 
-KqShardHost *
+KqShard *
 kq_core_shard (KqCore *c, uint32_t shard)
 {
   if (shard < c->first || shard >= c->first + c->n_shards)
@@ -116,11 +116,11 @@
   return c->shards[shard - c->first];
 }
 
-KqShardHost *
+KqShard *
 kq_core_owned_shard (KqCore *c, uint32_t shard, KqTime now)
 {
-  KqShardHost *h = kq_core_shard (c, shard);
-  if (h == NULL || kq_shard_host_state (h) == KQ_HOST_IDLE
+  KqShard *h = kq_core_shard (c, shard);
+  if (h == NULL || kq_shard_state (h) == KQ_SHARD_IDLE
       || !kq_owner_is_mine (c->owner, shard, c->member, now))
     return NULL;
   return h;
@@ -134,10 +134,10 @@
 static void
 drop_shard (KqCore *c, uint32_t shard, KqTime linger, KqTime now)
 {
-  KqShardHost *h = kq_core_shard (c, shard);
-  if (kq_shard_host_state (h) == KQ_HOST_IDLE)
+  KqShard *h = kq_core_shard (c, shard);
+  if (kq_shard_state (h) == KQ_SHARD_IDLE)
     return;
-  kq_shard_host_drop (h);
+  kq_shard_drop (h);
   c->hosts_announced[shard - c->first] = false;
   c->gone_due_at[shard - c->first] = now + linger;
 }
@@ -150,7 +150,7 @@
     {
       if (c->gone_due_at[i] == 0)
         continue;
-      if (kq_shard_host_state (c->shards[i]) == KQ_HOST_ACTIVE)
+      if (kq_shard_state (c->shards[i]) == KQ_SHARD_ACTIVE)
         c->gone_due_at[i] = 0; /* this node owns the shard again */
       else if (now >= c->gone_due_at[i] || kq_core_has_successor (c, c->first + i))
         {
@@ -166,20 +166,20 @@
   KqOwnerEvent e;
   while (kq_owner_event (c->owner, &e))
     {
-      KqShardHost *h = kq_core_shard (c, e.shard);
+      KqShard *h = kq_core_shard (c, e.shard);
       switch (e.kind)
         {
-        case KQ_OWNER_TOOK:
+        case KQ_OWNER_TAKEN:
           kq_log (KQ_LOG_INFO, PART, "Shard acquired. shard=%u epoch=%llu", e.shard,
                   (unsigned long long)e.epoch);
-          kq_shard_host_open (h, e.epoch, kq_table_dist_current (c->dist), now, out);
+          kq_shard_open (h, e.epoch, kq_table_dist_current (c->dist), now, out);
           break;
         case KQ_OWNER_LOST:
           kq_log (KQ_LOG_WARN, PART, "Shard ownership lost. shard=%u", e.shard);
           drop_shard (c, e.shard, LINGER_LOST, now);
           break;
-        case KQ_OWNER_GIVE_UP:
-          kq_shard_host_give_up (h);
+        case KQ_OWNER_HANDOVER:
+          kq_shard_release (h);
           break;
         }
     }
@@ -188,29 +188,29 @@
 static void
 tick_shard (KqCore *c, uint32_t shard, bool store_ok, KqTime now, KqOutbox *out)
 {
-  KqShardHost *h = kq_core_shard (c, shard);
+  KqShard *h = kq_core_shard (c, shard);
   KqResult r;
-  if (kq_shard_host_state (h) == KQ_HOST_IDLE)
+  if (kq_shard_state (h) == KQ_SHARD_IDLE)
     return;
   if (!kq_owner_is_mine (c->owner, shard, c->member, now)
-      && kq_shard_host_state (h) != KQ_HOST_GIVING_UP)
+      && kq_shard_state (h) != KQ_SHARD_RELEASING)
     {
       kq_log (KQ_LOG_WARN, PART,
               "Ownership of the shard has expired; dropping it. shard=%u", shard);
       drop_shard (c, shard, LINGER_LOST, now);
-      kq_owner_fenced (c->owner, shard, now);
+      kq_owner_step_down (c->owner, shard, now);
       return;
     }
-  r = kq_shard_host_tick (h, store_ok, now, out);
+  r = kq_shard_tick (h, store_ok, now, out);
   if (r != KQ_OK)
     {
       kq_log (KQ_LOG_WARN, PART, "Shard dropped. shard=%u code=%d name=%s", shard, r,
               kq_result_name (r));
       drop_shard (c, shard, LINGER_LOST, now);
-      kq_owner_fenced (c->owner, shard, now);
+      kq_owner_step_down (c->owner, shard, now);
       return;
     }
-  if (kq_shard_host_state (h) == KQ_HOST_GIVING_UP && kq_shard_host_given_up (h, now))
+  if (kq_shard_state (h) == KQ_SHARD_RELEASING && kq_shard_released (h, now))
     {
       drop_shard (c, shard, LINGER_RELEASED, now);
       kq_owner_released (c->owner, shard, now, out);
@@ -224,7 +224,7 @@
   const KqSettings *s = c->config.settings;
   bool any = false;
   for (uint32_t i = 0; i < c->n_shards; i++)
-    any = any || kq_shard_host_state (c->shards[i]) == KQ_HOST_ACTIVE;
+    any = any || kq_shard_state (c->shards[i]) == KQ_SHARD_ACTIVE;
   for (int d = 0; d < s->n_depots && any; d++)
     {
       KqStoreOp op = { .kind = KQ_STORE_HOSTS, .part = KQ_PART_HOSTS };
@@ -243,17 +243,17 @@
 announce_hosts (KqCore *c, uint32_t shard, KqTime now, KqOutbox *out)
 {
   const KqSettings *s = c->config.settings;
-  KqShardHost *h = kq_core_owned_shard (c, shard, now);
+  KqShard *h = kq_core_owned_shard (c, shard, now);
   uint32_t i = shard - c->first;
   KqNotice *n;
-  if (h == NULL || kq_shard_host_state (h) != KQ_HOST_ACTIVE)
+  if (h == NULL || kq_shard_state (h) != KQ_SHARD_ACTIVE)
     return;
   n = kq_core_add_notice (c, KQ_NOTICE_SHARD_HOSTS);
   n->shard = shard;
   kq_shard_copy_hosts (s, c->host_lists, s->n_depots, shard, &n->hosts);
   n->taken_over = !c->hosts_announced[i];
   c->hosts_announced[i] = true;
-  kq_shard_host_set_hosts (h, &n->hosts, now, out);
+  kq_shard_set_hosts (h, &n->hosts, now, out);
 }
 
 /* Passes the hosts to shards that have become active, without waiting for the next read
@@ -289,8 +289,8 @@
   if (d >= (uint64_t)s->n_depots)
     return;
   c->read_pending[d] = false;
-  c->next_read_at[d]
-      = now + HOSTS_EVERY + (KqTime)kq_rand_below (&c->rand, HOSTS_EVERY / 4);
+  c->next_read_at[d] = now + HOSTS_READ_INTERVAL
+                       + (KqTime)kq_rand_below (&c->rand, HOSTS_READ_INTERVAL / 4);
   if (r->result != KQ_OK)
     return;
   read = kq_hosts_parse (r->value, &list);
@@ -310,7 +310,7 @@
 void
 kq_core_store_reply (KqCore *c, const KqStoreReply *r, KqTime now, KqOutbox *out)
 {
-  KqShardHost *h;
+  KqShard *h;
   if (r->result != KQ_ERR_STORE_UNREACHABLE && r->result != KQ_ERR_STORE_BUSY
       && r->result != KQ_ERR_PLATFORM_FORMAT)
     kq_member_store_answered (c->member, now);
@@ -327,7 +327,7 @@
         break;
       h = kq_core_shard (c, (uint32_t)(r->token >> 32));
       if (h != NULL)
-        kq_shard_host_store_reply (h, r, now, out);
+        kq_shard_store_reply (h, r, now, out);
       break;
     case KQ_PART_HOSTS:
       handle_host_list (c, r, now, out);
@@ -340,9 +340,9 @@
 void
 kq_core_worker_reply (KqCore *c, const KqWorkerReply *r, KqTime now, KqOutbox *out)
 {
-  KqShardHost *h = kq_core_owned_shard (c, r->shard, now);
+  KqShard *h = kq_core_owned_shard (c, r->shard, now);
   if (h != NULL)
-    kq_shard_host_worker_reply (h, r, now, out);
+    kq_shard_worker_reply (h, r, now, out);
 }
 
 void
@@ -376,10 +376,10 @@
     {
       KqTable *t = kq_table_dist_current (c->dist);
       for (uint32_t i = 0; i < c->n_shards; i++)
-        kq_shard_host_set_table (c->shards[i], t, now);
+        kq_shard_set_table (c->shards[i], t, now);
       kq_core_add_notice (c, KQ_NOTICE_TABLE);
     }
-  while (kq_table_dist_result (c->dist, &r))
+  while (kq_table_dist_take_result (c->dist, &r))
     kq_core_add_notice (c, KQ_NOTICE_TABLE_RESULT)->result = r;
 }
 
@@ -390,13 +390,13 @@
     return;
   for (uint32_t i = 0; i < c->n_shards; i++)
     {
-      if (kq_shard_host_state (c->shards[i]) != KQ_HOST_IDLE
+      if (kq_shard_state (c->shards[i]) != KQ_SHARD_IDLE
           || kq_owner_state (c->owner, c->first + i) != KQ_OWN_NONE
           || c->gone_due_at[i] != 0)
         return;
     }
   c->given_up_announced = true;
-  kq_core_add_notice (c, KQ_NOTICE_GIVEN_UP);
+  kq_core_add_notice (c, KQ_NOTICE_SHARDS_RELEASED);
 }
 
 void
@@ -449,7 +449,7 @@
   else if (kq_table_dist_current (c->dist) == NULL)
     *why = "no table yet";
   else if (!kq_member_lease_live (c->member, now)
-           && !kq_owner_blind (c->owner, c->member, now))
+           && !kq_owner_valid_in_outage (c->owner, c->member, now))
     *why = "the node's lease is not alive";
   return (*why)[0] == '\0';
 }
--- a/src/node/core.h
+++ b/src/node/core.h
@@ -8,7 +8,7 @@
  * connects it to sockets; the soak test and the fault matrix to fakes. */
 
 #include "member/member.h"
-#include "node/shard_host.h"
+#include "node/shard.h"
 #include "settings/settings.h"
 #include "shard/owner.h"
 #include "table/dist.h"
@@ -25,12 +25,12 @@
 
 typedef enum
 {
-  KQ_NOTICE_TABLE,        /* a new table is in force */
-  KQ_NOTICE_SHARD_HOSTS,  /* the present hosts of a shard that this node owns */
-  KQ_NOTICE_SHARD_GONE,   /* this node no longer serves the shard's runners */
-  KQ_NOTICE_NODE,         /* a node joined, changed or is gone */
-  KQ_NOTICE_TABLE_RESULT, /* a table change started here has ended */
-  KQ_NOTICE_GIVEN_UP      /* planned stop: this node owns no shard any more */
+  KQ_NOTICE_TABLE,          /* a new table is in force */
+  KQ_NOTICE_SHARD_HOSTS,    /* the present hosts of a shard that this node owns */
+  KQ_NOTICE_SHARD_GONE,     /* this node no longer serves the shard's runners */
+  KQ_NOTICE_NODE,           /* a node joined, changed or is gone */
+  KQ_NOTICE_TABLE_RESULT,   /* a table change started here has ended */
+  KQ_NOTICE_SHARDS_RELEASED /* planned stop: this node owns no shard any more */
 } KqNoticeKind;
 
 typedef struct
@@ -62,9 +62,9 @@
 /* Starts a table change; its result comes as KQ_NOTICE_TABLE_RESULT. */
 void kq_core_change_table (KqCore *c, uint64_t call, const KqRowChange *ch, size_t n,
                            KqTime now, KqOutbox *out);
-/* Planned stop: releases all shards, then emits KQ_NOTICE_GIVEN_UP. */
+/* Planned stop: releases all shards, then emits KQ_NOTICE_SHARDS_RELEASED. */
 void kq_core_drain (KqCore *c);
-/* After KQ_NOTICE_GIVEN_UP: deletes the node's key in the store. */
+/* After KQ_NOTICE_SHARDS_RELEASED: deletes the node's key in the store. */
 void kq_core_leave (KqCore *c, KqTime now, KqOutbox *out);
 
 /* Takes the next notice from the queue; false if it is empty. */
@@ -84,6 +84,6 @@
  * the shard isn't of this region. */
 uint32_t kq_core_first_shard (const KqCore *c);
 uint32_t kq_core_shards (const KqCore *c);
-KqShardHost *kq_core_shard (KqCore *c, uint32_t shard);
+KqShard *kq_core_shard (KqCore *c, uint32_t shard);
 
 #endif
--- a/src/node/core_route.c
+++ b/src/node/core_route.c
@@ -54,7 +54,7 @@
 {
   const KqNode *owner = NULL;
   const KqShardDigest *d = find_owner_digest (c, shard, &owner);
-  if (d == NULL || d->epoch <= kq_shard_host_epoch (c->shards[shard - c->first]))
+  if (d == NULL || d->epoch <= kq_shard_epoch (c->shards[shard - c->first]))
     return false;
   /* A new owner's heartbeat may show the shard up to one heartbeat before it shows the
    * services of the shard's runners. */
@@ -74,7 +74,7 @@
 static int64_t
 shard_cost (const KqShardDigest *d, const KqSize *size)
 {
-  if (d == NULL || d->workers == 0 || !fits (&d->largest_whole, size))
+  if (d == NULL || d->workers == 0 || !fits (&d->largest_capacity, size))
     return INT64_MAX;
   if (fits (&d->largest_free, size))
     return d->queued_jobs;
@@ -160,7 +160,8 @@
     case KQ_MSG_JOB_SUBMIT:
     case KQ_MSG_JOB_CALL:
       r.kind = KQ_MSG_JOB_REPLY;
-      to = m->kind == KQ_MSG_JOB_SUBMIT ? m->u.job_submit.asker : m->u.job_call.asker;
+      to = m->kind == KQ_MSG_JOB_SUBMIT ? m->u.job_submit.reply_to
+                                        : m->u.job_call.reply_to;
       r.u.answer.call
           = m->kind == KQ_MSG_JOB_SUBMIT ? m->u.job_submit.call : m->u.job_call.call;
       r.u.answer.code = code;
@@ -187,11 +188,11 @@
 route_to_shard (KqCore *c, KqNodeId from, const KqMsg *m, KqTime now, KqOutbox *out)
 {
   uint32_t shard = shard_of_message (m);
-  KqShardHost *h = kq_core_owned_shard (c, shard, now);
+  KqShard *h = kq_core_owned_shard (c, shard, now);
   KqNodeId owner;
-  if (h != NULL && kq_shard_host_state (h) == KQ_HOST_ACTIVE)
+  if (h != NULL && kq_shard_state (h) == KQ_SHARD_ACTIVE)
     {
-      kq_shard_host_message (h, m, now, out);
+      kq_shard_message (h, m, now, out);
       return;
     }
   owner = kq_owner_of (c->owner, c->member, shard);
@@ -214,8 +215,8 @@
   kq_member_heartbeat (c->member, h, now, out);
   n = kq_member_find (c->member, h->node);
   if (n != NULL && h->node != c->config.self.id)
-    kq_table_dist_peer (c->dist, h->node, h->table_revision, in_other_region (c, n), now,
-                        out);
+    kq_table_dist_peer_revision (c->dist, h->node, h->table_revision,
+                                 in_other_region (c, n), now, out);
 }
 
 void
@@ -228,7 +229,7 @@
       handle_heartbeat (c, &m->u.heartbeat, now, out);
       break;
     case KQ_MSG_TABLE:
-    case KQ_MSG_TABLE_WANT:
+    case KQ_MSG_TABLE_REQUEST:
       kq_table_dist_message (c->dist, from, m, now, out);
       break;
     case KQ_MSG_JOB_SUBMIT:
@@ -258,7 +259,7 @@
   for (uint32_t i = 0; i < c->n_shards; i++)
     {
       size_t n = 0;
-      if (kq_shard_host_state (c->shards[i]) != KQ_HOST_ACTIVE)
+      if (kq_shard_state (c->shards[i]) != KQ_SHARD_ACTIVE)
         continue;
       for (uint32_t s = 0; s < total; s++)
         {
@@ -266,7 +267,7 @@
           if (d != NULL)
             all[n++] = *d;
         }
-      kq_shard_host_set_other_digests (c->shards[i], all, n, now);
+      kq_shard_set_other_digests (c->shards[i], all, n, now);
     }
   free (all);
 }
@@ -283,7 +284,7 @@
   for (uint32_t i = 0; i < c->n_shards; i++)
     {
       if (kq_core_owned_shard (c, c->first + i, now) != NULL
-          && kq_shard_host_digest (c->shards[i], now, &own[n]))
+          && kq_shard_digest (c->shards[i], now, &own[n]))
         n++;
     }
   /* The node has one dispatcher for all its shards: the service digests are sent with the
@@ -329,7 +330,7 @@
   for (uint32_t i = 0; i < c->n_shards; i++)
     {
       if (kq_core_owned_shard (c, c->first + i, now) != NULL)
-        kq_shard_host_node_gone (c->shards[i], id, incarnation, now, out);
+        kq_shard_node_gone (c->shards[i], id, incarnation, now, out);
     }
 }
 
--- a/src/node/core_state.h
+++ b/src/node/core_state.h
@@ -30,7 +30,7 @@
   KqTableDist *dist;
   uint32_t first;
   uint32_t n_shards;
-  KqShardHost **shards;
+  KqShard **shards;
   /* Per shard: its hosts have been announced since it became active. */
   bool *hosts_announced;
   /* Per shard: when KQ_NOTICE_SHARD_GONE is due at the latest; 0: not pending. */
@@ -58,7 +58,7 @@
 /* The shard if it isn't idle and this node certainly owns it at `now`; otherwise NULL.
  * Must be called before every call into an active shard: a process that was paused finds
  * that its lease has expired, and drops the shard before it acts in the old epoch. */
-KqShardHost *kq_core_owned_shard (KqCore *c, uint32_t shard, KqTime now);
+KqShard *kq_core_owned_shard (KqCore *c, uint32_t shard, KqTime now);
 /* Whether another node's digest shows the shard in a later epoch than our last one, and
  * that node serves requests if this one does. */
 bool kq_core_has_successor (const KqCore *c, uint32_t shard);
--- a/src/node/core_test.c
+++ b/src/node/core_test.c
@@ -76,7 +76,7 @@
           r->gone++;
           r->gone_at = r->now;
         }
-      r->given_up = r->given_up || n.kind == KQ_NOTICE_GIVEN_UP;
+      r->given_up = r->given_up || n.kind == KQ_NOTICE_SHARDS_RELEASED;
       kq_hosts_free (&n.hosts);
     }
 }
@@ -107,7 +107,7 @@
 {
   int n = 0;
   for (uint32_t i = 0; i < SHARDS; i++)
-    n += kq_shard_host_state (kq_core_shard (r->core, i)) == KQ_HOST_ACTIVE;
+    n += kq_shard_state (kq_core_shard (r->core, i)) == KQ_SHARD_ACTIVE;
   return n;
 }
 
@@ -123,7 +123,7 @@
 }
 
 /* A planned stop without a successor: jobs and claims are released at once, requests are
- * sent to the runners for a while longer, and KQ_NOTICE_GIVEN_UP comes last. */
+ * sent to the runners for a while longer, and KQ_NOTICE_SHARDS_RELEASED comes last. */
 static void
 test_runners_outlive_a_released_shard (void **state)
 {
@@ -172,7 +172,7 @@
   shards[0].n_services = n_lines;
   m.u.heartbeat.node = n1->id;
   m.u.heartbeat.incarnation = n1->incarnation;
-  m.u.heartbeat.beat = beat << 1;
+  m.u.heartbeat.sequence = beat << 1;
   m.u.heartbeat.shards = shards;
   m.u.heartbeat.n_shards = SHARDS;
   kq_core_message (r->core, n1->id, &m, r->now, &r->out);
--- a/src/node/node_task.c
+++ b/src/node/node_task.c
@@ -167,7 +167,8 @@
   if (r->code == KQ_OK)
     kq_buf_printf (&text, "{\"revision\":%llu}", (unsigned long long)r->revision);
   else
-    kq_buf_printf (&text, "row %zu: %s", r->which + 1, kq_result_meaning (r->code));
+    kq_buf_printf (&text, "row %zu: %s", r->change_index + 1,
+                   kq_result_meaning (r->code));
   answer (n, c->asker, c->call, r->code, kq_buf_str (&text));
   kq_buf_free (&text);
   free (c);
@@ -198,7 +199,7 @@
         case KQ_NOTICE_TABLE_RESULT:
           send_change_result (n, &notice.result);
           break;
-        case KQ_NOTICE_GIVEN_UP:
+        case KQ_NOTICE_SHARDS_RELEASED:
           n->given_up = true;
           break;
         }
@@ -348,12 +349,12 @@
     case KQ_MSG_HEARTBEAT:
       /* A light heartbeat has no digests. The gateway would take it for "no slots" and
        * find no target until the next full one, which takes seconds with many nodes. */
-      if (!kq_heartbeat_light (&m->u.heartbeat))
+      if (!kq_heartbeat_omits_digests (&m->u.heartbeat))
         forward (n->peers.gateway, from, m);
       kq_core_message (n->core, from, m, now, &n->out);
       break;
     case KQ_MSG_TABLE:
-    case KQ_MSG_TABLE_WANT:
+    case KQ_MSG_TABLE_REQUEST:
     case KQ_MSG_JOB_SUBMIT:
     case KQ_MSG_JOB_CALL:
     case KQ_MSG_JOB_MOVE:
@@ -411,9 +412,9 @@
 {
   KqMsg m = { .kind = KQ_MSG_HEARTBEAT };
   KqShardDigest d = { 0 };
-  kq_core_set_services (n->core, s->lines, s->n_lines);
-  d.services = s->lines;
-  d.n_services = s->n_lines;
+  kq_core_set_services (n->core, s->digests, s->n_digests);
+  d.services = s->digests;
+  d.n_services = s->n_digests;
   m.u.heartbeat.node = n->core_config.self.id;
   m.u.heartbeat.shards = &d;
   m.u.heartbeat.n_shards = 1;
--- a/src/node/queries.c
+++ b/src/node/queries.c
@@ -28,17 +28,17 @@
 }
 
 static const char *
-host_state_name (KqShardHostState s)
+host_state_name (KqShardState s)
 {
   switch (s)
     {
-    case KQ_HOST_IDLE:
+    case KQ_SHARD_IDLE:
       return "idle";
-    case KQ_HOST_RECOVERING:
+    case KQ_SHARD_RECOVERING:
       return "recovering";
-    case KQ_HOST_ACTIVE:
+    case KQ_SHARD_ACTIVE:
       return "active";
-    case KQ_HOST_GIVING_UP:
+    case KQ_SHARD_RELEASING:
       return "giving-up";
     }
   return "?";
@@ -60,8 +60,8 @@
   uint32_t active = 0;
   for (uint32_t i = 0; i < kq_core_shards (c); i++)
     {
-      KqShardHost *h = kq_core_shard (c, kq_core_first_shard (c) + i);
-      active += kq_shard_host_state (h) == KQ_HOST_ACTIVE;
+      KqShard *h = kq_core_shard (c, kq_core_first_shard (c) + i);
+      active += kq_shard_state (h) == KQ_SHARD_ACTIVE;
     }
   json_object_set_new (o, "shards_active", json_integer (active));
   return o;
@@ -89,15 +89,14 @@
 }
 
 static void
-add_own_shard (KqCore *c, KqShardHost *h, KqTime now, json_t *o)
+add_own_shard (KqCore *c, KqShard *h, KqTime now, json_t *o)
 {
-  const KqClaims *claims = kq_shard_host_claims (h);
+  const KqClaims *claims = kq_shard_claims (h);
   (void)c;
-  json_object_set_new (o, "state",
-                       json_string (host_state_name (kq_shard_host_state (h))));
-  json_object_set_new (o, "epoch", json_integer ((json_int_t)kq_shard_host_epoch (h)));
+  json_object_set_new (o, "state", json_string (host_state_name (kq_shard_state (h))));
+  json_object_set_new (o, "epoch", json_integer ((json_int_t)kq_shard_epoch (h)));
   json_object_set_new (o, "journal_lag_ms",
-                       json_integer (kq_shard_host_journal_lag (h, now) / KQ_MS));
+                       json_integer (kq_shard_journal_lag (h, now) / KQ_MS));
   if (claims != NULL)
     json_object_set_new (o, "claims",
                          json_integer ((json_int_t)kq_claims_count (claims)));
@@ -127,8 +126,8 @@
   json_t *a = json_array ();
   for (uint32_t i = 0; i < kq_core_shards (c); i++)
     {
-      KqShardHost *h = kq_core_shard (c, kq_core_first_shard (c) + i);
-      const KqJobs *j = kq_shard_host_jobs (h);
+      KqShard *h = kq_core_shard (c, kq_core_first_shard (c) + i);
+      const KqJobs *j = kq_shard_jobs (h);
       json_t *part;
       if (j == NULL)
         continue;
@@ -146,7 +145,7 @@
   for (uint32_t i = 0; i < kq_core_shards (c); i++)
     {
       uint32_t shard = kq_core_first_shard (c) + i;
-      const KqJobs *j = kq_shard_host_jobs (kq_core_shard (c, shard));
+      const KqJobs *j = kq_shard_jobs (kq_core_shard (c, shard));
       KqJobsAccount n;
       if (j == NULL)
         continue;
--- a/src/node/shard_host.c
+++ b/src/node/shard.c
@@ -1,4 +1,4 @@
-#include "node/shard_host.h"
+#include "node/shard.h"
 
 #include "base/log.h"
 
@@ -11,12 +11,12 @@
 /* How long an idempotency key is remembered if the table has no row for its service. */
 #define CLAIM_TTL_DEFAULT (24 * 3600 * KQ_SEC)
 
-struct KqShardHost
+struct KqShard
 {
   uint32_t shard;
   KqNodeId self;
   uint64_t epoch;
-  KqShardHostState state;
+  KqShardState state;
   KqJobsConfig jobs_config;
   KqJournal *journal;
   KqJobs *jobs;
@@ -26,11 +26,11 @@
   KqTable *table;
 };
 
-KqShardHost *
-kq_shard_host_new (uint32_t shard, uint32_t all_shards, KqNodeId self,
-                   const KqJobsConfig *jobs)
+KqShard *
+kq_shard_new (uint32_t shard, uint32_t all_shards, KqNodeId self,
+              const KqJobsConfig *jobs)
 {
-  KqShardHost *h = kq_alloc (sizeof *h);
+  KqShard *h = kq_alloc (sizeof *h);
   h->shard = shard;
   h->self = self;
   h->jobs_config = *jobs;
@@ -42,7 +42,7 @@
 }
 
 void
-kq_shard_host_drop (KqShardHost *h)
+kq_shard_drop (KqShard *h)
 {
   kq_hold_free (&h->hold);
   kq_outbox_free (&h->immediate);
@@ -51,45 +51,44 @@
   h->jobs = NULL;
   h->claims = NULL;
   kq_journal_close (h->journal);
-  h->state = KQ_HOST_IDLE;
+  h->state = KQ_SHARD_IDLE;
 }
 
 void
-kq_shard_host_free (KqShardHost *h)
+kq_shard_free (KqShard *h)
 {
   if (h == NULL)
     return;
-  kq_shard_host_drop (h);
+  kq_shard_drop (h);
   kq_journal_free (h->journal);
   if (h->table != NULL)
     kq_table_unref (h->table);
   free (h);
 }
 
-KqShardHostState
-kq_shard_host_state (const KqShardHost *h)
+KqShardState
+kq_shard_state (const KqShard *h)
 {
   return h->state;
 }
 
 uint64_t
-kq_shard_host_epoch (const KqShardHost *h)
+kq_shard_epoch (const KqShard *h)
 {
   return h->epoch;
 }
 
 void
-kq_shard_host_open (KqShardHost *h, uint64_t epoch, KqTable *table, KqTime now,
-                    KqOutbox *out)
+kq_shard_open (KqShard *h, uint64_t epoch, KqTable *table, KqTime now, KqOutbox *out)
 {
   KqLogPort log = { .kind = KQ_LOG_PORT_JOURNAL, .u.journal = h->journal };
-  kq_shard_host_drop (h);
+  kq_shard_drop (h);
   h->epoch = epoch;
-  h->state = KQ_HOST_RECOVERING;
+  h->state = KQ_SHARD_RECOVERING;
   h->jobs = kq_jobs_new (&h->jobs_config, log);
   h->claims = kq_claims_new (h->shard, log);
   if (table != NULL)
-    kq_shard_host_set_table (h, table, now);
+    kq_shard_set_table (h, table, now);
   kq_journal_open (h->journal, epoch, now, out);
 }
 
@@ -108,7 +107,7 @@
 
 /* Keeps the items that a call produced until its record is in the store. */
 static void
-hold_until_committed (KqShardHost *h, KqSeq after, KqOutbox *items)
+hold_until_committed (KqShard *h, KqSeq after, KqOutbox *items)
 {
   KqOutbox held = { 0 };
   KqOut item;
@@ -119,7 +118,7 @@
 }
 
 static void
-release_committed (KqShardHost *h, KqOutbox *out)
+release_committed (KqShard *h, KqOutbox *out)
 {
   KqOut item;
   while (kq_outbox_take (&h->immediate, &item))
@@ -131,7 +130,7 @@
  * damaged: skipping it could run a request or a task twice. This shard then stays without
  * an owner until an operator has intervened; other shards aren't affected. */
 static void
-apply_recovered (KqShardHost *h, KqTime now)
+apply_recovered (KqShard *h, KqTime now)
 {
   KqRecord r;
   while (kq_journal_next_record (h->journal, &r))
@@ -150,11 +149,11 @@
 }
 
 static void
-become_active (KqShardHost *h, KqTime now)
+become_active (KqShard *h, KqTime now)
 {
   KqOutbox items = { 0 };
   KqSeq after;
-  h->state = KQ_HOST_ACTIVE;
+  h->state = KQ_SHARD_ACTIVE;
   kq_claims_recovered (h->claims, now);
   after = kq_jobs_recovered (h->jobs, h->epoch, now, &items);
   hold_until_committed (h, after, &items);
@@ -170,7 +169,7 @@
 }
 
 static void
-write_snapshot (KqShardHost *h, KqTime now, KqOutbox *out)
+write_snapshot (KqShard *h, KqTime now, KqOutbox *out)
 {
   kq_journal_snapshot_begin (h->journal);
   kq_claims_snapshot (h->claims, now, add_snapshot_record, h->journal);
@@ -179,7 +178,7 @@
 }
 
 static KqResult
-check_journal (KqShardHost *h, KqTime now, KqOutbox *out)
+check_journal (KqShard *h, KqTime now, KqOutbox *out)
 {
   switch (kq_journal_state (h->journal))
     {
@@ -191,7 +190,7 @@
       apply_recovered (h, now);
       if (kq_journal_state (h->journal) == KQ_JOURNAL_DAMAGED)
         return KQ_ERR_JOURNAL_DAMAGED;
-      if (h->state == KQ_HOST_RECOVERING)
+      if (h->state == KQ_SHARD_RECOVERING)
         become_active (h, now);
       if (kq_journal_snapshot_due (h->journal))
         write_snapshot (h, now, out);
@@ -206,15 +205,15 @@
 }
 
 KqResult
-kq_shard_host_tick (KqShardHost *h, bool store_ok, KqTime now, KqOutbox *out)
+kq_shard_tick (KqShard *h, bool store_ok, KqTime now, KqOutbox *out)
 {
   KqResult r;
-  if (h->state == KQ_HOST_IDLE)
+  if (h->state == KQ_SHARD_IDLE)
     return KQ_OK;
   r = check_journal (h, now, out);
   if (r != KQ_OK)
     return r;
-  if (h->state == KQ_HOST_ACTIVE)
+  if (h->state == KQ_SHARD_ACTIVE)
     {
       KqOutbox items = { 0 };
       KqSeq after = kq_jobs_tick (h->jobs, store_ok, now, &items);
@@ -229,19 +228,17 @@
 }
 
 bool
-kq_shard_host_store_reply (KqShardHost *h, const KqStoreReply *r, KqTime now,
-                           KqOutbox *out)
+kq_shard_store_reply (KqShard *h, const KqStoreReply *r, KqTime now, KqOutbox *out)
 {
   return kq_journal_reply (h->journal, r, now, out);
 }
 
 void
-kq_shard_host_worker_reply (KqShardHost *h, const KqWorkerReply *r, KqTime now,
-                            KqOutbox *out)
+kq_shard_worker_reply (KqShard *h, const KqWorkerReply *r, KqTime now, KqOutbox *out)
 {
   KqOutbox items = { 0 };
   /* A reply to a call of an earlier epoch concerns a lease that is no longer valid. */
-  if (h->state != KQ_HOST_ACTIVE || r->epoch != h->epoch)
+  if (h->state != KQ_SHARD_ACTIVE || r->epoch != h->epoch)
     return;
   hold_until_committed (h, kq_jobs_worker_reply (h->jobs, r, now, &items), &items);
   kq_outbox_free (&items);
@@ -250,7 +247,7 @@
 }
 
 static KqTime
-claim_ttl (const KqShardHost *h, KqStr service)
+claim_ttl (const KqShard *h, KqStr service)
 {
   const KqRow *row = NULL;
   if (h->table != NULL)
@@ -259,7 +256,7 @@
 }
 
 static KqSeq
-handle_message (KqShardHost *h, const KqMsg *m, KqTime now, KqOutbox *items)
+handle_message (KqShard *h, const KqMsg *m, KqTime now, KqOutbox *items)
 {
   switch (m->kind)
     {
@@ -283,10 +280,10 @@
 }
 
 void
-kq_shard_host_message (KqShardHost *h, const KqMsg *m, KqTime now, KqOutbox *out)
+kq_shard_message (KqShard *h, const KqMsg *m, KqTime now, KqOutbox *out)
 {
   KqOutbox items = { 0 };
-  assert (h->state == KQ_HOST_ACTIVE);
+  assert (h->state == KQ_SHARD_ACTIVE);
   hold_until_committed (h, handle_message (h, m, now, &items), &items);
   kq_outbox_free (&items);
   kq_journal_tick (h->journal, now, out);
@@ -294,7 +291,7 @@
 }
 
 void
-kq_shard_host_set_table (KqShardHost *h, KqTable *table, KqTime now)
+kq_shard_set_table (KqShard *h, KqTable *table, KqTime now)
 {
   KqTable *old = h->table;
   h->table = kq_table_ref (table);
@@ -305,10 +302,10 @@
 }
 
 void
-kq_shard_host_set_hosts (KqShardHost *h, const KqHostList *l, KqTime now, KqOutbox *out)
+kq_shard_set_hosts (KqShard *h, const KqHostList *l, KqTime now, KqOutbox *out)
 {
   KqOutbox items = { 0 };
-  if (h->state != KQ_HOST_ACTIVE)
+  if (h->state != KQ_SHARD_ACTIVE)
     return;
   hold_until_committed (h, kq_jobs_set_hosts (h->jobs, l->hosts, l->n_hosts, now, &items),
                         &items);
@@ -317,19 +314,18 @@
 }
 
 void
-kq_shard_host_set_other_digests (KqShardHost *h, const KqShardDigest *d, size_t n,
-                                 KqTime now)
+kq_shard_set_other_digests (KqShard *h, const KqShardDigest *d, size_t n, KqTime now)
 {
-  if (h->state == KQ_HOST_ACTIVE)
+  if (h->state == KQ_SHARD_ACTIVE)
     kq_jobs_set_other_digests (h->jobs, d, n, now);
 }
 
 void
-kq_shard_host_node_gone (KqShardHost *h, KqNodeId node, uint64_t incarnation, KqTime now,
-                         KqOutbox *out)
+kq_shard_node_gone (KqShard *h, KqNodeId node, uint64_t incarnation, KqTime now,
+                    KqOutbox *out)
 {
   KqOutbox items = { 0 };
-  if (h->state != KQ_HOST_ACTIVE)
+  if (h->state != KQ_SHARD_ACTIVE)
     return;
   hold_until_committed (
       h, kq_claims_node_gone (h->claims, node, incarnation, now, &items), &items);
@@ -339,45 +335,45 @@
 }
 
 bool
-kq_shard_host_digest (KqShardHost *h, KqTime now, KqShardDigest *out)
+kq_shard_digest (KqShard *h, KqTime now, KqShardDigest *out)
 {
   *out = (KqShardDigest){ .shard = h->shard, .epoch = h->epoch };
-  if (h->state != KQ_HOST_ACTIVE)
+  if (h->state != KQ_SHARD_ACTIVE)
     return false;
   kq_jobs_digest (h->jobs, now, out);
   return true;
 }
 
 void
-kq_shard_host_give_up (KqShardHost *h)
+kq_shard_release (KqShard *h)
 {
-  if (h->state == KQ_HOST_ACTIVE || h->state == KQ_HOST_RECOVERING)
-    h->state = KQ_HOST_GIVING_UP;
+  if (h->state == KQ_SHARD_ACTIVE || h->state == KQ_SHARD_RECOVERING)
+    h->state = KQ_SHARD_RELEASING;
 }
 
 bool
-kq_shard_host_given_up (const KqShardHost *h, KqTime now)
+kq_shard_released (const KqShard *h, KqTime now)
 {
-  if (h->state == KQ_HOST_IDLE)
+  if (h->state == KQ_SHARD_IDLE)
     return true;
-  return h->state == KQ_HOST_GIVING_UP && h->hold.first == h->hold.len
+  return h->state == KQ_SHARD_RELEASING && h->hold.first == h->hold.len
          && kq_journal_lag (h->journal, now) == 0;
 }
 
 const KqJobs *
-kq_shard_host_jobs (const KqShardHost *h)
+kq_shard_jobs (const KqShard *h)
 {
-  return h->state == KQ_HOST_ACTIVE ? h->jobs : NULL;
+  return h->state == KQ_SHARD_ACTIVE ? h->jobs : NULL;
 }
 
 const KqClaims *
-kq_shard_host_claims (const KqShardHost *h)
+kq_shard_claims (const KqShard *h)
 {
-  return h->state == KQ_HOST_ACTIVE ? h->claims : NULL;
+  return h->state == KQ_SHARD_ACTIVE ? h->claims : NULL;
 }
 
 KqTime
-kq_shard_host_journal_lag (const KqShardHost *h, KqTime now)
+kq_shard_journal_lag (const KqShard *h, KqTime now)
 {
   return kq_journal_lag (h->journal, now);
 }
--- a/src/port/advice.h
+++ b/src/port/advice.h
@@ -14,7 +14,7 @@
 /* Most runners in one call. */
 #define KQ_ADVICE_RUNNERS_MAX 100
 
-typedef struct KqAdviceCalls KqAdviceCalls;
+typedef struct KqAdviceClient KqAdviceClient;
 
 typedef enum
 {
@@ -45,7 +45,7 @@
 
 /* step: "job.occurrence.step". The callback is called exactly once, always after this
  * function has returned. */
-void kq_advice_ask (KqAdviceCalls *c, KqStr step, const KqStr *runners, size_t n,
+void kq_advice_ask (KqAdviceClient *c, KqStr step, const KqStr *runners, size_t n,
                     int timeout_ms, KqAdviceCallback cb);
 
 #endif
--- a/src/port/kept.c
+++ b/src/port/etag_cache.c
@@ -1,4 +1,4 @@
-#include "port/kept.h"
+#include "port/etag_cache.h"
 
 #include <glib.h>
 
--- a/src/port/kept.h
+++ b/src/port/etag_cache.h
@@ -1,7 +1,7 @@
-#ifndef KQ_PORT_KEPT_H
-#define KQ_PORT_KEPT_H
+#ifndef KQ_PORT_ETAG_CACHE_H
+#define KQ_PORT_ETAG_CACHE_H
 
-/* kept: a cache of the last answer for each key with its entity tag (ETag), for
+/* etag_cache: a cache of the last answer for each key with its entity tag (ETag), for
  * conditional HTTP reads.
  *
  * The host list of a depot is read every two seconds and changes some tens of times a
--- a/src/port/front.h
+++ b/src/port/front.h
@@ -7,7 +7,8 @@
 #include "base/task.h"
 #include "steps/spec.h"
 
-typedef struct KqAsk KqAsk; /* a request that has not been answered yet */
+typedef struct KqFrontExchange
+    KqFrontExchange; /* a request that has not been answered yet */
 
 typedef enum
 {
@@ -48,24 +49,25 @@
 } KqFrontReply;
 
 /* Answers the request and frees `a`. Sends nothing if the client has disconnected. */
-void kq_ask_reply (KqAsk *a, const KqFrontReply *r);
+void kq_front_exchange_reply (KqFrontExchange *a, const KqFrontReply *r);
 
 typedef struct
 {
   void *arg;
-  /* Must lead to exactly one kq_ask_reply, at once or later. */
-  void (*request) (void *arg, KqAsk *a, const KqFrontRequest *r, KqTime now);
+  /* Must lead to exactly one kq_front_exchange_reply, at once or later. */
+  void (*request) (void *arg, KqFrontExchange *a, const KqFrontRequest *r, KqTime now);
   bool (*ready) (void *arg, KqTime now); /* answer of the readiness check */
   bool (*leaving) (void *arg);     /* connections are to be closed after their answers */
   int64_t (*body_max) (void *arg); /* longest accepted request body, in bytes */
-} KqFrontOwner;
+} KqFrontCallbacks;
 
 typedef struct KqFront KqFront;
 /* Listens at both "ip:port" addresses (for requests and for readiness checks); NULL when
  * one can't be bound. */
-KqFront *kq_front_new (KqLoop *loop, KqStr front, KqStr ready, const KqFrontOwner *owner);
+KqFront *kq_front_new (KqLoop *loop, KqStr front, KqStr ready,
+                       const KqFrontCallbacks *owner);
 void kq_front_ports (const KqFront *f, int *front, int *ready);
 void kq_front_free (KqFront *f);
-size_t kq_front_open (const KqFront *f); /* requests without an answer */
+size_t kq_front_open_requests (const KqFront *f); /* requests without an answer */
 
 #endif
--- a/src/port/hosts.c
+++ b/src/port/hosts.c
@@ -1,6 +1,6 @@
 #include "port/hosts.h"
 
-#include "port/text.h"
+#include "port/json_reader.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -88,9 +88,9 @@
   to->rack = read_required_name (r, "rack");
   to->address = kq_str_own (kq_json_str (r, "address"));
   to->state = read_state (r);
-  to->whole.cpu_milli = kq_json_i64 (&size, "cpu_milli", 0, SIZE_FIELD_MAX);
-  to->whole.memory_mb = kq_json_i64 (&size, "memory_mb", 0, SIZE_FIELD_MAX);
-  to->whole.accelerators = kq_json_i64 (&size, "accelerators", 0, SIZE_FIELD_MAX);
+  to->capacity.cpu_milli = kq_json_i64 (&size, "cpu_milli", 0, SIZE_FIELD_MAX);
+  to->capacity.memory_mb = kq_json_i64 (&size, "memory_mb", 0, SIZE_FIELD_MAX);
+  to->capacity.accelerators = kq_json_i64 (&size, "accelerators", 0, SIZE_FIELD_MAX);
   kq_json_propagate (r, &size);
   to->runners = kq_alloc ((n + 1) * sizeof *to->runners);
   for (; to->n_runners < n; to->n_runners++)
--- a/src/port/hosts.h
+++ b/src/port/hosts.h
@@ -33,7 +33,7 @@
   KqName rack;
   KqStr address; /* base URL of the worker's task interface */
   KqHostState state;
-  KqSize whole; /* the host's capacity */
+  KqSize capacity; /* the host's capacity */
   KqHostRunner *runners;
   size_t n_runners;
 } KqHost;
--- a/src/port/hosts_test.c
+++ b/src/port/hosts_test.c
@@ -1,5 +1,5 @@
 #include "port/hosts.h"
-#include "port/text.h"
+#include "port/json_reader.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -25,7 +25,7 @@
   assert_int_equal (l.n_hosts, 1);
   assert_true (l.hosts[0].id == kq_str_hash (KQ_STR ("w1")));
   assert_int_equal (l.hosts[0].state, KQ_HOST_LEAVING);
-  assert_int_equal (l.hosts[0].whole.accelerators, 2);
+  assert_int_equal (l.hosts[0].capacity.accelerators, 2);
   assert_int_equal (l.hosts[0].runners[0].slots, 8);
   assert_int_equal (l.hosts[0].runners[0].n_services, 2);
   assert_true (
--- a/src/port/text.c
+++ b/src/port/json_reader.c
@@ -1,4 +1,4 @@
-#include "port/text.h"
+#include "port/json_reader.h"
 
 #include <ctype.h>
 #include <stdlib.h>
--- a/src/port/text.h
+++ b/src/port/json_reader.h
@@ -1,7 +1,7 @@
-#ifndef KQ_PORT_TEXT_H
-#define KQ_PORT_TEXT_H
+#ifndef KQ_PORT_JSON_READER_H
+#define KQ_PORT_JSON_READER_H
 
-/* text: reads the fields of the platform's JSON, and escapes keys in URLs.
+/* json_reader: reads the fields of the platform's JSON, and escapes keys in URLs.
  *
  * A field that is missing, of the wrong type or out of range reads as zero or empty and
  * sets the reader's `bad`, which the caller checks once at the end. Unsigned 64-bit
--- a/src/port/kv.h
+++ b/src/port/kv.h
@@ -39,11 +39,11 @@
   const KqKvItem *items;
   size_t n_items;
   bool more;         /* range: there are more keys after the last item's key */
-  bool cut;          /* KQ_KV_UNKNOWN: part of the answer had arrived */
+  bool partial;      /* KQ_KV_UNKNOWN: part of the answer had arrived */
   uint64_t revision; /* the store's revision; of a txn: the revision of its write */
   uint64_t lease;    /* of a grant: the lease's id */
   int64_t ttl_ms;    /* of a grant or a renewal */
-  KqTime sent_at;    /* the holder of a lease counts its ttl from here */
+  KqTime called_at;  /* the holder of a lease counts its ttl from here */
 } KqKvReply;
 
 typedef struct
@@ -89,10 +89,10 @@
 void kq_kv_watch (KqKv *kv, KqStr prefix, uint64_t after, int wait_ms, KqKvCallback cb);
 void kq_kv_txn (KqKv *kv, const KqKvTxn *t, int timeout_ms, KqKvCallback cb);
 /* Grants a lease. */
-void kq_kv_lease (KqKv *kv, int64_t ttl_ms, int timeout_ms, KqKvCallback cb);
+void kq_kv_lease_grant (KqKv *kv, int64_t ttl_ms, int timeout_ms, KqKvCallback cb);
 /* Renews a lease. */
-void kq_kv_keep (KqKv *kv, uint64_t lease, int timeout_ms, KqKvCallback cb);
+void kq_kv_lease_renew (KqKv *kv, uint64_t lease, int timeout_ms, KqKvCallback cb);
 /* Revokes a lease; its keys are deleted. */
-void kq_kv_lease_end (KqKv *kv, uint64_t lease, int timeout_ms, KqKvCallback cb);
+void kq_kv_lease_revoke (KqKv *kv, uint64_t lease, int timeout_ms, KqKvCallback cb);
 
 #endif
--- a/src/port/mail.c
+++ b/src/port/mail.c
@@ -60,7 +60,7 @@
       kq_table_unref (m->u.table);
       break;
     case KQ_MAIL_SERVICES:
-      free (m->u.services.lines);
+      free (m->u.services.digests);
       break;
     case KQ_MAIL_PEER:
     case KQ_MAIL_NODE:
--- a/src/port/mail.h
+++ b/src/port/mail.h
@@ -54,8 +54,8 @@
 
 typedef struct
 {
-  KqServiceDigest *lines; /* owned */
-  size_t n_lines;
+  KqServiceDigest *digests; /* owned */
+  size_t n_digests;
 } KqMailServices;
 
 struct KqMail
--- a/src/port/maintenance.h
+++ b/src/port/maintenance.h
@@ -11,7 +11,7 @@
 #include "base/str.h"
 #include "base/task.h"
 
-typedef struct KqMaintenanceCalls KqMaintenanceCalls;
+typedef struct KqMaintenanceClient KqMaintenanceClient;
 
 typedef struct
 {
@@ -44,7 +44,7 @@
 /* Begins the maintenance of a host. holder and token identify the caller; each host is
  * fenced separately. The callback is called exactly once, always after this function has
  * returned. */
-void kq_maintenance_begin (KqMaintenanceCalls *c, KqStr host, int64_t wave, KqStr holder,
+void kq_maintenance_begin (KqMaintenanceClient *c, KqStr host, int64_t wave, KqStr holder,
                            uint64_t token, int timeout_ms, KqMaintenanceCallback cb);
 
 #endif
--- a/src/port/runner.c
+++ b/src/port/runner.c
@@ -10,7 +10,7 @@
 }
 
 const char *
-kq_end_how_name (KqEndHow h)
+kq_end_reason_name (KqEndReason h)
 {
   static const char *const names[]
       = { "done", "failed", "stopped", "lapsed", "broken", "alone" };
--- a/src/port/runner.h
+++ b/src/port/runner.h
@@ -10,7 +10,7 @@
 #include "base/str.h"
 #include "base/task.h"
 
-typedef struct KqRunnerCalls KqRunnerCalls;
+typedef struct KqRunnerClient KqRunnerClient;
 
 /* An amount of resources. */
 typedef struct
@@ -29,22 +29,22 @@
   KqStr failure_domain;
   KqStr kind;
   KqStr rack;
-  KqStr host;      /* the host it runs on; "" if not given */
-  bool draining;   /* will end soon; gets no new tasks */
-  int64_t left_ms; /* while draining: it stays at least for so long; 0: not given */
-  int64_t born_ms; /* start of the runner's process, Unix time; 0: not given */
-  KqRoom room;     /* its capacity */
+  KqStr host;           /* the host it runs on; "" if not given */
+  bool draining;        /* will end soon; gets no new tasks */
+  int64_t remaining_ms; /* while draining: it stays at least for so long; 0: not given */
+  int64_t started_ms;   /* start of the runner's process, Unix time; 0: not given */
+  KqRoom room;          /* its capacity */
 } KqRunnerEntry;
 
 typedef enum
 {
   KQ_END_DONE,
-  KQ_END_FAILED,  /* an error of the task or of the runner */
-  KQ_END_STOPPED, /* by a stop order */
-  KQ_END_LAPSED,  /* the runner's lease expired */
-  KQ_END_BROKEN,  /* another member of its gang (tasks that run together) ended */
-  KQ_END_ALONE    /* the other members of its gang didn't start */
-} KqEndHow;
+  KQ_END_FAILED,         /* an error of the task or of the runner */
+  KQ_END_STOPPED,        /* by a stop order */
+  KQ_END_LAPSED,         /* the runner's lease expired */
+  KQ_END_GANG_BROKEN,    /* another member of its gang (tasks that run together) ended */
+  KQ_END_GANG_INCOMPLETE /* the other members of its gang didn't start */
+} KqEndReason;
 
 /* A run in progress. */
 typedef struct
@@ -63,7 +63,7 @@
   uint64_t number; /* counts from 1 in each process of the runner */
   KqStr task;
   uint32_t run;
-  KqEndHow how;
+  KqEndReason reason;
   KqStr checkpoint;
 } KqEndRow;
 
@@ -75,31 +75,31 @@
   KQ_ORDER_LATE,    /* the lease's end in the order has passed */
   KQ_ORDER_NO_ROOM,
   KQ_ORDER_NO_TICKET,
-  KQ_ORDER_UNHEALTHY,  /* refused without doing anything */
-  KQ_ORDER_OTHER_LIFE, /* another runner answers at that address */
+  KQ_ORDER_UNHEALTHY,    /* refused without doing anything */
+  KQ_ORDER_OTHER_RUNNER, /* another runner answers at that address */
   KQ_ORDER_BAD,
   KQ_ORDER_UNKNOWN /* no answer: done, not done, or done some seconds later */
 } KqOrderResult;
 
 /* For logs. */
 const char *kq_order_result_name (KqOrderResult r);
-const char *kq_end_how_name (KqEndHow h);
+const char *kq_end_reason_name (KqEndReason h);
 
 typedef struct
 {
   KqOrderResult result;
-  int64_t clock_ms; /* the runner's monotonic clock; -1: not given */
-  int64_t born_ms;  /* start of the runner's process, Unix time; 0: not given */
+  int64_t clock_ms;   /* the runner's monotonic clock; -1: not given */
+  int64_t started_ms; /* start of the runner's process, Unix time; 0: not given */
   const KqRunRow *running;
   size_t n_running;
   const KqEndRow *ended;
   size_t n_ended;
-  bool ended_cut; /* there are more ends than those listed */
-  bool unsent;    /* UNHEALTHY because the call was never sent; false: the runner answered
-                     so */
-  KqTime sent_at; /* when the call was made; it may have waited for a connection */
-  KqTime left_at; /* when its first byte was sent, on a connection that was open by then;
-                     0: never sent */
+  bool more_ended; /* there are more ends than those listed */
+  bool unsent; /* UNHEALTHY because the call was never sent; false: the runner answered
+                  so */
+  KqTime called_at; /* when the call was made; it may have waited for a connection */
+  KqTime send_started_at; /* when its first byte was sent, on a connection that was open
+                     by then; 0: never sent */
 } KqRunnerReply;
 
 typedef struct
@@ -120,20 +120,20 @@
    * runner has answered, this makes the order reach the process that gave that answer or
    * none at all, because a process's connections end with it. */
   KqTime opened_before;
-} KqRunnerAim;
+} KqRunnerDest;
 
-void kq_runner_start (KqRunnerCalls *c, const KqRunnerAim *a, KqStr task, uint32_t run,
+void kq_runner_start (KqRunnerClient *c, const KqRunnerDest *a, KqStr task, uint32_t run,
                       KqStr spec, KqStr checkpoint, KqStr ticket, int64_t lease_end_ms,
                       KqRunnerCallback cb);
-void kq_runner_stop (KqRunnerCalls *c, const KqRunnerAim *a, KqStr task, uint32_t run,
+void kq_runner_stop (KqRunnerClient *c, const KqRunnerDest *a, KqStr task, uint32_t run,
                      KqRunnerCallback cb);
 /* Sets the task's pace: a percentage of its full speed, 0 to 100. */
-void kq_runner_pace (KqRunnerCalls *c, const KqRunnerAim *a, KqStr task, uint32_t run,
+void kq_runner_pace (KqRunnerClient *c, const KqRunnerDest *a, KqStr task, uint32_t run,
                      int percent, KqRunnerCallback cb);
 /* Renews the lease (not if lease_end_ms < 0), drops the ends up to number ends_seen from
  * the runner's list, and returns its runs and ends. Without an end the runner answers
  * after wait_ms at the latest. */
-void kq_runner_renew (KqRunnerCalls *c, const KqRunnerAim *a, int64_t lease_end_ms,
+void kq_runner_renew (KqRunnerClient *c, const KqRunnerDest *a, int64_t lease_end_ms,
                       uint64_t ends_seen, int wait_ms, KqRunnerCallback cb);
 
 #endif
--- a/src/port/store_fake.c
+++ b/src/port/store_fake.c
@@ -25,7 +25,7 @@
   uint64_t call;  /* number of the call: identifies the watch of a WATCH_END */
   KqTime one_way; /* half of the round trip drawn for the call */
   KqTime answer_delay;
-  KqFate fate;
+  KqStoreCallFault fault;
   bool no_answer; /* the client gets UNREACHABLE from another event, or has gone */
   KqStoreOp op;
   KqStoreReply reply;
@@ -49,7 +49,7 @@
   KqStoreOpKind script_kind;
   char *script_prefix;
   int script_skip;
-  KqFate script_fate;
+  KqStoreCallFault script_fault;
 };
 
 KqStoreFake *
@@ -103,14 +103,14 @@
 
 void
 kq_store_fake_script (KqStoreFake *s, KqStoreOpKind kind, const char *prefix, int skip,
-                      KqFate fate)
+                      KqStoreCallFault fault)
 {
   free (s->script_prefix);
   s->script_on = true;
   s->script_kind = kind;
   s->script_prefix = kq_str_dup (kq_str (prefix));
   s->script_skip = skip;
-  s->script_fate = fate;
+  s->script_fault = fault;
 }
 
 bool
@@ -183,7 +183,7 @@
       free_event (e);
       return;
     }
-  if (e->fate == KQ_FATE_DUPLICATE && e->op.kind != KQ_STORE_LIST
+  if (e->fault == KQ_STORE_FAULT_DUPLICATE && e->op.kind != KQ_STORE_LIST
       && e->op.kind != KQ_STORE_WATCH)
     {
       Event *copy = kq_alloc (sizeof *copy);
@@ -401,27 +401,27 @@
   answer (s, e);
 }
 
-static KqFate
-choose_fate (KqStoreFake *s, int client, const KqStoreOp *op)
+static KqStoreCallFault
+choose_fault (KqStoreFake *s, int client, const KqStoreOp *op)
 {
   if (s->faults.cut_to[client])
-    return KQ_FATE_LOST_BEFORE;
+    return KQ_STORE_FAULT_LOST_BEFORE;
   if (s->faults.cut_from[client])
-    return KQ_FATE_LOST_AFTER;
+    return KQ_STORE_FAULT_LOST_AFTER;
   if (s->script_on && op->kind == s->script_kind
       && kq_str_has_prefix (op->key, kq_str (s->script_prefix)) && s->script_skip-- == 0)
     {
       s->script_on = false;
-      return s->script_fate;
+      return s->script_fault;
     }
   double x = kq_rand_unit (&s->rand);
-  for (int f = KQ_FATE_LOST_BEFORE; f < KQ_FATE_COUNT; f++)
+  for (int f = KQ_STORE_FAULT_LOST_BEFORE; f < KQ_STORE_FAULT_COUNT; f++)
     {
       if (x < s->faults.p[f])
-        return (KqFate)f;
+        return (KqStoreCallFault)f;
       x -= s->faults.p[f];
     }
-  return KQ_FATE_NONE;
+  return KQ_STORE_FAULT_NONE;
 }
 
 static Event *
@@ -458,7 +458,7 @@
 kq_store_fake_call (KqStoreFake *s, int client, const KqStoreOp *op, KqTime now)
 {
   assert (client >= 0 && client < KQ_STORE_FAKE_CLIENTS);
-  KqFate fate = choose_fate (s, client, op);
+  KqStoreCallFault fault = choose_fault (s, client, op);
   KqTime jitter = s->faults.jitter > 0
                       ? (KqTime)kq_rand_below (&s->rand, (uint64_t)s->faults.jitter + 1)
                       : 0;
@@ -466,12 +466,12 @@
   KqTime limit = s->faults.timeout;
   if (op->kind == KQ_STORE_WATCH)
     limit += op->wait_ms * KQ_MS;
-  if (fate == KQ_FATE_NONE && 2 * one_way > limit)
-    fate = KQ_FATE_LOST_AFTER;
+  if (fault == KQ_STORE_FAULT_NONE && 2 * one_way > limit)
+    fault = KQ_STORE_FAULT_LOST_AFTER;
   count_call (s, op);
   s->next_call++;
 
-  bool unreachable = fate != KQ_FATE_NONE && fate != KQ_FATE_DUPLICATE;
+  bool unreachable = fault != KQ_STORE_FAULT_NONE && fault != KQ_STORE_FAULT_DUPLICATE;
   if (unreachable)
     {
       Event *e = new_call (s, client, op, now);
@@ -479,15 +479,16 @@
       e->reply.result = KQ_ERR_STORE_UNREACHABLE;
       push (s, e, now + limit);
     }
-  if (fate == KQ_FATE_LOST_BEFORE)
+  if (fault == KQ_STORE_FAULT_LOST_BEFORE)
     return;
   Event *e = new_call (s, client, op, now);
   e->kind = EV_ARRIVE;
-  e->fate = fate;
+  e->fault = fault;
   e->one_way = one_way;
-  e->no_answer = unreachable && fate != KQ_FATE_LATE_ANSWER;
-  e->answer_delay = fate == KQ_FATE_LATE_ANSWER ? limit + limit / 2 : 0;
-  push (s, e, fate == KQ_FATE_LATE_EFFECT ? now + limit + 3 * one_way : now + one_way);
+  e->no_answer = unreachable && fault != KQ_STORE_FAULT_LATE_ANSWER;
+  e->answer_delay = fault == KQ_STORE_FAULT_LATE_ANSWER ? limit + limit / 2 : 0;
+  push (s, e,
+        fault == KQ_STORE_FAULT_LATE_EFFECT ? now + limit + 3 * one_way : now + one_way);
 }
 
 static void
@@ -536,13 +537,13 @@
 }
 
 KqTime
-kq_store_fake_due (const KqStoreFake *s)
+kq_store_fake_next_time (const KqStoreFake *s)
 {
   return s->n_heap > 0 ? s->heap[0]->at : KQ_TIME_NEVER;
 }
 
 void
-kq_store_fake_forget (KqStoreFake *s, int client)
+kq_store_fake_drop_answers (KqStoreFake *s, int client)
 {
   Event **old = s->heap;
   size_t n = s->n_heap;
@@ -568,7 +569,7 @@
 }
 
 void
-kq_store_fake_lapse (KqStoreFake *s, uint64_t lease, KqTime now)
+kq_store_fake_expire_lease (KqStoreFake *s, uint64_t lease, KqTime now)
 {
   drop_lease (s, lease, now);
 }
--- a/src/port/store_fake.h
+++ b/src/port/store_fake.h
@@ -23,21 +23,22 @@
 /* What happens to a call. */
 typedef enum
 {
-  KQ_FATE_NONE,        /* carried out and answered */
-  KQ_FATE_LOST_BEFORE, /* never reaches the store; UNREACHABLE after the timeout */
-  KQ_FATE_LOST_AFTER,  /* takes effect; UNREACHABLE after the timeout */
-  KQ_FATE_LATE_EFFECT, /* UNREACHABLE after the timeout; takes effect after that */
-  KQ_FATE_LATE_ANSWER, /* UNREACHABLE after the timeout; the real answer after that */
-  KQ_FATE_DUPLICATE,   /* answered twice */
-  KQ_FATE_COUNT
-} KqFate;
+  KQ_STORE_FAULT_NONE,        /* carried out and answered */
+  KQ_STORE_FAULT_LOST_BEFORE, /* never reaches the store; UNREACHABLE after the timeout */
+  KQ_STORE_FAULT_LOST_AFTER,  /* takes effect; UNREACHABLE after the timeout */
+  KQ_STORE_FAULT_LATE_EFFECT, /* UNREACHABLE after the timeout; takes effect after that */
+  KQ_STORE_FAULT_LATE_ANSWER, /* UNREACHABLE after the timeout; the real answer after that
+                               */
+  KQ_STORE_FAULT_DUPLICATE,   /* answered twice */
+  KQ_STORE_FAULT_COUNT
+} KqStoreCallFault;
 
 typedef struct
 {
   KqTime latency;                       /* round trip; 2 ms by default */
   KqTime jitter;                        /* largest random addition to the latency */
   KqTime timeout;                       /* of the client; 1 s by default */
-  double p[KQ_FATE_COUNT];              /* probability of each fate except NONE */
+  double p[KQ_STORE_FAULT_COUNT];       /* probability of each fault except NONE */
   bool down;                            /* outage: calls that arrive are lost */
   bool watches_silent;                  /* watches never answer before their timeout */
   bool cut_to[KQ_STORE_FAKE_CLIENTS];   /* the client's calls don't arrive */
@@ -60,10 +61,10 @@
 void kq_store_fake_free (KqStoreFake *s);
 /* May be changed at any time. */
 KqStoreFaults *kq_store_fake_faults (KqStoreFake *s);
-/* Gives `fate` to one call: of the calls of this kind whose key starts with `prefix`, the
- * one after the next `skip`. Replaces an earlier script; copies `prefix`. */
+/* Gives `fault` to one call: of the calls of this kind whose key starts with `prefix`,
+ * the one after the next `skip`. Replaces an earlier script; copies `prefix`. */
 void kq_store_fake_script (KqStoreFake *s, KqStoreOpKind kind, const char *prefix,
-                           int skip, KqFate fate);
+                           int skip, KqStoreCallFault fault);
 /* True after the script's call has been made. */
 bool kq_store_fake_script_done (const KqStoreFake *s);
 
@@ -71,13 +72,13 @@
 /* The next answer due by `now`; valid until the next call of any function here. */
 bool kq_store_fake_next (KqStoreFake *s, KqTime now, int *client, KqStoreReply *out);
 /* Time of the store's next event; KQ_TIME_NEVER: there is none. */
-KqTime kq_store_fake_due (const KqStoreFake *s);
+KqTime kq_store_fake_next_time (const KqStoreFake *s);
 /* Drops the answers that have not reached the client yet, as when its process has died.
  * Its calls still take effect. */
-void kq_store_fake_forget (KqStoreFake *s, int client);
+void kq_store_fake_drop_answers (KqStoreFake *s, int client);
 
 /* Ends a lease before its time. */
-void kq_store_fake_lapse (KqStoreFake *s, uint64_t lease, KqTime now);
+void kq_store_fake_expire_lease (KqStoreFake *s, uint64_t lease, KqTime now);
 
 /* Reads and writes without a call, latency or faults. */
 bool kq_store_fake_get (const KqStoreFake *s, KqStr key, KqStr *value,
--- a/src/port/store_fake_test.c
+++ b/src/port/store_fake_test.c
@@ -18,8 +18,8 @@
   int client;
   while (!kq_store_fake_next (s, *now, &client, &r))
     {
-      assert_true (kq_store_fake_due (s) < KQ_TIME_NEVER);
-      *now = kq_store_fake_due (s);
+      assert_true (kq_store_fake_next_time (s) < KQ_TIME_NEVER);
+      *now = kq_store_fake_next_time (s);
     }
   return r;
 }
@@ -87,13 +87,13 @@
 {
   static const struct
   {
-    KqFate fate;
+    KqStoreCallFault fault;
     bool written;
     bool written_later;
-  } cases[] = { { KQ_FATE_LOST_BEFORE, false, false },
-                { KQ_FATE_LOST_AFTER, true, true },
-                { KQ_FATE_LATE_EFFECT, false, true },
-                { KQ_FATE_LATE_ANSWER, true, true } };
+  } cases[] = { { KQ_STORE_FAULT_LOST_BEFORE, false, false },
+                { KQ_STORE_FAULT_LOST_AFTER, true, true },
+                { KQ_STORE_FAULT_LATE_EFFECT, false, true },
+                { KQ_STORE_FAULT_LATE_ANSWER, true, true } };
   (void)state;
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
     {
@@ -103,14 +103,14 @@
       uint64_t rev;
       int client;
       KqStoreReply r;
-      kq_store_fake_script (s, KQ_STORE_PUT, "k", 0, cases[i].fate);
+      kq_store_fake_script (s, KQ_STORE_PUT, "k", 0, cases[i].fault);
       KqStoreOp put
           = { .kind = KQ_STORE_PUT, .key = KQ_STR ("k"), .value = KQ_STR ("v") };
       assert_int_equal (call (s, put, &now).result, KQ_ERR_STORE_UNREACHABLE);
       assert_true (kq_store_fake_script_done (s));
       assert_int_equal (kq_store_fake_get (s, KQ_STR ("k"), &v, &rev), cases[i].written);
       bool late = kq_store_fake_next (s, now + 10 * KQ_SEC, &client, &r);
-      assert_int_equal (late, cases[i].fate == KQ_FATE_LATE_ANSWER);
+      assert_int_equal (late, cases[i].fault == KQ_STORE_FAULT_LATE_ANSWER);
       assert_int_equal (kq_store_fake_get (s, KQ_STR ("k"), &v, &rev),
                         cases[i].written_later);
       kq_store_fake_free (s);
--- a/src/port/store_http.c
+++ b/src/port/store_http.c
@@ -3,11 +3,11 @@
 #include "base/log.h"
 #include "http/client.h"
 #include "port/budget.h"
-#include "port/kept.h"
+#include "port/etag_cache.h"
+#include "port/json_reader.h"
 #include "port/mail.h"
 #include "port/meter.h"
-#include "port/store_target.h"
-#include "port/text.h"
+#include "port/store_url.h"
 
 #include <ev.h>
 #include <glib.h>
@@ -236,7 +236,7 @@
 }
 
 static KqResult
-read_answer (const Call *c, KqHttpEnd end, const json_t *j, KqStoreReply *r)
+read_answer (const Call *c, KqHttpOutcome end, const json_t *j, KqStoreReply *r)
 {
   if (end != KQ_HTTP_DONE)
     return KQ_ERR_STORE_UNREACHABLE;
@@ -284,7 +284,7 @@
 static void schedule (KqStorePort *p, KqTime now);
 
 static void
-on_done (void *arg, KqHttpCall *http, KqHttpEnd end)
+on_done (void *arg, KqHttpCall *http, KqHttpOutcome end)
 {
   Call *c = arg;
   KqStorePort *p = c->port;
@@ -351,7 +351,7 @@
 {
   Call *c = arg;
   (void)http;
-  c->too_long = c->too_long || !kq_buf_add_most (&c->body, chunk, ANSWER_MAX_BYTES);
+  c->too_long = c->too_long || !kq_buf_add_bounded (&c->body, chunk, ANSWER_MAX_BYTES);
 }
 
 /* libcurl resends a request when a reused connection closes before the first byte of the
@@ -377,9 +377,10 @@
   r.streamed = op->kind == KQ_STORE_PUT && op->value.len > 0;
   r.body_length = (int64_t)op->value.len;
   c->sent_at = kq_time_now ();
-  r.once = (is_write (op->kind) && !r.streamed) || c->sent_at < p->no_reuse_until;
+  r.fresh_connection
+      = (is_write (op->kind) && !r.streamed) || c->sent_at < p->no_reuse_until;
   if (op->kind == KQ_STORE_LEASE_RENEW)
-    r.once = c->sent_at < p->no_reuse_until;
+    r.fresh_connection = c->sent_at < p->no_reuse_until;
   if (op->kind == KQ_STORE_WATCH)
     p->watches++;
   g_queue_push_tail_link (&p->open, &c->link);
--- a/src/port/store_target.c
+++ b/src/port/store_url.c
@@ -1,6 +1,6 @@
-#include "port/store_target.h"
+#include "port/store_url.h"
 
-#include "port/text.h"
+#include "port/json_reader.h"
 
 const char *
 kq_store_request_url (const char *base, const KqStoreOp *op, KqBuf *url)
--- a/src/port/store_target.h
+++ b/src/port/store_url.h
@@ -1,5 +1,5 @@
-#ifndef KQ_PORT_STORE_TARGET_H
-#define KQ_PORT_STORE_TARGET_H
+#ifndef KQ_PORT_STORE_URL_H
+#define KQ_PORT_STORE_URL_H
 
 #include "port/store.h"
 
--- a/src/port/worker.h
+++ b/src/port/worker.h
@@ -125,7 +125,7 @@
   uint64_t worker_epoch; /* the highest epoch the worker has seen */
   bool lease_live; /* LEASE: the caller's lease is in force; needs a valid echo_stamp */
   bool leaving;
-  KqSize whole;        /* the worker's capacity */
+  KqSize capacity;     /* the worker's capacity */
   KqTaskReport *tasks; /* all tasks of the worker, in every reply of a port */
   size_t n_tasks;
   uint64_t tasks_since; /* used by the port, like list_tag (worker_list.h) */
--- a/src/port/worker_fake.c
+++ b/src/port/worker_fake.c
@@ -49,7 +49,7 @@
 void
 kq_worker_fake_init (KqWorkerFake *w, KqWorkerFakeEffects *e, KqSize whole)
 {
-  *w = (KqWorkerFake){ .effects = e, .whole = whole };
+  *w = (KqWorkerFake){ .effects = e, .capacity = whole };
   w->attempts = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
 }
 
@@ -139,9 +139,9 @@
 fits (const KqWorkerFake *w, KqSize more)
 {
   KqSize u = used (w);
-  return u.cpu_milli + more.cpu_milli <= w->whole.cpu_milli
-         && u.memory_mb + more.memory_mb <= w->whole.memory_mb
-         && u.accelerators + more.accelerators <= w->whole.accelerators;
+  return u.cpu_milli + more.cpu_milli <= w->capacity.cpu_milli
+         && u.memory_mb + more.memory_mb <= w->capacity.memory_mb
+         && u.accelerators + more.accelerators <= w->capacity.accelerators;
 }
 
 static void
@@ -297,7 +297,7 @@
   for (const KqWorkerFakeTask *t = w->tasks; t != NULL; t = t->next)
     {
       const KqTaskReport *r = &t->report;
-      double others = (double)(cpu - r->size.cpu_milli) / (double)w->whole.cpu_milli;
+      double others = (double)(cpu - r->size.cpu_milli) / (double)w->capacity.cpu_milli;
       if (r->state != KQ_TASK_RUNNING)
         continue;
       to->list[to->n++] = (KqUsageReport){
@@ -365,7 +365,7 @@
   r->stamp = w->effects->stamp_base + (uint64_t)now;
   r->lease_live = w->live_epoch == w->epoch && w->lease_until > now;
   r->leaving = w->leaving;
-  r->whole = w->whole;
+  r->capacity = w->capacity;
   report_usage (w, c, now, r);
 }
 
--- a/src/port/worker_fake.h
+++ b/src/port/worker_fake.h
@@ -48,7 +48,7 @@
 {
   KqWorkerFakeEffects *effects;
   KqTime now; /* of the last call */
-  KqSize whole;
+  KqSize capacity;
   bool leaving;
   bool fails;          /* every task fails at its start */
   uint64_t epoch;      /* highest seen */
--- a/src/port/worker_fake_test.c
+++ b/src/port/worker_fake_test.c
@@ -162,7 +162,7 @@
 /* After a call with a higher epoch the worker refuses all calls of the earlier owner.
  * Running tasks go on; a stamp from before the new epoch renews nothing. */
 static void
-test_higher_epoch_shuts_out (void **state)
+test_higher_epoch_refuses_earlier_owner (void **state)
 {
   Rig *g = *state;
   uint64_t old;
@@ -399,7 +399,8 @@
     cmocka_unit_test_setup_teardown (test_late_renewal_extends_nothing, set_up,
                                      tear_down),
     cmocka_unit_test_setup_teardown (test_tasks_stop_with_the_lease, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_higher_epoch_shuts_out, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_higher_epoch_refuses_earlier_owner, set_up,
+                                     tear_down),
     cmocka_unit_test_setup_teardown (test_attempts_and_room, set_up, tear_down),
     cmocka_unit_test_setup_teardown (test_checkpoint_resumes_elsewhere, set_up,
                                      tear_down),
--- a/src/port/worker_http.c
+++ b/src/port/worker_http.c
@@ -105,7 +105,7 @@
 }
 
 static KqResult
-read_answer (const Call *c, KqHttpEnd end, KqWorkerReply *r)
+read_answer (const Call *c, KqHttpOutcome end, KqWorkerReply *r)
 {
   const KqWorkerCall *call = &c->out.u.worker;
   KqResult result;
@@ -130,7 +130,7 @@
 }
 
 static void
-on_done (void *arg, KqHttpCall *http, KqHttpEnd end)
+on_done (void *arg, KqHttpCall *http, KqHttpOutcome end)
 {
   Call *c = arg;
   KqWorkerPort *p = c->port;
@@ -176,7 +176,7 @@
 {
   Call *c = arg;
   (void)http;
-  c->too_long = c->too_long || !kq_buf_add_most (&c->body, chunk, ANSWER_MAX_BYTES);
+  c->too_long = c->too_long || !kq_buf_add_bounded (&c->body, chunk, ANSWER_MAX_BYTES);
 }
 
 /* libcurl resends a request when a reused connection closes before the first byte of the
@@ -198,10 +198,10 @@
   r.url = url.ptr;
   r.body_length = (int64_t)kq_str (body).len;
   r.connect_ms = p->config.connect_ms;
-  r.silent_ms = p->config.silent_ms;
+  r.idle_timeout_ms = p->config.silent_ms;
   r.total_ms = p->config.call_ms;
   c->sent_at = kq_time_now ();
-  r.once = c->sent_at < c->worker->no_reuse_until;
+  r.fresh_connection = c->sent_at < c->worker->no_reuse_until;
   c->worker->open++;
   g_queue_push_tail_link (&p->open, &c->link);
   http = kq_http_call (p->client, &r, &cb);
--- a/src/port/worker_http_test.c
+++ b/src/port/worker_http_test.c
@@ -1,7 +1,7 @@
 #include "../../bench/guard.h"
 #include "http/server.h"
+#include "port/json_reader.h"
 #include "port/mail.h"
-#include "port/text.h"
 #include "port/worker_http.h"
 
 #include <setjmp.h>
@@ -249,7 +249,7 @@
   assert_int_equal (a->result, KQ_OK);
   assert_true (a->stamp == ~0ull && a->lease_live && !a->leaving);
   assert_true (a->sent_at >= before && a->sent_at <= kq_time_now ());
-  assert_int_equal (a->whole.accelerators, 1);
+  assert_int_equal (a->capacity.accelerators, 1);
   assert_int_equal (a->tasks[0].state, KQ_TASK_CHECKPOINTED);
   assert_true (a->tasks[0].task.job == ~0ull && a->tasks[0].latency_critical);
   assert_int_equal (a->usage[0].age_us, 5 * KQ_SEC);
--- a/src/port/worker_json.c
+++ b/src/port/worker_json.c
@@ -1,6 +1,6 @@
 #include "port/worker_json.h"
 
-#include "port/text.h"
+#include "port/json_reader.h"
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -271,7 +271,7 @@
   json_object_set_new (j, "stamp", number (r->stamp));
   json_object_set_new (j, "lease_live", json_boolean (r->lease_live));
   json_object_set_new (j, "leaving", json_boolean (r->leaving));
-  json_object_set_new (j, "whole", size_json (r->whole));
+  json_object_set_new (j, "whole", size_json (r->capacity));
   json_object_set_new (j, "tasks", tasks);
   if (r->tasks_since != 0)
     json_object_set_new (j, "tasks_since", number (r->tasks_since));
@@ -369,7 +369,7 @@
   to->stamp = kq_json_u64 (r, "stamp");
   to->lease_live = kq_json_bool (r, "lease_live");
   to->leaving = kq_json_bool (r, "leaving");
-  to->whole = read_size (r, "whole");
+  to->capacity = read_size (r, "whole");
   if (kq_json_has (r, "tasks_since"))
     to->tasks_since = kq_json_u64 (r, "tasks_since");
   if (kq_json_has (r, "list_tag"))
--- a/src/request/claim_records.c
+++ b/src/request/claim_records.c
@@ -71,7 +71,7 @@
       f->headers[i].name = kq_read_str (&a);
       f->headers[i].value = kq_read_str (&a);
     }
-  kq_read_join (r, &a);
+  kq_read_array_end (r, &a);
   f->body = kq_read_str (r);
 }
 
--- a/src/request/claims_test.c
+++ b/src/request/claims_test.c
@@ -442,7 +442,7 @@
 }
 
 /* Before the end of recovery new keys must be refused as not run. The refusal while
- * commits lag is tested in shard_host_test. */
+ * commits lag is tested in shard_test. */
 static void
 test_not_yet_opened (void **state)
 {
--- a/src/request/gateway.c
+++ b/src/request/gateway.c
@@ -241,7 +241,8 @@
   else if (tag != NULL)
     {
       JobExchange *j = (JobExchange *)tag;
-      j->too_large = j->too_large || !kq_buf_add_most (&j->body, chunk, KQ_JOB_BODY_MAX);
+      j->too_large
+          = j->too_large || !kq_buf_add_bounded (&j->body, chunk, KQ_JOB_BODY_MAX);
     }
 }
 
@@ -302,7 +303,7 @@
   else if (tag != NULL)
     {
       JobExchange *j = (JobExchange *)tag;
-      kq_calls_gone (g->calls, x);
+      kq_calls_detach (g->calls, x);
       kq_buf_free (&j->body);
       free (j);
     }
@@ -461,7 +462,7 @@
 {
   KqMail *m;
   if (!g->draining || g->drained_reported || kq_gateway_open_requests (g) > 0
-      || kq_calls_open (g->calls) > 0)
+      || kq_calls_n_open (g->calls) > 0)
     return;
   g->drained_reported = true;
   m = kq_mail_new (KQ_MAIL_DRAINED);
--- a/src/request/runner_flight.c
+++ b/src/request/runner_flight.c
@@ -45,7 +45,7 @@
 grant_body (KqRunnerFlight *f)
 {
   KqMsg m = { .kind = KQ_MSG_REQ_CREDIT };
-  size_t held = f->call != NULL ? kq_http_call_unfed (f->call) : f->body.len;
+  size_t held = f->call != NULL ? kq_http_call_unsent (f->call) : f->body.len;
   uint64_t wanted = f->body_received - held + KQ_CREDIT_WINDOW_BYTES;
   if (f->body_end || wanted < f->body_granted + KQ_CREDIT_WINDOW_BYTES / 4)
     return;
@@ -116,7 +116,7 @@
 }
 
 static KqOutcome
-outcome_of (const KqRunnerFlight *f, KqHttpEnd end)
+outcome_of (const KqRunnerFlight *f, KqHttpOutcome end)
 {
   switch (end)
     {
@@ -128,7 +128,7 @@
       return KQ_OUTCOME_NOT_SENT;
     case KQ_HTTP_BROKEN:
       return KQ_OUTCOME_BROKEN;
-    case KQ_HTTP_SILENT:
+    case KQ_HTTP_TIMED_OUT:
       return KQ_OUTCOME_SILENT;
     }
   return KQ_OUTCOME_BROKEN;
@@ -163,7 +163,7 @@
 }
 
 static void
-on_done (void *arg, KqHttpCall *c, KqHttpEnd end)
+on_done (void *arg, KqHttpCall *c, KqHttpOutcome end)
 {
   KqRunnerFlight *f = arg;
   KqRunnerTask *t = f->task;
@@ -216,8 +216,8 @@
   q.body = kq_buf_str (&f->body);
   q.body_length = f->body_length;
   q.connect_ms = CONNECT_MS;
-  q.silent_ms = (int)f->silent_ms;
-  q.once = !f->idempotent;
+  q.idle_timeout_ms = (int)f->silent_ms;
+  q.fresh_connection = !f->idempotent;
   f->runner = r->id;
   f->call = kq_http_call (t->http, &q, &cb);
   if (q.streamed)
--- a/src/request/runner_task.c
+++ b/src/request/runner_task.c
@@ -269,8 +269,8 @@
   max = kq_dispatch_services (t->dispatch);
   if (max > DIGEST_SERVICES_MAX)
     max = DIGEST_SERVICES_MAX;
-  m->u.services.lines = kq_alloc (max * sizeof *m->u.services.lines);
-  m->u.services.n_lines = kq_dispatch_digest (t->dispatch, m->u.services.lines, max);
+  m->u.services.digests = kq_alloc (max * sizeof *m->u.services.digests);
+  m->u.services.n_digests = kq_dispatch_digest (t->dispatch, m->u.services.digests, max);
   kq_task_send (t->config.node, m);
 }
 
--- a/src/sched/disturb.c
+++ b/src/sched/disturb.c
@@ -231,16 +231,16 @@
   good = good && list.left <= KQ_DISTURB_IMAGES_MAX;
   for (uint32_t n = list.left; good && n > 0; n--)
     kq_disturb_filling (d, kq_read_str (&list));
-  kq_read_join (&r, &list);
+  kq_read_array_end (&r, &list);
   kq_read_array (&r, &list);
   while (good && !list.bad && list.left > 0)
     {
       KqReader one;
       kq_read_array (&list, &one);
       read_model (d, &one, d->filling.n);
-      kq_read_join (&list, &one);
+      kq_read_array_end (&list, &one);
     }
-  kq_read_join (&r, &list);
+  kq_read_array_end (&r, &list);
   good = good && !r.bad;
   kq_unpacked_close (&u);
   return good;
--- a/src/sched/ended_repeat_test.c
+++ b/src/sched/ended_repeat_test.c
@@ -15,7 +15,7 @@
 {
   KqSchedDesk *d = *state;
   KqRunRow row = { .checkpoint = KQ_STR (""), .percent = 10 };
-  KqEndRow end = { .number = 1, .how = KQ_END_FAILED };
+  KqEndRow end = { .number = 1, .reason = KQ_END_FAILED };
   char runner[16];
   char task[96];
   kq_sched_desk_submit (d, "aa", kq_sched_desk_step (), false);
--- a/src/sched/lists.c
+++ b/src/sched/lists.c
@@ -157,17 +157,17 @@
   KqTaskRef t;
   KqRun *run;
   bool ours;
-  ++*s->ends[e->how];
+  ++*s->ends[e->reason];
   if (!kq_book_find_task (s, e->task, &t))
     return;
   run = find_run (r, &t, e->run);
   ours = run != NULL && run->occurrence != NULL;
   kq_log (KQ_LOG_DEBUG, PART, "Run ended. task=%.*s run=%u runner=%s how=%s n=%llu",
-          KQ_STR_ARG (e->task), e->run, r->id, kq_end_how_name (e->how),
+          KQ_STR_ARG (e->task), e->run, r->id, kq_end_reason_name (e->reason),
           (unsigned long long)e->number);
   if (run != NULL)
     kq_run_set_checkpoint (run, e->checkpoint);
-  if (e->how == KQ_END_DONE)
+  if (e->reason == KQ_END_DONE)
     apply_done_end (s, r, &t, run, now);
   /* A start that is still in flight may reach the runner after a restart and begin the
    * run again beside the task's next run, so that the task runs twice (2 in 10,000 seeds
@@ -182,7 +182,7 @@
     }
   else if (run != NULL)
     kq_run_end (s, run, now);
-  if (e->how != KQ_END_FAILED)
+  if (e->reason != KQ_END_FAILED)
     return;
   if (ours || t.occurrence != NULL)
     kq_runners_record_end (r, false, now);
@@ -233,15 +233,15 @@
   KqTime lease = now + l->lease_left_ms * KQ_MS;
   if (r == NULL || !kq_runners_is_current_agent (s, r, agent, l->assignment, "list"))
     return;
-  if (l->born_ms != 0 && r->born_ms != 0 && l->born_ms != r->born_ms)
+  if (l->started_ms != 0 && r->started_ms != 0 && l->started_ms != r->started_ms)
     {
       kq_runners_restarted (s, r, l->order, now);
       r->ends_seen = r->ends_stored = r->ends_batch = 0;
       r->failed_count = r->done_count = 0;
       r->suspect_until = 0;
     }
-  if (l->born_ms != 0)
-    r->born_ms = l->born_ms;
+  if (l->started_ms != 0)
+    r->started_ms = l->started_ms;
   if (r->silent)
     kq_log (KQ_LOG_INFO, PART,
             "Runner answers again. runner=%s runs=%d listed=%zu ended=%zu "
@@ -254,7 +254,7 @@
   if (!r->listed && l->n_ended > 0 && l->ended[0].number <= r->ends_stored)
     kq_runners_acknowledge (s, r);
   s->assign_soon = s->assign_soon || !r->listed;
-  if (!l->ended_cut)
+  if (!l->more_ended)
     r->listed = true;
   r->silent = false;
   r->heard_at = now;
@@ -271,7 +271,7 @@
     run->in_list = false;
   for (size_t i = 0; i < l->n_running; i++)
     apply_run_row (s, r, &l->running[i], l->order, now);
-  if (!l->ended_cut)
+  if (!l->more_ended)
     drop_unlisted (s, r, l->order, now);
   if (r->n_serving > 0)
     kq_pace_update (s, r, now);
@@ -344,7 +344,7 @@
     case KQ_ORDER_NO_ROOM:
     case KQ_ORDER_NO_TICKET:
     case KQ_ORDER_UNHEALTHY:
-    case KQ_ORDER_OTHER_LIFE:
+    case KQ_ORDER_OTHER_RUNNER:
     case KQ_ORDER_BAD:
       apply_start_refusal (s, run, o->result, now);
       break;
--- a/src/sched/maintenance.c
+++ b/src/sched/maintenance.c
@@ -376,7 +376,7 @@
   const KqRunnerState *r
       = h->old_runner != NULL ? kq_runners_find (s, kq_str (h->old_runner)) : NULL;
   int64_t begun_ms = w->ends_wall_ms - w->duration_ms;
-  return r != NULL && r->born_ms != 0 && r->born_ms < begun_ms - CLOCK_SKEW_MS;
+  return r != NULL && r->started_ms != 0 && r->started_ms < begun_ms - CLOCK_SKEW_MS;
 }
 
 void
@@ -488,7 +488,7 @@
       w->completed = kq_read_bool (&one);
       while (!one.bad && one.left > 0)
         add_host (w, kq_read_str (&one))->phase = KQ_HOST_BACK;
-      kq_read_join (&r, &one);
+      kq_read_array_end (&r, &one);
     }
   good = good && !r.bad;
   kq_unpacked_close (&u);
--- a/src/sched/maintenance_test.c
+++ b/src/sched/maintenance_test.c
@@ -69,7 +69,7 @@
 {
   KqSchedDesk *d = *state;
   KqStep serving = kq_sched_desk_step ();
-  KqEndRow end = { .number = 1, .how = KQ_END_STOPPED };
+  KqEndRow end = { .number = 1, .reason = KQ_END_STOPPED };
   char runner[16];
   char task[96];
   size_t n_hosts;
@@ -281,7 +281,7 @@
                           .service = KQ_STR ("desk"),
                           .address = KQ_STR ("127.0.0.1:1"),
                           .draining = true,
-                          .left_ms = 2500,
+                          .remaining_ms = 2500,
                           .room = { 4000, 16000, 0 } };
 }
 
@@ -312,7 +312,7 @@
   KqSchedDesk *d = *state;
   KqRunnerEntry e = draining_entry ();
   KqEndRow end
-      = { .number = 1, .task = KQ_STR ("zz.0.0.0"), .run = 1, .how = KQ_END_DONE };
+      = { .number = 1, .task = KQ_STR ("zz.0.0.0"), .run = 1, .reason = KQ_END_DONE };
   kq_sched_desk_list (d, "r0", &end, 1);
   kq_sched_entry (d->sched, &e, d->now);
   kq_sched_desk_run (d, SETTLE);
--- a/src/sched/orders_test.c
+++ b/src/sched/orders_test.c
@@ -17,12 +17,12 @@
  * begins the run again beside the next one. So the run is stopped first, which makes the
  * runner refuse the start, also after a restart. */
 static void
-expect_stop_before_the_next_run (KqSchedDesk *d, KqEndHow how)
+expect_stop_before_the_next_run (KqSchedDesk *d, KqEndReason how)
 {
   char runner[16];
   char task[96];
   uint32_t first;
-  KqEndRow end = { .number = 1, .how = how };
+  KqEndRow end = { .number = 1, .reason = how };
   kq_sched_desk_submit (d, "aa", kq_sched_desk_step (), false);
   kq_sched_desk_run (d, 50 * KQ_MS);
   assert_int_equal (d->starts, 1);
@@ -49,10 +49,10 @@
 test_answered_stop_is_not_repeated (void **state)
 {
   KqSchedDesk *d = *state;
-  KqRunnerList before = { .born_ms = 1, .lease_left_ms = 5000 };
+  KqRunnerList before = { .started_ms = 1, .lease_left_ms = 5000 };
   char runner[16];
   char task[96];
-  KqEndRow end = { .number = 1, .how = KQ_END_FAILED };
+  KqEndRow end = { .number = 1, .reason = KQ_END_FAILED };
   int answered = 0;
   kq_sched_desk_submit (d, "aa", kq_sched_desk_step (), false);
   kq_sched_desk_run (d, 50 * KQ_MS);
@@ -108,7 +108,7 @@
   KqRunnerEntry e = { .service = KQ_STR ("desk"),
                       .address = KQ_STR ("127.0.0.1:1"),
                       .draining = true,
-                      .left_ms = 2500,
+                      .remaining_ms = 2500,
                       .room = { 4000, 16000, 0 } };
   char runner[16];
   kq_sched_desk_submit (d, "aa", kq_sched_desk_step (), false);
@@ -133,7 +133,7 @@
 test_list_after_silence_lets_its_agent_renew (void **state)
 {
   KqSchedDesk *d = *state;
-  KqRunnerList l = { .born_ms = 1, .lease_left_ms = 300, .halt = 9 };
+  KqRunnerList l = { .started_ms = 1, .lease_left_ms = 300, .halt = 9 };
   l.assignment = d->assignment[0];
   kq_sched_desk_unreached (d, d->agent, "r0", 500);
   assert_int_equal (d->renewals, 0);
@@ -229,7 +229,7 @@
   KqSchedDesk *d = *state;
   KqStep serving = kq_sched_desk_step ();
   KqStep brief = kq_sched_desk_step ();
-  KqEndRow end = { .number = 1, .how = KQ_END_FAILED };
+  KqEndRow end = { .number = 1, .reason = KQ_END_FAILED };
   char task[96];
   int turn = 0;
   serving.lasting = true;
@@ -251,7 +251,7 @@
       kq_sched_desk_list (d, "r0", &end, 1);
       kq_sched_desk_run (d, 50 * KQ_MS);
       end.number++;
-      end.how = KQ_END_DONE;
+      end.reason = KQ_END_DONE;
       turn++;
     }
   while (strncmp (d->task, "aa", 2) != 0 && turn < 9);
@@ -267,7 +267,7 @@
                        .service = KQ_STR ("desk"),
                        .address = KQ_STR ("127.0.0.1:1"),
                        .draining = true,
-                       .left_ms = 60000,
+                       .remaining_ms = 60000,
                        .room = { 4000, 16000, 0 } };
   KqRunRow row = { .run = 1, .checkpoint = KQ_STR (""), .percent = 1 };
   KqStep step = kq_sched_desk_step ();
@@ -297,7 +297,7 @@
   kq_sched_desk_run (d, 50 * KQ_MS);
   assert_int_equal (d->starts, 1);
   kq_sched_desk_outcome (d, KQ_ORDER_START, "r0", d->task, d->run, KQ_ORDER_OK);
-  d->born_ms = 2;
+  d->started_ms = 2;
   d->results--;
   kq_sched_desk_list (d, "r0", NULL, 0);
   d->results++;
@@ -464,7 +464,7 @@
                       .service = KQ_STR ("desk"),
                       .address = KQ_STR ("127.0.0.1:1"),
                       .draining = true,
-                      .left_ms = 60000,
+                      .remaining_ms = 60000,
                       .room = { 4000, 16000, 0 } };
   KqRunRow row = { .run = 7, .checkpoint = KQ_STR (""), .percent = 1 };
   kq_sched_entry (d->sched, &e, d->now);
--- a/src/sched/placing_test.c
+++ b/src/sched/placing_test.c
@@ -36,7 +36,7 @@
 {
   KqSchedDesk *d = *state;
   KqStep step = kq_sched_desk_step ();
-  KqEndRow end = { .number = 1, .how = KQ_END_DONE, .checkpoint = KQ_STR ("") };
+  KqEndRow end = { .number = 1, .reason = KQ_END_DONE, .checkpoint = KQ_STR ("") };
   char runner[16];
   char task[96];
   step.cpu_milli = 3000;
--- a/src/sched/progress.c
+++ b/src/sched/progress.c
@@ -111,7 +111,7 @@
   kq_read_array (r, &runs);
   while (!runs.bad && runs.left > 0 && i >= 0 && i < width)
     kq_book_add_failure (&st->tasks[i], (uint32_t)kq_read_u64 (&runs));
-  kq_read_join (r, &runs);
+  kq_read_array_end (r, &runs);
   checkpoint = kq_read_str (r);
   if (r->bad || i < 0 || i >= width)
     return;
@@ -136,9 +136,9 @@
       KqReader row;
       kq_read_array (&rows, &row);
       read_task_row (&row, st, width);
-      kq_read_join (&rows, &row);
+      kq_read_array_end (&rows, &row);
     }
-  kq_read_join (r, &rows);
+  kq_read_array_end (r, &rows);
   if (r->left == 0)
     return; /* written by an older version, without the has_run bits */
   bits = kq_read_str (r);
@@ -167,11 +167,11 @@
       KqReader step;
       kq_read_array (&steps, &step);
       read_step (&step, &o->steps[i], j->spec.steps[i].width);
-      kq_read_join (&steps, &step);
+      kq_read_array_end (&steps, &step);
       if (o->steps[i].done == j->spec.steps[i].width)
         o->steps_done++;
     }
-  kq_read_join (r, &steps);
+  kq_read_array_end (r, &steps);
   kq_book_open_steps (o);
 }
 
@@ -215,9 +215,9 @@
       KqReader one;
       kq_read_array (&list, &one);
       read_occurrence (&one, j, now, s->wall_minus_now_ms + now / KQ_MS);
-      kq_read_join (&list, &one);
+      kq_read_array_end (&list, &one);
     }
-  kq_read_join (&r, &list);
+  kq_read_array_end (&r, &list);
   j->begun = j->begun || has_started (j);
   kq_unpacked_close (&u);
   return !r.bad;
--- a/src/sched/repeat_test.c
+++ b/src/sched/repeat_test.c
@@ -66,7 +66,7 @@
   KqRunnerEntry e = { .service = KQ_STR ("desk"),
                       .address = KQ_STR ("127.0.0.1:1"),
                       .draining = true,
-                      .left_ms = 100,
+                      .remaining_ms = 100,
                       .room = { 4000, 16000, 0 } };
   Start s;
   repeat_start (d, true, &s);
@@ -93,7 +93,7 @@
   Start s;
   repeat_start (d, false, &s);
   kq_sched_desk_outcome (d, KQ_ORDER_START, s.runner, s.task, s.run, KQ_ORDER_OK);
-  d->born_ms = 2;
+  d->started_ms = 2;
   kq_sched_desk_list (d, s.runner, NULL, 0);
   kq_sched_desk_run (d, 300 * KQ_MS);
   assert_int_equal (d->starts, 2);
--- a/src/sched/runners.c
+++ b/src/sched/runners.c
@@ -150,7 +150,7 @@
   if (r->agent < 0)
     return;
   o.u.seen.ends = r->ends_stored;
-  o.u.seen.born_ms = r->born_ms;
+  o.u.seen.started_ms = r->started_ms;
   o.u.seen.watched = r->watched;
   s->config.order (s->config.arg, r->agent, &o);
 }
@@ -203,8 +203,8 @@
     kq_log (KQ_LOG_INFO, PART,
             "Runner entry changed. runner=%s address=%.*s draining=%d "
             "born_ms=%lld left_ms=%lld",
-            r->id, KQ_STR_ARG (e->address), e->draining, (long long)e->born_ms,
-            (long long)e->left_ms);
+            r->id, KQ_STR_ARG (e->address), e->draining, (long long)e->started_ms,
+            (long long)e->remaining_ms);
   set_string (&r->service, e->service);
   r->pool = kq_pools_get (s, e->service);
   set_string (&r->address, e->address);
@@ -214,7 +214,7 @@
   set_string (&r->host, e->host);
   r->room = e->room;
   r->in_store = true;
-  if (r->gone && e->born_ms != r->born_ms)
+  if (r->gone && e->started_ms != r->started_ms)
     {
       r->gone = r->taken_down = false;
       r->in_stored_list = r->in_sent_list;
@@ -222,7 +222,7 @@
   if (r->draining && !e->draining && !r->in_sent_list)
     r->in_stored_list = false; /* no start before it is in the stored list again */
   if (e->draining && !r->draining)
-    r->drain_ends = now + e->left_ms * KQ_MS;
+    r->drain_ends = now + e->remaining_ms * KQ_MS;
   r->draining = e->draining;
   if (!r->in_stored_list)
     s->known_dirty = true;
--- a/src/sched/sched.c
+++ b/src/sched/sched.c
@@ -42,7 +42,7 @@
   char labels[64];
   for (int i = 0; i < 6; i++)
     {
-      snprintf (labels, sizeof labels, "how=\"%s\"", kq_end_how_name ((KqEndHow)i));
+      snprintf (labels, sizeof labels, "how=\"%s\"", kq_end_reason_name ((KqEndReason)i));
       s->ends[i]
           = kq_counter (c, "kq_run_ends_total", labels, "Ends of runs, as listed.");
     }
@@ -258,7 +258,7 @@
       e.service = kq_read_str (&one);
       e.address = kq_read_str (&one);
       e.failure_domain = kq_read_str (&one);
-      kq_read_join (&r, &one);
+      kq_read_array_end (&r, &one);
       if (!r.bad)
         {
           KqRunnerState *known;
--- a/src/sched/sched.h
+++ b/src/sched/sched.h
@@ -82,8 +82,8 @@
     struct
     {
       uint64_t ends;
-      int64_t born_ms; /* start of the runner process that counted them */
-      bool watched;    /* report often, as serving and other tasks share the runner */
+      int64_t started_ms; /* start of the runner process that counted them */
+      bool watched;       /* report often, as serving and other tasks share the runner */
     } seen;
     struct
     {
@@ -120,7 +120,7 @@
 
 typedef struct
 {
-  int64_t born_ms;
+  int64_t started_ms;
   int64_t lease_left_ms; /* time left of the granted lease, adjusted for clock error */
   uint64_t order;        /* results sent before this list was requested */
   uint64_t assignment;
@@ -129,7 +129,7 @@
   size_t n_running;
   const KqEndRow *ended;
   size_t n_ended;
-  bool ended_cut;
+  bool more_ended;
 } KqRunnerList;
 
 typedef struct
--- a/src/sched/spent_test.c
+++ b/src/sched/spent_test.c
@@ -29,7 +29,7 @@
 test_failed_runs_and_waits_are_explained (void **state)
 {
   KqSchedDesk *d = *state;
-  KqEndRow end = { .number = 1, .how = KQ_END_FAILED, .checkpoint = KQ_STR ("") };
+  KqEndRow end = { .number = 1, .reason = KQ_END_FAILED, .checkpoint = KQ_STR ("") };
   KqStep step = kq_sched_desk_step ();
   step.cpu_milli = 4000;
   step.width = 3;
@@ -70,7 +70,7 @@
   KqSchedDesk *d = *state;
   char serving[96];
   KqRunRow rows[2] = { serve (d, serving) };
-  KqEndRow end = { .number = 1, .how = KQ_END_FAILED, .checkpoint = KQ_STR ("") };
+  KqEndRow end = { .number = 1, .reason = KQ_END_FAILED, .checkpoint = KQ_STR ("") };
   KqStep step = kq_sched_desk_step ();
   step.filling = true;
   step.image = KQ_STR ("f");
--- a/src/sched/state.h
+++ b/src/sched/state.h
@@ -51,8 +51,8 @@
 typedef struct
 {
   KqRunnerState *runner;
-  int64_t born_ms; /* the runner process it is for */
-  char *ticket;    /* NULL: refused, or no answer yet */
+  int64_t started_ms; /* the runner process it is for */
+  char *ticket;       /* NULL: refused, or no answer yet */
   KqTime valid_until;
 } KqTicket;
 
@@ -210,7 +210,7 @@
   KqRoom room;
   KqRoom used;     /* reserved by all runs that may exist there */
   int64_t filling; /* cpu that its filling runs ask for */
-  int64_t born_ms;
+  int64_t started_ms;
   bool in_store;               /* it has an entry in the store now */
   bool in_stored_list;         /* it is in the stored list of runners in use */
   bool in_sent_list;           /* it is in that list as it is being stored */
--- a/src/sched/takeover_test.c
+++ b/src/sched/takeover_test.c
@@ -77,7 +77,7 @@
     {
       char id[16];
       KqRunnerList l
-          = { .born_ms = 1, .lease_left_ms = 5000, .assignment = f->assignment[i] };
+          = { .started_ms = 1, .lease_left_ms = 5000, .assignment = f->assignment[i] };
       if (f->agent_of[i] < 0 || f->listed[i])
         continue;
       f->listed[i] = true;
--- a/src/sched/tickets.c
+++ b/src/sched/tickets.c
@@ -42,7 +42,7 @@
 find_row (const KqTickets *a, const KqRunnerState *r)
 {
   for (int32_t i = 0; a != NULL && i < a->n_rows; i++)
-    if (a->rows[i].runner == r && a->rows[i].born_ms == r->born_ms)
+    if (a->rows[i].runner == r && a->rows[i].started_ms == r->started_ms)
       return &a->rows[i];
   return NULL;
 }
@@ -198,7 +198,7 @@
         }
       else
         free (row->ticket);
-      *row = (KqTicket){ .runner = r, .born_ms = r->born_ms };
+      *row = (KqTicket){ .runner = r, .started_ms = r->started_ms };
     }
   s->config.order (s->config.arg, agent, &order);
 }
--- a/src/settings/fleet_settings.c
+++ b/src/settings/fleet_settings.c
@@ -230,7 +230,7 @@
 }
 
 bool
-kq_fleet_settings_is (KqStr text)
+kq_fleet_settings_detect (KqStr text)
 {
   bool found = false;
   char why[120];
--- a/src/settings/fleet_settings.h
+++ b/src/settings/fleet_settings.h
@@ -34,7 +34,7 @@
 } KqFleetSettings;
 
 /* Whether the text has a section [fleet]. */
-bool kq_fleet_settings_is (KqStr text);
+bool kq_fleet_settings_detect (KqStr text);
 /* Like kq_settings_parse. */
 int kq_fleet_settings_parse (KqStr text, KqFleetSettings *out, KqSettingsFault *faults,
                              int max);
--- a/src/settings/settings_test.c
+++ b/src/settings/settings_test.c
@@ -163,7 +163,7 @@
  * a non-ASCII character for white space and reached code marked as unreachable (found by
  * `make fuzz`). Such characters stay allowed in comments. */
 static void
-test_letters_beyond_ascii (void **state)
+test_non_ascii (void **state)
 {
   static const char *const wrong[] = { "\n\xc3\xa4 = 1\n",
                                        "\n[x]\na = 'b' \xc5\xbe\n",
@@ -187,13 +187,13 @@
  * comment made the daemon crash or read wrong values instead of reporting the line. The
  * check before the parser applies to both kinds of settings file. */
 static void
-test_fleet_letters_beyond_ascii (void **state)
+test_fleet_non_ascii (void **state)
 {
   KqStr text = KQ_STR ("[fleet]\n\xef\xbb\xbe"
                        "f = 1\n");
   KqFleetSettings s;
   (void)state;
-  assert_false (kq_fleet_settings_is (text));
+  assert_false (kq_fleet_settings_detect (text));
   assert_int_equal (kq_fleet_settings_parse (text, &s, faults, 8), 1);
   assert_int_equal (faults[0].code, KQ_ERR_SETTINGS_SYNTAX);
   assert_int_equal (faults[0].line, 2);
@@ -214,13 +214,10 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_whole_file),
-    cmocka_unit_test (test_each_fault),
-    cmocka_unit_test (test_all_faults_reported),
-    cmocka_unit_test (test_any_bytes),
-    cmocka_unit_test (test_reference),
-    cmocka_unit_test (test_letters_beyond_ascii),
-    cmocka_unit_test (test_fleet_letters_beyond_ascii),
+    cmocka_unit_test (test_whole_file),          cmocka_unit_test (test_each_fault),
+    cmocka_unit_test (test_all_faults_reported), cmocka_unit_test (test_any_bytes),
+    cmocka_unit_test (test_reference),           cmocka_unit_test (test_non_ascii),
+    cmocka_unit_test (test_fleet_non_ascii),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/shard/journal_test.c
+++ b/src/shard/journal_test.c
@@ -72,7 +72,7 @@
   KqOutbox out;
   KqStoreReply r;
   int i;
-  KqTime due = kq_store_fake_due (g->store);
+  KqTime due = kq_store_fake_next_time (g->store);
   for (i = 0; i < 2; i++)
     if (kq_journal_due (g->journals[i]) < due)
       due = kq_journal_due (g->journals[i]);
@@ -196,13 +196,14 @@
 test_lost_answer (void **state)
 {
   (void)state;
-  for (int fate = KQ_FATE_LOST_BEFORE; fate < KQ_FATE_COUNT; fate++)
+  for (int fate = KQ_STORE_FAULT_LOST_BEFORE; fate < KQ_STORE_FAULT_COUNT; fate++)
     for (int fence = 0; fence <= 1; fence++)
       {
         Rig g = rig_new ();
         open_fresh (&g, 0, 1);
         expect_values (&g, 0, 1, 0);
-        kq_store_fake_script (g.store, KQ_STORE_PUT, "log/", fence, (KqFate)fate);
+        kq_store_fake_script (g.store, KQ_STORE_PUT, "log/", fence,
+                              (KqStoreCallFault)fate);
         append (&g, 0, 1);
         tick (&g);
         run_until_committed (&g, 0, 1);
@@ -221,10 +222,10 @@
 test_lost_answer_of_fence (void **state)
 {
   (void)state;
-  for (int fate = KQ_FATE_LOST_BEFORE; fate < KQ_FATE_COUNT; fate++)
+  for (int fate = KQ_STORE_FAULT_LOST_BEFORE; fate < KQ_STORE_FAULT_COUNT; fate++)
     {
       Rig g = rig_new ();
-      kq_store_fake_script (g.store, KQ_STORE_PUT, "log/", 0, (KqFate)fate);
+      kq_store_fake_script (g.store, KQ_STORE_PUT, "log/", 0, (KqStoreCallFault)fate);
       open_fresh (&g, 0, 1);
       expect_values (&g, 0, 1, 0);
       append (&g, 0, 1);
@@ -353,13 +354,13 @@
 test_ring_wraps_with_snapshots (void **state)
 {
   (void)state;
-  for (int fate = KQ_FATE_NONE; fate < KQ_FATE_COUNT; fate++)
+  for (int fate = KQ_STORE_FAULT_NONE; fate < KQ_STORE_FAULT_COUNT; fate++)
     {
       Rig g = rig_new ();
       open_fresh (&g, 0, 1);
       expect_values (&g, 0, 1, 0);
       kq_journal_set_share (g.journals[0], 1);
-      kq_store_fake_script (g.store, KQ_STORE_PUT, "snap/", 0, (KqFate)fate);
+      kq_store_fake_script (g.store, KQ_STORE_PUT, "snap/", 0, (KqStoreCallFault)fate);
       for (uint64_t v = 1; v <= (uint64_t)3 * N_SLOTS; v++)
         {
           append (&g, 0, v);
@@ -392,7 +393,8 @@
   for (int round = 0; round < 2; round++)
     {
       if (round == 0)
-        kq_store_fake_script (g.store, KQ_STORE_PUT, "snap/", 1, KQ_FATE_LOST_AFTER);
+        kq_store_fake_script (g.store, KQ_STORE_PUT, "snap/", 1,
+                              KQ_STORE_FAULT_LOST_AFTER);
       kq_journal_snapshot_begin (g.journals[0]);
       for (int i = 0; i < 25; i++)
         kq_journal_snapshot_add (g.journals[0], &r);
--- a/src/shard/owner.c
+++ b/src/shard/owner.c
@@ -21,7 +21,7 @@
   /* A random start, so that a late reply to an earlier process of this node doesn't match
    * one of our calls. */
   o->next_call_number = (uint32_t)kq_rand_next (&o->rand);
-  o->times = (KqOwnerTimes){ .lease = 10 * KQ_SEC, .blind_max = 600 * KQ_SEC };
+  o->times = (KqOwnerTimes){ .lease = 10 * KQ_SEC, .outage_max = 600 * KQ_SEC };
   return o;
 }
 
@@ -82,7 +82,7 @@
       o->count.lost++;
       kq_owner_add_event (o, KQ_OWNER_LOST, i);
     }
-  e->holding = e->give_up_sent = false;
+  e->holding = e->handover_sent = false;
   e->state = KQ_OWN_NONE;
   e->step = KQ_OWNER_IDLE;
   e->call_number = 0;
@@ -90,7 +90,7 @@
 }
 
 void
-kq_owner_fenced (KqOwner *o, uint32_t shard, KqTime now)
+kq_owner_step_down (KqOwner *o, uint32_t shard, KqTime now)
 {
   KqOwnEntry *e = entry_of (o, shard);
   if (e == NULL || !e->holding)
@@ -165,7 +165,7 @@
 }
 
 bool
-kq_owner_blind (const KqOwner *o, const KqMember *m, KqTime now)
+kq_owner_valid_in_outage (const KqOwner *o, const KqMember *m, KqTime now)
 {
   KqTime silence = kq_member_store_silence (m, now);
   if (kq_member_lease_live (m, now) || kq_member_lease (m) == 0)
@@ -173,7 +173,7 @@
   if (recently_suspended (o, now))
     return false;
   /* After a short silence the store isn't away: only our lease has expired. */
-  if (silence < KQ_OWNER_STORE_REACH_AGE (o) || silence > o->times.blind_max)
+  if (silence < KQ_OWNER_STORE_REACH_AGE (o) || silence > o->times.outage_max)
     return false;
   if (kq_member_peer_reaches_store (m, KQ_OWNER_STORE_REACH_AGE (o), now))
     return false;
@@ -188,7 +188,7 @@
 ownership_valid (const KqOwner *o, const KqMember *m, uint64_t lease, KqTime now)
 {
   return kq_member_lease (m) == lease
-         && (kq_member_lease_live (m, now) || kq_owner_blind (o, m, now));
+         && (kq_member_lease_live (m, now) || kq_owner_valid_in_outage (o, m, now));
 }
 
 bool
@@ -289,8 +289,8 @@
   if (count_state (o, KQ_OWN_RELEASING) >= limit)
     return;
   e->state = KQ_OWN_RELEASING;
-  e->give_up_sent = true;
-  kq_owner_add_event (o, KQ_OWNER_GIVE_UP, i);
+  e->handover_sent = true;
+  kq_owner_add_event (o, KQ_OWNER_HANDOVER, i);
 }
 
 void
@@ -299,7 +299,7 @@
   KqOwnEntry *e = entry_of (o, shard);
   if (e == NULL || !e->holding || e->state != KQ_OWN_RELEASING)
     return;
-  e->holding = e->give_up_sent = false;
+  e->holding = e->handover_sent = false;
   o->count.released++;
   kq_owner_start_release (o, (uint32_t)(e - o->entries));
   kq_owner_send (o, (uint32_t)(e - o->entries), now, out);
--- a/src/shard/owner.h
+++ b/src/shard/owner.h
@@ -24,9 +24,9 @@
 
 typedef enum
 {
-  KQ_OWNER_TOOK,   /* open the shard's journal under `epoch` */
-  KQ_OWNER_LOST,   /* drop the shard's state at once */
-  KQ_OWNER_GIVE_UP /* planned move: commit what is pending, then kq_owner_released */
+  KQ_OWNER_TAKEN,   /* open the shard's journal under `epoch` */
+  KQ_OWNER_LOST,    /* drop the shard's state at once */
+  KQ_OWNER_HANDOVER /* planned move: commit what is pending, then kq_owner_released */
 } KqOwnerEventKind;
 
 typedef struct
@@ -40,9 +40,9 @@
 
 typedef struct
 {
-  KqTime lease;     /* lease time of the node's key */
-  KqTime blind_max; /* longest store outage in which ownership stays valid without a live
-                       lease; see kq_owner_blind */
+  KqTime lease;      /* lease time of the node's key */
+  KqTime outage_max; /* longest store outage in which ownership stays valid without a live
+                       lease; see kq_owner_valid_in_outage */
 } KqOwnerTimes;
 
 /* Totals since kq_owner_new. */
@@ -68,7 +68,7 @@
 bool kq_owner_event (KqOwner *o, KqOwnerEvent *e);
 /* Steps down at once (event LOST). For a shard that can't be served: its journal is
  * FENCED or DAMAGED, its state can't be rebuilt, or kq_owner_is_mine is false. */
-void kq_owner_fenced (KqOwner *o, uint32_t shard, KqTime now);
+void kq_owner_step_down (KqOwner *o, uint32_t shard, KqTime now);
 /* Call after GIVE_UP once the shard's records are committed and its state dropped: writes
  * the release to own/<shard>. */
 void kq_owner_released (KqOwner *o, uint32_t shard, KqTime now, KqOutbox *out);
@@ -79,14 +79,14 @@
 /* 0: not owner. Doesn't check the lease; see kq_owner_is_mine. */
 uint64_t kq_owner_epoch (const KqOwner *o, uint32_t shard);
 /* Whether this node still owns the shard at `now`: it has taken it, and its lease is
- * certainly live or kq_owner_blind holds. Must be checked before every send. */
+ * certainly live or kq_owner_valid_in_outage holds. Must be checked before every send. */
 bool kq_owner_is_mine (const KqOwner *o, uint32_t shard, const KqMember *m, KqTime now);
 /* Whether ownership continues without a live lease because the store is away: the lease
  * has expired, the store has been silent for at least half a lease and at most blind_max,
  * no peer of the region reaches it either, and a peer was heard within a fifth of a lease
  * (or this is the region's only node). Always false for a fifth of a lease after this
  * process was suspended. */
-bool kq_owner_blind (const KqOwner *o, const KqMember *m, KqTime now);
+bool kq_owner_valid_in_outage (const KqOwner *o, const KqMember *m, KqTime now);
 /* The owner of a shard of any region as far as this node knows, by the highest epoch in
  * the peers' digests and its own state. 0: none known. */
 KqNodeId kq_owner_of (const KqOwner *o, const KqMember *m, uint32_t shard);
--- a/src/shard/owner_state.h
+++ b/src/shard/owner_state.h
@@ -90,7 +90,7 @@
   KqOwnState state;
   KqOwnerStep step;
   bool holding; /* between the event TOOK and LOST or kq_owner_released */
-  bool give_up_sent;
+  bool handover_sent;
   bool uncertain; /* own/<shard> may name us, or a write of ours may still take effect,
                      though we don't hold the shard */
   KqNodeId wanted;
--- a/src/shard/owner_swap.c
+++ b/src/shard/owner_swap.c
@@ -292,7 +292,7 @@
   e->state = KQ_OWN_MINE;
   o->count.taken++;
   next_step (e, KQ_OWNER_IDLE);
-  kq_owner_add_event (o, KQ_OWNER_TOOK, i);
+  kq_owner_add_event (o, KQ_OWNER_TAKEN, i);
 }
 
 static bool
--- a/src/shard/owner_test.c
+++ b/src/shard/owner_test.c
@@ -169,13 +169,13 @@
   KqOwnerEvent e;
   while (kq_owner_event (g->owners[i], &e))
     {
-      if (e.kind == KQ_OWNER_TOOK)
+      if (e.kind == KQ_OWNER_TAKEN)
         {
           assert_true (e.epoch > g->epochs[e.shard]); /* one owner per epoch */
           g->epochs[e.shard] = e.epoch;
         }
       g->lost[i] += e.kind == KQ_OWNER_LOST;
-      if (e.kind == KQ_OWNER_GIVE_UP)
+      if (e.kind == KQ_OWNER_HANDOVER)
         kq_owner_released (g->owners[i], e.shard, g->now, out);
     }
   while (kq_outbox_take (out, &item))
@@ -303,11 +303,12 @@
 test_lost_answers (void **state)
 {
   (void)state;
-  for (int fate = KQ_FATE_LOST_BEFORE; fate < KQ_FATE_COUNT; fate++)
+  for (int fate = KQ_STORE_FAULT_LOST_BEFORE; fate < KQ_STORE_FAULT_COUNT; fate++)
     for (int skip = 0; skip <= N_SHARDS; skip += N_SHARDS)
       {
         Rig *g = rig_new ();
-        kq_store_fake_script (g->store, KQ_STORE_PUT, "own/", skip, (KqFate)fate);
+        kq_store_fake_script (g->store, KQ_STORE_PUT, "own/", skip,
+                              (KqStoreCallFault)fate);
         run (g, 8 * KQ_SEC);
         kq_owner_drain (g->owners[2]);
         for (int i = 0; i < N_NODES; i++)
@@ -408,7 +409,7 @@
       if (!stepped_down)
         g->members[0].lease = 99;
       for (uint32_t s = 0; s < N_SHARDS && stepped_down; s++)
-        kq_owner_fenced (g->owners[0], s, g->now);
+        kq_owner_step_down (g->owners[0], s, g->now);
       run (g, 10 * KQ_SEC);
       assert_int_equal (g->lost[0], N_SHARDS);
       expect_settled (g, 0);
@@ -428,7 +429,7 @@
   uint64_t epoch = g->epochs[s];
   for (int i = 0; i < 1200; i++)
     {
-      kq_owner_fenced (g->owners[0], s, g->now);
+      kq_owner_step_down (g->owners[0], s, g->now);
       run (g, TICK);
     }
   assert_in_range (g->epochs[s] - epoch, 3, 7); /* 1 + 2 + 4 + 8 + 16 + 32 s */
@@ -513,7 +514,7 @@
  * region reaches the store but one is heard. We must stop if a peer reaches the store, if
  * none is heard, after blind_max, with another lease id, or if the store isn't silent. */
 static void
-test_blind_time (void **state)
+test_ownership_in_outage (void **state)
 {
   static const struct
   {
@@ -545,14 +546,14 @@
   m->silence = 12 * KQ_SEC;
   m->hears = true;
   m->peer_reaches = false;
-  assert_true (kq_owner_blind (g->owners[0], m, g->now));
-  assert_false (kq_owner_blind (g->owners[0], m, g->now + 3 * KQ_SEC));
+  assert_true (kq_owner_valid_in_outage (g->owners[0], m, g->now));
+  assert_false (kq_owner_valid_in_outage (g->owners[0], m, g->now + 3 * KQ_SEC));
   /* The region's only node hears no peer and remains owner. */
   m->lease = 1;
   m->silence = 12 * KQ_SEC;
   m->hears = m->peer_reaches = false;
   m->nodes[1].in_store = m->nodes[2].in_store = false;
-  assert_true (kq_owner_blind (g->owners[0], m, g->now));
+  assert_true (kq_owner_valid_in_outage (g->owners[0], m, g->now));
   rig_free (g);
 }
 
@@ -593,7 +594,7 @@
     cmocka_unit_test (test_two_owners_race),
     cmocka_unit_test (test_paused_owner),
     cmocka_unit_test (test_superseded_by_digest),
-    cmocka_unit_test (test_blind_time),
+    cmocka_unit_test (test_ownership_in_outage),
     cmocka_unit_test (test_planned_moves_are_paced),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/src/steps/spec.c
+++ b/src/steps/spec.c
@@ -153,7 +153,7 @@
     s->after = kq_alloc ((size_t)s->n_after * sizeof *s->after);
   for (int32_t i = 0; i < s->n_after; i++)
     s->after[i] = (int32_t)kq_read_i64 (&list);
-  kq_read_join (r, &list);
+  kq_read_array_end (r, &list);
 }
 
 static void
@@ -196,9 +196,9 @@
       KqReader step;
       kq_read_array (&list, &step);
       read_step (&step, &out->steps[i]);
-      kq_read_join (&list, &step);
+      kq_read_array_end (&list, &step);
     }
-  kq_read_join (r, &list);
+  kq_read_array_end (r, &list);
 }
 
 bool
--- a/src/table/commit.c
+++ b/src/table/commit.c
@@ -83,7 +83,7 @@
 }
 
 bool
-kq_table_dist_result (KqTableDist *d, KqTableResult *r)
+kq_table_dist_take_result (KqTableDist *d, KqTableResult *r)
 {
   if (d->n_results == 0)
     return false;
--- a/src/table/dist.c
+++ b/src/table/dist.c
@@ -339,18 +339,18 @@
 static void
 request_changes (KqTableDist *d, KqTime now, KqOutbox *out)
 {
-  KqMsg m = { .kind = KQ_MSG_TABLE_WANT };
+  KqMsg m = { .kind = KQ_MSG_TABLE_REQUEST };
   KqTime wait = d->lag_far ? d->far_wait : NEAR_LAG_WAIT;
   if (d->lag_since == 0 || now < d->request_next || now - d->lag_since < wait)
     return;
-  m.u.table_want.above = kq_dist_revision (d);
+  m.u.table_request.above_revision = kq_dist_revision (d);
   d->request_next = now + REQUEST_INTERVAL;
   kq_outbox_send (out, d->lag_peer, &m);
 }
 
 void
-kq_table_dist_peer (KqTableDist *d, KqNodeId peer, uint64_t revision, bool far,
-                    KqTime now, KqOutbox *out)
+kq_table_dist_peer_revision (KqTableDist *d, KqNodeId peer, uint64_t revision, bool far,
+                             KqTime now, KqOutbox *out)
 {
   if (peer == d->self)
     return;
@@ -432,9 +432,9 @@
 kq_table_dist_message (KqTableDist *d, KqNodeId peer, const KqMsg *m, KqTime now,
                        KqOutbox *out)
 {
-  if (m->kind == KQ_MSG_TABLE_WANT)
+  if (m->kind == KQ_MSG_TABLE_REQUEST)
     {
-      send_missing_changes (d, peer, m->u.table_want.above, out);
+      send_missing_changes (d, peer, m->u.table_request.above_revision, out);
       return;
     }
   assert (m->kind == KQ_MSG_TABLE);
--- a/src/table/dist.h
+++ b/src/table/dist.h
@@ -17,10 +17,10 @@
 
 typedef struct
 {
-  uint64_t call;     /* as given to kq_table_dist_change */
-  KqResult code;     /* KQ_OK, KQ_ERR_TABLE_*, KQ_ERR_STORE_UNREACHABLE */
-  uint64_t revision; /* KQ_OK: of the table with the change */
-  size_t which;      /* CONFLICT, NOT_FOUND: index of the refused row change */
+  uint64_t call;       /* as given to kq_table_dist_change */
+  KqResult code;       /* KQ_OK, KQ_ERR_TABLE_*, KQ_ERR_STORE_UNREACHABLE */
+  uint64_t revision;   /* KQ_OK: of the table with the change */
+  size_t change_index; /* CONFLICT, NOT_FOUND: index of the refused row change */
 } KqTableResult;
 
 KqTableDist *kq_table_dist_new (KqNodeId self, uint64_t seed);
@@ -37,16 +37,17 @@
 void kq_table_dist_reply (KqTableDist *d, const KqStoreReply *r, KqTime now,
                           KqOutbox *out);
 /* A peer's heartbeat showed this revision. `far`: the peer is in another region. */
-void kq_table_dist_peer (KqTableDist *d, KqNodeId peer, uint64_t revision, bool far,
-                         KqTime now, KqOutbox *out);
-/* KQ_MSG_TABLE or KQ_MSG_TABLE_WANT. */
+void kq_table_dist_peer_revision (KqTableDist *d, KqNodeId peer, uint64_t revision,
+                                  bool far, KqTime now, KqOutbox *out);
+/* KQ_MSG_TABLE or KQ_MSG_TABLE_REQUEST. */
 void kq_table_dist_message (KqTableDist *d, KqNodeId peer, const KqMsg *m, KqTime now,
                             KqOutbox *out);
-/* Starts a change; its result comes from kq_table_dist_result. If the store's answer is
- * lost, the head is read back and its write ids show whether the change took effect. */
+/* Starts a change; its result comes from kq_table_dist_take_result. If the store's answer
+ * is lost, the head is read back and its write ids show whether the change took effect.
+ */
 void kq_table_dist_change (KqTableDist *d, uint64_t call, const KqRowChange *c, size_t n,
                            KqTime now, KqOutbox *out);
 /* Takes the next result of a change; false if there is none. */
-bool kq_table_dist_result (KqTableDist *d, KqTableResult *r);
+bool kq_table_dist_take_result (KqTableDist *d, KqTableResult *r);
 
 #endif
--- a/src/table/dist_test.c
+++ b/src/table/dist_test.c
@@ -100,9 +100,10 @@
 static void
 test_lost_answers (void **state)
 {
-  static const KqFate fates[]
-      = { KQ_FATE_LOST_BEFORE, KQ_FATE_LOST_AFTER, KQ_FATE_LATE_EFFECT,
-          KQ_FATE_LATE_ANSWER, KQ_FATE_DUPLICATE };
+  static const KqStoreCallFault fates[]
+      = { KQ_STORE_FAULT_LOST_BEFORE, KQ_STORE_FAULT_LOST_AFTER,
+          KQ_STORE_FAULT_LATE_EFFECT, KQ_STORE_FAULT_LATE_ANSWER,
+          KQ_STORE_FAULT_DUPLICATE };
   (void)state;
   for (size_t i = 0; i < sizeof fates / sizeof fates[0]; i++)
     {
@@ -135,7 +136,8 @@
   uint64_t rev;
   (void)state;
   kq_table_sim_run (f, KQ_SEC);
-  kq_store_fake_script (f->store, KQ_STORE_PUT, "table/head", 0, KQ_FATE_LOST_AFTER);
+  kq_store_fake_script (f->store, KQ_STORE_PUT, "table/head", 0,
+                        KQ_STORE_FAULT_LOST_AFTER);
   int call = kq_table_sim_change (f, 0, &c, 1);
   kq_table_sim_run (f, 100 * KQ_MS);
   assert_int_equal (set_weight (f, 1, "b", 6, 0, &rev), KQ_OK);
@@ -169,7 +171,7 @@
   assert_true ((ra.code == KQ_OK) != (rb.code == KQ_OK));
   const KqTableResult *bad = ra.code == KQ_OK ? &rb : &ra;
   assert_int_equal (bad->code, KQ_ERR_TABLE_CONFLICT);
-  assert_int_equal (bad->which, 1);
+  assert_int_equal (bad->change_index, 1);
   kq_table_sim_run (f, KQ_SEC);
   assert_int_equal (weight_at (f, 3, "x") + weight_at (f, 3, "y"), 0);
   a = kq_table_sim_change (f, 0, &(KqRowChange[]){ kq_table_sim_row ("p", 1, 0) }[0], 1);
@@ -262,10 +264,10 @@
     }
   KqTableResult r = kq_table_sim_result (f, kq_table_sim_change (f, 1, c, 500));
   assert_int_equal (r.code, KQ_ERR_TABLE_CONFLICT);
-  assert_int_equal (r.which, 499);
+  assert_int_equal (r.change_index, 499);
   assert_int_equal (kq_table_size (kq_table_dist_current (f->nodes[1].dist)), 1);
   c[499].expect = rev;
-  kq_store_fake_script (f->store, KQ_STORE_PUT, "table/", 0, KQ_FATE_LOST_AFTER);
+  kq_store_fake_script (f->store, KQ_STORE_PUT, "table/", 0, KQ_STORE_FAULT_LOST_AFTER);
   r = kq_table_sim_result (f, kq_table_sim_change (f, 1, c, 500));
   assert_int_equal (r.code, KQ_OK);
   assert_int_equal (r.revision, rev + 1);
@@ -376,7 +378,8 @@
   KqRowChange c = kq_table_sim_row ("a", 5, 0);
   (void)state;
   kq_table_sim_run (f, KQ_SEC);
-  kq_store_fake_script (f->store, KQ_STORE_PUT, "table/head", 0, KQ_FATE_LOST_AFTER);
+  kq_store_fake_script (f->store, KQ_STORE_PUT, "table/head", 0,
+                        KQ_STORE_FAULT_LOST_AFTER);
   int call = kq_table_sim_change (f, 0, &c, 1);
   kq_table_sim_run (f, 20 * KQ_MS);
   for (int i = 0; i < KQ_HEAD_IDS + 1; i++)
@@ -441,7 +444,7 @@
       KqStoreFaults *s = kq_store_fake_faults (f->store);
       int64_t last[4] = { -1, -1, -1, -1 };
       bool known[4] = { true, true, true, true };
-      for (int fate = 1; fate < KQ_FATE_COUNT; fate++)
+      for (int fate = 1; fate < KQ_STORE_FAULT_COUNT; fate++)
         s->p[fate] = 0.03;
       for (int i = 0; i < 60; i++)
         {
--- a/src/table/head.c
+++ b/src/table/head.c
@@ -194,7 +194,7 @@
     a.bad = true;
   while (!a.bad && a.left > 0)
     b->part_revisions[b->n_parts++] = kq_read_u64 (&a);
-  kq_read_join (r, &a);
+  kq_read_array_end (r, &a);
 }
 
 void
@@ -239,7 +239,7 @@
   kq_read_array (&r, &ids);
   for (int i = 0; i < KQ_HEAD_IDS; i++)
     out->ids[i] = kq_read_u64 (&ids);
-  kq_read_join (&r, &ids);
+  kq_read_array_end (&r, &ids);
   read_base (&r, &out->base);
   read_base (&r, &out->old);
   ok = read_entries (&r, &out->tail) && !r.bad && ok && head_consistent (out);
--- a/src/wire/mesh_test.c
+++ b/src/wire/mesh_test.c
@@ -42,7 +42,7 @@
   else
     {
       n->messages++;
-      n->last = m->u.msg.msg->u.table_want.above;
+      n->last = m->u.msg.msg->u.table_request.above_revision;
     }
   if (n->stop_at != NULL && --*n->stop_at <= 0)
     kq_loop_stop (n->loop);
@@ -98,8 +98,8 @@
 static void
 send_number (Node *from, KqNodeId to, uint64_t number)
 {
-  KqMsg m = { .kind = KQ_MSG_TABLE_WANT };
-  m.u.table_want.above = number;
+  KqMsg m = { .kind = KQ_MSG_TABLE_REQUEST };
+  m.u.table_request.above_revision = number;
   kq_mail_send_msg (kq_mesh_task (from->mesh), to, &m);
 }
 
@@ -214,7 +214,7 @@
  * peer reported as down, so that its requests are completed and a new connection is
  * tried. Here the peer is a listening socket that never answers the hello. */
 static void
-test_silent_connection_is_given_up (void **state)
+test_silent_connection_is_closed (void **state)
 {
   KqLoop *loop = kq_loop_new ();
   Node a;
@@ -317,7 +317,7 @@
     cmocka_unit_test (test_on_demand_connection_delivers_the_message),
     cmocka_unit_test (test_wrong_secret_is_refused),
     cmocka_unit_test (test_malformed_frames_are_counted),
-    cmocka_unit_test (test_silent_connection_is_given_up),
+    cmocka_unit_test (test_silent_connection_is_closed),
     cmocka_unit_test (test_bytes_of_open_connections),
     cmocka_unit_test (test_hello_can_not_be_replayed),
   };
--- a/src/wire/msg.c
+++ b/src/wire/msg.c
@@ -30,7 +30,7 @@
     case KQ_MSG_HELLO:
     case KQ_MSG_HEARTBEAT:
     case KQ_MSG_TABLE:
-    case KQ_MSG_TABLE_WANT:
+    case KQ_MSG_TABLE_REQUEST:
       return GROUP_MEMBER;
     case KQ_MSG_REQ_OPEN:
     case KQ_MSG_REQ_BODY:
@@ -177,7 +177,7 @@
       break;
     case KQ_MSG_HELLO:
     case KQ_MSG_TABLE:
-    case KQ_MSG_TABLE_WANT:
+    case KQ_MSG_TABLE_REQUEST:
     case KQ_MSG_REQ_BODY:
     case KQ_MSG_REQ_CANCEL:
     case KQ_MSG_REQ_CREDIT:
