--- a/src/wire/msg.h
+++ b/src/wire/msg.h
@@ -58,7 +58,7 @@
 {
   KqName team;
   KqSize used;
-  KqSize wanted; /* total size of queued jobs, capped */
+  KqSize queued; /* total size of queued jobs, capped */
 } KqTeamDigest;
 
 /* Summary of one shard; a heartbeat has one for each shard that the node owns. */
@@ -70,7 +70,7 @@
   KqSize free;
   /* Maximum of each component over the workers; no single worker need have all three. */
   KqSize largest_free;
-  KqSize largest_whole; /* of the workers' total sizes */
+  KqSize largest_capacity; /* of the workers' total sizes */
   int32_t workers;
   int32_t queued_jobs;
   int32_t running_tasks;
@@ -84,8 +84,8 @@
 {
   KQ_MSG_HELLO = 1,
   KQ_MSG_HEARTBEAT,
-  KQ_MSG_TABLE,      /* the whole table at a revision, or the changes since one */
-  KQ_MSG_TABLE_WANT, /* asks a peer for a table newer than a revision */
+  KQ_MSG_TABLE,         /* the whole table at a revision, or the changes since one */
+  KQ_MSG_TABLE_REQUEST, /* asks a peer for a table newer than a revision */
   KQ_MSG_REQ_OPEN = 20,
   KQ_MSG_REQ_BODY,
   KQ_MSG_REQ_CANCEL,
@@ -124,11 +124,12 @@
 {
   KqNodeId node;
   uint64_t incarnation;
-  uint64_t beat; /* sequence number; its lowest bit is a flag, see member/nodes.h */
+  uint64_t sequence; /* sequence number; its lowest bit is a flag, see member/nodes.h */
   uint64_t table_revision; /* that the sender uses */
   int64_t store_age_us;    /* time since the store last answered the sender */
   bool draining;
-  KqNodeId via; /* node that forwarded it in a batch; 0: sent by the node itself */
+  KqNodeId
+      forwarded_by; /* node that forwarded it in a batch; 0: sent by the node itself */
   KqShardDigest *shards;
   size_t n_shards;
 } KqMsgHeartbeat;
@@ -142,8 +143,8 @@
 
 typedef struct
 {
-  uint64_t above; /* revision that the sender has */
-} KqMsgTableWant;
+  uint64_t above_revision; /* revision that the sender has */
+} KqMsgTableRequest;
 
 typedef struct
 {
@@ -263,8 +264,8 @@
 
 typedef struct
 {
-  uint64_t call;  /* chosen by the asking node; the reply repeats it */
-  KqNodeId asker; /* the asking node, to which the reply goes */
+  uint64_t call;     /* chosen by the asking node; the reply repeats it */
+  KqNodeId reply_to; /* the asking node, to which the reply goes */
   uint32_t shard;
   KqJobId job; /* id chosen by the asking node */
   KqJobSpec spec;
@@ -281,7 +282,7 @@
 typedef struct
 {
   uint64_t call;
-  KqNodeId asker;
+  KqNodeId reply_to;
   uint32_t shard;
   KqJobCallKind kind;
   KqJobId job;    /* LIST: only jobs with higher ids */
@@ -334,7 +335,7 @@
     KqMsgHello hello;
     KqMsgHeartbeat heartbeat;
     KqMsgTable table;
-    KqMsgTableWant table_want;
+    KqMsgTableRequest table_request;
     KqMsgReqOpen req_open;
     KqMsgBody body;
     KqMsgReqCancel req_cancel;
--- a/src/wire/msg_job.c
+++ b/src/wire/msg_job.c
@@ -5,7 +5,7 @@
 {
   kq_pack_array (p, 13);
   kq_pack_u64 (p, s->call);
-  kq_pack_u64 (p, s->asker);
+  kq_pack_u64 (p, s->reply_to);
   kq_pack_u64 (p, s->shard);
   kq_pack_u64 (p, s->job);
   kq_pack_name (p, &s->spec.team);
@@ -22,7 +22,7 @@
 {
   uint64_t priority;
   s->call = kq_read_u64 (r);
-  s->asker = kq_read_u64 (r);
+  s->reply_to = kq_read_u64 (r);
   s->shard = (uint32_t)kq_read_u64 (r);
   s->job = kq_read_u64 (r);
   s->spec.team = kq_read_name (r);
@@ -43,7 +43,7 @@
 {
   kq_pack_array (p, 6);
   kq_pack_u64 (p, c->call);
-  kq_pack_u64 (p, c->asker);
+  kq_pack_u64 (p, c->reply_to);
   kq_pack_u64 (p, c->shard);
   kq_pack_u64 (p, c->kind);
   kq_pack_u64 (p, c->job);
@@ -55,7 +55,7 @@
 {
   uint64_t kind;
   c->call = kq_read_u64 (r);
-  c->asker = kq_read_u64 (r);
+  c->reply_to = kq_read_u64 (r);
   c->shard = (uint32_t)kq_read_u64 (r);
   kind = kq_read_u64 (r);
   c->job = kq_read_u64 (r);
--- a/src/wire/msg_member.c
+++ b/src/wire/msg_member.c
@@ -44,7 +44,7 @@
   d->queued = (int32_t)kq_read_i64 (&f);
   d->work_us = kq_read_i64 (&f);
   d->p50_us = kq_read_i64 (&f);
-  kq_read_join (r, &f);
+  kq_read_array_end (r, &f);
 }
 
 static void
@@ -53,7 +53,7 @@
   kq_pack_array (p, 7);
   kq_pack_name (p, &d->team);
   kq_put_size (p, &d->used);
-  kq_put_size (p, &d->wanted);
+  kq_put_size (p, &d->queued);
 }
 
 static void
@@ -63,8 +63,8 @@
   kq_read_array (r, &f);
   d->team = kq_read_name (&f);
   d->used = kq_get_size (&f);
-  d->wanted = kq_get_size (&f);
-  kq_read_join (r, &f);
+  d->queued = kq_get_size (&f);
+  kq_read_array_end (r, &f);
 }
 
 static void
@@ -76,7 +76,7 @@
   kq_pack_name (p, &d->depot);
   kq_put_size (p, &d->free);
   kq_put_size (p, &d->largest_free);
-  kq_put_size (p, &d->largest_whole);
+  kq_put_size (p, &d->largest_capacity);
   kq_pack_i64 (p, d->workers);
   kq_pack_i64 (p, d->queued_jobs);
   kq_pack_i64 (p, d->running_tasks);
@@ -99,7 +99,7 @@
     d->services = kq_alloc (a.left * sizeof *d->services);
   while (!a.bad && a.left > 0)
     get_service (&a, &d->services[d->n_services++]);
-  kq_read_join (f, &a);
+  kq_read_array_end (f, &a);
 }
 
 static void
@@ -113,7 +113,7 @@
     d->teams = kq_alloc (a.left * sizeof *d->teams);
   while (!a.bad && a.left > 0)
     get_team (&a, &d->teams[d->n_teams++]);
-  kq_read_join (f, &a);
+  kq_read_array_end (f, &a);
 }
 
 static void
@@ -126,13 +126,13 @@
   d->depot = kq_read_name (&f);
   d->free = kq_get_size (&f);
   d->largest_free = kq_get_size (&f);
-  d->largest_whole = kq_get_size (&f);
+  d->largest_capacity = kq_get_size (&f);
   d->workers = (int32_t)kq_read_i64 (&f);
   d->queued_jobs = (int32_t)kq_read_i64 (&f);
   d->running_tasks = (int32_t)kq_read_i64 (&f);
   get_services (&f, d);
   get_teams (&f, d);
-  kq_read_join (r, &f);
+  kq_read_array_end (r, &f);
 }
 
 static void
@@ -170,11 +170,11 @@
   kq_pack_array (p, 8);
   kq_pack_u64 (p, h->node);
   kq_pack_u64 (p, h->incarnation);
-  kq_pack_u64 (p, h->beat);
+  kq_pack_u64 (p, h->sequence);
   kq_pack_u64 (p, h->table_revision);
   kq_pack_i64 (p, h->store_age_us);
   kq_pack_bool (p, h->draining);
-  kq_pack_u64 (p, h->via);
+  kq_pack_u64 (p, h->forwarded_by);
   kq_pack_array (p, h->n_shards);
   for (size_t i = 0; i < h->n_shards; i++)
     put_shard (p, &h->shards[i]);
@@ -186,11 +186,11 @@
   KqReader a;
   h->node = kq_read_u64 (r);
   h->incarnation = kq_read_u64 (r);
-  h->beat = kq_read_u64 (r);
+  h->sequence = kq_read_u64 (r);
   h->table_revision = kq_read_u64 (r);
   h->store_age_us = kq_read_i64 (r);
   h->draining = kq_read_bool (r);
-  h->via = kq_read_u64 (r);
+  h->forwarded_by = kq_read_u64 (r);
   kq_read_array (r, &a);
   if (a.left > DIGEST_ENTRIES_MAX)
     a.bad = true;
@@ -198,7 +198,7 @@
     h->shards = kq_alloc (a.left * sizeof *h->shards);
   while (!a.bad && a.left > 0)
     get_shard (&a, &h->shards[h->n_shards++]);
-  kq_read_join (r, &a);
+  kq_read_array_end (r, &a);
 }
 
 void
@@ -218,7 +218,7 @@
   else
     {
       kq_pack_array (p, 1);
-      kq_pack_u64 (p, m->u.table_want.above);
+      kq_pack_u64 (p, m->u.table_request.above_revision);
     }
 }
 
@@ -236,5 +236,5 @@
       m->u.table.bytes = kq_read_str (r);
     }
   else
-    m->u.table_want.above = kq_read_u64 (r);
+    m->u.table_request.above_revision = kq_read_u64 (r);
 }
--- a/src/wire/msg_request.c
+++ b/src/wire/msg_request.c
@@ -53,7 +53,7 @@
       (*h)[i].value = kq_read_str (&a);
     }
   *n = count;
-  kq_read_join (r, &a);
+  kq_read_array_end (r, &a);
 }
 
 static void
--- a/src/wire/pack.c
+++ b/src/wire/pack.c
@@ -196,7 +196,7 @@
 }
 
 void
-kq_read_join (KqReader *r, const KqReader *sub)
+kq_read_array_end (KqReader *r, const KqReader *sub)
 {
   if (sub->bad)
     r->bad = true;
--- a/src/wire/pack.h
+++ b/src/wire/pack.h
@@ -55,6 +55,6 @@
 /* Reads an array: sets *sub to its elements; their number is sub->left. */
 void kq_read_array (KqReader *r, KqReader *sub);
 /* Ends the reading of an inner array: sets `bad` of *r if that of *sub is set. */
-void kq_read_join (KqReader *r, const KqReader *sub);
+void kq_read_array_end (KqReader *r, const KqReader *sub);
 
 #endif
--- a/standin/platform_runner.c
+++ b/standin/platform_runner.c
@@ -48,7 +48,7 @@
   int cpu_milli;
   int64_t clock_base_ms;
   bool alive;
-  int64_t born_ms;
+  int64_t started_ms;
   KqTime born_at;
   int64_t lease_end_ms;
   uint64_t fence;
@@ -153,12 +153,12 @@
 static void
 publish (KqPlatformRunner *r)
 {
-  json_t *j
-      = json_pack ("{s:s, s:s, s:s, s:s, s:i, s:s, s:{s:i, s:i, s:i}, s:[s, s], "
-                   "s:I}",
-                   "service", "desk", "address", "", "zone", "north", "version", "v1",
-                   "slots", 8, "state", "ready", "room", "cpu", r->cpu_milli, "mem_mb",
-                   64000, "gpu", 0, "labels", "a", "r1", "born", (json_int_t)r->born_ms);
+  json_t *j = json_pack ("{s:s, s:s, s:s, s:s, s:i, s:s, s:{s:i, s:i, s:i}, s:[s, s], "
+                         "s:I}",
+                         "service", "desk", "address", "", "zone", "north", "version",
+                         "v1", "slots", 8, "state", "ready", "room", "cpu", r->cpu_milli,
+                         "mem_mb", 64000, "gpu", 0, "labels", "a", "r1", "born",
+                         (json_int_t)r->started_ms);
   char address[32];
   char *text;
   if (r->kv == NULL)
@@ -196,7 +196,7 @@
                                                e->task, (int)e->run, e->how, ""));
     }
   return json_pack ("{s:I, s:I, s:o, s:o}", "clock_ms", (json_int_t)clock_ms (r), "born",
-                    (json_int_t)r->born_ms, "running", running, "ended", ended);
+                    (json_int_t)r->started_ms, "running", running, "ended", ended);
 }
 
 static void
@@ -460,7 +460,7 @@
   if (r->alive)
     return;
   r->alive = true;
-  r->born_ms = kq_time_wall_ms ();
+  r->started_ms = kq_time_wall_ms ();
   r->born_at = kq_time_now ();
   r->lease_end_ms = 0;
   r->fence = 0;
--- a/standin/store_main.c
+++ b/standin/store_main.c
@@ -133,7 +133,7 @@
       if (c != NULL)
         reply (c, &r);
     }
-  due = kq_store_fake_due (s->fake);
+  due = kq_store_fake_next_time (s->fake);
   ev_timer_stop (ev, &s->due);
   if (due == KQ_TIME_NEVER)
     return;
--- a/standin/web.h
+++ b/standin/web.h
@@ -6,7 +6,7 @@
  * POST /v1/hosts) are never faulted. */
 
 #include "http/server.h"
-#include "port/text.h"
+#include "port/json_reader.h"
 
 #include <ev.h>
 #include <glib.h>
--- a/standin/worker_main.c
+++ b/standin/worker_main.c
@@ -384,9 +384,9 @@
                     h->name.bytes, (size_t)h->name.len, "region", o->region, "depot",
                     o->depot, "rack", h->rack.bytes, (size_t)h->rack.len, "address", at,
                     "state", w->leaving ? "leaving" : "live", "size", "cpu_milli",
-                    (json_int_t)w->whole.cpu_milli, "memory_mb",
-                    (json_int_t)w->whole.memory_mb, "accelerators",
-                    (json_int_t)w->whole.accelerators, "runners", runners);
+                    (json_int_t)w->capacity.cpu_milli, "memory_mb",
+                    (json_int_t)w->capacity.memory_mb, "accelerators",
+                    (json_int_t)w->capacity.accelerators, "runners", runners);
 }
 
 static void
@@ -398,7 +398,7 @@
 }
 
 static void
-on_registered (void *arg, KqHttpCall *c, KqHttpEnd end)
+on_registered (void *arg, KqHttpCall *c, KqHttpOutcome end)
 {
   Fleet *f = arg;
   json_t *j = kq_json_parse (kq_buf_str (&f->answer));
--- a/tests/platform_live_test.c
+++ b/tests/platform_live_test.c
@@ -127,7 +127,7 @@
 }
 
 static void
-page_done (void *arg, KqHttpCall *c, KqHttpEnd end)
+page_done (void *arg, KqHttpCall *c, KqHttpOutcome end)
 {
   Rig *g = arg;
   (void)c;
@@ -144,7 +144,7 @@
   KqHttpRequest r = { .method = text != NULL ? "POST" : "GET", .body = kq_str (text) };
   snprintf (url, sizeof url, "http://127.0.0.1:%d%s", port, path);
   r.url = url;
-  r.once = true;
+  r.fresh_connection = true;
   g->page_done = false;
   kq_buf_clear (&g->page);
   kq_http_call (g->client, &r, &cb);
--- a/tools/capacity_shards.py
+++ b/tools/capacity_shards.py
@@ -39,7 +39,7 @@
 # Defaults of the settings and constants of the source.
 RENEW_S = 10 / 3  # worker_lease_ms / 3
 USAGE_S = 10
-HOSTS_S = 2.25  # HOSTS_EVERY in src/node/core.c with its jitter
+HOSTS_S = 2.25  # HOSTS_READ_INTERVAL in src/node/core.c with its jitter
 ENDED_KEPT = 1024  # KQ_JOB_ENDED_MAX
 TOTAL_MS = 10000 / 3  # node_lease_ms / 3
 
