--- a/tests/corpus_test.c
+++ b/tests/corpus_test.c
@@ -10,7 +10,7 @@
 
 #include <cmocka.h>
 
-/* Enough to notice a corpus that was lost, few enough to stay small. */
+/* Fails the test if a corpus folder is missing or nearly empty. */
 #define FILES_MIN 8
 
 static const KqFuzzTarget targets[] = {
@@ -21,7 +21,8 @@
   { "platform", kq_fuzz_platform },
 };
 
-/* Runs the file's bytes, each of its beginnings, and the bytes with one changed. */
+/* Runs the target on the file, on each proper prefix of it, and with each single byte
+ * changed. */
 static void
 run_file (const KqFuzzTarget *t, const char *path)
 {
@@ -31,10 +32,10 @@
   t->run (kq_str_n (bytes, len));
   for (size_t n = 0; n < len; n++)
     {
-      /* A copy without anything behind it, so that reading beyond the end shows. */
-      char *cut = g_memdup2 (bytes, n);
-      t->run (kq_str_n (cut, n));
-      g_free (cut);
+      /* An exact-size copy, so that AddressSanitizer reports a read past the end. */
+      char *prefix = g_memdup2 (bytes, n);
+      t->run (kq_str_n (prefix, n));
+      g_free (prefix);
     }
   for (size_t i = 0; i < len; i++)
     {
@@ -45,9 +46,10 @@
   g_free (bytes);
 }
 
-/* What a peer, the store, the platform or an operator sends may be anything. Files here
- * are inputs that reached a new place in the reader, and every one that broke it. The
- * caller would see a node that dies; each must be read or refused instead. */
+/* Guards against parsers that crash on malformed input from a peer, the store, the
+ * platform or an operator, which would end the node. The corpus holds inputs that covered
+ * new code in a parser, and every input that once crashed one. Each must be parsed or
+ * rejected. */
 static void
 test_corpus (void **state)
 {
--- a/tests/ctl_live_test.c
+++ b/tests/ctl_live_test.c
@@ -12,12 +12,13 @@
 
 #include <cmocka.h>
 
-/* kumquatctl's commands against two nodes and a store as processes. The commands run in
- * this process, with their output in a file, and are judged by their exit codes. */
+/* kumquatctl's commands against two nodes and a store that run as processes. The commands
+ * run in this process with stdout redirected to a file; tests check exit codes and
+ * output. */
 
 #define LIMIT (30 * KQ_SEC)
-#define WORDS_MAX 8
-/* As bench/procs.c writes it into the settings. */
+#define ARGS_MAX 8
+/* The operator token that bench/procs.c writes into the settings. */
 #define PROCS_TOKEN "fleet-operator-token"
 
 typedef struct
@@ -26,7 +27,7 @@
   int store;
   int workers;
   int nodes[2];
-  KqCtl ctl[2]; /* by the node that is asked */
+  KqCtl ctl[2]; /* one for each node */
   char urls[2][64];
   char csv[128];
 } Rig;
@@ -34,26 +35,26 @@
 static Rig rig;
 static char output[65536];
 
-/* Runs a command given as one line of words; its output stands in `output`. */
+/* Runs a command given as space-separated arguments and stores its stdout in `output`. */
 static int
 command (KqCtl *c, int (*group) (KqCtl *, int, char **), const char *line)
 {
   char text[256];
-  char *words[WORDS_MAX];
+  char *words[ARGS_MAX];
   int n = 0;
   char *save = NULL;
   snprintf (text, sizeof text, "%s", line);
-  for (char *w = strtok_r (text, " ", &save); w != NULL && n < WORDS_MAX;
+  for (char *w = strtok_r (text, " ", &save); w != NULL && n < ARGS_MAX;
        w = strtok_r (NULL, " ", &save))
     words[n++] = w;
   fflush (stdout);
-  int keep = dup (STDOUT_FILENO);
+  int saved_stdout = dup (STDOUT_FILENO);
   FILE *f = tmpfile ();
   dup2 (fileno (f), STDOUT_FILENO);
   int code = group (c, n, words);
   fflush (stdout);
-  dup2 (keep, STDOUT_FILENO);
-  close (keep);
+  dup2 (saved_stdout, STDOUT_FILENO);
+  close (saved_stdout);
   rewind (f);
   output[fread (output, 1, sizeof output - 1, f)] = '\0';
   fclose (f);
@@ -77,7 +78,7 @@
   p->worker_lease_ms = 2000;
   p->stop_ms = 20000;
   rig.store = procs_start_store (p, "");
-  /* In one rack, so that one node owns them all. */
+  /* All workers are in one rack, so that one node owns them all. */
   rig.workers = procs_start_workers (p, "w", "r", "d", 3, "");
   for (int i = 0; i < 2; i++)
     {
@@ -137,7 +138,7 @@
   assert_int_equal (table (1, "get team nobody"), KQ_EXIT_NOT_FOUND);
   assert_int_equal (table (1, "set team rounds weight=0"), KQ_EXIT_USAGE);
   assert_int_equal (table (1, "set team rounds weight=6 limit_memory_mb=9"), KQ_EXIT_OK);
-  /* Another operator still looks at the revision before. */
+  /* A change based on an outdated revision is a conflict. */
   snprintf (wait, sizeof wait, "%ld", revision);
   rig.ctl[0].revision = wait;
   assert_int_equal (table (0, "set team rounds weight=7"), KQ_EXIT_CONFLICT);
@@ -194,7 +195,7 @@
   assert_int_equal (command (c, kq_ctl_job, "submit"), KQ_EXIT_REFUSED);
 }
 
-/* One request of a service through a node; its HTTP status. */
+/* Sends one request for a service through a node; returns the HTTP status. */
 static int
 request (int node, int service)
 {
@@ -220,10 +221,10 @@
          && request (1, 199) == 200;
 }
 
-/* With 200 services a heartbeat's digests are sent every other beat only. A caller's
- * request that comes by a node without runners between two of them must find the owner
- * all the same: a heartbeat that left its digests out was once read as "no slots", and
- * 57 of 240 requests were refused with NO_TARGET. */
+/* With 200 services only every second heartbeat carries the slot digests. A node without
+ * runners must route requests to the owner in between as well. A heartbeat without
+ * digests was once read as "no slots", and 57 of 240 requests were refused with
+ * NO_TARGET. */
 static void
 test_light_heartbeats (void **state)
 {
@@ -243,8 +244,9 @@
     }
 }
 
-/* A wrong token, a node that isn't there, and a store that went away while a change was
- * made: the operator must be able to tell refused, not sent and unknown apart. */
+/* A wrong token, an unreachable node, and a store that fails during a change must give
+ * different exit codes, so that the operator can tell whether the change was refused, was
+ * not sent, or has an unknown outcome. */
 static void
 test_failures (void **state)
 {
--- a/tests/fleet_live_test.c
+++ b/tests/fleet_live_test.c
@@ -6,17 +6,17 @@
 
 #include <cmocka.h>
 
-/* Seconds of faults: a seed's first faults come within the first one. */
-#define SECONDS 6
+/* Duration of the faults; the first ones begin within the first second. */
+#define FAULTS_S 6
 
-/* Clients see every accepted job end, each task done once, and no refusal that wasn't
- * true, while real nodes are killed, paused, stopped and restarted, the store is away or
- * loses answers, and runners die. See soak/soak.c for what is checked. */
+/* Real nodes are killed, paused, stopped and restarted, the store is unavailable or loses
+ * answers, and runners crash. Clients must see every accepted job end, each task done
+ * once, and no request reported as not run that has run. soak/soak.c has the checks. */
 static void
 test_short_soak_on_real_processes (void **state)
 {
   KqSoakPlan p = {
-    .build = KQ_BUILD_DIR, .seed = 7, .seconds = SECONDS, .nodes = 3, .runners = 6
+    .build = KQ_BUILD_DIR, .seed = 7, .seconds = FAULTS_S, .nodes = 3, .runners = 6
   };
   (void)state;
   assert_int_equal (kq_soak_run (&p), 0);
--- a/tests/live_test.c
+++ b/tests/live_test.c
@@ -15,8 +15,8 @@
 
 #include <cmocka.h>
 
-/* Whole processes on loopback: kumquatd with stand-ins for the platform. Every wait is
- * on an event and bounded; no verdict depends on how long something took. */
+/* End-to-end tests on loopback: kumquatd processes and stand-ins for the store and the
+ * workers. Every wait is for an event and has a limit; no check depends on durations. */
 
 #define LIMIT (30 * KQ_SEC)
 #define READY "/s/seal/ready"
@@ -39,7 +39,7 @@
       "office\"}},"
       "{\"kind\":\"team\",\"name\":\"rounds\",\"fields\":{}}]}";
 
-/* One request; the caller frees a->body. */
+/* Sends one request and waits for the answer; the caller frees a->body. */
 static void
 ask (Rig *r, int node, const char *method, const char *path, const KqHeader *h, size_t n,
      KqStr body, ProcsAnswer *a)
@@ -100,9 +100,9 @@
   kq_buf_free (&body);
 }
 
-/* The same certificate is asked for twice, through two nodes, with one key: the second
- * gets the first one's answer, and the runner has run it once. Another body under the
- * key is refused. */
+/* A request with an idempotency key is sent through two nodes: the second answer repeats
+ * the first, and the runner runs it once. A different body under the same key is
+ * refused. */
 static void
 test_key_runs_once_through_two_nodes (void **state)
 {
@@ -127,7 +127,7 @@
   kq_buf_free (&b.body);
 }
 
-/* Bad input at each door: a numbered error, and everything goes on. */
+/* Each kind of invalid request gets its result code, and the node continues to serve. */
 static void
 test_bad_input_is_told (void **state)
 {
@@ -176,10 +176,10 @@
   kq_buf_free (&metrics.body);
 }
 
-/* Sends bytes to a port of node 0; `whole`: they are a whole request, if a wrong one, and
- * must be answered or the connection ended. */
+/* Sends bytes to a port of node 0. `complete`: they are a complete, malformed request;
+ * the node must answer it or close the connection. */
 static void
-send_raw (int port, const char *bytes, bool whole)
+send_raw (int port, const char *bytes, bool complete)
 {
   struct sockaddr_in sa = { .sin_family = AF_INET, .sin_port = htons ((uint16_t)port) };
   struct timeval limit = { .tv_sec = 20 };
@@ -190,7 +190,7 @@
   assert_int_equal (connect (fd, (struct sockaddr *)&sa, sizeof sa), 0);
   setsockopt (fd, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
   assert_true (send (fd, bytes, strlen (bytes), MSG_NOSIGNAL) > 0);
-  if (whole)
+  if (complete)
     {
       n = recv (fd, answer, sizeof answer, 0);
       assert_true (n >= 0 || errno == ECONNRESET);
@@ -198,15 +198,15 @@
   close (fd);
 }
 
-/* Bytes that are no HTTP, or HTTP with lengths that can't be, and requests that end half
- * way: on the callers' and on the operators' address. A wrong one is answered or cut,
- * what is half is dropped with its connection, and the node goes on serving. */
+/* Malformed HTTP, invalid lengths and truncated requests on the callers' and the
+ * operators' address. A malformed request is answered or its connection closed, a
+ * truncated one is dropped with its connection, and the node continues to serve. */
 static void
 test_malformed_http (void **state)
 {
   Rig *r = *state;
   const ProcsProcess *p = &r->procs.processes[r->nodes[0]];
-  static const char *const wrong[] = {
+  static const char *const malformed[] = {
     "GET\r\n\r\n",
     "GET /s/seal/x HTTP/9.9\r\nHost\r\n\r\n",
     "POST /s/seal/x HTTP/1.1\r\nHost: a\r\nContent-Length: -5\r\n\r\nabc",
@@ -214,26 +214,26 @@
     "POST /s/seal/x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
     "GET /s/seal/\xff\xfe HTTP/1.1\r\nHost: a\r\nX-Kq-Caller: \x01\r\n\r\n",
   };
-  static const char *const half[] = {
+  static const char *const incomplete[] = {
     "\x16\x03\x01\x02",
     "POST /v1/jobs HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\n{\"tea",
     "PUT /s/seal/x HTTP/1.1\r\nHost: a\r\nContent-Length: 900000\r\n\r\nabc",
   };
-  for (size_t i = 0; i < sizeof wrong / sizeof wrong[0]; i++)
+  for (size_t i = 0; i < sizeof malformed / sizeof malformed[0]; i++)
     {
-      send_raw (p->callers, wrong[i], true);
-      send_raw (p->operators, wrong[i], true);
+      send_raw (p->callers, malformed[i], true);
+      send_raw (p->operators, malformed[i], true);
     }
-  for (size_t i = 0; i < sizeof half / sizeof half[0]; i++)
+  for (size_t i = 0; i < sizeof incomplete / sizeof incomplete[0]; i++)
     {
-      send_raw (p->callers, half[i], false);
-      send_raw (p->operators, half[i], false);
+      send_raw (p->callers, incomplete[i], false);
+      send_raw (p->operators, incomplete[i], false);
     }
   assert_true (procs_wait_serve (&r->procs, LIMIT, "/s/seal/ready"));
   assert_int_equal (kill (p->pid, 0), 0);
 }
 
-/* Two operators change one row from the same revision: the second is told. */
+/* Two operators change one row based on the same revision: the second gets a conflict. */
 static void
 test_operators_race (void **state)
 {
@@ -269,9 +269,9 @@
 typedef struct
 {
   int open;
-  int cut;
+  int interrupted;
   int answered;
-  char other[160]; /* what was answered instead, last */
+  char other[160]; /* the last answer with another status than 200 */
 } Count;
 
 static void
@@ -282,7 +282,7 @@
   if (a->end == KQ_HTTP_DONE && a->status == 200)
     c->answered++;
   else if (a->end == KQ_HTTP_BROKEN || strcmp (a->ran, "unknown") == 0)
-    c->cut++;
+    c->interrupted++;
   if (a->status != 200)
     snprintf (c->other, sizeof c->other, "end %d status %d ran %s: %.*s", a->end,
               a->status, a->ran, a->body.len < 90 ? (int)a->body.len : 90, a->body.ptr);
@@ -295,7 +295,7 @@
   return ((Count *)arg)->open == 0;
 }
 
-/* Requests that node 1 has taken in so far. */
+/* The number of requests that node 1 has accepted. */
 static json_int_t
 taken (Rig *r)
 {
@@ -314,8 +314,8 @@
   return taken (r) >= r->taken_before + 8;
 }
 
-/* A node is stopped by TERM while requests through it are at runners for 3 seconds: all
- * get their whole answers, the process exits with 0, and the other node serves on. */
+/* A node gets SIGTERM while requests of 3 seconds are running through it: all get their
+ * complete answers, the process exits with 0, and the other node continues to serve. */
 static void
 test_planned_stop_cuts_nothing (void **state)
 {
@@ -334,7 +334,7 @@
   assert_true (procs_wait (&r->procs, LIMIT, eight_taken, r));
   procs_signal (&r->procs, r->nodes[1], SIGTERM);
   assert_true (procs_wait (&r->procs, LIMIT, none_open, &c));
-  assert_int_equal (c.cut, 0);
+  assert_int_equal (c.interrupted, 0);
   if (c.answered != 8)
     print_error ("instead: %s\n", c.other);
   assert_int_equal (c.answered, 8);
@@ -359,7 +359,7 @@
   return done;
 }
 
-/* A job with a key is submitted twice: one job, one run, finished. */
+/* A job submitted twice under one idempotency key becomes one job, which runs once. */
 static void
 test_job_runs_once (void **state)
 {
--- a/tests/lives_live_test.c
+++ b/tests/lives_live_test.c
@@ -9,10 +9,11 @@
 
 #include <cmocka.h>
 
-/* A task runs twice: a start, or an acknowledgement of ends, reaches the next life of the
- * runner that it was meant for. */
+/* Guards against a task that runs twice: a delayed start, or a delayed acknowledgement of
+ * ended tasks, is accepted by a runner process that was started under the same address
+ * after the one that the message was meant for. */
 static void
-test_nothing_reaches_another_life (void **state)
+test_messages_do_not_reach_restarted_runner (void **state)
 {
   KqLivesPlan p = { .build = KQ_BUILD_DIR, .seed = 3, .runners = 8, .lives = 200 };
   KqLivesReport r;
@@ -28,6 +29,6 @@
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (test_nothing_reaches_another_life) };
+      = { cmocka_unit_test (test_messages_do_not_reach_restarted_runner) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/loss_points_test.c
+++ b/tests/loss_points_test.c
@@ -10,9 +10,10 @@
 
 #include <cmocka.h>
 
-/* Each place where a request can be lost between the entry node and the end of the
- * runner's work: what the caller is told, and how often the runner ran it. Three nodes,
- * one shard: one of them owns all runners, the others are entry nodes only. */
+/* A fault at each place where a request can be lost between the entry node and the end of
+ * the runner's work. Tests check what the caller is told and how often the runner ran the
+ * request. There are three nodes and one shard: one node owns all runners, the others are
+ * only entry nodes. */
 
 #define LIMIT (30 * KQ_SEC)
 #define NODES 3
@@ -22,11 +23,11 @@
   Procs procs;
   int store;
   int workers;
-  int spare; /* workers of a second process in the test that starts them, else -1 */
+  int workers2; /* second worker process, in the test that starts one; else -1 */
   int nodes[NODES];
-  int owner; /* of all runners, or -1 */
+  int owner; /* index in nodes of the owner of all runners, or -1 */
   int open;
-  ProcsAnswer answer; /* of the request that was begun; without its body */
+  ProcsAnswer answer; /* of the asynchronous request; its body is freed */
 } Rig;
 
 static const char *const table
@@ -45,8 +46,8 @@
   return ok;
 }
 
-/* Gives a request its id, and its key where it has one; done NULL: waits for the answer,
- * whose body the caller frees. */
+/* Sends a request with the id, which is also its idempotency key if keyed. done NULL:
+ * waits for the answer, whose body the caller frees. */
 static void
 ask (Rig *r, int node, const char *method, const char *query, const char *id, bool keyed,
      ProcsDone done, ProcsAnswer *a)
@@ -86,12 +87,12 @@
   return true;
 }
 
-/* The one node that has all runners; none while they are on the move. */
+/* Whether one node owns all runners; sets r->owner, -1 while ownership moves. */
 static bool
 one_owner (Procs *p, void *arg)
 {
   Rig *r = arg;
-  size_t wanted = r->spare >= 0 ? 3 : 2;
+  size_t wanted = r->workers2 >= 0 ? 3 : 2;
   size_t all = 0;
   r->owner = -1;
   for (int i = 0; i < NODES; i++)
@@ -117,7 +118,7 @@
   Rig *r = &rig;
   Procs *p = &r->procs;
   *state = r;
-  rig = (Rig){ .owner = -1, .spare = -1 };
+  rig = (Rig){ .owner = -1, .workers2 = -1 };
   assert_true (procs_init (p, KQ_BUILD_DIR));
   p->regions = "[[region]]\nname = \"r\"\nshards = 1\n";
   p->node_lease_ms = 2000;
@@ -138,9 +139,9 @@
   return 0;
 }
 
-/* The test before has left the runners in doubt: a bad one gets nothing for a while. */
+/* A runner that failed in the test before gets no requests for a time. */
 static int
-wait_served (void **state)
+wait_serving (void **state)
 {
   Rig *r = *state;
   assert_true (procs_wait (&r->procs, LIMIT, serves, r));
@@ -166,10 +167,11 @@
   return runs;
 }
 
-/* A POST under a fault of the runners: anything but an answer, `ran` as told. */
+/* Sends a POST during a fault of the runners. The caller must get an error answer with
+ * this value of `ran`. */
 static void
-lose_post (Rig *r, const char *fault, const char *query, const char *id, bool keyed,
-           const char *ran)
+post_during_fault (Rig *r, const char *fault, const char *query, const char *id,
+                   bool keyed, const char *ran)
 {
   ProcsAnswer a;
   procs_fault (&r->procs, r->workers, fault);
@@ -183,41 +185,45 @@
   kq_buf_free (&a.body);
 }
 
-/* The runner takes the request and never answers: the connection stays open without a
- * byte. After silent_ms the caller is told "unknown", as nobody can say whether it ran.
- * This stand-in hangs before its effect, so that it counts none; a second run is sent by
- * nobody. */
+/* The runner accepts the request and sends nothing on the open connection. After
+ * silent_ms the caller is told "unknown", as the request may have run. This stand-in
+ * hangs before it runs the request, so that it counts no run; no node sends the request
+ * again. */
 static void
 test_runner_hangs (void **state)
 {
-  lose_post (*state, "{\"path\":\"/w/\",\"method\":\"POST\",\"accept_and_hang\":true}",
-             "ms=1", "hangs", false, "unknown");
+  post_during_fault (*state,
+                     "{\"path\":\"/w/\",\"method\":\"POST\",\"accept_and_hang\":true}",
+                     "ms=1", "hangs", false, "unknown");
   assert_int_equal (runs_of (*state, "hangs"), 0);
 }
 
-/* The runner runs the request, then takes longer than silent_ms to answer: the effect is
- * there, the caller is told "unknown", and it isn't run again. */
+/* The runner runs the request, then takes longer than silent_ms to answer: the caller is
+ * told "unknown", and the request isn't run again. */
 static void
-test_runner_hangs_behind_its_effect (void **state)
+test_runner_hangs_after_run (void **state)
 {
-  lose_post (*state, "{\"path\":\"/w/\",\"method\":\"POST\",\"answer_delay_ms\":5000}",
-             "ms=1", "late", false, "unknown");
+  post_during_fault (*state,
+                     "{\"path\":\"/w/\",\"method\":\"POST\",\"answer_delay_ms\":5000}",
+                     "ms=1", "late", false, "unknown");
   assert_int_equal (runs_of (*state, "late"), 1);
 }
 
-/* The runner closes the connection without an answer and without an effect. The owner
- * can't tell that from an answer lost behind its effect, so that the caller is told
- * "unknown" and nobody sends it again. */
+/* The runner closes the connection without running the request or answering it. The owner
+ * can't distinguish this from an answer lost after the run, so the caller is told
+ * "unknown" and no node sends the request again. */
 static void
 test_runner_closes (void **state)
 {
-  lose_post (*state, "{\"path\":\"/w/\",\"method\":\"POST\",\"outage\":\"close\"}",
-             "ms=1", "closes", false, "unknown");
+  post_during_fault (*state,
+                     "{\"path\":\"/w/\",\"method\":\"POST\",\"outage\":\"close\"}",
+                     "ms=1", "closes", false, "unknown");
   assert_int_equal (runs_of (*state, "closes"), 0);
 }
 
-/* The runner sends half of its answer and closes. The head has passed by then: the caller
- * sees a cut answer or "unknown", never a short one that looks whole. It ran once. */
+/* The runner sends half of its answer and closes. The status and headers may have been
+ * forwarded by then: the caller gets a broken connection or "unknown", never a truncated
+ * answer that looks complete. The request ran once. */
 static void
 test_answer_cut (void **state)
 {
@@ -231,16 +237,16 @@
   kq_buf_free (&a.body);
 }
 
-/* The runner ran a request with a key and its answer is lost. The caller is told
- * "unknown" and asks again through another node: the claim says that the outcome is
- * unknown, and the runner has run it once. */
+/* The runner runs a request with an idempotency key and its answer is lost. The caller is
+ * told "unknown" and repeats it through another node: the claim says that the outcome is
+ * unknown, and the request isn't run again. */
 static void
 test_answer_lost_and_repeated (void **state)
 {
   Rig *r = *state;
   ProcsAnswer a;
-  lose_post (r, "{\"path\":\"/w/\",\"method\":\"POST\",\"lose_answer\":-1}", "ms=1",
-             "lost", true, "unknown");
+  post_during_fault (r, "{\"path\":\"/w/\",\"method\":\"POST\",\"lose_answer\":-1}",
+                     "ms=1", "lost", true, "unknown");
   assert_int_equal (runs_of (r, "lost"), 1);
   ask (r, 1, "POST", "ms=1", "lost", true, NULL, &a);
   assert_int_not_equal (a.status, 200);
@@ -259,9 +265,9 @@
   return a.status == 200;
 }
 
-/* The store is away and a POST with a key comes: its claim can't be committed, so it is
- * refused as not run and no runner sees it. When the store is back the key is free: the
- * repeat runs, once. */
+/* During an outage of the store the claim of a POST with a key can't be committed, so the
+ * request is refused as not run and no runner receives it. After the outage the key is
+ * free: the repeat runs once. */
 static void
 test_store_down (void **state)
 {
@@ -279,22 +285,22 @@
   assert_int_equal (runs_of (r, "storeless"), 1);
 }
 
-/* The runners' own count in the second process. */
+/* How often the runners of the second process ran the request. */
 static int
-runs_at_spare (Rig *r, const char *id)
+runs_at_workers2 (Rig *r, const char *id)
 {
   int first = r->workers;
   int runs;
-  r->workers = r->spare;
+  r->workers = r->workers2;
   runs = runs_of (r, id);
   r->workers = first;
   return runs;
 }
 
-/* A process of runners dies and its port refuses connections while the host list still
- * names it. A refused connection is "not run": the POST goes to the runner of the other
- * process and runs there once, or the caller is told "no" and it ran nowhere. When that
- * one is dead as well the caller is told "no". */
+/* A process of runners is killed and its port refuses connections while the host list
+ * still names it. A refused connection means "not run": the POST goes to the runner of
+ * the other process and runs there once, or the caller is told "no" and it ran nowhere.
+ * After the other process is killed too, the caller is told "no". */
 static void
 test_connection_refused (void **state)
 {
@@ -302,8 +308,8 @@
   Procs *p = &r->procs;
   ProcsAnswer a;
   int answered = 0;
-  r->spare = procs_start_workers (p, "v", "r", "d", 1, "--slots 4 --first-rack 9");
-  assert_true (r->spare >= 0);
+  r->workers2 = procs_start_workers (p, "v", "r", "d", 1, "--slots 4 --first-rack 9");
+  assert_true (r->workers2 >= 0);
   assert_true (procs_wait (p, LIMIT, one_owner, r));
   procs_signal (p, r->workers, SIGKILL);
   assert_int_equal (procs_wait_exit (p, r->workers, LIMIT), 128 + SIGKILL);
@@ -315,13 +321,13 @@
       assert_int_equal (a.end, KQ_HTTP_DONE);
       if (a.status != 200)
         assert_string_equal (a.ran, "no");
-      assert_int_equal (runs_at_spare (r, id), a.status == 200);
+      assert_int_equal (runs_at_workers2 (r, id), a.status == 200);
       answered += a.status == 200;
       kq_buf_free (&a.body);
     }
   assert_true (answered > 0);
-  procs_signal (p, r->spare, SIGKILL);
-  assert_int_equal (procs_wait_exit (p, r->spare, LIMIT), 128 + SIGKILL);
+  procs_signal (p, r->workers2, SIGKILL);
+  assert_int_equal (procs_wait_exit (p, r->workers2, LIMIT), 128 + SIGKILL);
   ask (r, 0, "POST", "ms=1", "nowhere", false, NULL, &a);
   assert_int_equal (a.end, KQ_HTTP_DONE);
   assert_string_equal (a.ran, "no");
@@ -344,49 +350,50 @@
 }
 
 static bool
-cut_runs (Procs *p, void *arg)
+request_has_begun (Procs *p, void *arg)
 {
   (void)p;
   return runs_of (arg, "cut") == 1;
 }
 
-/* Begins a request of 2 seconds through a node that isn't the owner, waits until the
- * runner has begun it, and kills the owner; returns when the caller has its end. */
+/* Sends a request of 2 seconds through a node that isn't the owner, kills the owner when
+ * the runner has begun it, and waits until the request has ended at the caller. */
 static void
-kill_owner_under (Rig *r, const char *method)
+kill_owner_during (Rig *r, const char *method)
 {
   int entry;
   assert_true (procs_wait (&r->procs, LIMIT, one_owner, r));
   entry = (r->owner + 1) % NODES;
   r->open = 1;
   ask (r, entry, method, "ms=2000", "cut", false, on_answer, NULL);
-  assert_true (procs_wait (&r->procs, LIMIT, cut_runs, r));
+  assert_true (procs_wait (&r->procs, LIMIT, request_has_begun, r));
   procs_signal (&r->procs, r->nodes[r->owner], SIGKILL);
   assert_int_equal (procs_wait_exit (&r->procs, r->nodes[r->owner], LIMIT),
                     128 + SIGKILL);
   assert_true (procs_wait (&r->procs, LIMIT, none_open, r));
 }
 
-/* The owner is killed while a POST without a key is at the runner. The entry node sees
- * its connection to the owner close and tells the caller "unknown"; it ran once. */
+/* The owner is killed while a runner runs a POST without a key. The entry node's
+ * connection to the owner closes, and the caller is told "unknown"; the request ran once.
+ */
 static void
 test_owner_killed_under_post (void **state)
 {
   Rig *r = *state;
-  kill_owner_under (r, "POST");
+  kill_owner_during (r, "POST");
   assert_int_equal (r->answer.end, KQ_HTTP_DONE);
   assert_string_equal (r->answer.ran, "unknown");
   assert_true (procs_wait (&r->procs, LIMIT, serves, r));
   assert_int_equal (runs_of (r, "cut"), 1);
 }
 
-/* The same with a GET, which may run again: the entry node's retry answers it through
- * the successor, or refuses it; the caller never gets a cut answer. */
+/* The same with a GET, which may run again: the entry node retries it at the new owner
+ * and answers or refuses it; the caller never gets a truncated answer. */
 static void
 test_owner_killed_under_get (void **state)
 {
   Rig *r = *state;
-  kill_owner_under (r, "GET");
+  kill_owner_during (r, "GET");
   assert_int_equal (r->answer.end, KQ_HTTP_DONE);
   if (r->answer.status != 200)
     assert_true (r->answer.ran[0] != '\0');
@@ -397,19 +404,19 @@
 int
 main (void)
 {
-  const struct CMUnitTest whole[] = {
-    cmocka_unit_test_setup (test_runner_hangs, wait_served),
-    cmocka_unit_test_setup (test_runner_hangs_behind_its_effect, wait_served),
-    cmocka_unit_test_setup (test_runner_closes, wait_served),
-    cmocka_unit_test_setup (test_answer_cut, wait_served),
-    cmocka_unit_test_setup (test_answer_lost_and_repeated, wait_served),
-    cmocka_unit_test_setup (test_store_down, wait_served),
+  const struct CMUnitTest shared_rig[] = {
+    cmocka_unit_test_setup (test_runner_hangs, wait_serving),
+    cmocka_unit_test_setup (test_runner_hangs_after_run, wait_serving),
+    cmocka_unit_test_setup (test_runner_closes, wait_serving),
+    cmocka_unit_test_setup (test_answer_cut, wait_serving),
+    cmocka_unit_test_setup (test_answer_lost_and_repeated, wait_serving),
+    cmocka_unit_test_setup (test_store_down, wait_serving),
   };
-  const struct CMUnitTest killed[] = {
+  const struct CMUnitTest own_rig[] = {
     cmocka_unit_test_setup_teardown (test_connection_refused, set_up, tear_down),
     cmocka_unit_test_setup_teardown (test_owner_killed_under_post, set_up, tear_down),
     cmocka_unit_test_setup_teardown (test_owner_killed_under_get, set_up, tear_down),
   };
-  int failed = cmocka_run_group_tests (whole, set_up, tear_down);
-  return failed + cmocka_run_group_tests (killed, NULL, NULL);
+  int failed = cmocka_run_group_tests (shared_rig, set_up, tear_down);
+  return failed + cmocka_run_group_tests (own_rig, NULL, NULL);
 }
--- a/tests/pause_live_test.c
+++ b/tests/pause_live_test.c
@@ -13,7 +13,7 @@
 #define LIMIT (60 * KQ_SEC)
 #define SHARDS 4
 
-/* What a node says of a shard: the epoch under which it is active there; 0: it isn't. */
+/* The shards that a node reports as active: the epoch of each, 0 if it isn't active. */
 typedef struct
 {
   json_int_t epoch[SHARDS];
@@ -23,7 +23,7 @@
 {
   Procs procs;
   int nodes[2];
-  View before; /* of the node that is going to be paused */
+  View before; /* of the node that is paused, before the pause */
 } Rig;
 
 static View
@@ -71,7 +71,7 @@
 }
 
 static bool
-woken_left_old_epochs (Procs *p, void *arg)
+resumed_left_old_epochs (Procs *p, void *arg)
 {
   Rig *r = arg;
   View a = view_of (r, 0);
@@ -82,10 +82,10 @@
   return true;
 }
 
-/* A node's process is stopped by a signal for longer than its lease. The other node takes
- * its shards under higher epochs. The stopped one wakes in the middle of whatever it was
- * doing: it must leave the old epochs, and in the end each shard is active at one node,
- * under an epoch above the old one. */
+/* A node is paused by SIGSTOP for longer than its lease, and the other node takes over
+ * its shards under higher epochs. When the paused node continues, it must give up its old
+ * epochs; at the end each shard is active at one node, under a higher epoch than before.
+ * Guards against a node that continues under an old epoch after a pause. */
 static void
 test_paused_node_leaves_old_epochs (void **state)
 {
@@ -106,9 +106,9 @@
   procs_signal (p, r.nodes[0], SIGSTOP);
   assert_true (procs_wait (p, LIMIT, other_took_all, &r));
   procs_signal (p, r.nodes[0], SIGCONT);
-  assert_true (procs_wait (p, LIMIT, woken_left_old_epochs, &r));
+  assert_true (procs_wait (p, LIMIT, resumed_left_old_epochs, &r));
   assert_true (procs_wait (p, LIMIT, both_own_some, &r));
-  assert_true (woken_left_old_epochs (p, &r));
+  assert_true (resumed_left_old_epochs (p, &r));
   procs_end (p, false);
 }
 
--- a/tests/platform_live_test.c
+++ b/tests/platform_live_test.c
@@ -19,11 +19,11 @@
 
 #include <cmocka.h>
 
-/* The ports of src/port against the stand-ins as processes: the store, two workers
- * in one process, and a relay in front of the store, on ports of the kernel. Waits end
- * by events, bounded by one guard for each. */
+/* The ports of src/port against stand-in processes: the store, two workers in one
+ * process, and a relay in front of the store, on TCP ports that the kernel chooses. Every
+ * wait is for an event and fails after WAIT_MAX_S. */
 
-#define GUARD_S 20
+#define WAIT_MAX_S 20
 
 typedef struct
 {
@@ -36,23 +36,23 @@
   KqLoop *loop;
   KqCounters *counters;
   KqTask receiver;
-  KqHttpClient *client; /* for faults and effects */
+  KqHttpClient *client; /* control requests to the stand-ins */
   KqStorePort *store;   /* through the relay */
   KqWorkerPort *workers;
   Process processes[3];
   int store_port;
   int worker_port;
   int control_port;
-  KqMail *reply; /* the last */
-  int awaited;
-  KqBuf page;
-  bool page_done;
+  KqMail *reply; /* the last one received */
+  int awaited;   /* replies still to come */
+  KqBuf body;    /* of the last control request's answer */
+  bool body_done;
 } Rig;
 
 static void
 run (Rig *g)
 {
-  guard_run (g->loop, GUARD_S);
+  guard_run (g->loop, WAIT_MAX_S);
 }
 
 static void
@@ -67,7 +67,7 @@
 }
 
 static void
-send_out (Rig *g, KqTask *to, KqOutbox *o)
+send_outbox (Rig *g, KqTask *to, KqOutbox *o)
 {
   KqOut item;
   kq_mail_free (g->reply);
@@ -86,7 +86,7 @@
   return &g->reply->u.store_reply;
 }
 
-/* The last of `times` answers to as many calls at once. */
+/* Sends the call `times` times at once; returns the last reply. */
 static const KqStoreReply *
 store_times (Rig *g, KqStoreOp op, int times)
 {
@@ -94,7 +94,7 @@
   kq_outbox_init (&o);
   for (int i = 0; i < times; i++)
     kq_outbox_store (&o, &op);
-  send_out (g, kq_store_http_task (g->store), &o);
+  send_outbox (g, kq_store_http_task (g->store), &o);
   return last_store_reply (g);
 }
 
@@ -112,45 +112,46 @@
   c.worker = kq_str_hash (kq_str (name));
   c.epoch = 1;
   kq_outbox_worker (&o, &c);
-  send_out (g, kq_worker_http_task (g->workers), &o);
+  send_outbox (g, kq_worker_http_task (g->workers), &o);
   run (g);
   assert_non_null (g->reply);
   return &g->reply->u.worker_reply;
 }
 
 static void
-page_data (void *arg, KqHttpCall *c, KqStr chunk)
+on_body_data (void *arg, KqHttpCall *c, KqStr chunk)
 {
   Rig *g = arg;
   (void)c;
-  kq_buf_add_str (&g->page, chunk);
+  kq_buf_add_str (&g->body, chunk);
 }
 
 static void
-page_done (void *arg, KqHttpCall *c, KqHttpOutcome end)
+on_body_done (void *arg, KqHttpCall *c, KqHttpOutcome end)
 {
   Rig *g = arg;
   (void)c;
-  g->page_done = end == KQ_HTTP_DONE;
+  g->body_done = end == KQ_HTTP_DONE;
   kq_loop_stop (g->loop);
 }
 
-/* Posts the text, or gets the page when there is none. */
+/* Sends a control request to a stand-in: POST with the text, or GET if it is NULL.
+ * Returns the body of the answer, valid until the next call. */
 static const char *
-page (Rig *g, int port, const char *path, const char *text)
+control (Rig *g, int port, const char *path, const char *text)
 {
-  KqHttpCallback cb = { .arg = g, .data = page_data, .done = page_done };
+  KqHttpCallback cb = { .arg = g, .data = on_body_data, .done = on_body_done };
   char url[128];
   KqHttpRequest r = { .method = text != NULL ? "POST" : "GET", .body = kq_str (text) };
   snprintf (url, sizeof url, "http://127.0.0.1:%d%s", port, path);
   r.url = url;
   r.fresh_connection = true;
-  g->page_done = false;
-  kq_buf_clear (&g->page);
+  g->body_done = false;
+  kq_buf_clear (&g->body);
   kq_http_call (g->client, &r, &cb);
   run (g);
-  assert_true (g->page_done);
-  return g->page.ptr;
+  assert_true (g->body_done);
+  return g->body.ptr;
 }
 
 static int
@@ -216,7 +217,7 @@
   kq_mail_free (g->reply);
   kq_loop_free (g->loop);
   kq_counters_free (g->counters);
-  kq_buf_free (&g->page);
+  kq_buf_free (&g->body);
   for (int i = 0; i < 3; i++)
     {
       kill (g->processes[i].pid, SIGKILL);
@@ -227,8 +228,8 @@
   return 0;
 }
 
-/* A write takes effect and its answer is lost: the asker hears UNREACHABLE, reads back
- * and finds its own value; repeating the write with the old revision is a conflict. */
+/* A write takes effect and its answer is lost: the caller gets UNREACHABLE and finds its
+ * own value when it reads the key; a repeat with the old revision is a conflict. */
 static void
 test_answer_lost_after_the_effect (void **state)
 {
@@ -237,8 +238,8 @@
       = { .kind = KQ_STORE_PUT, .key = KQ_STR ("own/1"), .value = KQ_STR ("a\0b") };
   KqStoreOp get = { .kind = KQ_STORE_GET, .key = KQ_STR ("own/1") };
   const KqStoreReply *r;
-  page (g, g->store_port, "/v1/fault",
-        "{\"path\":\"/v1/kv/\",\"method\":\"PUT\",\"lose_answer\":1}");
+  control (g, g->store_port, "/v1/fault",
+           "{\"path\":\"/v1/kv/\",\"method\":\"PUT\",\"lose_answer\":1}");
   assert_int_equal (store (g, put)->result, KQ_ERR_STORE_UNREACHABLE);
   r = store (g, get);
   assert_int_equal (r->result, KQ_OK);
@@ -251,8 +252,8 @@
   assert_int_equal (store (g, put)->revision, 2);
 }
 
-/* A key goes with its lease; a watch that waits hears of it, and a silent one ends by
- * its bound. */
+/* A key is removed when its lease expires. A waiting watch reports this, and a watch that
+ * never gets an answer ends by its timeout. */
 static void
 test_lease_lapses_under_a_watch (void **state)
 {
@@ -273,21 +274,21 @@
   op.kind = KQ_STORE_LEASE_RENEW;
   op.lease = lease;
   assert_int_equal (store (g, op)->result, KQ_ERR_STORE_LEASE_LOST);
-  page (g, g->store_port, "/v1/fault", "{\"silent_watch\":true}");
+  control (g, g->store_port, "/v1/fault", "{\"silent_watch\":true}");
   op.kind = KQ_STORE_WATCH;
   op.wait_ms = 10;
   assert_int_equal (store (g, op)->result, KQ_ERR_STORE_UNREACHABLE);
 }
 
-/* The outage begins while a watch waits, and the lease of a key under it lapses: the
- * watch must not bring word of that, or its node would think that the store is back and
- * all its peers, trusting it, would give up their shards. */
+/* An outage begins while a watch waits, and the lease of a watched key expires. The watch
+ * must fail instead of reporting the expired key: its node would conclude that the store
+ * is available again, and its peers, relying on it, would give up their shards. */
 static void
 test_outage_ends_waiting_watches (void **state)
 {
   Rig *g = *state;
   KqStoreOp op = { .kind = KQ_STORE_LEASE_GRANT, .lease_ms = 500 };
-  KqTime until = kq_time_now () + GUARD_S * KQ_SEC;
+  KqTime deadline = kq_time_now () + WAIT_MAX_S * KQ_SEC;
   KqOutbox o;
   op.lease = store (g, op)->lease;
   op.kind = KQ_STORE_PUT;
@@ -297,41 +298,41 @@
   op.wait_ms = 10000;
   kq_outbox_init (&o);
   kq_outbox_store (&o, &op);
-  send_out (g, kq_store_http_task (g->store), &o);
-  while (strstr (page (g, g->store_port, "/v1/counters", NULL), "\"watch\":1") == NULL)
-    assert_true (kq_time_now () < until);
-  page (g, g->store_port, "/v1/fault", "{\"outage\":\"refuse\"}");
+  send_outbox (g, kq_store_http_task (g->store), &o);
+  while (strstr (control (g, g->store_port, "/v1/counters", NULL), "\"watch\":1") == NULL)
+    assert_true (kq_time_now () < deadline);
+  control (g, g->store_port, "/v1/fault", "{\"outage\":\"refuse\"}");
   assert_int_equal (last_store_reply (g)->result, KQ_ERR_STORE_UNREACHABLE);
 }
 
-/* What stands between loses track of the open connections: the call on a pooled one ends
- * by its timeout, and the next, on a fresh one, succeeds at once though the pooled ones
- * are still silent. */
+/* A middlebox drops the state of the open connections without closing them: a call on a
+ * pooled connection ends by its timeout, and the next one succeeds at once on a new
+ * connection although the other pooled ones are still silent. */
 static void
 test_pooled_connections_go_silent (void **state)
 {
   Rig *g = *state;
   KqStoreOp get = { .kind = KQ_STORE_GET, .key = KQ_STR ("x") };
   assert_int_equal (store_times (g, get, 4)->result, KQ_ERR_STORE_NOT_FOUND);
-  page (g, g->control_port, "/v1/relay", "{\"stall\":\"open\"}");
+  control (g, g->control_port, "/v1/relay", "{\"stall\":\"open\"}");
   assert_int_equal (store (g, get)->result, KQ_ERR_STORE_UNREACHABLE);
   assert_int_equal (store (g, get)->result, KQ_ERR_STORE_NOT_FOUND);
-  page (g, g->control_port, "/v1/relay", "{\"stall\":\"all\",\"direction\":\"down\"}");
+  control (g, g->control_port, "/v1/relay", "{\"stall\":\"all\",\"direction\":\"down\"}");
   assert_int_equal (store (g, get)->result, KQ_ERR_STORE_UNREACHABLE);
-  page (g, g->control_port, "/v1/relay", "{\"refuse\":true}");
+  control (g, g->control_port, "/v1/relay", "{\"refuse\":true}");
   assert_int_equal (store (g, get)->result, KQ_ERR_STORE_UNREACHABLE);
-  page (g, g->control_port, "/v1/relay", "{}");
+  control (g, g->control_port, "/v1/relay", "{}");
   assert_int_equal (store (g, get)->result, KQ_ERR_STORE_NOT_FOUND);
 }
 
-/* Asks the store until both workers are on the list, and tells the workers' task. */
+/* Reads the host list until both workers are on it, and sends it to the worker port. */
 static void
 learn_hosts (Rig *g)
 {
   KqMail *m = kq_mail_new (KQ_MAIL_HOSTS);
   KqStoreOp op = { .kind = KQ_STORE_HOSTS, .key = KQ_STR ("d1") };
-  KqTime until = kq_time_now () + GUARD_S * KQ_SEC;
-  while (m->u.hosts.n_hosts < 2 && kq_time_now () < until)
+  KqTime deadline = kq_time_now () + WAIT_MAX_S * KQ_SEC;
+  while (m->u.hosts.n_hosts < 2 && kq_time_now () < deadline)
     {
       kq_hosts_free (&m->u.hosts);
       assert_int_equal (kq_hosts_parse (store (g, op)->value, &m->u.hosts), KQ_OK);
@@ -352,9 +353,9 @@
   return r->stamp;
 }
 
-/* A job starts on one worker, is evicted by checkpoint and goes on on the other; a
- * worker that accepts and says nothing is answered for and comes back. Judged from
- * outside: the job ran twice in all, never in two places at once. */
+/* A job starts on one worker, is evicted with a checkpoint and continues on the other. A
+ * worker that accepts a call without answering gives UNREACHABLE and can be used again
+ * afterwards. The workers' counts must show two starts and never two runs at once. */
 static void
 test_job_moves_between_workers (void **state)
 {
@@ -375,11 +376,12 @@
   assert_true (c.checkpoint.len > 0);
   c.kind = KQ_WORKER_START;
   c.task.attempt = 3;
-  page (g, g->worker_port, "/v1/fault", "{\"path\":\"/w/w2/\",\"accept_and_hang\":true}");
+  control (g, g->worker_port, "/v1/fault",
+           "{\"path\":\"/w/w2/\",\"accept_and_hang\":true}");
   assert_int_equal (worker (g, "w2", c)->result, KQ_ERR_WORKER_UNREACHABLE);
-  page (g, g->worker_port, "/v1/fault", "{\"clear\":true}");
+  control (g, g->worker_port, "/v1/fault", "{\"clear\":true}");
   assert_int_equal (worker (g, "w2", c)->result, KQ_OK);
-  assert_non_null (strstr (page (g, g->worker_port, "/v1/effects", NULL),
+  assert_non_null (strstr (control (g, g->worker_port, "/v1/effects", NULL),
                            "\"77\":{\"starts\":2,\"running\":1,"
                            "\"max_running_at_once\":1,\"finished\":0}"));
 }
--- a/tests/request_live_test.c
+++ b/tests/request_live_test.c
@@ -9,8 +9,8 @@
 
 #include <cmocka.h>
 
-/* One kumquatd, which is entry node and only owner, and stand-in runners that lose
- * answers. */
+/* One kumquatd, which is the entry node and the only owner, and stand-in runners whose
+ * answers are lost. */
 
 #define LIMIT (30 * KQ_SEC)
 
@@ -65,9 +65,9 @@
   return 0;
 }
 
-/* A runner answers and the answer is lost on the way. The request is idempotent, so the
- * entry node tries again, and there is no other owner: the same one sends it to another
- * runner, once, and counts it. The caller sees a whole answer. */
+/* A runner's answer is lost. The request is idempotent, so the entry node retries it. As
+ * there is no other owner, the same one sends it to another runner, once, and counts the
+ * retry. The caller gets a complete answer. */
 static void
 test_retry_at_the_only_owner (void **state)
 {
@@ -84,10 +84,10 @@
   kq_buf_free (&a.body);
 }
 
-/* The owner has learned how long such requests take. The first try runs for most of the
- * deadline and its answer is lost; the second try is
- * refused at the owner's door, because what is left of the deadline is too short. That
- * refusal is "not run" of the second try only: the caller must be told "unknown". */
+/* The owner has learned how long such requests take. The first attempt runs for most of
+ * the deadline and its answer is lost. The owner refuses the second attempt, as the rest
+ * of the deadline is too short. Only the second attempt was "not run", so the caller must
+ * be told "unknown". */
 static void
 test_refused_retry_is_not_not_run (void **state)
 {
--- a/tests/rollout_live_test.c
+++ b/tests/rollout_live_test.c
@@ -12,8 +12,8 @@
 
 #include <cmocka.h>
 
-/* A roll-out: five real nodes in two regions are stopped as planned and replaced, one
- * after the other, while requests and jobs run and the table changes. */
+/* A rolling replacement: five real nodes in two regions are stopped by SIGTERM and
+ * replaced, one after the other, while requests and jobs run and the table changes. */
 
 #define LIMIT (40 * KQ_SEC)
 #define NODES 5
@@ -31,14 +31,14 @@
   Procs procs;
   int workers[2];
   int nodes[NODES];
-  int stopping; /* the node the balancer has taken out; -1: none */
+  int stopping; /* the node that gets no requests while it is replaced; -1: none */
   ev_timer load;
   int sent;
   int open;
   int answered;
   int refused;
   int unknown;
-  int cut;
+  int interrupted;
   int n_posts;
   char jobs[JOBS_MAX][24];
   int n_jobs;
@@ -59,7 +59,7 @@
   if (a->end == KQ_HTTP_NOT_SENT || strcmp (a->ran, "no") == 0)
     r->refused++;
   else if (a->end != KQ_HTTP_DONE)
-    r->cut++;
+    r->interrupted++;
   else if (strcmp (a->ran, "unknown") == 0)
     r->unknown++;
   else
@@ -78,7 +78,8 @@
   json_decref (o);
 }
 
-/* As a balancer would: any node but the one that said it is not ready. */
+/* Round robin over the nodes, without the one being replaced, as a load balancer would
+ * choose that checks readiness. */
 static int
 next_node (const Rig *r)
 {
@@ -153,7 +154,7 @@
   assert_true (procs_wait_serve (p, LIMIT, "/s/seal/ready"));
 }
 
-/* Changes one row through some node; the revision it stands in. */
+/* Changes a row through the node; returns the table revision with the change. */
 static json_int_t
 change_table (Rig *r, int node, int weight)
 {
@@ -217,7 +218,7 @@
   return true;
 }
 
-/* How often any request under a key ran, over both worker processes. */
+/* The highest number of runs of one keyed request, summed over both worker processes. */
 static int
 most_runs (Rig *r)
 {
@@ -251,11 +252,12 @@
     }
 }
 
-/* Every node is stopped by TERM in turn and replaced under its name while requests with
- * and without keys and jobs go on, and each time a row is changed through a node that was
- * replaced before. No answer is cut and none is unknown, every process ends with 0, no
- * key runs twice, every accepted job finishes, and no change reverts though no process
- * that took part in the first ones is left at the end. */
+/* Every node in turn is stopped by SIGTERM and started again under its name while jobs
+ * and requests with and without keys run; before each replacement a row is changed
+ * through another node, the one replaced last. No answer is truncated or unknown, every
+ * process exits with 0, no key runs twice and every accepted job finishes. No table
+ * change is lost, although no process that took part in the first one is left at the end.
+ */
 static void
 test_every_node_replaced_under_load (void **state)
 {
@@ -275,9 +277,10 @@
     }
   ev_timer_stop (kq_loop_ev (r.procs.loop), &r.load);
   assert_true (procs_wait (&r.procs, LIMIT, none_open, &r));
-  print_message ("sent %d: answered %d, refused %d, unknown %d, cut %d; jobs %d\n",
-                 r.sent, r.answered, r.refused, r.unknown, r.cut, r.n_jobs);
-  assert_int_equal (r.cut, 0);
+  print_message (
+      "sent %d: answered %d, refused %d, unknown %d, interrupted %d; jobs %d\n", r.sent,
+      r.answered, r.refused, r.unknown, r.interrupted, r.n_jobs);
+  assert_int_equal (r.interrupted, 0);
   assert_int_equal (r.unknown, 0);
   assert_true (r.answered > r.sent / 2);
   assert_int_equal (most_runs (&r), 1);
--- a/tests/settings_live_test.c
+++ b/tests/settings_live_test.c
@@ -8,7 +8,7 @@
 
 #include <cmocka.h>
 
-/* The store's port leads nowhere: only the settings matter here. */
+/* Nothing listens at the store's address; this test needs no store. */
 static void
 write_settings (const char *path, const char *level)
 {
@@ -24,9 +24,9 @@
   fclose (f);
 }
 
-/* The platform changes a node's settings file and sends no signal. The node went on with
- * what it had read at its start; now it reads the file again within seconds. A file with
- * faults leaves what is in force as it is. */
+/* The platform changes a node's settings file without sending a signal. Guards against a
+ * node that keeps the settings of its start: it must reload the file within seconds. A
+ * file with errors leaves the settings in force unchanged. */
 static void
 test_file_that_changes_without_a_signal (void **state)
 {
--- a/tests/soak_test.c
+++ b/tests/soak_test.c
@@ -12,9 +12,9 @@
 #define SEEDS 6
 #define STEPS 60000
 
-/* Short randomised runs of five nodes. A caller whose number was acknowledged finds it
- * at every later owner, one that took its number back never does, whatever fails in
- * between. Long runs: make soak. */
+/* Short randomised runs of five nodes under faults. Every later owner of a shard must
+ * have each number that was acknowledged to a client, and none that the client withdrew.
+ * Long runs: make soak. */
 static void
 test_short_runs (void **state)
 {
@@ -27,7 +27,7 @@
     }
 }
 
-/* A seed that failed must fail again in the same way. */
+/* A run is reproducible from its seed, so that a failure can be replayed. */
 static void
 test_same_seed_same_trace (void **state)
 {
@@ -39,9 +39,9 @@
   assert_true (a.trace != c.trace);
 }
 
-/* The store is away for longer than a lease; the nodes hear each other. Each shard keeps
- * its owner, so the workers' leases go on being renewed and running tasks aren't stopped
- * although nothing can be committed. */
+/* The store is unavailable for longer than a lease while the nodes reach each other. Each
+ * shard keeps its owner, so that workers' leases are renewed and running tasks aren't
+ * stopped, although nothing can be committed. */
 static void
 test_outage_keeps_owners (void **state)
 {
@@ -67,8 +67,8 @@
   kq_fleet_free (f);
 }
 
-/* One node is cut off from the store and hears its peers, which reach it. It is the one
- * that is cut off: it must stop when its lease lapses, and others take over. */
+/* One node can't reach the store but hears its peers, which can. It must give up its
+ * shards when its lease expires, and others take them over. */
 static void
 test_cut_off_node_stops (void **state)
 {
--- a/tests/whole_test.c
+++ b/tests/whole_test.c
@@ -13,8 +13,9 @@
 #define SEEDS 12
 #define STEPS 40000
 
-/* Whole nodes under every kind of fault, together and twice: no job in two places, no key
- * run twice, no table back, and at the end every acknowledged job known and ended. */
+/* Simulated runs of whole node cores under combinations of all faults: no job runs in two
+ * places at once, no idempotency key runs twice, no table revision goes back, and at the
+ * end every acknowledged job is known and has ended. */
 static void
 test_seeded_runs (void **state)
 {
@@ -31,7 +32,7 @@
     }
 }
 
-/* A seed that shows a fault is of use only if it shows it again. */
+/* A run is reproducible from its seed, so that a failure can be replayed. */
 static void
 test_a_seed_replays (void **state)
 {
