--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -1,13 +1,13 @@
 #!/usr/bin/env python3
-"""Switches the scheduler's mechanisms off, one by one, and tells what each is worth.
+"""Measures the scheduler's worth without each of its mechanisms, disabled one at a time.
 
 ablation.py play OUT --site FILE --days NAME[,NAME] --seeds A[-B] [--only NAME[,NAME]]
-ablation.py table OUT...         each folder: the mean loss without each mechanism
-ablation.py check                whether the list still fits the source
+ablation.py table OUT...         for each folder: the mean loss without each mechanism
+ablation.py check                verifies that each edit still applies to the source
 
-Each mechanism is a change of one place in the source. It is made in a copy of the tree,
-days are played there by worth.py, with the same seeds as the tree as it is ("all"). A place
-that isn't found exactly once is an error: the list must follow the code.
+A mechanism is disabled by one edit of the source in a copy of the tree. worth.py plays the
+same days with the same seeds in the copy and in the unchanged tree ("all"). An edit whose
+old text doesn't occur exactly once in its file is an error.
 """
 
 import argparse
@@ -18,7 +18,7 @@
 
 import worth
 
-# Name, file, text, and the text that switches it off.
+# Name, file, old text, and the new text that disables the mechanism.
 MECHANISMS = [
     ("harm learned", "src/sched/disturb.c", "  m->bound[filling] = v > 0 ? v : 0;",
      "  m->bound[filling] = 0 * v;"),
@@ -85,7 +85,7 @@
 ]
 
 
-def read_place(tree, path, old):
+def read_source(tree, path, old):
     with open(os.path.join(tree, path), encoding="utf-8") as f:
         text = f.read()
     if text.count(old) != 1:
@@ -94,12 +94,12 @@
 
 
 def edit(tree, path, old, new):
-    text = read_place(tree, path, old)
+    text = read_source(tree, path, old)
     with open(os.path.join(tree, path), "w", encoding="utf-8") as f:
         f.write(text.replace(old, new))
 
 
-def folder_of(out, name):
+def result_folder(out, name):
     return os.path.join(out, name.replace(" ", "-").replace("'", ""))
 
 
@@ -108,7 +108,7 @@
     base = os.path.abspath(args.base)
     tree = os.path.join(base, "tree")
     for name, path, old, new in [("all", None, None, None)] + MECHANISMS:
-        out = folder_of(args.out, name)
+        out = result_folder(args.out, name)
         if (wanted and name not in wanted + ["all"]) or os.path.isdir(out):
             continue
         shutil.rmtree(tree, ignore_errors=True)
@@ -121,25 +121,26 @@
             base=os.path.join(base, "copies"), why=f"ablation: without {name}"))
 
 
-def row(name, full, without):
-    pairs = [(full[k]["G"], without[k]["G"]) for k in full if k in without]
+def row(name, baseline, without):
+    pairs = [(baseline[k]["G"], without[k]["G"]) for k in baseline if k in without]
     loss = [a - b for a, b in pairs]
     broken = worth.broken_days(without.values())
-    sure = abs(worth.mean(loss)) > 2 * worth.error(loss)
-    return (f"| {name} | {worth.mean(loss):+.4f} | {worth.error(loss):.4f} | "
-            f"{'yes' if sure else 'no'} | {broken} |")
+    significant = abs(worth.mean(loss)) > 2 * worth.standard_error(loss)
+    return (f"| {name} | {worth.mean(loss):+.4f} | {worth.standard_error(loss):.4f} | "
+            f"{'yes' if significant else 'no'} | {broken} |")
 
 
 def table(folder):
-    full = worth.load(folder_of(folder, "all"))
-    broken = worth.broken_days(full.values())
-    print(f"{folder}: {len(full)} days, worth {worth.mean(r['G'] for r in full.values()):.4f}, "
+    baseline = worth.load(result_folder(folder, "all"))
+    broken = worth.broken_days(baseline.values())
+    print(f"{folder}: {len(baseline)} days, "
+          f"worth {worth.mean(r['G'] for r in baseline.values()):.4f}, "
           f"rules broken on {broken}\n")
     print("| without | loss of worth | standard error | beyond two errors | rules broken on |")
     print("| --- | --- | --- | --- | --- |")
     for name, *_ in MECHANISMS:
-        if os.path.isdir(folder_of(folder, name)):
-            print(row(name, full, worth.load(folder_of(folder, name))))
+        if os.path.isdir(result_folder(folder, name)):
+            print(row(name, baseline, worth.load(result_folder(folder, name))))
 
 
 def main():
@@ -160,7 +161,7 @@
     args = parser.parse_args()
     if args.verb == "check":
         for _, path, old, _ in MECHANISMS:
-            read_place(".", path, old)
+            read_source(".", path, old)
     elif args.verb == "play":
         play(args)
     else:
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -1,15 +1,15 @@
 #!/usr/bin/env python3
-"""Rewrites the tables between markers in docs/CAPACITY.md from sweeps of a fleet's size.
+"""Updates the tables between markers in docs/CAPACITY.md from sweeps over the fleet size.
 
-capacity.py          rewrites the page
-capacity.py --check  fails when the page is not what the figures give
+capacity.py          updates the page
+capacity.py --check  fails if the page differs from the generated tables
 capacity.py take NAME FILE
-                     keeps the figures of a sweep's output as docs/sweeps/NAME.txt
+                     saves the figures of a sweep's output as docs/sweeps/NAME.txt
 
-A sweep plays one day at several sizes of a fleet and prints, for each role, the middle
-and the busiest process. Nothing measured stands in this file: only the target, and how a
-figure is carried on to a size that wasn't played: as the power of the number of hosts to
-which it grew over the sizes played, held between 0 and 2.
+A sweep plays one day at several fleet sizes and prints, for each role, the middle and the
+busiest process. This file holds no measured values, only the target and the extrapolation:
+a figure grows as a power of the number of hosts, with the exponent taken from the smallest
+and the largest size played and limited to 0..2.
 """
 
 import os
@@ -19,14 +19,15 @@
 PAGE = "docs/CAPACITY.md"
 FOLDER = "docs/sweeps"
 
-# The target.
+# Target size and limits for each process.
 WORKERS = 4100
 LIMITS = {
     "entry: processor %": 1.9,
     "entry: memory MB": 128.0,
     "entry: kB a second": 20.0,
 }
-KEPT = re.compile(r"^(day |sweep-\d+ +\d|entry: |config |leaving |next ack |serving |middle / | {20,}\d)")
+# Lines of a sweep's output that are saved.
+KEPT_LINES = re.compile(r"^(day |sweep-\d+ +\d|entry: |config |leaving |next ack |serving |middle / | {20,}\d)")
 
 
 class Sweep:
@@ -35,9 +36,9 @@
         self.rows = []  # name, [(middle, busiest)]
         with open(path, encoding="utf-8") as f:
             for line in f:
-                self.take(line.rstrip("\n"))
+                self.parse_line(line.rstrip("\n"))
 
-    def take(self, line):
+    def parse_line(self, line):
         m = re.match(r"sweep-\d+\s+(\d+)/(\d+)\s+\S+\s+(\S+)\s+\S+\s+(\S+)\s+(\S+)", line)
         if m:
             broken = "BROKEN" in line
@@ -50,8 +51,8 @@
                 self.rows.append((m[1], [(float(a), float(b)) for a, b in pairs]))
 
 
-def power(sizes, values):
-    """Of growth between the smallest and the largest size."""
+def growth_exponent(sizes, values):
+    """Exponent of growth from the smallest to the largest size, limited to 0..2."""
     import math
     if values[0] <= 0 or values[-1] <= 0:
         return 0.0
@@ -59,7 +60,7 @@
     return max(0.0, min(2.0, p))
 
 
-def number(v):
+def format_number(v):
     return f"{v:.0f}" if v >= 100 else f"{v:.1f}" if v >= 10 else f"{v:.2f}"
 
 
@@ -75,23 +76,23 @@
 def roles_table(sweep):
     hosts = [d[0] for d in sweep.days]
     runners = [d[1] for d in sweep.days]
-    at = WORKERS * hosts[-1] / runners[-1]
+    target_hosts = WORKERS * hosts[-1] / runners[-1]
     head = [f"{h} hosts" for h in hosts]
     out = [f"| middle / busiest | {' | '.join(head)} | busiest grows as | "
            f"busiest at {WORKERS} runners | limit | |",
            "| --- |" + " --- |" * (len(head) + 4)]
     for name, pairs in sweep.rows:
-        p = power(hosts, [b for _, b in pairs])
-        value = pairs[-1][1] * (at / hosts[-1]) ** p
+        p = growth_exponent(hosts, [b for _, b in pairs])
+        value = pairs[-1][1] * (target_hosts / hosts[-1]) ** p
         limit = LIMITS.get(name)
-        cells = [f"{number(a)} / {number(b)}" for a, b in pairs]
+        cells = [f"{format_number(a)} / {format_number(b)}" for a, b in pairs]
         verdict = "" if limit is None else "ok" if value <= limit else "not reached"
-        out.append(f"| {name} | {' | '.join(cells)} | hosts^{p:.2f} | {number(value)} | "
-                   f"{'' if limit is None else number(limit)} | {verdict} |")
+        out.append(f"| {name} | {' | '.join(cells)} | hosts^{p:.2f} | {format_number(value)} | "
+                   f"{'' if limit is None else format_number(limit)} | {verdict} |")
     return out
 
 
-def fill(text):
+def fill_tables(text):
     for name in sorted(os.listdir(FOLDER)):
         sweep = Sweep(os.path.join(FOLDER, name))
         for part, table in (("days", days_table), ("roles", roles_table)):
@@ -104,9 +105,9 @@
     return text
 
 
-def take(name, path):
+def save_figures(name, path):
     with open(path, encoding="utf-8") as f:
-        lines = [line.rstrip() for line in f if KEPT.match(line)]
+        lines = [line.rstrip() for line in f if KEPT_LINES.match(line)]
     os.makedirs(FOLDER, exist_ok=True)
     with open(os.path.join(FOLDER, name + ".txt"), "w", encoding="utf-8") as f:
         f.write("\n".join(lines) + "\n")
@@ -114,11 +115,11 @@
 
 def main():
     if sys.argv[1:2] == ["take"]:
-        take(sys.argv[2], sys.argv[3])
+        save_figures(sys.argv[2], sys.argv[3])
         return
     with open(PAGE, encoding="utf-8") as f:
         page = f.read()
-    text = fill(page)
+    text = fill_tables(page)
     if sys.argv[1:] == ["--check"]:
         if text != page:
             sys.exit(f"{PAGE} is not what {FOLDER} gives: run tools/capacity.py")
--- a/tools/check-names.sh
+++ b/tools/check-names.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# check-names.sh: every test, source file, page and counter that the pages name must be
-# there, so that a page doesn't outlive what it tells of.
+# check-names.sh: fails if a page names a test, source file, page or counter that doesn't
+# exist, so that pages follow renames and removals.
 set -u
 cd "$(dirname "$0")/.."
-bad=0
+failed=0
 missing () {
   echo "pages: $1 names $2, which is not there"
-  bad=1
+  failed=1
 }
 for page in README.md docs/*.md docs/design/*.md; do
   for t in $(grep -oE '\btest_[a-z_]+[a-z]\b' "$page" | sort -u); do
@@ -22,4 +22,4 @@
     grep -qw "$c" docs/METRICS.md || missing "$page" "$c"
   done
 done
-exit $bad
+exit $failed
--- a/tools/check-platform.sh
+++ b/tools/check-platform.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# check-platform.sh: the users' platform's own names may stand in platform/, deploy/ and
-# the stand-ins and tests that speak its protocol, and nowhere else.
+# check-platform.sh: fails if names of the deployment platform's protocol occur outside
+# platform/, deploy/, the stand-ins and the tests.
 set -u
 cd "$(dirname "$0")/.."
 names='run-start|run-stop|kv-txn|kv-range|kv-watch|kv-keep|kv-lease-end|machine-upkeep'
--- a/tools/faults-live.sh
+++ b/tools/faults-live.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Runs every case of bench/faults_live, four at a time (each has processes and ports of its
-# own), and prints one row per fault and the count. Exits non-zero when a case could not be
-# measured; a failed case is reported, not hidden.
+# faults-live.sh PROGRAM: runs every case of bench/faults_live, four at a time (each has its
+# own processes and ports), and prints one row per fault and the numbers of passed and failed
+# cases. Exits non-zero only if a case could not be measured.
 set -u
 prog=$1
 dir=$(mktemp -d)
--- a/tools/fuzz.sh
+++ b/tools/fuzz.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # fuzz.sh FOLDER SECONDS NAME...: runs the fuzzers one after the other, SECONDS each, from
-# the committed corpus; new inputs go to FOLDER/found/NAME, those that break a reader to
-# FOLDER/broke. One line each; fails when anything broke.
+# the committed corpus. Inputs that cover new code go to FOLDER/found/NAME, failing inputs to
+# FOLDER/broke. Prints one line for each fuzzer and exits non-zero if any input failed.
 set -u
 folder=$1
 seconds=$2
--- a/tools/metrics.sh
+++ b/tools/metrics.sh
@@ -1,24 +1,25 @@
 #!/usr/bin/env bash
-# metrics.sh: prints docs/METRICS.md. The table comes from the calls of kq_counter in src,
-# the meters' names from src/port/meter.c, the reasons from docs/RESULTS.md.
+# metrics.sh: prints docs/METRICS.md. Counters and histograms are read from the calls of
+# kq_counter and kq_histogram in src, metrics of the ports from src/port/meter.c, refusal and
+# retry reasons from docs/RESULTS.md.
 set -eu
 export LC_ALL=C
 cd "$(dirname "$0")/.."
 
-# One line for each kq_counter call whose name is a literal: name|labels|help|file. Labels
-# that aren't a literal are shown as "`peers`". A call of another form stops the script.
-own () {
+# Prints name|labels|help|file for each kq_counter call whose name is a literal. Labels that
+# aren't a literal are shown as "`peers`" in the page. A call of another form is an error.
+counters () {
   for f in $(ls src/*/*.c | grep -v -e _test.c -e base/counter.c -e base/histogram.c -e port/meter.c); do
     tr '\n' ' ' <"$f" | sed 's/  */ /g' | grep -o 'kq_counter ([^;]*;' \
       | sed -E "s|^kq_counter \([^,]*, \"([a-z_]+)\", (\"([^\"]*)\"\|[a-z_]+), \"([^\"]*)\"\);|\1\|\2\|\4\|$f|" || true
   done | sort
 }
-if own | grep 'kq_counter (' >&2; then
+if counters | grep 'kq_counter (' >&2; then
   echo "metrics.sh: a call it can't read" >&2
   exit 1
 fi
 
-# Histograms: name|help|file.
+# Prints name|help|file for each kq_histogram call.
 histograms () {
   for f in $(ls src/*/*.c | grep -v -e _test.c -e base/histogram.c); do
     tr '\n' ' ' <"$f" | sed 's/  */ /g' | grep -o 'kq_histogram ([^;]*;' \
@@ -26,7 +27,7 @@
   done | sort
 }
 
-# The meters: one set for each port, with the labels that meter.c writes.
+# Prints name|label|help for each counter of meter.c; every port has one set of them.
 meters () {
   tr '\n' ' ' <src/port/meter.c | sed 's/  */ /g' | grep -o 'counter (m, "[^;]*;' \
     | sed -nE 's|^counter \(m, "([a-z_]+)", ("([a-z]+)"\|NULL), [^"]*("[^"]*", )?"([^"]*)"\);|\1\|\3\|\5|p' \
@@ -46,7 +47,7 @@
 | name | labels | meaning | file |
 | --- | --- | --- | --- |
 TEXT
-own | awk -F'|' '{l = $2 == "\"\"" ? "" : $2 ~ /^"/ ? "`" $2 "`" : "`peers`"; printf "| `%s` | %s | %s | %s |\n", $1, l, $3, $4}'
+counters | awk -F'|' '{l = $2 == "\"\"" ? "" : $2 ~ /^"/ ? "`" $2 "`" : "`peers`"; printf "| `%s` | %s | %s | %s |\n", $1, l, $3, $4}'
 histograms | awk -F'|' '{printf "| `%s_bucket`, `%s_sum` | `le` | %s | %s |\n", $1, $1, $2, $3}'
 meters | awk -F'|' '{for (i = 0; i < 2; i++) printf "| `kq_%s_%s` | `kind`%s | %s | src/port/meter.c |\n", i ? "worker" : "store", $1, $2 == "" ? "" : ", `" $2 "`", $3}' | sort
 cat <<'TEXT'
--- a/tools/run-tests.sh
+++ b/tools/run-tests.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Runs the test programs named, eight at a time, shows the output of those that fail,
-# and ends with one line 'N passed, N failed'. A program that crashes or hangs counts
-# as one failure. Tests named in KNOWN-RED.txt are printed and passed over.
+# run-tests.sh PROGRAM...: runs the test programs, eight at a time, prints the output of those
+# that fail, and ends with one line 'N passed, N failed'. A program that crashes or runs for
+# more than 240 s counts as one failure. Failures of programs that KNOWN-RED.txt names are
+# printed and not counted.
 set -u
 dir=$(mktemp -d)
 trap 'rm -rf "$dir"' EXIT
--- a/tools/setup.sh
+++ b/tools/setup.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs the Debian packages the build needs; does nothing when they are there.
+# Installs the Debian packages that the build needs, unless all are installed.
 set -eu
 need="gcc g++ make pkg-config clang clang-format clang-tidy libclang-rt-14-dev
   libev-dev libmsgpack-dev libmicrohttpd-dev libcurl4-openssl-dev libglib2.0-dev
--- a/tools/worth.py
+++ b/tools/worth.py
@@ -1,14 +1,15 @@
 #!/usr/bin/env python3
-"""Plays days of a deployment with several seeds and tells what they earned and lost.
+"""Plays days of a deployment with several seeds and reports worth earned and lost.
 
 worth.py play OUT --site FILE --days NAME[,NAME] --seeds A[-B][,C] [--cpu] [--vary]
                   [--small] [--logs] [--copies N] [--tree DIR]
-worth.py table OUT...            each folder: what was earned, and where the rest was lost
-worth.py compare BEFORE AFTER    the same days and seeds in pairs
+worth.py table OUT...            for each folder: the worth earned, and the losses by cause
+worth.py compare BEFORE AFTER    compares the same days and seeds in pairs
 
-The user's bench is the program that BENCH names. It builds and plays the tree that it is
-started in, one play at a time, so each parallel play gets a copy of the tree (tracked and
-new files, without the journal). Journal entries of the copies are kept in that of the present folder.
+BENCH names the users' program that plays days. It builds and plays the tree it is started
+in, one play at a time, so each parallel play gets its own copy of the tree (tracked and new
+files, without the journal). The copies' journal entries are copied into the journal of the
+current folder.
 """
 
 import argparse
@@ -21,13 +22,12 @@
 import sys
 import threading
 
-# Plays at the same time: one a core, and one core for the machine's other work.
+# Plays at the same time: one on each core but one, which is left for other work.
 COPIES = 5
-# A report whose figure is missing counts as no worth.
 RULES = "rules"
 
 
-def seeds_of(text):
+def parse_seeds(text):
     seeds = []
     for part in text.split(","):
         low, _, high = part.partition("-")
@@ -36,8 +36,8 @@
 
 
 def make_copy(tree, to):
-    """Writes only what differs, so that just that is built again: with the times of the
-    tree's own files an older text than the last one built would count as built."""
+    """Writes only files that differ, so that only these are rebuilt. Times aren't copied from
+    the tree: make would skip a file that is older than the copy's last build."""
     os.makedirs(to, exist_ok=True)
     listed = subprocess.run(
         ["git", "ls-files", "-z", "--cached", "--others", "--exclude-standard",
@@ -52,7 +52,7 @@
                 os.remove(path)
     for name in names:
         copy_file(os.path.join(tree, name), os.path.join(to, name))
-    # The bench asks git which files belong to the tree.
+    # The bench gets the list of the tree's files from git.
     if not os.path.isdir(os.path.join(to, ".git")):
         subprocess.run(["git", "init", "-q"], cwd=to, check=True)
     subprocess.run(["git", "add", "-A", "--", ".", ":!journal"], cwd=to,
@@ -106,7 +106,7 @@
 
 
 def build(copies):
-    """Builds the first copy and gives the others what it made."""
+    """Builds the first copy and copies its build output to the others."""
     done = subprocess.run([os.environ["BENCH"], "build"], cwd=copies[0], check=False,
                           stdout=subprocess.DEVNULL)
     if done.returncode != 0:
@@ -122,7 +122,7 @@
     os.makedirs(args.out, exist_ok=True)
     tasks = queue.Queue()
     for day in args.days.split(","):
-        for seed in seeds_of(args.seeds):
+        for seed in parse_seeds(args.seeds):
             tasks.put((day, seed))
     base = os.path.join(args.tree, "build", "copies") if args.base is None else args.base
     copies = [os.path.join(base, str(i)) for i in range(min(args.copies, tasks.qsize()))]
@@ -149,12 +149,12 @@
     return reports
 
 
-def broken(report):
+def broken_rule(report):
     return report.get("fault") or report.get("first")
 
 
 def broken_days(reports):
-    return sum(bool(broken(r)) for r in reports)
+    return sum(bool(broken_rule(r)) for r in reports)
 
 
 def mean(values):
@@ -162,14 +162,14 @@
     return sum(values) / len(values) if values else float("nan")
 
 
-def error(values):
+def standard_error(values):
     n = len(values)
     m = mean(values)
     return math.sqrt(sum((v - m) ** 2 for v in values) / (n - 1) / n) if n > 1 else 0.0
 
 
 def losses(report):
-    """What is missing to 1, in worth, by part and by price."""
+    """The difference to a worth of 1, by part and by price."""
     rows = {}
     for name, weight, share in report["parts"]:
         rows["part: " + name] = weight * (1 - share)
@@ -180,7 +180,7 @@
 
 
 def over_target(report):
-    """Seconds of serving tasks over target or slowed, and those by what fills beside."""
+    """Seconds that serving tasks were over target or slowed: in all, and due to filling tasks."""
     for hint in report["hints"]:
         if "over their target" in hint:
             words = hint.replace(",", "").split()
@@ -201,17 +201,17 @@
         classes = " ".join("  -  " if c is None else f"{c:.3f}" for c in r["by_class"])
         worths.append(r["G"])
         print(f"{name:24} {r['G']:.3f}  {parts}  {classes} {over_target(r)[1]:6} "
-              f"{broken(r) or ''}")
+              f"{broken_rule(r) or ''}")
         for key, value in losses(r).items():
             total[key] = total.get(key, 0) + value
     n = len(reports)
-    print(f"{folder}: {n} days, worth {mean(worths):.4f} +- {error(worths):.4f}, "
+    print(f"{folder}: {n} days, worth {mean(worths):.4f} +- {standard_error(worths):.4f}, "
           f"rules broken on {broken_days(reports.values())}")
     for key, value in sorted(total.items(), key=lambda kv: -kv[1]):
         print(f"  lost {value / n:.4f}  {key}")
     for i, name in enumerate([c["name"] for c in first["classes"]]):
         values = [r["by_class"][i] for r in reports.values() if r["by_class"][i] is not None]
-        print(f"  class {name}: {mean(values):.3f} +- {error(values):.3f}")
+        print(f"  class {name}: {mean(values):.3f} +- {standard_error(values):.3f}")
     print(f"  over target by what fills: {mean(over_target(r)[1] for r in reports.values()):.0f} s")
 
 
@@ -219,7 +219,7 @@
     old, new = load(before), load(after)
     pairs = [(n, old[n], new[n]) for n in old if n in new]
     def line(what, values):
-        print(f"{what:28} {mean(values):+.4f} +- {error(values):.4f}")
+        print(f"{what:28} {mean(values):+.4f} +- {standard_error(values):.4f}")
     print(f"{after} against {before}: {len(pairs)} pairs, worth "
           f"{mean(o['G'] for _, o, _ in pairs):.4f} -> {mean(n['G'] for _, _, n in pairs):.4f}, "
           f"rules broken on {broken_days(o for _, o, _ in pairs)} -> "
@@ -236,8 +236,8 @@
         line("class " + c["name"], values)
     line("over target by fillers, s", [over_target(n)[1] - over_target(o)[1] for _, o, n in pairs])
     for name, o, n in pairs:
-        if broken(n):
-            print("rule broken:", name, broken(n))
+        if broken_rule(n):
+            print("rule broken:", name, broken_rule(n))
 
 
 def main():
