--- a/Makefile
+++ b/Makefile
@@ -41,7 +41,7 @@
 setup:
 	@tools/setup.sh
 
-# Two builds of the same objects: plain, and under AddressSanitizer and UBSan.
+# Two builds of the same objects: plain, and with AddressSanitizer and UBSan.
 $(BUILD)/o/%.o: %.c
 	@mkdir -p $(@D)
 	@echo "  CC $<"; $(CC) $(CFLAGS) -MMD -MP -c $< -o $@
@@ -62,8 +62,8 @@
 	@rm -f $@
 	@ar rcs $@ $^
 
-# Helpers of benches and tests, as an archive: a test that doesn't use them can put fakes
-# in the place of what they call.
+# Helpers of benches and tests, in an archive of their own: the linker takes only what a test
+# uses, so that a test without them can define fakes of functions that they call.
 $(BUILD)/libbench.a: $(BENCH_C:%.c=$(BUILD)/o/%.o) $(FUZZ_LIB_C:%.c=$(BUILD)/o/%.o)
 	@rm -f $@
 	@ar rcs $@ $^
@@ -78,7 +78,7 @@
 	@echo "  LD $@"; $(CC) -o $@ $^ $(LIBS)
 $(BUILD)/standin-%: $(BUILD)/o/standin/%_main.o $(STANDIN_C:%.c=$(BUILD)/o/%.o) $(BUILD)/libkq.a
 	@echo "  LD $@"; $(CC) -o $@ $^ $(LIBS)
-# The same programs under the sanitizers, for end-to-end tests.
+# The same programs with the sanitizers, for end-to-end tests.
 $(BUILD)/asan/kumquatd: $(BUILD)/asan/o/src/daemon/main.o $(BUILD)/asan/libkq.a
 	@echo "  LD $@"; $(CC) $(SAN) -o $@ $^ $(LIBS)
 $(BUILD)/asan/standin-%: $(BUILD)/asan/o/standin/%_main.o $(STANDIN_C:%.c=$(BUILD)/asan/o/%.o) $(BUILD)/asan/libkq.a
@@ -110,7 +110,7 @@
 format-check:
 	@clang-format --dry-run -Werror $(ALL_C) $(ALL_H)
 
-# A stamp a file, so that only changed files are linted again.
+# One stamp for each file, so that only changed files are linted again.
 $(BUILD)/tidy/%.ok: %.c $(ALL_H) .clang-tidy
 	@mkdir -p $(@D)
 	@clang-tidy --quiet $< -- $(CFLAGS) -DKQ_BUILD_DIR='"build"' -Itests >$(BUILD)/tidy/$(subst /,_,$*).log 2>&1 \
@@ -118,7 +118,7 @@
 	@touch $@
 tidy: $(ALL_C:%.c=$(BUILD)/tidy/%.ok)
 
-# Pages generated from the source must be the committed ones.
+# Compares the pages generated from the source with the committed ones.
 pages-check: $(BUILD)/kumquatctl
 	@$(BUILD)/kumquatctl results --markdown | diff -u docs/RESULTS.md -
 	@tools/metrics.sh | diff -u docs/METRICS.md -
@@ -142,15 +142,17 @@
 
 -include $(shell find $(BUILD) -name '*.d' 2>/dev/null)
 
-# Table and member.
+# Bytes and times of the distributed table and of membership, in simulation (SEED=n).
 .PHONY: bench-table
 bench-table: $(BUILD)/bench/table
 	@$(BUILD)/bench/table $(SEED)
 
-# Slice shard: the journal's store calls, the fault matrix, randomised runs.
+# bench-shard: the store calls of the shards' journals.
 .PHONY: bench-shard
 bench-shard: $(BUILD)/bench/shard
 	@$< $(SEED)
+# matrix: each step under each fault; soak: randomised runs of the shards' owners (SEED, STEPS);
+# bench-handover: time without an owner after a planned stop or a crash.
 .PHONY: matrix soak bench-handover
 matrix: $(BUILD)/bench/matrix
 	@$< $(SEED)
@@ -159,30 +161,32 @@
 bench-handover: $(BUILD)/bench/handover
 	@$< $(SEED)
 
-# platform
+# Processor time and bytes of a node's store calls and lease calls.
 .PHONY: bench-platform bench-faults-live
 bench-platform: $(BUILD)/bench/platform
 	@$<
-# 27 cases, some 10 minutes; CASE=name runs one, KEEP=1 keeps its logs.
+# Requests and jobs on real processes under each fault: 27 cases, one after the other; takes
+# about 10 minutes. CASE=name runs one, KEEP=1 keeps its logs.
 bench-faults-live: $(BUILD)/bench/faults_live all
 	@$<
 
-# request: what callers receive under load, on the real decision modules.
+# Results that callers get under load, from the real decision modules in simulation (SEED=n).
 .PHONY: bench-load
 bench-load: $(BUILD)/bench/load
 	@$(BUILD)/bench/load $(SEED)
 
-# Of the job slice: the decisions under seeded load (SEED=n).
+# Placement decisions for jobs under seeded load, and their cost (SEED=n).
 .PHONY: bench-place
 bench-place: $(BUILD)/bench/place
 	@$(BUILD)/bench/place $(SEED)
 
-# The way through two nodes against the runner alone; 100 MB bodies in bounded memory.
+# Latency added by the path through two nodes, compared with requests sent to the runner
+# directly; memory while bodies of 100 MB pass.
 .PHONY: bench-path
 bench-path: all $(BUILD)/bench/path
 	@$(BUILD)/bench/path $(BUILD)
 
-# Manual pages printed by the program; the committed ones must be the same.
+# Manual pages printed by kumquatctl; man-check compares them with the committed ones.
 .PHONY: man man-check
 man: $(BUILD)/kumquatctl
 	$(BUILD)/kumquatctl reference settings > docs/man/kumquatd.toml.5
@@ -192,8 +196,8 @@
 	@$(BUILD)/kumquatctl reference table | diff -u docs/man/kumquat-table.5 -
 pages-check: man-check
 
-# Fuzzing: every reader of foreign bytes for SECONDS each, under libFuzzer and the
-# sanitizers. New inputs and finds go to build/fuzz; fuzz/corpus stays as committed.
+# Fuzzes every parser of external input for SECONDS, with libFuzzer and the sanitizers. New
+# and failing inputs go to build/fuzz; fuzz/corpus stays as committed.
 FUZZ_SAN = -fsanitize=fuzzer-no-link,address,undefined -fno-sanitize-recover=undefined
 FUZZ_CFLAGS = $(filter-out -Werror,$(CFLAGS)) -O1 $(FUZZ_SAN)
 $(BUILD)/fuzz/o/%.o: %.c
@@ -213,16 +217,17 @@
 	+@$(MAKE) --no-print-directory -j$(JOBS) $(FUZZERS:%=$(BUILD)/fuzz/%)
 	@tools/fuzz.sh $(BUILD)/fuzz $(SECONDS) $(FUZZERS)
 
-# Whole node cores under seeded faults: jobs, claims, moves, table, hand-over.
+# Complete node cores in simulation under seeded faults: jobs, claims, moves, table, handover.
 .PHONY: soak-whole
 soak-whole: $(BUILD)/bench/whole
 	@$< $(SEED) $(STEPS)
 
-# Capacity: the slopes, and the page that is worked out from them.
+# Cost of a node for each peer, worker, task and start; docs/CAPACITY-SHARDS.md is calculated
+# from it.
 .PHONY: bench-slopes
 bench-slopes: all $(BUILD)/bench/slopes
 	@$(BUILD)/bench/slopes $(BUILD) $(SEED)
-# Runs take some 6 minutes; the page and its figures are committed together.
+# Takes about 6 minutes; the page and its figures are committed together.
 .PHONY: capacity capacity-check
 CAPACITY_BENCHES = table shard platform load place
 capacity: all $(BUILD)/bench/slopes $(CAPACITY_BENCHES:%=$(BUILD)/bench/%)
@@ -235,22 +240,21 @@
 	@tools/capacity_shards.py --check
 	@python3 tools/capacity.py --check
 
-# request: the same patterns on real processes, safeguards on and off (SEED=n).
+# The load patterns of bench-load on real processes, with safeguards on and off (SEED=n).
 .PHONY: bench-load-live
 bench-load-live: all $(BUILD)/bench/load_live
 	@$(BUILD)/bench/load_live $(BUILD) $(SEED)
 
 pages-check: capacity-check
 
-# Each fault of the brief on real processes; some three minutes.
+# All cases of bench-faults-live, four at a time; takes about three minutes.
 .PHONY: faults-live
 faults-live: all $(BUILD)/bench/faults_live
 	@tools/faults-live.sh $(BUILD)/bench/faults_live
 
-# The scheduler alone under random faults, on a rig in memory.
 SEEDS ?= 100
-# Days of a user's deployment (SITE: its file; BENCH: the program that plays it), with the
-# seeds DAY_SEEDS: what was earned and lost, and what each mechanism is worth.
+# Days of a user's deployment (SITE: its file; BENCH: the program that plays it) with the
+# seeds DAY_SEEDS: worth earned and lost, and the loss without each mechanism.
 DAYS ?= scale-1,scale-2,trouble-1,trouble-2
 DAY_SEEDS ?= 1-4
 OUT ?= $(BUILD)/worth
@@ -261,23 +265,26 @@
 	@python3 tools/ablation.py play $(OUT) --site $(SITE) --days $(DAYS) --seeds $(DAY_SEEDS)
 	@python3 tools/ablation.py table $(OUT)
 
-# Deployments of docs/REGRESSION.md (SITES: the folder of their files; BENCH: as above).
+# Plays the deployments of docs/REGRESSION.md (SITES: the folder of their files; BENCH: as
+# above).
 .PHONY: regression
 regression:
 	@BENCH=$(BENCH) tools/regression.sh $(SITES)
 
+# The scheduler alone under random faults, with a simulated fleet (SEED, STEPS, SEEDS).
 .PHONY: soak-sched
 soak-sched: $(BUILD)/bench/sched_soak
 	@$< $(SEED) $(if $(filter 200000,$(STEPS)),300,$(STEPS)) $(SEEDS)
 
-# Real processes under random faults from outside (SEED, SEEDS, SECONDS of faults each).
 $(BUILD)/soak: $(BUILD)/o/soak/soak_main.o $(BUILD)/libbench.a $(BUILD)/libkq.a
 	@echo "  LD $@"; $(CC) -o $@ $^ $(LIBS)
-# Runners killed and started again while starts for them wait (SEED, SEEDS, LIVES each).
+# Runner processes are killed and restarted LIVES times in a run, while starts for them are
+# pending (SEED, SEEDS).
 LIVES ?= 500
 .PHONY: lives
 lives: all $(BUILD)/bench/lives
 	@$(BUILD)/bench/lives $(BUILD) $(SEED) $(SEEDS) $(LIVES)
+# Real processes under random faults (SEED, SEEDS, SECONDS of faults in each run).
 .PHONY: soak-live
 soak-live: all $(BUILD)/soak
 	@$(BUILD)/soak $(BUILD) $(SEED) $(SEEDS) $(SECONDS)
