--- a/bench/fleet_faults.c
+++ b/bench/fleet_faults.c
@@ -5,12 +5,13 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Pauses end before or after the lease does: it lapses 6.7 to 10 s after they began. */
+/* The lease expires 6.7 to 10 s after a pause begins, so that pauses of 4 to 16 s end
+ * before or after that. */
 #define PAUSE_MIN (4 * KQ_SEC)
 #define PAUSE_SPREAD (12 * KQ_SEC)
-#define SLOW (700 * KQ_MS) /* below the client's timeout, far above the usual */
+#define SLOW_LATENCY (700 * KQ_MS) /* below the client's timeout, far above normal */
 #define LEASE (10 * KQ_SEC)
-#define LOST_OFTEN 0.2
+#define LOST_PROBABILITY 0.2
 
 KqTime
 kq_fleet_now (const KqFleet *f)
@@ -61,7 +62,7 @@
 static void
 cut_peers (KqFleet *f, int node, bool both)
 {
-  f->cuts = true;
+  f->any_cut = true;
   for (int k = 0; k < KQ_FLEET_NODES; k++)
     {
       f->cut[node][k] = true;
@@ -72,7 +73,7 @@
 static void
 cut_region (KqFleet *f)
 {
-  f->cuts = true;
+  f->any_cut = true;
   KqStoreFaults *s = kq_store_fake_faults (f->store);
   for (int b = REGION_A_NODES; b < KQ_FLEET_NODES; b++)
     {
@@ -98,16 +99,16 @@
       s->down = true;
       break;
     case KQ_FAULT_STORE_SLOW:
-      s->latency = SLOW;
+      s->latency = SLOW_LATENCY;
       break;
     case KQ_FAULT_LOST_AFTER:
-      s->p[KQ_STORE_FAULT_LOST_AFTER] = LOST_OFTEN;
+      s->p[KQ_STORE_FAULT_LOST_AFTER] = LOST_PROBABILITY;
       break;
     case KQ_FAULT_LOST_BEFORE:
-      s->p[KQ_STORE_FAULT_LOST_BEFORE] = LOST_OFTEN;
+      s->p[KQ_STORE_FAULT_LOST_BEFORE] = LOST_PROBABILITY;
       break;
     case KQ_FAULT_LATE_EFFECT:
-      s->p[KQ_STORE_FAULT_LATE_EFFECT] = LOST_OFTEN;
+      s->p[KQ_STORE_FAULT_LATE_EFFECT] = LOST_PROBABILITY;
       break;
     case KQ_FAULT_DIES:
       kq_fleet_stop_node (f, node);
@@ -132,14 +133,13 @@
       cut_region (f);
       break;
     case KQ_FAULT_LEASE_LAPSES:
-      f->lapsed_until = f->now + LEASE;
+      f->lease_lapsed_until = f->now + LEASE;
       if (n->up)
         kq_store_fake_expire_lease (f->store, kq_member_lease (n->member), f->now);
       break;
     }
 }
 
-/* Dead nodes start by themselves, and paused ones wake by themselves. */
 void
 kq_fleet_heal (KqFleet *f)
 {
@@ -150,7 +150,7 @@
   memset (s->p, 0, sizeof s->p);
   memset (s->cut_to, 0, sizeof s->cut_to);
   memset (f->cut, 0, sizeof f->cut);
-  f->cuts = false;
+  f->any_cut = false;
 }
 
 void
@@ -196,7 +196,7 @@
   return true;
 }
 
-/* Reads a shard as a successor would, with the real journal. */
+/* Recovers a shard from the store with the real journal, as a new owner would. */
 static void
 read_shard (KqFleet *f, uint32_t s, KqFleetSet *set)
 {
@@ -206,9 +206,9 @@
   KqRecord r;
   KqStoreReply reply;
   int client;
-  int reader = KQ_FLEET_NODES; /* a client of its own */
+  int reader = KQ_FLEET_NODES; /* a store client that no node uses */
   kq_outbox_init (&out);
-  kq_journal_open (j, f->truth[s].epoch + 1, f->now, &out);
+  kq_journal_open (j, f->expected[s].epoch + 1, f->now, &out);
   while (kq_journal_state (j) == KQ_JOURNAL_RECOVERING
          || kq_journal_state (j) == KQ_JOURNAL_FENCING)
     {
@@ -239,7 +239,7 @@
       int i = kq_fleet_owner (f, s);
       if (i < 0)
         {
-          kq_fleet_violate (f, "no owner at the end", s, -1, 0);
+          kq_fleet_add_violation (f, "no owner at the end", s, -1, 0);
           continue;
         }
       const KqFleetShard *shard = &f->nodes[i].shards[s];
@@ -247,6 +247,6 @@
       KqFleetSet own = shard->set;
       read_shard (f, s, &sets[s]);
       if (all && memcmp (&own, &sets[s], sizeof own) != 0)
-        kq_fleet_violate (f, "state differs from the records", s, i, 0);
+        kq_fleet_add_violation (f, "state differs from the records", s, i, 0);
     }
 }
--- a/bench/fleet_nodes.c
+++ b/bench/fleet_nodes.c
@@ -5,12 +5,12 @@
 #include <string.h>
 
 #define TICK (50 * KQ_MS)
-#define CLIENT_GAP (4 * KQ_MS)
-#define BLIND_OVERLAP (2 * KQ_SEC) /* four heartbeats */
+#define CLIENT_INTERVAL_MEAN (4 * KQ_MS)
+#define OUTAGE_OVERLAP_MAX (2 * KQ_SEC) /* four heartbeat intervals */
 #define WITHDRAW_ONE_IN 16
 #define URGENT_ONE_IN 8
-#define RECORD_ADD 150
-#define RECORD_STATE 151 /* of a snapshot: the whole set */
+#define RECORD_NUMBER 150
+#define RECORD_SET 151 /* in a snapshot: the whole set */
 
 static void
 set_bit (KqFleetSet *b, uint64_t n, bool on)
@@ -26,7 +26,8 @@
 }
 
 void
-kq_fleet_violate (KqFleet *f, const char *what, uint32_t shard, int node, uint64_t number)
+kq_fleet_add_violation (KqFleet *f, const char *what, uint32_t shard, int node,
+                        uint64_t number)
 {
   if (f->violation[0] != '\0')
     return;
@@ -36,7 +37,7 @@
 }
 
 static void
-note (KqFleet *f, uint64_t what)
+add_to_trace (KqFleet *f, uint64_t what)
 {
   f->trace = kq_hash2 (f->trace, kq_hash2 (what, (uint64_t)f->now));
 }
@@ -64,16 +65,17 @@
       kq_msg_free (msg);
       return;
     }
-  if (f->n_flights == f->flights_capacity)
+  if (f->n_in_flight == f->in_flight_capacity)
     {
-      f->flights_capacity = f->flights_capacity > 0 ? f->flights_capacity * 2 : 64;
-      f->flights = kq_realloc (f->flights, f->flights_capacity * sizeof *f->flights);
+      f->in_flight_capacity = f->in_flight_capacity > 0 ? f->in_flight_capacity * 2 : 64;
+      f->in_flight
+          = kq_realloc (f->in_flight, f->in_flight_capacity * sizeof *f->in_flight);
     }
   /* Jitter changes the order of messages. */
   KqTime at = f->now + link_latency (from, to) + (KqTime)kq_rand_below (&f->rand, KQ_MS);
   if (at < f->nodes[to].paused_until)
     at = f->nodes[to].paused_until;
-  f->flights[f->n_flights++] = (KqFleetFlight){ at, from, to, msg };
+  f->in_flight[f->n_in_flight++] = (KqFleetMsg){ at, from, to, msg };
 }
 
 static void
@@ -91,9 +93,10 @@
     kq_fleet_fault (f, f->trigger_fault, i);
 }
 
-/* Carries out what a node wants. A fault may end the node on the way. */
+/* Executes the node's store calls and sends its messages. A triggered fault may stop the
+ * node meanwhile. */
 static void
-pump (KqFleet *f, int i, KqOutbox *out)
+run_outbox (KqFleet *f, int i, KqOutbox *out)
 {
   KqOut item;
   while (kq_outbox_take (out, &item))
@@ -204,9 +207,9 @@
 {
   for (int i = 0; i < KQ_FLEET_NODES; i++)
     kq_fleet_stop_node (f, i);
-  for (size_t i = 0; i < f->n_flights; i++)
-    kq_msg_free (f->flights[i].msg);
-  free (f->flights);
+  for (size_t i = 0; i < f->n_in_flight; i++)
+    kq_msg_free (f->in_flight[i].msg);
+  free (f->in_flight);
   kq_store_fake_free (f->store);
   free (f);
 }
@@ -215,28 +218,29 @@
 kq_fleet_apply (KqFleetSet *set, const KqRecord *r)
 {
   uint64_t number = 0;
-  if (r->type == RECORD_STATE)
+  if (r->type == RECORD_SET)
     {
       memcpy (set->words, r->body.ptr, r->body.len);
       return true;
     }
   memcpy (&number, r->body.ptr, sizeof number);
-  bool twice = has_bit (set, number);
+  bool present = has_bit (set, number);
   set_bit (set, number, true);
-  return !twice;
+  return !present;
 }
 
-/* The state with which an owner opens must hold all that was acknowledged. */
+/* The state that a new owner recovers must contain every acknowledged number and no
+ * withdrawn one. */
 static void
 check_state (KqFleet *f, int i, uint32_t s)
 {
-  const KqFleetTruth *t = &f->truth[s];
+  const KqFleetExpected *t = &f->expected[s];
   const KqFleetSet *set = &f->nodes[i].shards[s].set;
   for (size_t w = 0; w <= t->next_number / 64; w++)
     if ((t->acked.words[w] & ~set->words[w]) != 0)
-      kq_fleet_violate (f, "acknowledged record lost", s, i, w * 64);
+      kq_fleet_add_violation (f, "acknowledged record lost", s, i, w * 64);
     else if ((t->withdrawn.words[w] & set->words[w]) != 0)
-      kq_fleet_violate (f, "withdrawn record applied", s, i, w * 64);
+      kq_fleet_add_violation (f, "withdrawn record applied", s, i, w * 64);
 }
 
 static void
@@ -248,7 +252,7 @@
     return;
   while (kq_journal_next_record (shard->journal, &r))
     if (!kq_fleet_apply (&shard->set, &r))
-      kq_fleet_violate (f, "applied twice", s, i, 0);
+      kq_fleet_add_violation (f, "applied twice", s, i, 0);
   shard->checked = true;
   check_state (f, i, s);
 }
@@ -262,35 +266,35 @@
        shard->first++)
     {
       uint64_t number = shard->pending[shard->first].number;
-      set_bit (&f->truth[s].acked, number, true);
+      set_bit (&f->expected[s].acked, number, true);
       f->acked++;
-      note (f, number << 8 | s);
+      add_to_trace (f, number << 8 | s);
       for (int k = 0; k < KQ_FLEET_NODES; k++)
         if (f->nodes[k].up
             && kq_owner_epoch (f->nodes[k].owner, s)
                    > kq_owner_epoch (f->nodes[i].owner, s)
             && kq_journal_state (f->nodes[k].shards[s].journal) == KQ_JOURNAL_OPEN
             && !has_bit (&f->nodes[k].shards[s].set, number))
-          kq_fleet_violate (f, "acknowledged beside a successor", s, k, number);
+          kq_fleet_add_violation (f, "acknowledged beside a successor", s, k, number);
     }
   if (shard->first == shard->len)
     shard->first = shard->len = 0;
 }
 
 static void
-take_events (KqFleet *f, int i, KqOutbox *out)
+handle_owner_events (KqFleet *f, int i, KqOutbox *out)
 {
   KqFleetNode *n = &f->nodes[i];
   KqOwnerEvent e;
   while (kq_owner_event (n->owner, &e))
     {
-      note (f, (uint64_t)e.kind << 32 | e.shard << 8 | (uint64_t)i);
+      add_to_trace (f, (uint64_t)e.kind << 32 | e.shard << 8 | (uint64_t)i);
       switch (e.kind)
         {
         case KQ_OWNER_TAKEN:
-          if (e.epoch <= f->truth[e.shard].epoch)
-            kq_fleet_violate (f, "epoch taken twice", e.shard, i, e.epoch);
-          f->truth[e.shard].epoch = e.epoch;
+          if (e.epoch <= f->expected[e.shard].epoch)
+            kq_fleet_add_violation (f, "epoch taken twice", e.shard, i, e.epoch);
+          f->expected[e.shard].epoch = e.epoch;
           drop_shard (&n->shards[e.shard]);
           kq_journal_open (n->shards[e.shard].journal, e.epoch, f->now, out);
           break;
@@ -307,13 +311,14 @@
 write_snapshot (KqFleet *f, KqFleetShard *shard, KqOutbox *out)
 {
   KqRecord r
-      = { RECORD_STATE, 1, { (const char *)shard->set.words, sizeof shard->set.words } };
+      = { RECORD_SET, 1, { (const char *)shard->set.words, sizeof shard->set.words } };
   kq_journal_snapshot_begin (shard->journal);
   kq_journal_snapshot_add (shard->journal, &r);
   kq_journal_snapshot_end (shard->journal, f->now, out);
 }
 
-/* Whatever a shard's journal needs after a tick or a reply. */
+/* Drives a shard's journal after a tick or a reply: acknowledgements, recovery,
+ * snapshots, writes, and the release of the shard. */
 static void
 run_shard (KqFleet *f, int i, uint32_t s, KqOutbox *out)
 {
@@ -330,7 +335,7 @@
   kq_journal_tick (shard->journal, f->now, out);
   KqJournalState state = kq_journal_state (shard->journal);
   if (state == KQ_JOURNAL_DAMAGED)
-    kq_fleet_violate (f, kq_journal_damage (shard->journal)->what, s, i, 0);
+    kq_fleet_add_violation (f, kq_journal_damage (shard->journal)->what, s, i, 0);
   if (state == KQ_JOURNAL_FENCED)
     kq_owner_step_down (n->owner, s, f->now);
   else if (kq_owner_state (n->owner, s) == KQ_OWN_RELEASING
@@ -344,11 +349,11 @@
 static void
 run_node (KqFleet *f, int i, KqOutbox *out)
 {
-  take_events (f, i, out);
+  handle_owner_events (f, i, out);
   for (uint32_t s = 0; s < KQ_FLEET_SHARDS; s++)
     run_shard (f, i, s, out);
-  take_events (f, i, out);
-  pump (f, i, out);
+  handle_owner_events (f, i, out);
+  run_outbox (f, i, out);
 }
 
 static void
@@ -375,7 +380,7 @@
 }
 
 static void
-take_reply (KqFleet *f, int i, const KqStoreReply *r)
+handle_reply (KqFleet *f, int i, const KqStoreReply *r)
 {
   KqFleetNode *n = &f->nodes[i];
   KqOutbox out;
@@ -390,42 +395,42 @@
       kq_journal_reply (n->shards[s].journal, r, f->now, &out);
       run_shard (f, i, s, &out);
     }
-  take_events (f, i, &out);
-  pump (f, i, &out);
+  handle_owner_events (f, i, &out);
+  run_outbox (f, i, &out);
   kq_outbox_free (&out);
 }
 
 static void
-take_msg (KqFleet *f, int i, const KqMsg *msg)
+handle_msg (KqFleet *f, int i, const KqMsg *msg)
 {
   KqOutbox out;
   kq_outbox_init (&out);
   if (msg->kind == KQ_MSG_HEARTBEAT)
     kq_member_heartbeat (f->nodes[i].member, &msg->u.heartbeat, f->now, &out);
-  pump (f, i, &out);
+  run_outbox (f, i, &out);
   kq_outbox_free (&out);
 }
 
 static void
 deliver (KqFleet *f, size_t k)
 {
-  KqFleetFlight fl = f->flights[k];
-  KqFleetNode *n = &f->nodes[fl.to];
-  f->flights[k] = f->flights[--f->n_flights];
-  note (f, (uint64_t)fl.from << 8 | (uint64_t)fl.to);
+  KqFleetMsg m = f->in_flight[k];
+  KqFleetNode *n = &f->nodes[m.to];
+  f->in_flight[k] = f->in_flight[--f->n_in_flight];
+  add_to_trace (f, (uint64_t)m.from << 8 | (uint64_t)m.to);
   if (n->up)
-    take_msg (f, fl.to, fl.msg);
-  kq_msg_free (fl.msg);
+    handle_msg (f, m.to, m.msg);
+  kq_msg_free (m.msg);
 }
 
-/* At most one node may be owner by a lease that is alive by its own clock. When the
- * store itself ends a lease before its time, the holder learns it at its next renewal,
- * or if it is cut off never: for a lease the fence alone keeps two owners apart, and the
- * other checks show that it does. */
+/* At most one node may own a shard under a lease that is live by the node's own clock.
+ * When the store expires a lease early, its holder learns of it at its next renewal, or
+ * never if it is cut off. For that long (lease_lapsed_until) only the fence keeps two
+ * owners apart, which the other checks verify. */
 static void
 check_single_owner (KqFleet *f, uint32_t s)
 {
-  int sure = 0;
+  int by_lease = 0;
   int all = 0;
   for (int i = 0; i < KQ_FLEET_NODES; i++)
     {
@@ -433,17 +438,19 @@
       if (!n->up || !kq_owner_is_mine (n->owner, s, n->member, f->now))
         continue;
       all++;
-      sure += !kq_owner_valid_in_outage (n->owner, n->member, f->now);
+      by_lease += !kq_owner_valid_in_outage (n->owner, n->member, f->now);
     }
-  if (sure > 1 && f->now > f->lapsed_until)
-    kq_fleet_violate (f, "two owners", s, sure, 0);
-  /* A blind owner beside a successor must stop as soon as it hears a heartbeat. */
-  if (all < 2 || f->cuts)
-    f->two_since[s] = 0;
-  else if (f->two_since[s] == 0)
-    f->two_since[s] = f->now;
-  else if (f->now - f->two_since[s] > BLIND_OVERLAP && f->now > f->lapsed_until)
-    kq_fleet_violate (f, "a blind owner beside its successor", s, all, 0);
+  if (by_lease > 1 && f->now > f->lease_lapsed_until)
+    kq_fleet_add_violation (f, "two owners", s, by_lease, 0);
+  /* An owner that stayed valid in a store outage must stop as soon as it receives a
+   * heartbeat of its successor. */
+  if (all < 2 || f->any_cut)
+    f->two_owners_since[s] = 0;
+  else if (f->two_owners_since[s] == 0)
+    f->two_owners_since[s] = f->now;
+  else if (f->now - f->two_owners_since[s] > OUTAGE_OVERLAP_MAX
+           && f->now > f->lease_lapsed_until)
+    kq_fleet_add_violation (f, "a blind owner beside its successor", s, all, 0);
 }
 
 int
@@ -460,7 +467,7 @@
   return -1;
 }
 
-/* Takes back the shard's newest number, if it provably isn't in the store. */
+/* Withdraws the shard's newest number if its record was certainly not written. */
 static void
 withdraw (KqFleet *f, KqFleetShard *shard, uint32_t s)
 {
@@ -470,15 +477,15 @@
   if (kq_journal_withdraw (shard->journal, p->seq) != KQ_OK)
     return;
   set_bit (&shard->set, p->number, false);
-  set_bit (&f->truth[s].withdrawn, p->number, true);
+  set_bit (&f->expected[s].withdrawn, p->number, true);
   shard->len--;
 }
 
 static void
 add_number (KqFleet *f, KqFleetShard *shard, uint32_t s)
 {
-  uint64_t number = f->truth[s].next_number++;
-  KqRecord r = { RECORD_ADD, 1, { (const char *)&number, sizeof number } };
+  uint64_t number = f->expected[s].next_number++;
+  KqRecord r = { RECORD_NUMBER, 1, { (const char *)&number, sizeof number } };
   bool urgent = kq_rand_below (&f->rand, URGENT_ONE_IN) == 0;
   KqSeq seq = kq_journal_append (shard->journal, &r,
                                  urgent ? KQ_COMMIT_URGENT : KQ_COMMIT_NORMAL, f->now);
@@ -492,7 +499,7 @@
   shard->pending[shard->len++] = (KqFleetPending){ seq, number };
 }
 
-/* A client adds the next number to a shard, or takes the newest back. */
+/* A client adds the next number to a random shard, or withdraws the newest. */
 static void
 run_client (KqFleet *f)
 {
@@ -500,9 +507,9 @@
   int i = kq_fleet_owner (f, s);
   KqOutbox out;
   check_single_owner (f, s);
-  f->next_client = f->now + (KqTime)kq_rand_below (&f->rand, 2 * CLIENT_GAP);
+  f->next_client = f->now + (KqTime)kq_rand_below (&f->rand, 2 * CLIENT_INTERVAL_MEAN);
   if (i < 0 || kq_owner_state (f->nodes[i].owner, s) != KQ_OWN_MINE
-      || f->truth[s].next_number == KQ_FLEET_NUMBERS)
+      || f->expected[s].next_number == KQ_FLEET_NUMBERS)
     return;
   KqFleetShard *shard = &f->nodes[i].shards[s];
   kq_outbox_init (&out);
@@ -512,8 +519,8 @@
   else
     add_number (f, shard, s);
   run_shard (f, i, s, &out);
-  take_events (f, i, &out);
-  pump (f, i, &out);
+  handle_owner_events (f, i, &out);
+  run_outbox (f, i, &out);
   kq_outbox_free (&out);
 }
 
@@ -523,7 +530,7 @@
   KqTime at = kq_store_fake_next_time (f->store);
   int node = -1;
   int restart = -1;
-  size_t flight = f->n_flights;
+  size_t msg_index = f->n_in_flight;
   KqStoreReply r;
   if (f->next_client < at)
     at = f->next_client;
@@ -539,15 +546,15 @@
         node = -1;
         restart = i;
       }
-  for (size_t k = 0; k < f->n_flights; k++)
-    if (f->flights[k].at < at)
+  for (size_t k = 0; k < f->n_in_flight; k++)
+    if (f->in_flight[k].at < at)
       {
-        at = f->flights[k].at;
-        flight = k;
+        at = f->in_flight[k].at;
+        msg_index = k;
       }
   f->now = at > f->now ? at : f->now;
-  if (flight < f->n_flights)
-    deliver (f, flight);
+  if (msg_index < f->n_in_flight)
+    deliver (f, msg_index);
   else if (node >= 0)
     tick_node (f, node);
   else if (restart >= 0)
@@ -556,9 +563,9 @@
     {
       if (!kq_store_fake_next (f->store, f->now, &node, &r))
         return;
-      note (f, (uint64_t)r.kind << 40 | (uint64_t)r.result << 8 | (uint64_t)node);
+      add_to_trace (f, (uint64_t)r.kind << 40 | (uint64_t)r.result << 8 | (uint64_t)node);
       if (f->nodes[node].up)
-        take_reply (f, node, &r);
+        handle_reply (f, node, &r);
     }
   else
     run_client (f);
--- a/bench/fleet_state.h
+++ b/bench/fleet_state.h
@@ -1,7 +1,7 @@
 #ifndef KQ_BENCH_FLEET_STATE_H
 #define KQ_BENCH_FLEET_STATE_H
 
-/* fleet_state: what the files of the fleet share. Internal to it. */
+/* fleet_state: internal types and functions of the fleet simulation (fleet.h). */
 
 #include "fleet.h"
 
@@ -16,12 +16,12 @@
   uint64_t number;
 } KqFleetPending;
 
-/* What a node has of a shard while it owns it. */
+/* A node's state of a shard that it owns. */
 typedef struct
 {
   KqJournal *journal;
   KqFleetSet set;
-  bool checked;            /* recovered, and the state was as it must be */
+  bool checked;            /* recovered, and the state was checked */
   KqFleetPending *pending; /* not yet acknowledged, oldest first */
   size_t first, len, capacity;
 } KqFleetShard;
@@ -44,16 +44,16 @@
   KqTime at;
   int from, to;
   KqMsg *msg;
-} KqFleetFlight;
+} KqFleetMsg;
 
-/* What the clients know of a shard. */
+/* What the clients know of a shard; owners' states are checked against it. */
 typedef struct
 {
   uint64_t next_number;
   KqFleetSet acked;
   KqFleetSet withdrawn;
-  uint64_t epoch; /* the highest taken */
-} KqFleetTruth;
+  uint64_t epoch; /* the highest that was taken */
+} KqFleetExpected;
 
 struct KqFleet
 {
@@ -61,14 +61,15 @@
   KqRand rand;
   KqTime now;
   KqFleetNode nodes[KQ_FLEET_NODES];
-  KqFleetTruth truth[KQ_FLEET_SHARDS];
-  KqFleetFlight *flights;
-  size_t n_flights, flights_capacity;
+  KqFleetExpected expected[KQ_FLEET_SHARDS];
+  KqFleetMsg *in_flight;
+  size_t n_in_flight, in_flight_capacity;
   bool cut[KQ_FLEET_NODES][KQ_FLEET_NODES];
-  bool cuts;                         /* any of `cut` */
-  KqTime two_since[KQ_FLEET_SHARDS]; /* owners, blind ones included; 0: one at most */
+  bool any_cut;                             /* any element of `cut` is set */
+  KqTime two_owners_since[KQ_FLEET_SHARDS]; /* since when a shard has two owners; 0: it
+                                               hasn't */
   KqTime next_client;
-  KqTime lapsed_until; /* see check_single_owner */
+  KqTime lease_lapsed_until; /* until then two owners are allowed */
   uint64_t incarnations;
   uint64_t trace;
   uint64_t acked;
@@ -79,9 +80,9 @@
   KqFault trigger_fault;
 };
 
-void kq_fleet_violate (KqFleet *f, const char *what, uint32_t shard, int node,
-                       uint64_t number);
-/* False: the number was there already. */
+void kq_fleet_add_violation (KqFleet *f, const char *what, uint32_t shard, int node,
+                             uint64_t number);
+/* Returns false if the number was in the set already. */
 bool kq_fleet_apply (KqFleetSet *set, const KqRecord *r);
 void kq_fleet_start_node (KqFleet *f, int node);
 void kq_fleet_stop_node (KqFleet *f, int node);
--- a/bench/handover_main.c
+++ b/bench/handover_main.c
@@ -1,5 +1,5 @@
-/* handover: how long a shard is without an owner whose journal is open, when its owner
- * stops as planned and when it dies. Simulated time; five nodes, eight shards. */
+/* handover: measures how long a shard has no owner with an open journal, after a planned
+ * stop of its owner and after a crash. Simulated time; five nodes, eight shards. */
 
 #include "base/log.h"
 #include "fleet.h"
@@ -9,13 +9,14 @@
 
 #define RUNS 40
 #define NODE 1
-#define SETTLE (20 * KQ_SEC)
-#define PHASE (97 * KQ_MS) /* each run later by this: over a renewal's whole period */
-#define WATCHED (30 * KQ_SEC)
+#define SETTLE_TIME (20 * KQ_SEC)
+#define PHASE_STEP (97 * KQ_MS) /* added per run, to cover all phases of lease renewal   \
+                                 */
+#define WATCH_TIME (30 * KQ_SEC)
 #define GAPS_MAX (RUNS * KQ_FLEET_SHARDS)
-/* Limits: well under a second; the lease and a margin for the takeover itself. */
-#define LIMIT_PLANNED 1000
-#define LIMIT_DEATH 12000
+/* A takeover after a crash waits for the lease of 10 s to expire. */
+#define LIMIT_PLANNED_MS 1000
+#define LIMIT_CRASH_MS 12000
 
 typedef struct
 {
@@ -24,19 +25,19 @@
 } Gaps;
 
 static int
-by_time (const void *a, const void *b)
+compare_times (const void *a, const void *b)
 {
   KqTime x = *(const KqTime *)a;
   KqTime y = *(const KqTime *)b;
   return x < y ? -1 : x > y;
 }
 
-/* Watches the shards; each that is without an owner for a while adds a gap. */
+/* Runs the fleet and adds to `g` each time span in which a shard had no owner. */
 static void
 watch (KqFleet *f, Gaps *g)
 {
   KqTime since[KQ_FLEET_SHARDS] = { 0 };
-  KqTime end = kq_fleet_now (f) + WATCHED;
+  KqTime end = kq_fleet_now (f) + WATCH_TIME;
   while (kq_fleet_now (f) < end)
     {
       kq_fleet_step (f);
@@ -55,7 +56,7 @@
 static void
 report (const char *name, Gaps *g, double limit)
 {
-  qsort (g->gaps, g->n, sizeof g->gaps[0], by_time);
+  qsort (g->gaps, g->n, sizeof g->gaps[0], compare_times);
   double max = g->n > 0 ? (double)g->gaps[g->n - 1] / (double)KQ_MS : 0;
   size_t middle = g->n / 2;
   double median = g->n > 0 ? (double)g->gaps[middle] / (double)KQ_MS : 0;
@@ -68,23 +69,23 @@
 main (int argc, char **argv)
 {
   static Gaps planned;
-  static Gaps death;
+  static Gaps crash;
   uint64_t seed = argc > 1 ? strtoull (argv[1], NULL, 10) : 1;
   kq_log_set_level (KQ_LOG_ERROR);
   for (int i = 0; i < RUNS; i++)
     {
       KqFleet *f = kq_fleet_new (seed * RUNS + (uint64_t)i);
-      kq_fleet_run (f, SETTLE + i * PHASE);
+      kq_fleet_run (f, SETTLE_TIME + i * PHASE_STEP);
       kq_fleet_drain (f, NODE);
       watch (f, &planned);
       kq_fleet_free (f);
       f = kq_fleet_new (seed * RUNS + (uint64_t)i);
-      kq_fleet_run (f, SETTLE + i * PHASE);
+      kq_fleet_run (f, SETTLE_TIME + i * PHASE_STEP);
       kq_fleet_kill (f, NODE);
-      watch (f, &death);
+      watch (f, &crash);
       kq_fleet_free (f);
     }
-  report ("handover_planned", &planned, LIMIT_PLANNED);
-  report ("takeover_after_death", &death, LIMIT_DEATH);
+  report ("handover_planned", &planned, LIMIT_PLANNED_MS);
+  report ("takeover_after_death", &crash, LIMIT_CRASH_MS);
   return 0;
 }
--- a/bench/job_fake.c
+++ b/bench/job_fake.c
@@ -28,7 +28,7 @@
   w->n_tasks = w->n_usage = 0;
   w->epoch = 0;
   w->lease_until = 0;
-  w->life++;
+  w->n_restarts++;
 }
 
 KqFakeTask *
@@ -42,11 +42,11 @@
 }
 
 void
-kq_fake_worker_end (KqFakeWorker *w, KqTaskKey key, KqTaskState how)
+kq_fake_worker_end (KqFakeWorker *w, KqTaskKey key, KqTaskState state)
 {
   KqFakeTask *t = kq_fake_worker_task (w, key);
   if (t != NULL && t->report.state == KQ_TASK_RUNNING)
-    t->report.state = how;
+    t->report.state = state;
 }
 
 void
@@ -81,15 +81,15 @@
 }
 
 static uint32_t
-highest (const KqFakeWorker *w, KqJobId job)
+highest_attempt (const KqFakeWorker *w, KqJobId job)
 {
   return GPOINTER_TO_UINT (g_hash_table_lookup (w->attempts, &job));
 }
 
 static void
-note_attempt (KqFakeWorker *w, KqTaskKey key)
+set_attempt (KqFakeWorker *w, KqTaskKey key)
 {
-  if (key.attempt <= highest (w, key.job))
+  if (key.attempt <= highest_attempt (w, key.job))
     return;
   int64_t *job = malloc (sizeof *job);
   *job = (int64_t)key.job;
@@ -103,13 +103,13 @@
   KqFakeTask t = { .started = now, .throttle_percent = 100 };
   if (now + w->skew >= w->lease_until)
     return KQ_ERR_NO_LEASE;
-  if (c->task.attempt <= highest (w, c->task.job))
+  if (c->task.attempt <= highest_attempt (w, c->task.job))
     return KQ_ERR_OLD_ATTEMPT;
   if (used.cpu_milli + c->size.cpu_milli > w->whole.cpu_milli
       || used.memory_mb + c->size.memory_mb > w->whole.memory_mb
       || used.accelerators + c->size.accelerators > w->whole.accelerators)
     return KQ_ERR_NO_ROOM;
-  note_attempt (w, c->task);
+  set_attempt (w, c->task);
   t.report.task = c->task;
   t.report.state = KQ_TASK_RUNNING;
   t.report.size = c->size;
@@ -135,13 +135,13 @@
 static void
 lease (KqFakeWorker *w, const KqWorkerCall *c, KqTime now, KqWorkerReply *r)
 {
-  KqTime mine = now + w->skew;
+  KqTime own_time = now + w->skew;
   KqTime until = (KqTime)c->echo_stamp + c->lease_ms * KQ_MS;
-  if (c->echo_stamp != 0 && until > w->lease_until && until > mine)
+  if (c->echo_stamp != 0 && until > w->lease_until && until > own_time)
     w->lease_until = until;
   acknowledge (w, c);
-  r->stamp = (uint64_t)mine;
-  r->lease_live = c->echo_stamp != 0 && mine < w->lease_until;
+  r->stamp = (uint64_t)own_time;
+  r->lease_live = c->echo_stamp != 0 && own_time < w->lease_until;
   r->leaving = w->leaving;
   r->tasks = g_malloc0 ((w->n_tasks + 1) * sizeof *r->tasks);
   for (size_t i = 0; i < w->n_tasks; i++)
@@ -157,7 +157,7 @@
 stop (KqFakeWorker *w, const KqWorkerCall *c)
 {
   KqFakeTask *t = kq_fake_worker_task (w, c->task);
-  note_attempt (w, c->task);
+  set_attempt (w, c->task);
   if (t != NULL && t->report.state == KQ_TASK_RUNNING)
     t->report.state = KQ_TASK_STOPPED;
   return KQ_OK;
--- a/bench/job_rig.c
+++ b/bench/job_rig.c
@@ -53,7 +53,7 @@
 send_call (KqRig *r, KqWorkerCall *call)
 {
   KqRigEvent e = { .call = *call };
-  e.life = r->workers[call->worker - 1].life;
+  e.worker_restarts = r->workers[call->worker - 1].n_restarts;
   r->calls[call->kind]++;
   e.at = r->now + delay (r);
   call->acks = NULL;
@@ -64,7 +64,7 @@
       KqRigEvent back = { .at = e.at, .is_reply = true };
       back.reply = kq_fake_no_reply (call, r->now);
       add_event (r, &back);
-      e.silent = true;
+      e.discard_reply = true;
       e.at += r->late_start;
     }
   add_event (r, &e);
@@ -93,7 +93,8 @@
     }
 }
 
-/* As the host does: items that need no record leave at once. */
+/* Sends items after the log record `after` is committed, or at once if they need none, as
+ * the shard's owner does. */
 static void
 leave (KqRig *r, KqSeq after, KqOutbox *out)
 {
@@ -109,7 +110,7 @@
 {
   KqFakeWorker *w = &r->workers[e->call.worker - 1];
   KqRigEvent back = { .is_reply = true };
-  bool lost = r->cut[w - r->workers] || e->life != w->life
+  bool lost = r->cut[w - r->workers] || e->worker_restarts != w->n_restarts
               || kq_rand_unit (&r->rand) < r->lose_call;
   if (lost)
     back.reply = kq_fake_no_reply (&e->call, r->now);
@@ -125,7 +126,7 @@
     r->started (r->arg, e->call.task, w->id, r->now);
   free (e->call.acks);
   back.at = r->now + delay (r);
-  if (e->silent)
+  if (e->discard_reply)
     kq_fake_reply_clear (&back.reply);
   else
     add_event (r, &back);
--- a/bench/matrix_main.c
+++ b/bench/matrix_main.c
@@ -1,5 +1,5 @@
-/* matrix: prints a grid of steps and faults; each cell runs under a seed of its own,
- * which is named when it fails. The first argument moves all seeds. */
+/* matrix: prints a grid of steps and faults. Each cell runs with its own seed, which is
+ * printed. The first argument offsets all seeds; a second one raises the log level. */
 
 #include "base/log.h"
 #include "matrix.h"
@@ -11,7 +11,7 @@
 
 static const KqMatrixTable *const tables[] = { &kq_matrix_shard, &kq_matrix_whole };
 
-static const char *const columns[KQ_MATRIX_FAULTS]
+static const char *const columns[KQ_MATRIX_FAULT_COUNT]
     = { "down",    "slow",    "lost",   "dies",  "pauses", "silent",
         "one-way", "cut-off", "region", "lease", "race" };
 
@@ -25,26 +25,26 @@
 static void
 run_row (const KqMatrixRow *row, uint64_t *seed, Sum *sum)
 {
-  char whys[KQ_MATRIX_FAULTS][KQ_CELL_WHY];
-  uint64_t seeds[KQ_MATRIX_FAULTS];
-  KqCell cells[KQ_MATRIX_FAULTS];
+  char whys[KQ_MATRIX_FAULT_COUNT][KQ_MATRIX_WHY_SIZE];
+  uint64_t seeds[KQ_MATRIX_FAULT_COUNT];
+  KqMatrixResult cells[KQ_MATRIX_FAULT_COUNT];
   printf ("%-15s", row->step);
-  for (int i = 0; i < KQ_MATRIX_FAULTS; i++)
+  for (int i = 0; i < KQ_MATRIX_FAULT_COUNT; i++)
     {
       seeds[i] = (*seed)++;
       cells[i] = row->run (row->step, (KqMatrixFault)i, seeds[i], whys[i]);
-      sum->passed += cells[i] == KQ_CELL_PASSED;
-      sum->failed += cells[i] == KQ_CELL_FAILED;
-      sum->none += cells[i] == KQ_CELL_NONE;
-      const char *word = cells[i] == KQ_CELL_PASSED   ? "ok"
-                         : cells[i] == KQ_CELL_FAILED ? "FAIL"
-                                                      : "-";
+      sum->passed += cells[i] == KQ_MATRIX_PASSED;
+      sum->failed += cells[i] == KQ_MATRIX_FAILED;
+      sum->none += cells[i] == KQ_MATRIX_NOT_APPLICABLE;
+      const char *word = cells[i] == KQ_MATRIX_PASSED   ? "ok"
+                         : cells[i] == KQ_MATRIX_FAILED ? "FAIL"
+                                                        : "-";
       printf (" %4s:%-4llu", word, (unsigned long long)seeds[i]);
       fflush (stdout);
     }
   printf ("\n");
-  for (int i = 0; i < KQ_MATRIX_FAULTS; i++)
-    if (cells[i] == KQ_CELL_FAILED)
+  for (int i = 0; i < KQ_MATRIX_FAULT_COUNT; i++)
+    if (cells[i] == KQ_MATRIX_FAILED)
       printf ("  FAIL %s x %s, seed %llu: %s\n", row->step, columns[i],
               (unsigned long long)seeds[i], whys[i]);
 }
@@ -57,7 +57,7 @@
   Sum sum = { 0 };
   kq_log_set_level (argc > 2 ? KQ_LOG_INFO : KQ_LOG_ERROR);
   printf ("%-15s", "step (ok:seed)");
-  for (int i = 0; i < KQ_MATRIX_FAULTS; i++)
+  for (int i = 0; i < KQ_MATRIX_FAULT_COUNT; i++)
     printf (" %9s", columns[i]);
   printf ("\n");
   for (size_t t = 0; t < sizeof tables / sizeof tables[0]; t++)
--- a/bench/matrix_shard.c
+++ b/bench/matrix_shard.c
@@ -4,15 +4,16 @@
 #include <stdio.h>
 #include <string.h>
 
-#define SETTLE (40 * KQ_SEC) /* limit, from the start and after the fault */
+#define SETTLE_TIME (40 * KQ_SEC) /* limit at the start and after the fault */
 #define FAULT_TIME (20 * KQ_SEC)
-#define REACH_STEP (60 * KQ_SEC) /* until the step is made; a snapshot takes longest */
-#define AFTER (5 * KQ_SEC)
-#define AFTER_ACKS 100 /* acknowledged within AFTER, of about 1,000 asked for */
-#define NODE 1         /* the one that dies or drains, so that others take over */
-#define FAR_NODE 3     /* the same in the second region */
+#define STEP_TIMEOUT                                                                     \
+  (60 * KQ_SEC) /* limit until the step happens; a snapshot takes longest */
+#define TIME_AFTER (5 * KQ_SEC)
+#define ACKS_AFTER_MIN 100 /* minimum in TIME_AFTER, of about 1,000 sent */
+#define NODE 1             /* stopped or drained, so that others take over */
+#define NODE_REGION_B 3    /* the same in the second region */
 
-static const KqFault faults[KQ_MATRIX_FAULTS] = {
+static const KqFault faults[KQ_MATRIX_FAULT_COUNT] = {
   [KQ_MATRIX_STORE_DOWN] = KQ_FAULT_STORE_DOWN,
   [KQ_MATRIX_STORE_SLOW] = KQ_FAULT_STORE_SLOW,
   [KQ_MATRIX_ANSWER_LOST] = KQ_FAULT_LOST_AFTER,
@@ -25,7 +26,7 @@
   [KQ_MATRIX_LEASE_LAPSES] = KQ_FAULT_LEASE_LAPSES,
 };
 
-/* Which call makes a step, and what brings it about. */
+/* The store call that marks a step, and what causes it. */
 typedef struct
 {
   const char *step;
@@ -33,19 +34,19 @@
   const char *prefix;
   enum
   {
-    BY_CLIENTS,
-    BY_DEATH,
-    BY_DRAIN
+    CAUSE_CLIENTS,
+    CAUSE_CRASH,
+    CAUSE_DRAIN
   } cause;
 } Step;
 
 static const Step steps[] = {
-  { "take ownership", KQ_STORE_PUT, "own/", BY_DEATH },
-  { "commit", KQ_STORE_PUT, "log/", BY_CLIENTS },
-  { "snapshot", KQ_STORE_PUT, "snap/", BY_CLIENTS },
-  { "recover", KQ_STORE_LIST, "log/", BY_DEATH },
-  { "hand over", KQ_STORE_PUT, "own/", BY_DRAIN },
-  { "renew", KQ_STORE_LEASE_RENEW, "", BY_CLIENTS },
+  { "take ownership", KQ_STORE_PUT, "own/", CAUSE_CRASH },
+  { "commit", KQ_STORE_PUT, "log/", CAUSE_CLIENTS },
+  { "snapshot", KQ_STORE_PUT, "snap/", CAUSE_CLIENTS },
+  { "recover", KQ_STORE_LIST, "log/", CAUSE_CRASH },
+  { "hand over", KQ_STORE_PUT, "own/", CAUSE_DRAIN },
+  { "renew", KQ_STORE_LEASE_RENEW, "", CAUSE_CLIENTS },
 };
 
 static const Step *
@@ -60,26 +61,26 @@
 static bool
 run_until_settled (KqFleet *f)
 {
-  KqTime end = kq_fleet_now (f) + SETTLE;
+  KqTime end = kq_fleet_now (f) + SETTLE_TIME;
   while (!kq_fleet_settled (f) && kq_fleet_now (f) < end
          && kq_fleet_violation (f) == NULL)
     kq_fleet_run (f, KQ_SEC / 10);
   return kq_fleet_settled (f) && kq_fleet_violation (f) == NULL;
 }
 
-/* NULL: all is well; otherwise what isn't. */
+/* Returns NULL, or what was violated. */
 static const char *
 run_cell (KqFleet *f, const Step *step, KqMatrixFault fault)
 {
-  int node = fault == KQ_MATRIX_REGION_CUT ? FAR_NODE : NODE;
+  int node = fault == KQ_MATRIX_REGION_CUT ? NODE_REGION_B : NODE;
   if (!run_until_settled (f))
     return "not settled at the start";
   kq_fleet_on_call (f, step->kind, step->prefix, faults[fault]);
-  if (step->cause == BY_DEATH)
+  if (step->cause == CAUSE_CRASH)
     kq_fleet_fault (f, KQ_FAULT_DIES, node);
-  else if (step->cause == BY_DRAIN)
+  else if (step->cause == CAUSE_DRAIN)
     kq_fleet_drain (f, node);
-  KqTime end = kq_fleet_now (f) + REACH_STEP;
+  KqTime end = kq_fleet_now (f) + STEP_TIMEOUT;
   while (!kq_fleet_triggered (f) && kq_fleet_now (f) < end)
     kq_fleet_run (f, KQ_MS);
   if (!kq_fleet_triggered (f))
@@ -89,25 +90,26 @@
   if (!run_until_settled (f))
     return kq_fleet_violation (f) != NULL ? kq_fleet_violation (f) : "not settled after";
   uint64_t acked = kq_fleet_acked (f);
-  kq_fleet_run (f, AFTER);
-  if (kq_fleet_violation (f) == NULL && kq_fleet_acked (f) < acked + AFTER_ACKS)
+  kq_fleet_run (f, TIME_AFTER);
+  if (kq_fleet_violation (f) == NULL && kq_fleet_acked (f) < acked + ACKS_AFTER_MIN)
     return "hardly anything is acknowledged after";
   if (kq_fleet_violation (f) == NULL)
     kq_fleet_compare (f);
   return kq_fleet_violation (f);
 }
 
-static KqCell
-run_row (const char *step, KqMatrixFault fault, uint64_t seed, char why[KQ_CELL_WHY])
+static KqMatrixResult
+run_row (const char *step, KqMatrixFault fault, uint64_t seed,
+         char why[KQ_MATRIX_WHY_SIZE])
 {
   if (fault == KQ_MATRIX_OPERATORS_RACE)
-    return KQ_CELL_NONE; /* no operator takes part in ownership */
+    return KQ_MATRIX_NOT_APPLICABLE; /* operators change no ownership */
   KqFleet *f = kq_fleet_new (seed);
   const char *wrong = run_cell (f, find_step (step), fault);
   if (wrong != NULL)
-    snprintf (why, KQ_CELL_WHY, "%s", wrong);
+    snprintf (why, KQ_MATRIX_WHY_SIZE, "%s", wrong);
   kq_fleet_free (f);
-  return wrong == NULL ? KQ_CELL_PASSED : KQ_CELL_FAILED;
+  return wrong == NULL ? KQ_MATRIX_PASSED : KQ_MATRIX_FAILED;
 }
 
 static const KqMatrixRow rows[] = {
--- a/bench/matrix_whole.c
+++ b/bench/matrix_whole.c
@@ -3,43 +3,43 @@
 #include <stdio.h>
 #include <string.h>
 
-/* The matrix's rows of jobs, claims and the table: whole cores under ordinary load, until
- * a node has just taken the step; then the fault meets that node (or the store, or the
- * region) for longer than a lease. Afterwards everything must be as bench/whole.h says.
- */
+/* The matrix's rows of jobs, claims and the table. Complete node cores run under normal
+ * load until a node has taken the step; then the fault is injected into that node (or the
+ * store, or the region) for longer than a lease. The invariants of bench/whole.h must
+ * hold during and after it. */
 
-#define CALM_BEFORE (10 * KQ_SEC)
-#define STEP_WITHIN (120 * KQ_SEC)
-#define FAULT_SPAN (8 * KQ_SEC)
-#define LOAD_AFTER (20 * KQ_SEC)
+#define WARM_UP (10 * KQ_SEC)
+#define STEP_TIMEOUT (120 * KQ_SEC)
+#define FAULT_TIME (8 * KQ_SEC)
+#define TIME_AFTER (20 * KQ_SEC)
 
 typedef struct
 {
   const char *name;
-  KqWholeTrap trap;
+  KqWholeStep id;
 } Step;
 
 static const Step steps[] = {
-  { "accept", KQ_TRAP_ACCEPT },       { "start", KQ_TRAP_START },
-  { "renew", KQ_TRAP_RENEW },         { "finish", KQ_TRAP_FINISH },
-  { "cancel", KQ_TRAP_CANCEL },       { "claim", KQ_TRAP_CLAIM },
-  { "claim end", KQ_TRAP_CLAIM_END }, { "move", KQ_TRAP_MOVE },
-  { "table change", KQ_TRAP_TABLE },
+  { "accept", KQ_STEP_ACCEPT },       { "start", KQ_STEP_START },
+  { "renew", KQ_STEP_RENEW },         { "finish", KQ_STEP_FINISH },
+  { "cancel", KQ_STEP_CANCEL },       { "claim", KQ_STEP_CLAIM },
+  { "claim end", KQ_STEP_CLAIM_END }, { "move", KQ_STEP_MOVE },
+  { "table change", KQ_STEP_TABLE },
 };
 
-static KqWholeTrap
-trap_of (const char *step)
+static KqWholeStep
+step_of (const char *step)
 {
   for (size_t i = 0; i < sizeof steps / sizeof steps[0]; i++)
     {
       if (strcmp (steps[i].name, step) == 0)
-        return steps[i].trap;
+        return steps[i].id;
     }
-  return KQ_TRAP_NONE;
+  return KQ_STEP_NONE;
 }
 
-/* One row changed through a node. Twice at once it is the operators' race: one of the two
- * is told CONFLICT, and both nodes show one table at the end. */
+/* Changes one row through a node. Two changes at once are the operators' race: one of
+ * them gets CONFLICT, and all nodes have the same table at the end. */
 static void
 change_row (KqWhole *w, int node, int64_t weight, uint64_t expect)
 {
@@ -49,7 +49,7 @@
   if (w->nodes[node].core == NULL)
     return;
   kq_core_change_table (w->nodes[node].core, 77, &c, 1, w->now, &w->nodes[node].out);
-  kq_whole_drain (w, node);
+  kq_whole_run_outbox (w, node);
 }
 
 static void
@@ -63,8 +63,8 @@
       if (i == 0)
         first = revision;
       else if (revision != first)
-        kq_whole_violate (w, "node %d has table %llu, node 0 has %llu", i,
-                          (unsigned long long)revision, (unsigned long long)first);
+        kq_whole_add_violation (w, "node %d has table %llu, node 0 has %llu", i,
+                                (unsigned long long)revision, (unsigned long long)first);
     }
 }
 
@@ -77,50 +77,51 @@
 }
 
 static void
-take_step (KqWhole *w, KqWholeTrap trap, bool race)
+run_step (KqWhole *w, KqWholeStep step, bool race)
 {
-  KqTime until = w->now + STEP_WITHIN;
-  w->trap = trap;
-  if (trap == KQ_TRAP_TABLE)
+  KqTime until = w->now + STEP_TIMEOUT;
+  w->trigger_step = step;
+  if (step == KQ_STEP_TABLE)
     {
       uint64_t expect = row_revision (w);
       change_row (w, 1, 5, expect);
       if (race)
         change_row (w, 3, 6, expect);
     }
-  while (!w->trap_hit && w->now < until && w->result.violation[0] == '\0')
+  while (!w->triggered && w->now < until && w->result.violation[0] == '\0')
     kq_whole_advance (w, 100 * KQ_MS);
 }
 
-static KqCell
-run_cell (const char *step, KqMatrixFault fault, uint64_t seed, char why[KQ_CELL_WHY])
+static KqMatrixResult
+run_cell (const char *step, KqMatrixFault fault, uint64_t seed,
+          char why[KQ_MATRIX_WHY_SIZE])
 {
-  KqWholeTrap trap = trap_of (step);
+  KqWholeStep id = step_of (step);
   bool race = fault == KQ_MATRIX_OPERATORS_RACE;
   KqWhole *w;
-  KqCell cell = KQ_CELL_PASSED;
-  if (race && trap != KQ_TRAP_TABLE)
-    return KQ_CELL_NONE;
+  KqMatrixResult result = KQ_MATRIX_PASSED;
+  if (race && id != KQ_STEP_TABLE)
+    return KQ_MATRIX_NOT_APPLICABLE;
   w = kq_whole_new (seed);
-  w->trap_fault = fault;
+  w->trigger_fault = fault;
   kq_whole_set_table (w);
-  kq_whole_add (w, EVENT_CLIENT, w->now);
-  kq_whole_advance (w, CALM_BEFORE);
-  take_step (w, trap, race);
-  if (!w->trap_hit)
-    cell = KQ_CELL_NONE;
-  kq_whole_advance (w, FAULT_SPAN);
+  kq_whole_add_event (w, EVENT_CLIENT, w->now);
+  kq_whole_advance (w, WARM_UP);
+  run_step (w, id, race);
+  if (!w->triggered)
+    result = KQ_MATRIX_NOT_APPLICABLE;
+  kq_whole_advance (w, FAULT_TIME);
   kq_whole_heal (w);
-  kq_whole_advance (w, LOAD_AFTER);
+  kq_whole_advance (w, TIME_AFTER);
   kq_whole_final_checks (w);
   check_one_table (w);
   if (w->result.violation[0] != '\0')
     {
-      snprintf (why, KQ_CELL_WHY, "%s", w->result.violation);
-      cell = KQ_CELL_FAILED;
+      snprintf (why, KQ_MATRIX_WHY_SIZE, "%s", w->result.violation);
+      result = KQ_MATRIX_FAILED;
     }
   kq_whole_free (w);
-  return cell;
+  return result;
 }
 
 static const KqMatrixRow rows[] = {
--- a/bench/whole.c
+++ b/bench/whole.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 void
-kq_whole_violate (KqWhole *w, const char *fmt, ...)
+kq_whole_add_violation (KqWhole *w, const char *fmt, ...)
 {
   va_list ap;
   if (w->result.violation[0] != '\0')
@@ -23,7 +23,7 @@
 }
 
 KqWholeEvent *
-kq_whole_add (KqWhole *w, KqWholeEventKind kind, KqTime at)
+kq_whole_add_event (KqWhole *w, KqWholeEventKind kind, KqTime at)
 {
   size_t i = w->n_events++;
   KqWholeEvent e = { .kind = kind, .at = at, .order = ++w->order };
@@ -42,7 +42,7 @@
 }
 
 KqWholeEvent
-kq_whole_take (KqWhole *w)
+kq_whole_take_event (KqWhole *w)
 {
   KqWholeEvent top = w->events[0];
   KqWholeEvent last = w->events[--w->n_events];
@@ -92,7 +92,7 @@
   return -1;
 }
 
-/* Between two nodes messages keep their order, as on one connection. */
+/* Messages between two nodes keep their order, as on one connection. */
 void
 kq_whole_send (KqWhole *w, int from, KqNodeId to, const KqMsg *msg)
 {
@@ -106,10 +106,10 @@
   if (at < w->last_at[from][t])
     at = w->last_at[from][t];
   w->last_at[from][t] = at;
-  e = kq_whole_add (w, EVENT_MSG, at);
+  e = kq_whole_add_event (w, EVENT_MSG, at);
   e->node = t;
   e->from = from;
-  e->life = w->nodes[t].life;
+  e->n_starts = w->nodes[t].n_starts;
   e->msg = kq_msg_copy (msg);
 }
 
@@ -119,9 +119,9 @@
   KqWholeEvent *e;
   if (!kq_core_may_call (w->nodes[from].core, call, w->now))
     return;
-  e = kq_whole_add (w, EVENT_CALL, w->now + net_delay (w));
+  e = kq_whole_add_event (w, EVENT_CALL, w->now + net_delay (w));
   e->from = from;
-  e->life = w->nodes[from].life;
+  e->n_starts = w->nodes[from].n_starts;
   e->worker = worker_of (w, call->worker);
   e->call = *call;
   e->call.acks = NULL;
@@ -132,15 +132,15 @@
     }
 }
 
-/* The step that a fault waits for has just been taken by this node. */
+/* Called when the node has taken a step: triggers the fault that waits for it. */
 static void
-spring (KqWhole *w, KqWholeTrap step, int node)
+check_trigger (KqWhole *w, KqWholeStep step, int node)
 {
-  if (w->trap == step)
+  if (w->trigger_step == step)
     {
-      w->trap = KQ_TRAP_NONE;
-      w->trap_hit = true;
-      w->trap_node = node;
+      w->trigger_step = KQ_STEP_NONE;
+      w->triggered = true;
+      w->fault_node = node;
     }
 }
 
@@ -151,35 +151,35 @@
   return h != NULL && kq_shard_state (h) == KQ_SHARD_ACTIVE;
 }
 
-/* Whether the message was one that an owner has taken in, and which step that is. */
+/* Triggers by the step that the message is, if its receiver owns the shard. */
 static void
-spring_by_msg (KqWhole *w, int node, const KqMsg *m)
+check_trigger_by_msg (KqWhole *w, int node, const KqMsg *m)
 {
   if (m->kind == KQ_MSG_JOB_SUBMIT && owns (w, node, m->u.job_submit.shard))
-    spring (w, KQ_TRAP_ACCEPT, node);
+    check_trigger (w, KQ_STEP_ACCEPT, node);
   else if (m->kind == KQ_MSG_JOB_CALL && m->u.job_call.kind == KQ_JOB_CANCEL
            && owns (w, node, m->u.job_call.shard))
-    spring (w, KQ_TRAP_CANCEL, node);
+    check_trigger (w, KQ_STEP_CANCEL, node);
   else if (m->kind == KQ_MSG_CLAIM_BEGIN && owns (w, node, m->u.claim_begin.shard))
-    spring (w, KQ_TRAP_CLAIM, node);
+    check_trigger (w, KQ_STEP_CLAIM, node);
   else if (m->kind == KQ_MSG_CLAIM_DONE && owns (w, node, m->u.claim_done.shard))
-    spring (w, KQ_TRAP_CLAIM_END, node);
+    check_trigger (w, KQ_STEP_CLAIM_END, node);
   else if (m->kind == KQ_MSG_JOB_MOVE && owns (w, node, m->u.job_move.shard))
-    spring (w, KQ_TRAP_MOVE, node);
+    check_trigger (w, KQ_STEP_MOVE, node);
 }
 
 static void
-spring_by_reply (KqWhole *w, int node, const KqWorkerReply *r)
+check_trigger_by_reply (KqWhole *w, int node, const KqWorkerReply *r)
 {
   for (size_t i = 0; i < r->n_tasks; i++)
     {
       if (r->tasks[i].state == KQ_TASK_FINISHED)
-        spring (w, KQ_TRAP_FINISH, node);
+        check_trigger (w, KQ_STEP_FINISH, node);
     }
 }
 
 void
-kq_whole_drain (KqWhole *w, int i)
+kq_whole_run_outbox (KqWhole *w, int i)
 {
   KqWholeNode *n = &w->nodes[i];
   KqOut item;
@@ -191,7 +191,7 @@
           kq_store_fake_call (w->store, i, &item.u.store, w->now);
           if (item.u.store.kind == KQ_STORE_PUT
               && kq_str_has_prefix (item.u.store.key, KQ_STR ("table/")))
-            spring (w, KQ_TRAP_TABLE, i);
+            check_trigger (w, KQ_STEP_TABLE, i);
         }
       else if (item.kind == KQ_OUT_SEND)
         kq_whole_send (w, i, item.u.send.to, item.u.send.msg);
@@ -210,8 +210,8 @@
   KqTable *t = kq_core_table (n->core);
   uint64_t r = t != NULL ? kq_table_revision (t) : 0;
   if (r < n->revision)
-    kq_whole_violate (w, "table went back at node %d: %llu after %llu", i,
-                      (unsigned long long)r, (unsigned long long)n->revision);
+    kq_whole_add_violation (w, "table went back at node %d: %llu after %llu", i,
+                            (unsigned long long)r, (unsigned long long)n->revision);
   n->revision = r;
 }
 
@@ -221,7 +221,7 @@
   KqWholeNode *n = &w->nodes[i];
   KqCoreConfig c = { .settings = &n->settings, .seed = kq_rand_next (&w->rand) };
   char address[32];
-  n->life++;
+  n->n_starts++;
   n->revision = 0;
   n->draining = false;
   n->paused_until = 0;
@@ -231,11 +231,11 @@
   c.self.depot = n->settings.depot;
   snprintf (address, sizeof address, "10.0.0.%d:7", i);
   c.self.mesh_address = c.self.operator_address = kq_name (kq_str (address));
-  c.self.incarnation = n->life * 100 + (uint64_t)i;
+  c.self.incarnation = n->n_starts * 100 + (uint64_t)i;
   n->core = kq_core_new (&c);
-  KqWholeEvent *e = kq_whole_add (w, EVENT_TICK, w->now + i);
+  KqWholeEvent *e = kq_whole_add_event (w, EVENT_TICK, w->now + i);
   e->node = i;
-  e->life = n->life;
+  e->n_starts = n->n_starts;
 }
 
 void
@@ -248,7 +248,7 @@
   n->core = NULL;
   kq_outbox_free (&n->out);
   kq_store_fake_drop_answers (w->store, i);
-  kq_whole_add (w, EVENT_RESTART, w->now + down)->node = i;
+  kq_whole_add_event (w, EVENT_RESTART, w->now + down)->node = i;
 }
 
 static void
@@ -256,14 +256,14 @@
 {
   KqWholeNode *n = &w->nodes[i];
   kq_core_tick (n->core, w->now, &n->out);
-  kq_whole_drain (w, i);
+  kq_whole_run_outbox (w, i);
   check_table (w, i);
-  KqWholeEvent *e = kq_whole_add (w, EVENT_TICK, w->now + TICK);
+  KqWholeEvent *e = kq_whole_add_event (w, EVENT_TICK, w->now + TICK);
   e->node = i;
-  e->life = n->life;
+  e->n_starts = n->n_starts;
 }
 
-/* A task was started: it may run nowhere else, and the worker must hold it. */
+/* Checks a started task: it runs nowhere else, and it fits into the worker. */
 static void
 check_start (KqWhole *w, int worker, KqTaskKey task)
 {
@@ -277,50 +277,51 @@
           const KqTaskReport *t = &w->workers[k].tasks[i].report;
           if (t->task.job == task.job && t->state == KQ_TASK_RUNNING
               && (k != worker || t->task.attempt != task.attempt))
-            kq_whole_violate (
+            kq_whole_add_violation (
                 w, "job %llx runs twice: attempt %u at worker %d and %u at %d",
                 (unsigned long long)task.job, t->task.attempt, k, task.attempt, worker);
         }
     }
   if (used.cpu_milli > f->whole.cpu_milli || used.memory_mb > f->whole.memory_mb)
-    kq_whole_violate (w, "worker %d was given more than its size", worker);
+    kq_whole_add_violation (w, "worker %d was given more than its size", worker);
 }
 
 static void
-carry_out_call (KqWhole *w, KqWholeEvent *e)
+execute_call (KqWhole *w, KqWholeEvent *e)
 {
   KqWorkerReply r = { 0 };
   KqWholeEvent *back;
-  bool carried = e->worker >= 0 && !w->worker_cut[e->worker];
-  if (carried)
+  bool executed = e->worker >= 0 && !w->worker_cut[e->worker];
+  if (executed)
     {
       kq_fake_worker_tick (&w->workers[e->worker], w->now);
       kq_fake_worker_call (&w->workers[e->worker], &e->call, w->now, &r);
     }
-  if (carried && e->call.kind == KQ_WORKER_START)
-    spring (w, KQ_TRAP_START, e->from);
-  else if (carried && e->call.kind == KQ_WORKER_LEASE)
-    spring (w, KQ_TRAP_RENEW, e->from);
-  if (carried && e->call.kind == KQ_WORKER_START && r.result == KQ_OK)
+  if (executed && e->call.kind == KQ_WORKER_START)
+    check_trigger (w, KQ_STEP_START, e->from);
+  else if (executed && e->call.kind == KQ_WORKER_LEASE)
+    check_trigger (w, KQ_STEP_RENEW, e->from);
+  if (executed && e->call.kind == KQ_WORKER_START && r.result == KQ_OK)
     {
-      KqWholeEvent *end = kq_whole_add (
+      KqWholeEvent *end = kq_whole_add_event (
           w, EVENT_TASK_END,
           w->now + 200 * KQ_MS + (KqTime)kq_rand_below (&w->rand, 4 * KQ_SEC));
       end->worker = e->worker;
       end->task = e->call.task;
-      end->life = (uint64_t)w->workers[e->worker].life;
+      end->n_starts = (uint64_t)w->workers[e->worker].n_restarts;
       w->result.starts++;
       check_start (w, e->worker, e->call.task);
     }
-  /* One answer in fifty is lost under faults, as are those of cut workers. */
-  if (!carried || (w->faulty && kq_rand_below (&w->rand, 50) == 0))
+  /* One answer in fifty is lost while faults are on, and all of unreachable workers. */
+  if (!executed || (w->faults_on && kq_rand_below (&w->rand, 50) == 0))
     {
       kq_fake_reply_clear (&r);
       r = kq_fake_no_reply (&e->call, e->at);
     }
-  back = kq_whole_add (w, EVENT_REPLY, w->now + (carried ? net_delay (w) : KQ_SEC));
+  back
+      = kq_whole_add_event (w, EVENT_REPLY, w->now + (executed ? net_delay (w) : KQ_SEC));
   back->node = e->from;
-  back->life = e->life;
+  back->n_starts = e->n_starts;
   back->reply = r;
   free (e->call.acks);
 }
@@ -333,10 +334,10 @@
   switch (m->kind)
     {
     case KQ_MSG_JOB_REPLY:
-      kq_whole_take_reply (w, &m->u.answer);
+      kq_whole_handle_answer (w, &m->u.answer);
       break;
     case KQ_MSG_CLAIM_REPLY:
-      if (m->u.claim_reply.flight.incarnation != n->life * 100 + (uint64_t)e->node)
+      if (m->u.claim_reply.flight.incarnation != n->n_starts * 100 + (uint64_t)e->node)
         break;
       if (m->u.claim_reply.verdict == KQ_CLAIM_GRANTED)
         kq_whole_claim_granted (w, e->node, &m->u.claim_reply);
@@ -345,8 +346,8 @@
       break;
     default:
       kq_core_message (n->core, w->nodes[e->from].id, m, w->now, &n->out);
-      kq_whole_drain (w, e->node);
-      spring_by_msg (w, e->node, m);
+      kq_whole_run_outbox (w, e->node);
+      check_trigger_by_msg (w, e->node, m);
       break;
     }
 }
@@ -355,7 +356,7 @@
 handle (KqWhole *w, KqWholeEvent *e)
 {
   KqWholeNode *n = &w->nodes[e->node];
-  bool alive = n->core != NULL && n->life == e->life;
+  bool alive = n->core != NULL && n->n_starts == e->n_starts;
   switch (e->kind)
     {
     case EVENT_TICK:
@@ -368,19 +369,19 @@
       kq_msg_free (e->msg);
       break;
     case EVENT_CALL:
-      carry_out_call (w, e);
+      execute_call (w, e);
       break;
     case EVENT_REPLY:
       if (alive)
         {
           kq_core_worker_reply (n->core, &e->reply, w->now, &n->out);
-          kq_whole_drain (w, e->node);
-          spring_by_reply (w, e->node, &e->reply);
+          kq_whole_run_outbox (w, e->node);
+          check_trigger_by_reply (w, e->node, &e->reply);
         }
       kq_fake_reply_clear (&e->reply);
       break;
     case EVENT_TASK_END:
-      if (w->workers[e->worker].life == (int)e->life)
+      if (w->workers[e->worker].n_restarts == (int)e->n_starts)
         {
           kq_fake_worker_tick (&w->workers[e->worker], w->now);
           kq_fake_worker_end (&w->workers[e->worker], e->task,
@@ -389,7 +390,7 @@
         }
       break;
     case EVENT_CLIENT:
-      kq_whole_client (w);
+      kq_whole_run_client (w);
       break;
     case EVENT_CLAIM_END:
       if (alive)
@@ -400,39 +401,41 @@
         kq_whole_start (w, e->node);
       break;
     case EVENT_FAULT:
-      kq_whole_start_fault (w);
-      kq_whole_add (w, EVENT_FAULT,
-                    w->now + (KqTime)kq_rand_below (&w->rand, 2 * FAULT_GAP));
+      kq_whole_inject_random_fault (w);
+      kq_whole_add_event (
+          w, EVENT_FAULT,
+          w->now + (KqTime)kq_rand_below (&w->rand, 2 * FAULT_INTERVAL_MEAN));
       break;
     case EVENT_HEAL:
       kq_whole_heal (w);
-      kq_whole_add (w, EVENT_HEAL,
-                    w->now + 5 * KQ_SEC
-                        + (KqTime)kq_rand_below (&w->rand, 2 * FAULT_MAX));
+      kq_whole_add_event (w, EVENT_HEAL,
+                          w->now + 5 * KQ_SEC
+                              + (KqTime)kq_rand_below (&w->rand, 2 * FAULT_MAX));
       break;
     }
 }
 
-/* A paused process does nothing; what came for it waits in its sockets. */
+/* A paused node handles nothing; its input waits in its sockets. Puts the event back
+ * until the pause ends, or returns false if the node isn't paused. */
 static bool
-wait_for_wake (KqWhole *w, const KqWholeEvent *e)
+defer_if_paused (KqWhole *w, const KqWholeEvent *e)
 {
   bool of_node = e->kind == EVENT_TICK || e->kind == EVENT_MSG || e->kind == EVENT_REPLY
                  || e->kind == EVENT_CLAIM_END;
   KqWholeNode *n = &w->nodes[e->node];
-  KqWholeEvent *later;
+  KqWholeEvent *deferred;
   KqWholeEvent copy = *e;
   if (!of_node || n->core == NULL || n->paused_until <= w->now)
     return false;
-  later = kq_whole_add (w, e->kind, n->paused_until);
-  copy.at = later->at;
-  copy.order = later->order;
-  *later = copy;
+  deferred = kq_whole_add_event (w, e->kind, n->paused_until);
+  copy.at = deferred->at;
+  copy.order = deferred->order;
+  *deferred = copy;
   return true;
 }
 
 static void
-take_store (KqWhole *w)
+deliver_store_replies (KqWhole *w)
 {
   int i;
   KqStoreReply r;
@@ -443,7 +446,7 @@
         continue;
       kq_core_store_reply (n->core, &r, w->now, &n->out);
       kq_core_tick (n->core, w->now, &n->out);
-      kq_whole_drain (w, i);
+      kq_whole_run_outbox (w, i);
     }
 }
 
@@ -455,19 +458,19 @@
   if (w->n_events == 0 || due < w->events[0].at)
     {
       w->now = due > w->now ? due : w->now;
-      take_store (w);
+      deliver_store_replies (w);
       return;
     }
-  e = kq_whole_take (w);
+  e = kq_whole_take_event (w);
   w->now = e.at;
   w->result.trace
       = kq_hash2 (w->result.trace, (uint64_t)e.at ^ (uint64_t)e.kind << 56 ^ e.order);
-  if (!wait_for_wake (w, &e))
+  if (!defer_if_paused (w, &e))
     handle (w, &e);
-  if (w->trap_node >= 0)
+  if (w->fault_node >= 0)
     {
-      kq_whole_fault (w, w->trap_fault, w->trap_node);
-      w->trap_node = -1;
+      kq_whole_inject_fault (w, w->trigger_fault, w->fault_node);
+      w->fault_node = -1;
     }
   w->result.steps++;
 }
@@ -485,13 +488,13 @@
 {
   for (size_t i = 0; i < w->n_events; i++)
     {
-      /* They stay in the heap but find nothing to do. */
+      /* Turned into events without effect, so that the heap keeps its order. */
       if (w->events[i].kind == EVENT_CLIENT || w->events[i].kind == EVENT_FAULT
           || w->events[i].kind == EVENT_HEAL)
         {
           w->events[i].kind = EVENT_TASK_END;
           w->events[i].worker = 0;
-          w->events[i].life = UINT64_MAX;
+          w->events[i].n_starts = UINT64_MAX;
         }
     }
 }
@@ -501,15 +504,15 @@
 {
   kq_whole_stop_clients (w);
   kq_whole_heal (w);
-  w->faulty = false;
-  kq_whole_advance (w, CALM);
+  w->faults_on = false;
+  kq_whole_advance (w, TIME_WITHOUT_FAULTS);
   for (int round = 0; round < 4; round++)
-    kq_whole_ask_after_jobs (w);
+    kq_whole_query_jobs (w);
   for (size_t i = 0; i < w->n_jobs; i++)
     {
       if (w->jobs[i].acked && !w->jobs[i].ended)
-        kq_whole_violate (w, "job %llx (job-%zu) has not ended: %s",
-                          (unsigned long long)w->jobs[i].id, i, w->jobs[i].last);
+        kq_whole_add_violation (w, "job %llx (job-%zu) has not ended: %s",
+                                (unsigned long long)w->jobs[i].id, i, w->jobs[i].last);
     }
   for (int i = 0; i < NODES; i++)
     {
@@ -531,10 +534,10 @@
   KqTime start;
   kq_whole_set_table (w);
   start = w->now;
-  w->faulty = true;
-  kq_whole_add (w, EVENT_CLIENT, w->now);
-  kq_whole_add (w, EVENT_FAULT, w->now + 5 * KQ_SEC);
-  kq_whole_add (w, EVENT_HEAL, w->now + 15 * KQ_SEC);
+  w->faults_on = true;
+  kq_whole_add_event (w, EVENT_CLIENT, w->now);
+  kq_whole_add_event (w, EVENT_FAULT, w->now + 5 * KQ_SEC);
+  kq_whole_add_event (w, EVENT_HEAL, w->now + 15 * KQ_SEC);
   steps += w->result.steps;
   while (w->result.steps < steps && w->result.violation[0] == '\0')
     step (w);
--- a/bench/whole_faults.c
+++ b/bench/whole_faults.c
@@ -13,21 +13,21 @@
     }
 }
 
-/* The second region from the first and from the store, which stands there. */
+/* Cuts the second region from the first and from the store, which is in the first. */
 static void
 cut_region (KqWhole *w)
 {
   KqStoreFaults *s = kq_store_fake_faults (w->store);
-  for (int i = FIRST_REGION; i < NODES; i++)
+  for (int i = FIRST_REGION_NODES; i < NODES; i++)
     {
       s->cut_to[i] = s->cut_from[i] = true;
-      for (int k = 0; k < FIRST_REGION; k++)
+      for (int k = 0; k < FIRST_REGION_NODES; k++)
         w->cut[i][k] = w->cut[k][i] = true;
     }
 }
 
 static void
-lapse_lease (KqWhole *w, int node)
+expire_lease (KqWhole *w, int node)
 {
   KqCore *c = w->nodes[node].core;
   uint64_t lease = c != NULL ? kq_member_lease (kq_core_member (c)) : 0;
@@ -35,9 +35,10 @@
     kq_store_fake_expire_lease (w->store, lease, w->now);
 }
 
-/* Everything that a run may break. Several may hold at once; all end at the next heal. */
+/* Injects a random fault. Several may be on at once; kq_whole_heal ends them, except
+ * crashes and pauses. */
 void
-kq_whole_start_fault (KqWhole *w)
+kq_whole_inject_random_fault (KqWhole *w)
 {
   KqStoreFaults *s = kq_store_fake_faults (w->store);
   int node = (int)kq_rand_below (&w->rand, NODES);
@@ -84,7 +85,7 @@
       cut_region (w);
       break;
     case 12:
-      lapse_lease (w, node);
+      expire_lease (w, node);
       break;
     default:
       if (w->nodes[node].core != NULL && !w->nodes[node].draining)
@@ -97,7 +98,7 @@
 }
 
 void
-kq_whole_fault (KqWhole *w, KqMatrixFault fault, int node)
+kq_whole_inject_fault (KqWhole *w, KqMatrixFault fault, int node)
 {
   KqStoreFaults *s = kq_store_fake_faults (w->store);
   w->result.faults++;
@@ -131,10 +132,10 @@
       cut_region (w);
       break;
     case KQ_MATRIX_LEASE_LAPSES:
-      lapse_lease (w, node);
+      expire_lease (w, node);
       break;
     case KQ_MATRIX_OPERATORS_RACE:
-    case KQ_MATRIX_FAULTS:
+    case KQ_MATRIX_FAULT_COUNT:
       break;
     }
 }
@@ -152,7 +153,7 @@
   memset (w->worker_cut, 0, sizeof w->worker_cut);
   for (int i = 0; i < NODES; i++)
     {
-      /* A node that was told to stop is replaced. */
+      /* A drained node is stopped and restarts. */
       if (w->nodes[i].draining)
         kq_whole_kill (w, i, 100 * KQ_MS);
     }
--- a/bench/whole_load.c
+++ b/bench/whole_load.c
@@ -23,9 +23,9 @@
   KqMsg m = { .kind = KQ_MSG_JOB_SUBMIT };
   KqMsgJobSubmit *s = &m.u.job_submit;
   char key[24];
-  /* One in four is an earlier one again, as after a lost answer. */
+  /* One in four repeats an earlier submission, as after a lost answer. */
   size_t number = w->n_jobs;
-  if (w->n_jobs == JOBS || (w->n_jobs > 0 && kq_rand_below (&w->rand, 4) == 0))
+  if (w->n_jobs == JOBS_MAX || (w->n_jobs > 0 && kq_rand_below (&w->rand, 4) == 0))
     number = (size_t)kq_rand_below (&w->rand, w->n_jobs);
   if (number == w->n_jobs)
     {
@@ -61,12 +61,12 @@
 {
   KqMsg m = { .kind = KQ_MSG_CLAIM_BEGIN };
   KqMsgClaimBegin *b = &m.u.claim_begin;
-  int key = (int)kq_rand_below (&w->rand, KEYS);
+  int key = (int)kq_rand_below (&w->rand, N_KEYS);
   char text[16];
   snprintf (text, sizeof text, "k%d", key);
-  b->flight
-      = (KqFlightId){ w->nodes[entry].id, w->nodes[entry].life * 100 + (uint64_t)entry,
-                      ++w->flights * 1024 + (uint64_t)key };
+  b->flight = (KqFlightId){ w->nodes[entry].id,
+                            w->nodes[entry].n_starts * 100 + (uint64_t)entry,
+                            ++w->flights * 1024 + (uint64_t)key };
   b->shard = (uint32_t)key % SHARDS;
   b->service = KQ_STR ("seal");
   b->key = kq_str (text);
@@ -81,8 +81,8 @@
   return row.u.service.claim_ttl_s * KQ_SEC;
 }
 
-/* The claim was granted: the request runs now. A second grant of a key whose request has
- * run is a second run. */
+/* The claim was granted, so its request runs now. Another grant of a key whose request
+ * has run would be a second run: a violation. */
 void
 kq_whole_claim_granted (KqWhole *w, int entry, const KqMsgClaimReply *c)
 {
@@ -90,23 +90,23 @@
   KqWholeKey *k = &w->keys[key];
   KqWholeEvent *e;
   w->result.claims_granted++;
-  /* A key is remembered for its service's claim_ttl_s after the end and may run anew then
-   * (request/claims.h). Seed 3230 of 300,000 steps shows it: k21 ended at 1013.4 s, and
-   * no takeover counted its span anew before it was granted at 1789.2 s. */
+  /* A key is kept for its service's claim_ttl_s after the end of its request and may run
+   * again then (request/claims.h). With seed 3230 and 300,000 steps, k21 ended at 1013.4
+   * s and, as no takeover had restarted its time, was granted again at 1789.2 s. */
   if (k->runs > 0 && w->now - k->ended_at > claim_ttl ())
     k->runs = 0;
   if (k->runs > 0)
-    kq_whole_violate (w, "key k%d was granted again after it ran", key);
+    kq_whole_add_violation (w, "key k%d was granted again after it ran", key);
   k->runs++;
   k->open = true;
-  k->ended_at = w->now; /* if its entry node dies, nobody tells another end */
+  k->ended_at = w->now; /* the end if the entry node dies before it reports one */
   k->flight = c->flight;
   k->entry = entry;
-  k->entry_life = w->nodes[entry].life;
-  e = kq_whole_add (w, EVENT_CLAIM_END,
-                    w->now + 50 * KQ_MS + (KqTime)kq_rand_below (&w->rand, KQ_SEC));
+  k->entry_starts = w->nodes[entry].n_starts;
+  e = kq_whole_add_event (w, EVENT_CLAIM_END,
+                          w->now + 50 * KQ_MS + (KqTime)kq_rand_below (&w->rand, KQ_SEC));
   e->node = entry;
-  e->life = w->nodes[entry].life;
+  e->n_starts = w->nodes[entry].n_starts;
   e->key = key;
   e->ran = kq_rand_below (&w->rand, 5) == 0 ? KQ_RAN_NO : KQ_RAN_YES;
 }
@@ -123,7 +123,7 @@
   d->kept = e->ran == KQ_RAN_YES;
   d->status = 200;
   d->body = KQ_STR ("done");
-  /* "Not run" is said only when nothing was sent: the key may be used again. */
+  /* "Not run" means that nothing was sent to a runner: the key may be used again. */
   if (e->ran == KQ_RAN_NO)
     k->runs--;
   k->open = false;
@@ -132,7 +132,7 @@
 }
 
 void
-kq_whole_take_reply (KqWhole *w, const KqMsgAnswer *a)
+kq_whole_handle_answer (KqWhole *w, const KqMsgAnswer *a)
 {
   size_t number = (size_t)a->call - 1;
   json_t *o = json_loadb (a->json.ptr != NULL ? a->json.ptr : "", a->json.len, 0, NULL);
@@ -143,7 +143,7 @@
       KqWholeJob *j = &w->jobs[number];
       KqJobId got = strtoull (id, NULL, 16);
       if (j->acked && j->id != got)
-        kq_whole_violate (w, "key job-%zu made two jobs", number);
+        kq_whole_add_violation (w, "key job-%zu made two jobs", number);
       j->id = got;
       w->result.jobs_acked += !j->acked;
       j->acked = true;
@@ -161,18 +161,19 @@
         }
     }
   else if (number < w->n_jobs && a->code == KQ_ERR_JOB_UNKNOWN && w->jobs[number].acked)
-    kq_whole_violate (w, "job %llx was acknowledged and is unknown",
-                      (unsigned long long)w->jobs[number].id);
+    kq_whole_add_violation (w, "job %llx was acknowledged and is unknown",
+                            (unsigned long long)w->jobs[number].id);
   json_decref (o);
 }
 
 void
-kq_whole_client (KqWhole *w)
+kq_whole_run_client (KqWhole *w)
 {
   int entry = kq_whole_any_node (w);
   uint64_t draw = kq_rand_below (&w->rand, 10);
-  kq_whole_add (w, EVENT_CLIENT,
-                w->now + (KqTime)kq_rand_below (&w->rand, 2 * CLIENT_GAP));
+  kq_whole_add_event (w, EVENT_CLIENT,
+                      w->now
+                          + (KqTime)kq_rand_below (&w->rand, 2 * CLIENT_INTERVAL_MEAN));
   if (entry < 0)
     return;
   if (draw < 4)
@@ -188,9 +189,9 @@
     begin_claim (w, entry);
 }
 
-/* Asks after every job that hasn't been seen to end. */
+/* Queries every acknowledged job that isn't known to have ended. */
 void
-kq_whole_ask_after_jobs (KqWhole *w)
+kq_whole_query_jobs (KqWhole *w)
 {
   for (size_t i = 0; i < w->n_jobs && w->result.violation[0] == '\0'; i++)
     {
--- a/bench/whole_main.c
+++ b/bench/whole_main.c
@@ -1,5 +1,5 @@
-/* soak-whole: long randomised runs of whole node cores (bench/whole.h). A seed that shows
- * a fault replays to the same trace. */
+/* whole: long randomised runs of complete node cores (bench/whole.h). The same seed gives
+ * the same trace, so a violation can be reproduced by its seed. */
 
 #include "whole.h"
 
--- a/bench/whole_setup.c
+++ b/bench/whole_setup.c
@@ -51,7 +51,7 @@
   KqWhole *w = kq_alloc (sizeof *w);
   w->rand = kq_rand (seed);
   w->now = 1000 * KQ_SEC;
-  w->trap_node = -1;
+  w->fault_node = -1;
   w->store = kq_store_fake_new (seed + 1);
   write_hosts (w, "da", 0, 4);
   write_hosts (w, "db", 4, 2);
@@ -76,7 +76,7 @@
 {
   while (w->n_events > 0)
     {
-      KqWholeEvent e = kq_whole_take (w);
+      KqWholeEvent e = kq_whole_take_event (w);
       kq_msg_free (e.msg);
       free (e.call.acks);
       kq_fake_reply_clear (&e.reply);
@@ -94,7 +94,8 @@
   free (w);
 }
 
-/* The table: one team, one class, one service; retried until a node has it. */
+/* Writes a table of one team, one class and one service through node 0, after the time
+ * that the nodes need to start. */
 void
 kq_whole_set_table (KqWhole *w)
 {
@@ -103,6 +104,6 @@
                        { .row = kq_row_default (KQ_ROW_SERVICE, KQ_STR ("seal")) } };
   kq_whole_advance (w, 3 * KQ_SEC);
   kq_core_change_table (w->nodes[0].core, 1, c, 3, w->now, &w->nodes[0].out);
-  kq_whole_drain (w, 0);
+  kq_whole_run_outbox (w, 0);
   kq_whole_advance (w, 5 * KQ_SEC);
 }
--- a/bench/whole_state.h
+++ b/bench/whole_state.h
@@ -1,9 +1,9 @@
 #ifndef KQ_BENCH_WHOLE_STATE_H
 #define KQ_BENCH_WHOLE_STATE_H
 
-/* whole_state: what the files of the whole-node soak share: whole.c (events, nodes,
- * workers, store), whole_load.c (clients and what they must find), whole_faults.c,
- * whole_setup.c. */
+/* whole_state: internal types and functions of the simulation of whole.h: whole.c
+ * (events, nodes, workers, store), whole_load.c (clients and their checks),
+ * whole_faults.c (fault injection) and whole_setup.c. Also used by matrix_whole.c. */
 
 #include "whole.h"
 
@@ -13,27 +13,27 @@
 #include "node/core.h"
 #include "port/store_fake.h"
 
-#define FIRST_REGION 3 /* nodes of it; the store stands there */
-#define NODES 5        /* three in the first region, two in the second */
+#define FIRST_REGION_NODES 3 /* nodes in the first region, where the store is */
+#define NODES 5              /* the other two are in the second region */
 #define WORKERS 6
 #define SHARDS 4
-#define KEYS 400 /* idempotency keys in use */
-/* Fewer than the ended jobs that one shard remembers: any job must be known at the end,
- * though every move leaves one more entry behind. */
-#define JOBS 900
+#define N_KEYS 400 /* idempotency keys in use */
+/* Fewer than the ended jobs that a shard keeps: every job must be known at the end, and
+ * each move of a job leaves another entry at the shard that it left. */
+#define JOBS_MAX 900
 #define TICK (20 * KQ_MS)
-#define CLIENT_GAP (40 * KQ_MS)
+#define CLIENT_INTERVAL_MEAN (40 * KQ_MS)
 #define REPLY_LIMIT (5 * KQ_SEC)
-#define FAULT_GAP (6 * KQ_SEC)
+#define FAULT_INTERVAL_MEAN (6 * KQ_SEC)
 #define FAULT_MAX (15 * KQ_SEC)
-#define CALM (150 * KQ_SEC)
+#define TIME_WITHOUT_FAULTS (150 * KQ_SEC)
 
 typedef enum
 {
-  EVENT_TICK, /* of a node */
-  EVENT_MSG,
-  EVENT_CALL, /* of a worker */
-  EVENT_REPLY,
+  EVENT_TICK,  /* of a node */
+  EVENT_MSG,   /* between nodes */
+  EVENT_CALL,  /* to a worker */
+  EVENT_REPLY, /* of a worker */
   EVENT_TASK_END,
   EVENT_CLIENT,
   EVENT_CLAIM_END,
@@ -47,9 +47,9 @@
   KqTime at;
   uint64_t order;
   KqWholeEventKind kind;
-  int node;      /* receiver, or whose event it is */
-  int from;      /* sender */
-  uint64_t life; /* of the receiver or owner at sending */
+  int node;          /* the receiver, or the node of the event */
+  int from;          /* the sending node */
+  uint64_t n_starts; /* n_starts of the node, or n_restarts of the worker, when sent */
   KqMsg *msg;
   KqWorkerCall call;
   KqWorkerReply reply;
@@ -65,46 +65,46 @@
   KqOutbox out;
   KqSettings settings;
   KqNodeId id;
-  uint64_t life;
+  uint64_t n_starts;
   KqTime paused_until;
   uint64_t revision;
   bool draining;
 } KqWholeNode;
 
-/* A job as its client sees it. */
+/* A job as seen by its client. */
 typedef struct
 {
   KqJobId id;
   bool acked;
   bool ended;
-  char last[100]; /* what the last answer said, for the report of a violation */
+  char last[100]; /* summary of the last answer, for violations */
 } KqWholeJob;
 
-/* An idempotency key as its callers see it. */
+/* An idempotency key as seen by its callers. */
 typedef struct
 {
-  int runs;  /* that weren't reported as not run */
-  bool open; /* a granted request is under way */
+  int runs;  /* except those reported as not run */
+  bool open; /* a granted request is running */
   KqTime ended_at;
   KqFlightId flight;
   int entry;
-  uint64_t entry_life;
+  uint64_t entry_starts;
 } KqWholeKey;
 
-/* At which event a fault of the matrix starts; see matrix_whole.c. */
+/* The step of a node at which a fault of the matrix starts; see matrix_whole.c. */
 typedef enum
 {
-  KQ_TRAP_NONE,
-  KQ_TRAP_ACCEPT,    /* an owner has taken a submission in */
-  KQ_TRAP_START,     /* a START has reached its worker */
-  KQ_TRAP_RENEW,     /* a renewal has reached its worker */
-  KQ_TRAP_FINISH,    /* an owner has heard of an end */
-  KQ_TRAP_CANCEL,    /* an owner has taken a cancellation in */
-  KQ_TRAP_CLAIM,     /* an owner has taken a claim in */
-  KQ_TRAP_CLAIM_END, /* an owner has heard how it ended */
-  KQ_TRAP_MOVE,      /* a job has arrived at another shard's owner */
-  KQ_TRAP_TABLE      /* a node has sent its change to the store */
-} KqWholeTrap;
+  KQ_STEP_NONE,
+  KQ_STEP_ACCEPT,    /* an owner has received a submission */
+  KQ_STEP_START,     /* a START has reached its worker */
+  KQ_STEP_RENEW,     /* a renewal has reached its worker */
+  KQ_STEP_FINISH,    /* an owner has learned that a task finished */
+  KQ_STEP_CANCEL,    /* an owner has received a cancellation */
+  KQ_STEP_CLAIM,     /* an owner has received a claim */
+  KQ_STEP_CLAIM_END, /* an owner has learned how a claim's request ended */
+  KQ_STEP_MOVE,      /* a job has arrived at another shard's owner */
+  KQ_STEP_TABLE      /* a node has sent its change to the store */
+} KqWholeStep;
 
 struct KqWhole
 {
@@ -114,40 +114,40 @@
   KqWholeNode nodes[NODES];
   KqFakeWorker workers[WORKERS];
   bool worker_cut[WORKERS];
-  bool cut[NODES][NODES]; /* from, to */
-  KqTime last_at[NODES][NODES];
-  KqWholeEvent *events; /* a heap by time and order */
+  bool cut[NODES][NODES];       /* from, to */
+  KqTime last_at[NODES][NODES]; /* from, to: arrival of the last message */
+  KqWholeEvent *events;         /* a heap by time and order */
   size_t n_events;
   size_t capacity;
   uint64_t order;
   KqWholeJob *jobs;
   size_t n_jobs;
-  KqWholeKey keys[KEYS];
+  KqWholeKey keys[N_KEYS];
   uint64_t flights;
-  bool faulty;
-  KqWholeTrap trap;
-  KqMatrixFault trap_fault;
-  bool trap_hit;
-  int trap_node; /* whom the fault meets once the event is over; -1: nobody */
+  bool faults_on;
+  KqWholeStep trigger_step;
+  KqMatrixFault trigger_fault;
+  bool triggered;
+  int fault_node; /* gets the fault when the present event is over; -1: none */
   KqWholeResult result;
 };
 
-void kq_whole_violate (KqWhole *w, const char *fmt, ...);
-KqWholeEvent *kq_whole_add (KqWhole *w, KqWholeEventKind kind, KqTime at);
-KqWholeEvent kq_whole_take (KqWhole *w);
+void kq_whole_add_violation (KqWhole *w, const char *fmt, ...);
+KqWholeEvent *kq_whole_add_event (KqWhole *w, KqWholeEventKind kind, KqTime at);
+KqWholeEvent kq_whole_take_event (KqWhole *w);
 void kq_whole_send (KqWhole *w, int from, KqNodeId to, const KqMsg *msg);
-void kq_whole_drain (KqWhole *w, int i);
+void kq_whole_run_outbox (KqWhole *w, int i);
 void kq_whole_start (KqWhole *w, int i);
 void kq_whole_kill (KqWhole *w, int i, KqTime down);
 int kq_whole_any_node (KqWhole *w);
 void kq_whole_call_job (KqWhole *w, int entry, KqJobCallKind kind, size_t number);
 void kq_whole_claim_granted (KqWhole *w, int entry, const KqMsgClaimReply *c);
 void kq_whole_end_claim (KqWhole *w, const KqWholeEvent *e);
-void kq_whole_take_reply (KqWhole *w, const KqMsgAnswer *a);
-void kq_whole_client (KqWhole *w);
-void kq_whole_start_fault (KqWhole *w);
-/* One of the matrix's faults, at this node where it is a node's. */
-void kq_whole_fault (KqWhole *w, KqMatrixFault fault, int node);
+void kq_whole_handle_answer (KqWhole *w, const KqMsgAnswer *a);
+void kq_whole_run_client (KqWhole *w);
+void kq_whole_inject_random_fault (KqWhole *w);
+/* Injects one of the matrix's faults; `node` matters for faults of one node. */
+void kq_whole_inject_fault (KqWhole *w, KqMatrixFault fault, int node);
 void kq_whole_stop_clients (KqWhole *w);
 void kq_whole_final_checks (KqWhole *w);
 void kq_whole_heal (KqWhole *w);
@@ -155,6 +155,6 @@
 KqWhole *kq_whole_new (uint64_t seed);
 void kq_whole_free (KqWhole *w);
 void kq_whole_set_table (KqWhole *w);
-void kq_whole_ask_after_jobs (KqWhole *w);
+void kq_whole_query_jobs (KqWhole *w);
 
 #endif
