--- a/bench/load_costs.c
+++ b/bench/load_costs.c
@@ -7,12 +7,12 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* Whole turns measured for each figure, and flights under way meanwhile. */
-#define TURNS 400000
+/* Requests measured for each figure; slots of a runner. */
+#define REQUESTS 400000
 #define SLOTS 8
 #define CALLERS 40
 #define KEYS 200
-#define RUN (40 * KQ_MS)
+#define WORK_TIME (40 * KQ_MS)
 #define NODES 100
 
 typedef struct
@@ -23,7 +23,7 @@
   KqTime now;
   char callers[CALLERS][24];
   uint64_t next_flight;
-  KqFlightId *running; /* a ring */
+  KqFlightId *running; /* ring buffer */
   size_t first;
   size_t n_running;
   size_t capacity;
@@ -103,33 +103,34 @@
   l->n_running--;
 }
 
-/* One request in, one out, with every slot taken and a queue behind: nanoseconds. */
+/* Nanoseconds to end one request and to offer and send another, with every slot taken and
+ * `queue` requests queued. */
 static double
-turn_cost (uint64_t seed, int runners, size_t queue)
+request_cost (uint64_t seed, int runners, size_t queue)
 {
   Load l = load_new (seed, runners);
   size_t slots = (size_t)runners * SLOTS;
-  KqTime step = RUN / (KqTime)slots > 0 ? RUN / (KqTime)slots : 1;
+  KqTime step = WORK_TIME / (KqTime)slots > 0 ? WORK_TIME / (KqTime)slots : 1;
   KqTime began;
   double ns;
   for (size_t i = 0; i < slots + queue; i++)
     offer_one (&l, 3600 * KQ_SEC);
   send_all (&l);
   began = kq_time_now ();
-  for (int i = 0; i < TURNS; i++)
+  for (int i = 0; i < REQUESTS; i++)
     {
       l.now += step;
       end_one (&l);
       offer_one (&l, 3600 * KQ_SEC);
       send_all (&l);
     }
-  ns = (double)(kq_time_now () - began) * 1000 / TURNS;
+  ns = (double)(kq_time_now () - began) * 1000 / REQUESTS;
   assert (l.n_running > 0);
   load_free (&l);
   return ns;
 }
 
-/* A request that is refused on arrival because of its deadline. */
+/* Nanoseconds to refuse a request on arrival because of its deadline. */
 static double
 refusal_cost (uint64_t seed, int runners)
 {
@@ -141,14 +142,15 @@
     offer_one (&l, 3600 * KQ_SEC);
   send_all (&l);
   began = kq_time_now ();
-  for (int i = 0; i < TURNS; i++)
+  for (int i = 0; i < REQUESTS; i++)
     refused += offer_one (&l, KQ_MS) == KQ_ERR_DEADLINE_FORECAST;
-  ns = (double)(kq_time_now () - began) * 1000 / TURNS;
-  assert (refused == TURNS);
+  ns = (double)(kq_time_now () - began) * 1000 / REQUESTS;
+  assert (refused == REQUESTS);
   load_free (&l);
   return ns;
 }
 
+/* Nanoseconds for an entry node to choose an owner among `nodes` nodes. */
 static double
 route_cost (uint64_t seed, int nodes)
 {
@@ -163,19 +165,19 @@
   for (int i = 0; i < nodes; i++)
     {
       KqRouteNode n = { .node = (KqNodeId)i + 1, .usable = true };
-      KqServiceDigest d = { .slots = 328, .p50_us = RUN };
+      KqServiceDigest d = { .slots = 328, .p50_us = WORK_TIME };
       d.service = kq_name (KQ_STR ("quick"));
       kq_route_set_node (r, &n, &d, 1, now);
     }
   began = kq_time_now ();
-  for (int i = 0; i < TURNS; i++)
+  for (int i = 0; i < REQUESTS; i++)
     {
       KqRouteChoice c = kq_route_choose (r, KQ_STR ("quick"), 100, 0, now);
       kq_route_first_try (r, KQ_STR ("quick"), now);
       kq_route_sent (r, c.node, KQ_STR ("quick"), now);
       now += 100;
     }
-  ns = (double)(kq_time_now () - began) * 1000 / TURNS;
+  ns = (double)(kq_time_now () - began) * 1000 / REQUESTS;
   kq_route_free (r);
   kq_table_unref (t);
   return ns;
@@ -184,11 +186,11 @@
 void
 load_run_costs (uint64_t seed)
 {
-  double small = turn_cost (seed, 65, 1000);
-  double large = turn_cost (seed, 4100, 1000);
-  double deep = turn_cost (seed, 4100, 50000);
+  double small = request_cost (seed, 65, 1000);
+  double large = request_cost (seed, 4100, 1000);
+  double deep = request_cost (seed, 4100, 50000);
   double refused = refusal_cost (seed, 65);
-  printf ("\ncosts: one request offered, sent and ended; %d turns\n", TURNS);
+  printf ("\ncosts: one request offered, sent and ended; %d turns\n", REQUESTS);
   printf ("  65 runners %.0f ns, 4100 runners %.0f ns (growth %.2f), with 50 times the "
           "queue %.0f ns, refused on arrival %.0f ns\n",
           small, large, large / small, deep, refused);
--- a/bench/load_live_main.c
+++ b/bench/load_live_main.c
@@ -1,8 +1,7 @@
-/* bench-load-live: what callers receive of 3 nodes and stand-in runners under a burst, a
- * hot caller, overload and a slow target. The same seeded arrivals go to a service with
- * its safeguards and, behind it, to one whose row switches them off. Open loop: a request
- * is sent when it is due, however many are open, and its time counts from when it was
- * due. */
+/* load_live: measures the answers of 3 real nodes with stand-in runners under a burst, a
+ * hot caller, overload and a slow target. The same seeded arrivals are sent to a service
+ * with its safeguards on and then to one with them off. Open loop: a request is sent when
+ * it is due, however many are open, and its response time counts from then. */
 
 #include "procs.h"
 
@@ -14,27 +13,27 @@
 #include <string.h>
 
 #define NODES 3
-#define STEADY                                                                           \
-  9 /* workers of the first process; the second has the one that is slowed               \
-     */
+/* Workers of the first process; the second has one more, which can be slowed. */
+#define STEADY_WORKERS 9
 #define SLOTS 4
 #define MEAN_MS 80
-/* Of 40 slots at 80 ms: 500 a second, which the bench's one loop can offer threefold. */
-#define CAPACITY ((STEADY + 1) * SLOTS * 1000.0 / MEAN_MS)
+/* Requests a second: 40 slots at 80 ms give 500; the bench's event loop can send three
+ * times that. */
+#define CAPACITY ((STEADY_WORKERS + 1) * SLOTS * 1000.0 / MEAN_MS)
 #define DEADLINE KQ_SEC
-#define SPAN (5 * KQ_SEC)
+#define MEASURE_TIME (5 * KQ_SEC)
 #define WARM_UP (2 * KQ_SEC)
 #define CALLERS 20
 #define REQUESTS_MAX 16000
-#define SLOW "{\"path\":\"/w/b1/r/\",\"delay_ms\":600}"
+#define SLOW_FAULT "{\"path\":\"/w/b1/r/\",\"delay_ms\":600}"
 
 typedef struct
 {
-  double load; /* of the capacity, by CALLERS callers alike */
-  double more; /* and so much between the two times, by one caller or by all */
+  double load;       /* relative to the capacity, by CALLERS callers */
+  double extra_load; /* additional load between the two times */
   KqTime from;
   KqTime to;
-  bool hot; /* `more` comes from one caller */
+  bool hot; /* `extra_load` comes from one caller, not from all */
 } Pattern;
 
 typedef struct
@@ -44,7 +43,8 @@
   bool hot;
 } Arrival;
 
-/* One service under one pattern. The hot caller's requests are counted apart. */
+/* A run of one pattern against one service. The hot caller's requests are counted
+ * separately. */
 typedef struct Phase
 {
   Arrival arrivals[REQUESTS_MAX];
@@ -55,19 +55,19 @@
   int late;
   int hot_sent;
   int hot_good;
-  KqTime until;               /* the last arrival's time at most */
+  KqTime until;               /* end of arrivals */
   int in_span;                /* answered in time and before `until` */
   int codes[KQ_RESULT_LIMIT]; /* 0: no answer */
-  KqTime took[REQUESTS_MAX];  /* of the others' whole answers */
+  KqTime took[REQUESTS_MAX];  /* response times of the other callers' answers */
   int n_took;
 } Phase;
 
 typedef struct
 {
-  double goodput; /* a second, all callers */
-  double p50;     /* milliseconds, of the others' answers */
+  double goodput; /* answers in time a second, all callers */
+  double p50;     /* milliseconds, without the hot caller */
   double p99;
-  double good_percent; /* of the others' requests */
+  double good_percent; /* answered in time, without the hot caller */
 } Figures;
 
 typedef struct
@@ -126,7 +126,7 @@
   Procs *p = &b->procs;
   p->regions = "[[region]]\nname = \"r\"\nshards = 16\n";
   b->store = procs_start_store (p, "");
-  b->workers[0] = procs_start_workers (p, "a", "r", "d", STEADY, options);
+  b->workers[0] = procs_start_workers (p, "a", "r", "d", STEADY_WORKERS, options);
   b->workers[1] = procs_start_workers (p, "b", "r", "d", 1, slowed);
   if (b->store < 0 || b->workers[0] < 0 || b->workers[1] < 0)
     return false;
@@ -164,8 +164,8 @@
     }
 }
 
-/* The run time and the caller are drawn for each arrival, so that both services get the
- * same. */
+/* Draws the run time and the caller for every arrival, so that both services get the same
+ * sequence. */
 static void
 send_arrival (Bench *b, Phase *ph, const char *service, KqTime due, bool hot,
               KqRand *rand)
@@ -191,19 +191,20 @@
 }
 
 static bool
-none_open (Procs *p, void *arg)
+all_answered (Procs *p, void *arg)
 {
   const Phase *ph = arg;
   (void)p;
   return ph->open == 0;
 }
 
-/* Two streams of arrivals, each with its own generator, sent in the order of time. */
+/* Sends two streams of arrivals (`load` and `extra_load`), each with its own random
+ * generator, in order of time, and waits for the answers. */
 static void
 offer (Bench *b, Phase *ph, const char *service, const Pattern *p, KqTime span)
 {
   KqRand rand[2] = { kq_rand (b->seed), kq_rand (b->seed + 1) };
-  double rate[2] = { p->load * CAPACITY, p->more * CAPACITY };
+  double rate[2] = { p->load * CAPACITY, p->extra_load * CAPACITY };
   KqTime start = kq_time_now ();
   ph->until = start + span;
   KqTime next[2] = { 0, p->from };
@@ -218,7 +219,7 @@
       send_arrival (b, ph, service, due, k == 1 && p->hot, &rand[k]);
       next[k] += 1 + (KqTime)kq_rand_exp (&rand[k], (double)KQ_SEC / rate[k]);
     }
-  procs_wait (&b->procs, 10 * KQ_SEC, none_open, ph);
+  procs_wait (&b->procs, 10 * KQ_SEC, all_answered, ph);
 }
 
 static int
@@ -260,8 +261,8 @@
 {
   static Phase ph;
   ph = (Phase){ 0 };
-  offer (b, &ph, service, p, SPAN);
-  return show (label, &ph, SPAN);
+  offer (b, &ph, service, p, MEASURE_TIME);
+  return show (label, &ph, MEASURE_TIME);
 }
 
 static void
@@ -296,17 +297,17 @@
 pattern_hot (Bench *b)
 {
   const Pattern calm = { 0.6, 0, 0, 0, false };
-  const Pattern p = { 0.6, 2, KQ_SEC, SPAN, true };
-  Figures alone;
+  const Pattern p = { 0.6, 2, KQ_SEC, MEASURE_TIME, true };
+  Figures baseline;
   Figures on;
   Figures off;
   print_head ("hot caller: 20 others at 0.6 of the capacity, the hot one at 2 times");
-  alone = run (b, "on, no hot one", "on", &calm);
+  baseline = run (b, "on, no hot one", "on", &calm);
   on = run (b, "on", "on", &p);
   off = run (b, "off", "off", &p);
-  result ("hot_others_p99_ratio", on.p99 / alone.p99, "times", "<=1.2",
-          on.p99 <= 1.2 * alone.p99);
-  result ("hot_others_p99_ratio_off", off.p99 / alone.p99, "times", "-", true);
+  result ("hot_others_p99_ratio", on.p99 / baseline.p99, "times", "<=1.2",
+          on.p99 <= 1.2 * baseline.p99);
+  result ("hot_others_p99_ratio_off", off.p99 / baseline.p99, "times", "-", true);
   result ("hot_others_in_time", on.good_percent, "percent", ">=99",
           on.good_percent >= 99);
   result ("hot_others_in_time_off", off.good_percent, "percent", "-", true);
@@ -327,25 +328,27 @@
   result ("overload_p99_served", on.p99, "ms", "<=1000", on.p99 <= 1000);
 }
 
-/* The last one: what is learned of the slow runner outlives its slowness. */
+/* Runs last: the owners still avoid the runner for a while after it is fast again. */
 static void
 pattern_slow (Bench *b)
 {
   const Pattern p = { 0.6, 0, 0, 0, false };
-  Figures well;
+  Figures baseline;
   Figures on;
   Figures off;
   print_head ("slow target: 0.6 of the capacity, one runner of 10 takes 600 ms more");
-  well = run (b, "on, none slow", "on", &p);
-  procs_fault (&b->procs, b->workers[1], SLOW);
+  baseline = run (b, "on, none slow", "on", &p);
+  procs_fault (&b->procs, b->workers[1], SLOW_FAULT);
   on = run (b, "on", "on", &p);
   off = run (b, "off", "off", &p);
   procs_fault (&b->procs, b->workers[1], "{\"clear\":true}");
-  result ("slow_p99_ratio", on.p99 / well.p99, "times", "<1.5", on.p99 < 1.5 * well.p99);
-  result ("slow_p99_ratio_off", off.p99 / well.p99, "times", "-", true);
+  result ("slow_p99_ratio", on.p99 / baseline.p99, "times", "<1.5",
+          on.p99 < 1.5 * baseline.p99);
+  result ("slow_p99_ratio_off", off.p99 / baseline.p99, "times", "-", true);
 }
 
-/* Owners of few runners fill first, so that the spread belongs to the figures. */
+/* Prints how many runners each owner has: the figures depend on it, because owners of few
+ * runners fill up first. */
 static void
 show_owners (Bench *b)
 {
--- a/bench/load_patterns.c
+++ b/bench/load_patterns.c
@@ -5,18 +5,17 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* Of the brief: 50 runners with 8 slots. At 40 ms a request they answer 10,000 a second;
- * a deadline of a second is that of a dispatcher's change. */
+/* 50 runners with 8 slots answer 10,000 requests of 40 ms a second. */
 #define RUNNERS 50
-/* A service that has some runners of its own: one bad one is a tenth. */
-#define FEW 10
+/* For a small service, where one bad runner is a tenth of the capacity. */
+#define FEW_RUNNERS 10
 #define SLOTS 8
-#define MEAN (40 * KQ_MS)
-#define CAPACITY (RUNNERS * SLOTS * (double)KQ_SEC / MEAN)
+#define WORK_MEAN (40 * KQ_MS)
+#define CAPACITY (RUNNERS * SLOTS * (double)KQ_SEC / WORK_MEAN)
 #define DEADLINE KQ_SEC
 #define END (8 * KQ_SEC)
 #define CALLERS 20
-#define HOT_CALLER 40
+#define HOT_CALLER_NUMBER 40
 #define QUICK_CLASS 1001
 #define LONG_CLASS 2002
 #define KEYS 50
@@ -41,23 +40,25 @@
                       .row = sim_row (true) };
 }
 
-static const SimArrival quick = { .class_id = QUICK_CLASS, .key = 1 };
-static const SimArrival hot_caller
-    = { .class_id = QUICK_CLASS, .key = 1, .caller = HOT_CALLER, .group = SIM_HOT };
+static const SimArrival short_request = { .class_id = QUICK_CLASS, .key = 1 };
+static const SimArrival hot_caller = {
+  .class_id = QUICK_CLASS, .key = 1, .caller = HOT_CALLER_NUMBER, .group = SIM_HOT
+};
 static const SimArrival hot_key
     = { .class_id = QUICK_CLASS, .key = HOT_KEY, .group = SIM_HOT };
-static const SimArrival lengthy = { .class_id = LONG_CLASS, .key = 1, .group = SIM_LONG };
+static const SimArrival long_request
+    = { .class_id = LONG_CLASS, .key = 1, .group = SIM_LONG };
 
-/* `load` times the capacity of so many runners. */
+/* Adds short requests at `load` times the capacity of so many runners. */
 static void
 add_load (SimArrivals *a, KqRand *rand, double load, int runners, KqTime from, KqTime to)
 {
-  sim_add_arrivals (a, rand, &quick, load * CAPACITY * runners / RUNNERS, from, to, MEAN,
-                    CALLERS, KEYS);
+  sim_add_arrivals (a, rand, &short_request, load * CAPACITY * runners / RUNNERS, from,
+                    to, WORK_MEAN, CALLERS, KEYS);
 }
 
 static void
-add_quick (SimArrivals *a, KqRand *rand, double load, KqTime from, KqTime to)
+add_short_load (SimArrivals *a, KqRand *rand, double load, KqTime from, KqTime to)
 {
   add_load (a, rand, load, RUNNERS, from, to);
 }
@@ -71,8 +72,8 @@
           "fair");
 }
 
-/* Goodput and refused in percent of what the quick callers offered, wasted in percent of
- * the runners' work. */
+/* Goodput, refused and failed are in percent of the requests of SIM_QUICK, wasted in
+ * percent of the runners' work. */
 static void
 print_run (const char *name, const SimResult *r)
 {
@@ -109,7 +110,8 @@
   return r;
 }
 
-/* Runs with all on, with `off` applied, and with all off. The result with all on. */
+/* Runs with all safeguards on, with `off` applied, and with all off. Returns the result
+ * with all on. */
 static SimResult
 run_three (SimConfig *c, const SimArrivals *a, const char *off_name,
            void (*off) (KqServiceRow *row))
@@ -182,8 +184,8 @@
   KqRand rand = kq_rand (seed);
   SimArrivals a = { 0 };
   SimResult r;
-  add_quick (&a, &rand, 0.5, 0, END);
-  add_quick (&a, &rand, 6, 3 * KQ_SEC, 3 * KQ_SEC + KQ_SEC / 2);
+  add_short_load (&a, &rand, 0.5, 0, END);
+  add_short_load (&a, &rand, 6, 3 * KQ_SEC, 3 * KQ_SEC + KQ_SEC / 2);
   sim_sort_arrivals (&a);
   print_head ("burst", "half load, six times the capacity for half a second");
   r = run_three (&c, &a, "no admission", no_admission);
@@ -192,7 +194,7 @@
   free (a.items);
 }
 
-/* The quick callers alone, then with a hot one of three times the capacity. */
+/* Normal callers alone, then with a caller or key at three times the capacity. */
 static void
 pattern_hot (uint64_t seed, const char *name, const SimArrival *like)
 {
@@ -202,11 +204,11 @@
   SimResult alone;
   SimResult r;
   char label[64];
-  add_quick (&a, &rand, 0.6, 0, END);
+  add_short_load (&a, &rand, 0.6, 0, END);
   sim_sort_arrivals (&a);
   print_head (name, "others at 0.6 of the capacity, the hot one at 3 times");
   alone = run ("all on, no hot one", &c, &a);
-  sim_add_arrivals (&a, &rand, like, 3 * CAPACITY, 2 * KQ_SEC, END, MEAN, 1, 1);
+  sim_add_arrivals (&a, &rand, like, 3 * CAPACITY, 2 * KQ_SEC, END, WORK_MEAN, 1, 1);
   sim_sort_arrivals (&a);
   r = run_three (&c, &a, "no fairness", no_fairness);
   snprintf (label, sizeof label, "%s.others_p99_ratio", name);
@@ -223,13 +225,13 @@
 static void
 pattern_slow (uint64_t seed, const char *name, const SimChange *change, double load)
 {
-  SimConfig c = config (seed, FEW);
+  SimConfig c = config (seed, FEW_RUNNERS);
   KqRand rand = kq_rand (seed);
   SimArrivals a = { 0 };
   SimResult alone;
   SimResult r;
   char label[64];
-  add_load (&a, &rand, load, FEW, 0, END);
+  add_load (&a, &rand, load, FEW_RUNNERS, 0, END);
   sim_sort_arrivals (&a);
   print_head (name, "one target of ten, from the second second on");
   alone = run ("all on, no bad one", &c, &a);
@@ -251,11 +253,11 @@
   free (a.items);
 }
 
-/* The quick ones alone, then with 1% of requests that take 100 times as long. */
+/* Short requests alone, then with requests that take 100 times as long. */
 static void
 pattern_long (uint64_t seed, const char *name, double load, double long_load)
 {
-  SimConfig c = config (seed, FEW);
+  SimConfig c = config (seed, FEW_RUNNERS);
   KqRand rand = kq_rand (seed);
   SimArrivals a = { 0 };
   SimResult alone;
@@ -263,13 +265,14 @@
   char label[64];
   c.deadline = 60 * KQ_SEC;
   c.end = 20 * KQ_SEC;
-  add_load (&a, &rand, load, FEW, 0, c.end);
+  add_load (&a, &rand, load, FEW_RUNNERS, 0, c.end);
   sim_sort_arrivals (&a);
   printf ("\nload of quick ones %.2f, of long ones %.2f", load, long_load);
   print_head (name, "long ones take 100 times as long");
   alone = run ("all on, no long ones", &c, &a);
-  sim_add_arrivals (&a, &rand, &lengthy, long_load * CAPACITY * FEW / RUNNERS / 100, 0,
-                    c.end, 100 * MEAN, CALLERS, KEYS);
+  sim_add_arrivals (&a, &rand, &long_request,
+                    long_load * CAPACITY * FEW_RUNNERS / RUNNERS / 100, 0, c.end,
+                    100 * WORK_MEAN, CALLERS, KEYS);
   sim_sort_arrivals (&a);
   r = run_three (&c, &a, "no short slots", no_short_slots);
   snprintf (label, sizeof label, "%s.short_p99_ratio", name);
@@ -288,7 +291,7 @@
   SimResult r;
   char label[64];
   double good;
-  add_quick (&a, &rand, times, 0, END);
+  add_short_load (&a, &rand, times, 0, END);
   sim_sort_arrivals (&a);
   snprintf (label, sizeof label, "overload_%.0f", times);
   print_head (label, "that many times the capacity for all of the run");
@@ -303,7 +306,8 @@
   free (a.items);
 }
 
-/* When a window of 100 ms is first back under twice the p99 from before. */
+/* Time from `from` to the first window of 100 ms whose p99 is at most twice the p99
+ * before the disturbance. */
 static double
 recovered_after (const SimResult *r, KqTime before, KqTime from, KqTime end)
 {
@@ -327,8 +331,8 @@
   SimResult r;
   double drain;
   double after;
-  add_quick (&a, &rand, load, 0, 2 * END);
-  add_quick (&a, &rand, 5 - load, start, stop);
+  add_short_load (&a, &rand, load, 0, 2 * END);
+  add_short_load (&a, &rand, 5 - load, start, stop);
   sim_sort_arrivals (&a);
   print_head ("recovery", "five times the capacity for three seconds, then 0.6");
   r = run_three (&c, &a, "no admission", no_admission);
@@ -344,7 +348,7 @@
   free (a.items);
 }
 
-/* Some runners fail for two seconds; the entry node tries again. */
+/* Some runners fail for two seconds; the entry nodes retry. */
 static void
 pattern_retry_storm (uint64_t seed, const char *name, int failing, SimFailure failure)
 {
@@ -356,10 +360,10 @@
   SimResult r;
   char label[64];
   c.retries = 3;
-  c.comebacks = 2;
+  c.caller_retries = 2;
   c.changes = changes;
   c.n_changes = 2;
-  add_quick (&a, &rand, 0.8, 0, END);
+  add_short_load (&a, &rand, 0.8, 0, END);
   sim_sort_arrivals (&a);
   printf ("\n%d of %d targets fail for 2 s, after the work was done", failing, RUNNERS);
   print_head (name, "0.8 load, three retries by the entry node");
@@ -371,7 +375,7 @@
   free (a.items);
 }
 
-/* Everything stands still for two seconds, then goes on. */
+/* All runners stop for two seconds, then go on. */
 static void
 pattern_outage (uint64_t seed)
 {
@@ -383,12 +387,12 @@
   SimResult r;
   c.changes = changes;
   c.n_changes = 2;
-  c.comebacks = 3;
-  add_quick (&a, &rand, 0.7, 0, 2 * END);
+  c.caller_retries = 3;
+  add_short_load (&a, &rand, 0.7, 0, 2 * END);
   sim_sort_arrivals (&a);
   print_head ("outage", "0.7 load, all targets stand still for 2 s; callers come back");
   r = run_three (&c, &a, "no admission", no_admission);
-  /* Two seconds of 0.7 load drain at 0.3. */
+  /* A queue of two seconds at 0.7 load drains with the 0.3 that is left. */
   load_result ("outage.normal_per_drain",
                recovered_after (&r, 2 * KQ_SEC, 4 * KQ_SEC, 2 * END)
                    / (2 * KQ_SEC * 0.7 / 0.3),
@@ -397,7 +401,7 @@
   free (a.items);
 }
 
-/* Batch work takes three quarters of the cores of a fifth of the machines. */
+/* Batch work takes three quarters of the cores of a fifth of the hosts. */
 static void
 pattern_neighbour (uint64_t seed)
 {
@@ -409,7 +413,7 @@
   c.changes = &change;
   c.n_changes = 1;
   c.thrash = 0.15;
-  add_quick (&a, &rand, 0.8, 0, END);
+  add_short_load (&a, &rand, 0.8, 0, END);
   sim_sort_arrivals (&a);
   print_head ("noisy_neighbour", "0.8 load, 10 of 50 targets keep 2 of 8 cores");
   r = run_three (&c, &a, "no limit", no_limit);
@@ -424,8 +428,8 @@
   free (a.items);
 }
 
-/* Batch work comes to all machines: half the cores are gone, and eight requests at once
- * get less done than four. */
+/* Batch work takes half the cores of all hosts, so that eight concurrent requests get
+ * less done than four. */
 static void
 pattern_wave (uint64_t seed)
 {
@@ -438,7 +442,7 @@
   c.changes = changes;
   c.n_changes = 2;
   c.thrash = 0.15;
-  add_quick (&a, &rand, 0.4, 0, 30 * KQ_SEC);
+  add_short_load (&a, &rand, 0.4, 0, 30 * KQ_SEC);
   sim_sort_arrivals (&a);
   print_head ("batch_wave", "0.4 load, all targets keep 4 of 8 cores for 8 s of 30");
   r = run_three (&c, &a, "no limit", no_limit);
@@ -446,8 +450,8 @@
   free (a.items);
 }
 
-/* The same runners under six owners, reached from six entry nodes that know the owners'
- * queues as of the last heartbeat. */
+/* The same runners under six owners and six entry nodes, which know the owners' queues as
+ * of the last heartbeat. */
 static void
 pattern_owners (uint64_t seed)
 {
@@ -458,7 +462,7 @@
   SimResult one;
   SimResult six;
   SimResult other;
-  add_quick (&a, &rand, 0.8, 0, END);
+  add_short_load (&a, &rand, 0.8, 0, END);
   sim_sort_arrivals (&a);
   print_head (
       "owners",
--- a/bench/load_sim.c
+++ b/bench/load_sim.c
@@ -12,21 +12,21 @@
 #define SERVICE "quick"
 #define SLOTS_MAX 64
 #define ERROR_TIME KQ_MS
-#define DIGEST_EVERY (500 * KQ_MS)
+#define DIGEST_INTERVAL (500 * KQ_MS)
 
 typedef struct
 {
-  KqHeapNode event; /* a retry or a comeback that is due */
+  KqHeapNode event; /* a retry by the entry node or the caller */
   const SimArrival *arrival;
   uint64_t flight;
-  KqTime began; /* of the caller's present try */
+  KqTime began; /* when the caller last sent it */
   KqTime sent_at;
-  double left; /* work at the runner */
+  double left; /* work that the runner still has to do */
   double spent;
   int retries;
-  int comebacks;
+  int caller_retries;
   int entry;
-  int owner; /* that has it, or has refused it last; -1: none */
+  int owner; /* the last that it was sent to; -1: none */
 } Request;
 
 typedef struct
@@ -51,10 +51,10 @@
   int n_entries;
   KqDispatch *owners[SIM_NODES_MAX];
   KqRoute *entries[SIM_NODES_MAX];
-  KqTime digest_at; /* the next time digests are told */
+  KqTime digest_at; /* when the next digests are sent */
   Runner *runners;
   KqHeap finish;  /* runners */
-  KqHeap waiting; /* requests that come again */
+  KqHeap waiting; /* requests that are sent again later */
   Request *requests;
   size_t n_requests;
   KqTable *table;
@@ -184,14 +184,14 @@
 static void offer (Sim *s, Request *r);
 
 static void
-come_again (Sim *s, Request *r, KqTime at)
+send_again_at (Sim *s, Request *r, KqTime at)
 {
   kq_heap_add (&s->waiting, &r->event, at, r->flight, r);
 }
 
-/* A try ended without an answer: the entry node may try again, then the caller. */
+/* An attempt failed or was refused: the entry node may retry it, then the caller. */
 static void
-try_ended (Sim *s, Request *r, bool refused, KqTime retry_after)
+attempt_failed (Sim *s, Request *r, bool refused, KqTime retry_after)
 {
   SimStats *st = stats_of (s, r);
   KqRoute *route = s->entries[r->entry];
@@ -203,15 +203,15 @@
       && kq_route_take_retry (route, KQ_STR (SERVICE), s->now))
     {
       r->retries++;
-      come_again (s, r, s->now + wait);
+      send_again_at (s, r, s->now + wait);
       return;
     }
-  if (refused && r->comebacks < s->config->comebacks)
+  if (refused && r->caller_retries < s->config->caller_retries)
     {
-      r->comebacks++;
+      r->caller_retries++;
       r->retries = 0;
       r->began = s->now + retry_after;
-      come_again (s, r, r->began);
+      send_again_at (s, r, r->began);
       return;
     }
   if (refused)
@@ -250,7 +250,7 @@
   if (kq_dispatch_offer (s->owners[r->owner], &q, s->now, &retry_after) != KQ_OK)
     {
       kq_route_ended (route, choice.node, KQ_STR (SERVICE), s->now);
-      try_ended (s, r, true, retry_after);
+      attempt_failed (s, r, true, retry_after);
     }
 }
 
@@ -283,7 +283,7 @@
   if (error)
     {
       s->result.work_wasted += r->spent;
-      try_ended (s, r, false, 0);
+      attempt_failed (s, r, false, 0);
     }
   else
     record_answer (s, r);
@@ -309,10 +309,10 @@
 }
 
 static void
-refused_late (Sim *s, Request *r, KqTime retry_after)
+refuse_queued (Sim *s, Request *r, KqTime retry_after)
 {
   kq_route_ended (s->entries[r->entry], node_of (r->owner), KQ_STR (SERVICE), s->now);
-  try_ended (s, r, true, retry_after);
+  attempt_failed (s, r, true, retry_after);
 }
 
 static void
@@ -327,15 +327,15 @@
         if (e.kind == KQ_DISPATCH_SEND)
           start (s, r, &s->runners[e.runner - 1]);
         else
-          refused_late (s, r, e.retry_after);
+          refuse_queued (s, r, e.retry_after);
       }
   n = queued (s);
-  if (n > s->result.queue_most)
-    s->result.queue_most = n;
+  if (n > s->result.queue_peak)
+    s->result.queue_peak = n;
 }
 
 static void
-tell_digests (Sim *s)
+send_digests (Sim *s)
 {
   for (int i = 0; i < s->n_owners; i++)
     {
@@ -345,7 +345,7 @@
       for (int e = 0; e < s->n_entries; e++)
         kq_route_set_node (s->entries[e], &node, &line, n, s->now);
     }
-  s->digest_at = s->now + DIGEST_EVERY;
+  s->digest_at = s->now + DIGEST_INTERVAL;
 }
 
 static void
@@ -364,7 +364,7 @@
 }
 
 static KqTime
-key_of (const KqHeap *h)
+top_key (const KqHeap *h)
 {
   return kq_heap_top (h) != NULL ? kq_heap_top (h)->key : KQ_TIME_NEVER;
 }
@@ -378,7 +378,7 @@
 static KqTime
 next_time (const Sim *s)
 {
-  KqTime t = least (key_of (&s->finish), key_of (&s->waiting));
+  KqTime t = least (top_key (&s->finish), top_key (&s->waiting));
   if (s->next_arrival < s->arrivals->n)
     t = least (t, s->arrivals->items[s->next_arrival].at);
   if (s->next_change < s->config->n_changes)
@@ -407,13 +407,13 @@
 step (Sim *s)
 {
   if (s->now >= s->digest_at)
-    tell_digests (s);
+    send_digests (s);
   while (s->next_change < s->config->n_changes
          && s->config->changes[s->next_change].at <= s->now)
     apply_change (s, &s->config->changes[s->next_change++]);
-  while (key_of (&s->finish) <= s->now)
+  while (top_key (&s->finish) <= s->now)
     finish_due (s, kq_heap_top (&s->finish)->container);
-  while (key_of (&s->waiting) <= s->now)
+  while (top_key (&s->waiting) <= s->now)
     {
       Request *r = kq_heap_top (&s->waiting)->container;
       kq_heap_remove (&s->waiting, &r->event);
@@ -458,7 +458,7 @@
       s->runners[i].cores = s->config->slots;
       kq_dispatch_set_runner (s->owners[i % s->n_owners], &info, false, 0);
     }
-  tell_digests (s);
+  send_digests (s);
 }
 
 SimResult
--- a/bench/load_sim.h
+++ b/bench/load_sim.h
@@ -1,15 +1,15 @@
 #ifndef KQ_BENCH_LOAD_SIM_H
 #define KQ_BENCH_LOAD_SIM_H
 
-/* load_sim: the owners' real dispatchers and the entry nodes' real choice of owners and
- * retry budgets under seeded arrivals, in virtual time, with simple runners.
+/* load_sim: simulates the owners' dispatchers and the entry nodes' routing and retry
+ * budgets (the real modules) under seeded arrivals in simulated time, with model runners.
  *
  * Owners' digests reach the entry nodes every half second, as heartbeats do. Runners are
- * dealt to the owners in turn; requests come to the entry nodes at random.
+ * assigned to the owners round-robin; requests arrive at the entry nodes at random.
  *
- * A runner has slots; its requests share its cores evenly and lose `thrash` of their
- * speed for each request above them. A runner goes on with a request whose caller has
- * given up (the worst case): its slot stays taken and that work is wasted. */
+ * The requests at a runner share its cores evenly and slow down by `thrash` for each
+ * request above the number of cores. A runner finishes requests whose caller has timed
+ * out (the worst case): its slot stays taken and that work is wasted. */
 
 #include "base/rand.h"
 #include "request/dispatch.h"
@@ -21,13 +21,13 @@
 
 typedef enum
 {
-  SIM_QUICK, /* the requests a pattern is judged by */
+  SIM_QUICK, /* the requests whose figures a pattern is judged by */
   SIM_LONG,
   SIM_HOT,
   SIM_GROUPS
 } SimGroup;
 
-/* One request as its caller sends it. */
+/* A request as sent by its caller. */
 typedef struct
 {
   KqTime at;
@@ -48,12 +48,13 @@
 typedef enum
 {
   SIM_WORKS,
-  SIM_FAILS_AT_ONCE, /* every request is answered at once by an error */
-  SIM_FAILS_LATE,    /* and by an error after its work was done */
-  SIM_FAILS_HALF     /* the same for every second one, by chance */
+  SIM_FAILS_AT_ONCE, /* answers every request with an error at once */
+  SIM_FAILS_LATE,    /* answers every request with an error after its work is done */
+  SIM_FAILS_HALF     /* the same for a random half of the requests */
 } SimFailure;
 
-/* From `at` on, n runners are so: `first`, and then every step-th (0: every one). */
+/* From `at` on, n runners have these properties: `first` and every step-th after it (0:
+ * each). */
 typedef struct
 {
   KqTime at;
@@ -74,9 +75,9 @@
   int entries; /* 0: one */
   double thrash;
   KqTime deadline;
-  KqTime end;    /* arrivals stop; the run goes on until all is answered */
-  int retries;   /* by the entry node after an error or a refusal */
-  int comebacks; /* by the caller, after the advised time */
+  KqTime end;         /* of arrivals; the run ends when all are answered */
+  int retries;        /* by the entry node after an error or a refusal */
+  int caller_retries; /* by the caller after a refusal, after the advised wait */
   KqServiceRow row;
   const SimChange *changes;
   size_t n_changes;
@@ -95,7 +96,7 @@
   size_t late;
   size_t refused;
   size_t failed;
-  SimAnswer *answers; /* good and late; in order of time until sim_percentile */
+  SimAnswer *answers; /* good and late */
   size_t capacity;
 } SimStats;
 
@@ -104,28 +105,30 @@
   SimStats groups[SIM_GROUPS];
   size_t caller_offered[SIM_CALLERS];
   size_t caller_good[SIM_CALLERS];
-  double work_done;   /* microseconds of slots, all */
-  double work_wasted; /* of requests that weren't answered in time */
-  size_t sent;        /* tries that reached a runner */
-  size_t queue_most;
+  double work_done;   /* microseconds of slot time */
+  double work_wasted; /* part of it for requests that weren't answered in time */
+  size_t sent;        /* attempts that reached a runner */
+  size_t queue_peak;
   double queue_work_at_mark; /* expected work queued at `mark` */
 } SimResult;
 
-/* A service row with every safeguard on, or off. */
+/* A service row with all safeguards on or off. */
 KqServiceRow sim_row (bool safeguards);
-/* Poisson arrivals in [from, to) at `rate` a second with exponential work; callers, keys
- * and group as in `like`. callers: drawn evenly from like->caller on; keys likewise. */
+/* Adds Poisson arrivals in [from, to) at `rate` a second with exponential work of that
+ * mean; the rest as in `like`, but with a random caller of `callers` from like->caller
+ * on, and a random key of `keys` from like->key on. */
 void sim_add_arrivals (SimArrivals *a, KqRand *rand, const SimArrival *like, double rate,
                        KqTime from, KqTime to, KqTime mean, int callers, int keys);
 void sim_sort_arrivals (SimArrivals *a);
-/* mark: when queue_work_at_mark is taken; 0: never. */
+/* mark: time at which queue_work_at_mark is sampled; 0: never. Free the result with
+ * sim_result_free. */
 SimResult sim_run (const SimConfig *c, const SimArrivals *a, KqTime mark);
 void sim_result_free (SimResult *r);
-/* Of the answers' times, those answered in [from, to) only. 0 without answers. */
+/* The p-quantile (0 to 1) of the response times of answers in [from, to); 0 if none. */
 KqTime sim_percentile (const SimStats *s, double p, KqTime from, KqTime to);
-/* Answers in time that came before `to`. */
+/* Number of answers within the deadline that came before `to`. */
 size_t sim_good_before (const SimStats *s, KqTime deadline, KqTime to);
-/* Jain's index over callers of the share of their requests that was answered in time. */
+/* Jain's fairness index of the callers' shares of requests answered in time. */
 double sim_fairness (const SimResult *r);
 
 #endif
--- a/bench/path_main.c
+++ b/bench/path_main.c
@@ -1,6 +1,5 @@
-/* bench-path: what the way through two nodes adds to a request, against asking the runner
- * directly, in one run; and whether a body of 100 MB passes either way in bounded memory.
- */
+/* path: measures the time that two nodes add to a request compared with asking the runner
+ * directly, and whether bodies of 100 MB pass in both directions in bounded memory. */
 
 #include "procs.h"
 
@@ -14,7 +13,7 @@
 #define CLIENTS 8
 #define ROUND_REQUESTS 1500
 #define ROUNDS 3
-#define BIG (100LL * 1024 * 1024)
+#define BODY_BYTES (100LL * 1024 * 1024)
 #define GROWTH_LIMIT_MB 16.0
 
 typedef struct
@@ -25,7 +24,7 @@
   char runner[128]; /* the runner's own URL */
 } Bench;
 
-/* One closed loop of CLIENTS requests at a time against one URL. */
+/* A closed loop with CLIENTS requests open at a time against one URL. */
 typedef struct
 {
   Bench *bench;
@@ -114,7 +113,8 @@
   return m;
 }
 
-/* Megabytes of a process's own memory now, or its highest so far. */
+/* A memory field of /proc/PID/status in megabytes: VmRSS now, VmHWM the highest so far.
+ */
 static double
 memory_mb (const Bench *b, int node, const char *field)
 {
@@ -148,39 +148,39 @@
   return worst;
 }
 
-/* One body of 100 MB up or down; true when it came through whole. */
+/* Sends a body of 100 MB up or down; returns whether it arrived complete. */
 static bool
-pass_big (Bench *b, bool up)
+send_large_body (Bench *b, bool up)
 {
   char url[160];
   ProcsRequest q = { .method = up ? "PUT" : "GET", .url = url, .total_ms = 60000 };
   ProcsAnswer a;
-  char *bytes = up ? kq_alloc (BIG) : NULL;
-  bool whole;
+  char *bytes = up ? kq_alloc (BODY_BYTES) : NULL;
+  bool complete;
   snprintf (url, sizeof url, "http://127.0.0.1:%d/s/s/big?ms=0&bytes=%lld",
-            b->procs.processes[b->nodes[0]].callers, up ? 0LL : BIG);
+            b->procs.processes[b->nodes[0]].callers, up ? 0LL : BODY_BYTES);
   if (up)
     {
-      q.body = kq_str_n (bytes, BIG);
+      q.body = kq_str_n (bytes, BODY_BYTES);
       snprintf (url, sizeof url, "http://127.0.0.1:%d/s/s/big?ms=0",
                 b->procs.processes[b->nodes[0]].callers);
     }
   procs_call (&b->procs, &q, &a);
-  whole = a.end == KQ_HTTP_DONE && a.status == 200;
-  if (whole && up)
+  complete = a.end == KQ_HTTP_DONE && a.status == 200;
+  if (complete && up)
     {
       json_t *o = json_loadb (a.body.ptr, a.body.len, 0, NULL);
-      whole = json_integer_value (json_object_get (o, "length")) == BIG;
+      complete = json_integer_value (json_object_get (o, "length")) == BODY_BYTES;
       json_decref (o);
     }
-  else if (whole)
-    whole = a.body.len == (size_t)BIG;
-  if (!whole)
+  else if (complete)
+    complete = a.body.len == (size_t)BODY_BYTES;
+  if (!complete)
     printf ("body not whole: end=%d status=%d bytes=%zu %.80s\n", a.end, a.status,
             a.body.len, a.body.len < 400 ? a.body.ptr : "");
   kq_buf_free (&a.body);
   free (bytes);
-  return whole;
+  return complete;
 }
 
 static void
@@ -200,7 +200,7 @@
   bool down;
   snprintf (url, sizeof url, "http://127.0.0.1:%d/s/s/x?ms=0",
             b->procs.processes[b->nodes[1]].callers);
-  /* Turn about, the last round of each counts: both have warmed up by then. */
+  /* The two are measured alternately; only the last round counts, after a warm-up. */
   for (int i = 0; i < ROUNDS; i++)
     {
       direct = measure (b, b->runner);
@@ -213,10 +213,10 @@
     }
   for (int i = 0; i < 2; i++)
     before[i] = memory_mb (b, i, "VmRSS:");
-  down = pass_big (b, false);
+  down = send_large_body (b, false);
   result ("path_down_100mb_growth", highest_growth (b, before), "MB", "<16",
           down && highest_growth (b, before) < GROWTH_LIMIT_MB);
-  up = pass_big (b, true);
+  up = send_large_body (b, true);
   result ("path_up_100mb_growth", highest_growth (b, before), "MB", "<16",
           up && highest_growth (b, before) < GROWTH_LIMIT_MB);
   result ("path_bodies_whole", up + down, "of-2", "=2", up && down);
@@ -254,8 +254,8 @@
   snprintf (path, sizeof path, "/v1/hosts?depot=d");
   hosts = procs_standin_json (&b.procs, 0, path);
   json_t *h = json_array_get (json_object_get (hosts, "hosts"), 0);
-  json_t *rn = json_array_get (json_object_get (h, "runners"), 0);
-  const char *address = json_string_value (json_object_get (rn, "address"));
+  json_t *runner = json_array_get (json_object_get (h, "runners"), 0);
+  const char *address = json_string_value (json_object_get (runner, "address"));
   snprintf (b.runner, sizeof b.runner, "%s/x?ms=0", address != NULL ? address : "");
   json_decref (hosts);
   run (&b);
