--- a/bench/place_main.c
+++ b/bench/place_main.c
@@ -1,8 +1,9 @@
-/* bench-place: the decisions of the job slice under seeded load.
+/* place: measures the placement decisions of src/job under seeded load.
  *
- * For each deployment the full policy, each part of it off, and two plain baselines run
- * on the same seed in the same model; then the cost of a decision is measured at growing
- * numbers of workers. */
+ * For each deployment it runs the full policy, the policy with each part off, and two
+ * simple baselines with the same seed in the same model (place_model.h). Then it measures
+ * how far shards exceed a shared quota, and the cost of a decision by number of workers.
+ */
 
 #include "place_model.h"
 
@@ -29,8 +30,8 @@
 {
   const char *name;
   int place_rule;
-  size_t off; /* offset of the switch that is off; 0: none */
-  bool plain; /* everything off */
+  size_t off;    /* offset in KqPolicyRow of the part that is off; 0: none */
+  bool baseline; /* all parts off */
 } Variant;
 
 #define OFF(field) offsetof (KqPolicyRow, field)
@@ -59,7 +60,7 @@
   uint64_t breaches;
 } Result;
 
-/* The slowdown that `part` of the service seconds stay below. */
+/* The quantile `part` (0 to 1) of the slowdown over all service seconds. */
 static double
 slowdown_of (const KqModel *m, double part)
 {
@@ -74,7 +75,7 @@
   return 1 + (i + 1) / 100.0;
 }
 
-/* The largest part of one service's tasks that stand in one rack. */
+/* The largest share of a service's tasks that is in one rack. */
 static double
 rack_share (const KqModel *m)
 {
@@ -100,7 +101,7 @@
 }
 
 static int
-by_value (const void *a, const void *b)
+compare_values (const void *a, const void *b)
 {
   double x = *(const double *)a;
   double y = *(const double *)b;
@@ -112,7 +113,7 @@
 {
   if (m->n_urgent == 0)
     return 0;
-  qsort (m->urgent_waits, m->n_urgent, sizeof *m->urgent_waits, by_value);
+  qsort (m->urgent_waits, m->n_urgent, sizeof *m->urgent_waits, compare_values);
   return m->urgent_waits[(size_t)(part * (double)(m->n_urgent - 1))];
 }
 
@@ -122,12 +123,12 @@
   KqPolicyRow p = kq_row_default (KQ_ROW_POLICY, KQ_STR ("default")).u.policy;
   if (v->off > 0)
     *(bool *)((char *)&p + v->off) = false;
-  if (v->plain)
+  if (v->baseline)
     p = (KqPolicyRow){ .evictions_max = p.evictions_max };
   return p;
 }
 
-/* What starts cost the store and the workers, over the whole run. */
+/* Prints store writes and worker calls per start, over the whole run. */
 static void
 print_traffic (const KqModel *m)
 {
@@ -173,7 +174,7 @@
           rack_share (&m), (unsigned long long)m.failed, r.urgent, m.n_urgent,
           (unsigned long long)a.running, (unsigned long long)a.unplaceable,
           (double)m.starts / d->measured_s, (unsigned long long)m.breaches);
-  if (v->off == 0 && !v->plain)
+  if (v->off == 0 && !v->baseline)
     print_traffic (&m);
   fflush (stdout);
   kq_model_clear (&m);
@@ -215,16 +216,17 @@
   result (d->name, "breaches", (double)breaches, "worker-s", 0, breaches == 0);
 }
 
-/* Of this process: wall time would count what else runs on the machine. */
+/* CPU time of this process; wall time would depend on other load of the machine. */
 static double
-processor_ns (void)
+cpu_ns (void)
 {
   struct timespec t;
   clock_gettime (CLOCK_PROCESS_CPUTIME_ID, &t);
   return (double)t.tv_sec * 1e9 + (double)t.tv_nsec;
 }
 
-/* ns per decision: submit, place, record and answer, while a fleet fills up. */
+/* Nanoseconds per decision (submit, place, record and answer) while the workers fill up.
+ */
 static double
 decision_cost (size_t workers, double *bytes_worker, double *bytes_job)
 {
@@ -240,7 +242,7 @@
   kq_rig_run (&r, KQ_SEC);
   with_workers = mallinfo2 ().uordblks;
   *bytes_worker = (double)(with_workers - before) / (double)workers;
-  start = processor_ns ();
+  start = cpu_ns ();
   for (size_t i = 1; i <= n; i++)
     {
       KqJobSpec s = kq_rig_spec ("plan", i % 3 ? "route" : "seal",
@@ -252,7 +254,7 @@
       kq_jobs_submit (r.jobs, &m, r.now, &out);
       kq_outbox_free (&out);
     }
-  ns = (processor_ns () - start) / (double)n;
+  ns = (cpu_ns () - start) / (double)n;
   log_bytes = 0;
   for (size_t i = 0; i < r.log.n_records; i++)
     log_bytes += r.log.records[i].body.len + 17;
@@ -278,14 +280,14 @@
     ns[i] = decision_cost (sizes[i], &worker, &job);
   result ("cost", "placement_at_4100", ns[3] / 1000, "us", 20, ns[3] < 20000);
   result ("cost", "growth_64_to_4100", ns[3] / ns[0], "ratio", 64, ns[3] / ns[0] < 64);
-  /* A node's share with 100 nodes: 41 workers, 660 tasks, and as many jobs waiting. */
+  /* A node's share with 100 nodes: 41 workers, 660 tasks and as many queued jobs. */
   node = (41 * worker + 2 * 660 * job) / 1e6;
   result ("cost", "memory_of_node", node, "MB", 128, node < 128);
 }
 
-/* Eight shards share one team's limit. Tasks end and are replaced at a rate; each shard
- * hears of the others' use by digests every 0.5 s that are 0.5 s old. How far does the
- * sum pass the limit? */
+/* Measures how far the sum over eight shards exceeds one team's limit. Tasks end and are
+ * replaced at a constant rate; each shard gets the others' use in digests every 0.5 s
+ * that are 0.5 s old. */
 static void
 measure_overshoot (uint64_t seed)
 {
@@ -293,7 +295,7 @@
   {
     SHARDS = 8,
     STEP_MS = 50,
-    BEAT = 10,
+    HEARTBEAT_STEPS = 10,
     LIMIT = 1000
   };
   KqQuota q[SHARDS] = { { 0 } };
@@ -320,7 +322,7 @@
       for (uint32_t i = 0; i < SHARDS; i++)
         {
           KqTeam *t = &q[i].teams[0];
-          /* Demand comes and goes by shard, every 5 s or so; 64 ends a second in all. */
+          /* Demand of a shard changes about every 5 s; 64 tasks end a second in all. */
           if (kq_rand_below (&rand, 5000 / STEP_MS) == 0)
             t->own_wanted.cpu_milli = kq_rand_below (&rand, 4) ? 200000 : 0;
           if (t->used.cpu_milli > 0 && kq_rand_below (&rand, 1000) < 8 * STEP_MS)
@@ -330,21 +332,21 @@
               kq_quota_charge (&q[i], 0, one);
           used += (double)t->used.cpu_milli / 1000;
         }
-      for (uint32_t i = 0; step % BEAT == 0 && i < SHARDS; i++)
+      for (uint32_t i = 0; step % HEARTBEAT_STEPS == 0 && i < SHARDS; i++)
         {
           old[i] = fresh[i];
           fresh[i].used = q[i].teams[0].used;
           fresh[i].queued = q[i].teams[0].own_wanted;
         }
-      for (uint32_t i = 0; step % BEAT == 0 && i < SHARDS; i++)
+      for (uint32_t i = 0; step % HEARTBEAT_STEPS == 0 && i < SHARDS; i++)
         kq_quota_set_others (&q[i], d, SHARDS, i);
       most = fmax (most, used / LIMIT);
       mean += step > 1000 ? used / LIMIT / (steps - 1001) : 0;
     }
   printf ("quota over %d shards: mean %.4f of the limit used, most %.4f\n", SHARDS, mean,
           most);
-  /* Bound: 64 starts a second (each end frees one) over the age of a digest. */
-  bound = 64.0 * (2 * BEAT + 1) * STEP_MS / 1000 / LIMIT;
+  /* Bound: 64 starts a second (one for each end) during the maximum age of a digest. */
+  bound = 64.0 * (2 * HEARTBEAT_STEPS + 1) * STEP_MS / 1000 / LIMIT;
   result ("quota", "overshoot", (most - 1) * 100, "percent", bound * 100,
           most - 1 <= bound);
   for (int i = 0; i < SHARDS; i++)
--- a/bench/place_model.c
+++ b/bench/place_model.c
@@ -6,15 +6,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define REPORT_PERIOD 10
-#define WAVE_PERIOD 180
-#define WAVE_LENGTH 60
-#define WAVE_FACTOR 3.0
+#define REPORT_PERIOD_S 10
+#define NOISE_PERIOD_S 180
+#define NOISE_LENGTH_S 60
+#define NOISE_FACTOR 3.0
 
 static const double band_factor[KQ_BANDS] = { 0.4, 1.0, 1.8 };
 
 static double
-between (KqRand *r, double a, double b)
+uniform (KqRand *r, double a, double b)
 {
   return a + (b - a) * kq_rand_unit (r);
 }
@@ -27,30 +27,30 @@
   bool service = c < KQ_MODEL_SERVICES;
   double cores
       = m->d->scale
-        * (service ? between (&m->rand, 0.5, 1.5) : between (&m->rand, 0.4, 1.8));
+        * (service ? uniform (&m->rand, 0.5, 1.5) : uniform (&m->rand, 0.4, 1.8));
   char name[24];
   snprintf (name, sizeof name, "%s%d", service ? "service" : "batch", c);
   k->name = kq_name (kq_str (name));
-  k->truth.cpu_milli = (int64_t)(1000 * cores);
-  k->truth.memory_mb = (int64_t)(1000 * cores * between (&m->rand, 1.0, 4.0));
-  k->truth.accelerators = m->d->accelerated > 0 && c == KQ_MODEL_CLASSES - 1;
-  k->declared = service ? between (&m->rand, 0.7, 1.5)
+  k->actual.cpu_milli = (int64_t)(1000 * cores);
+  k->actual.memory_mb = (int64_t)(1000 * cores * uniform (&m->rand, 1.0, 4.0));
+  k->actual.accelerators = m->d->accelerated > 0 && c == KQ_MODEL_CLASSES - 1;
+  k->declared = service ? uniform (&m->rand, 0.7, 1.5)
                         : off[kq_rand_below (&m->rand, sizeof off / sizeof *off)];
   k->checkpoints = kq_rand_below (&m->rand, 4) > 0;
-  k->seconds = service ? 0 : m->d->batch_s * between (&m->rand, 0.5, 1.5);
+  k->seconds = service ? 0 : m->d->batch_s * uniform (&m->rand, 0.5, 1.5);
 }
 
-/* One pair in three is bad. */
+/* One pair in three interferes noticeably. */
 static void
 init_effects (KqModel *m)
 {
   for (int v = 0; v < KQ_MODEL_CLASSES; v++)
     for (int o = 0; o < KQ_MODEL_CLASSES; o++)
       {
-        bool bad = o >= KQ_MODEL_SERVICES && kq_rand_below (&m->rand, 3) == 0;
+        bool strong = o >= KQ_MODEL_SERVICES && kq_rand_below (&m->rand, 3) == 0;
         double most = v < KQ_MODEL_SERVICES ? 0.4 : 0.1;
         m->effect[v][o]
-            = bad ? between (&m->rand, most / 4, most) : between (&m->rand, 0, 0.01);
+            = strong ? uniform (&m->rand, most / 4, most) : uniform (&m->rand, 0, 0.01);
       }
   for (int c = 0; c < KQ_MODEL_CLASSES; c++)
     m->noise[c] = 1;
@@ -63,7 +63,7 @@
 }
 
 static void
-note_start (void *arg, KqTaskKey task, KqWorkerId worker, KqTime now)
+on_started (void *arg, KqTaskKey task, KqWorkerId worker, KqTime now)
 {
   KqModel *m = arg;
   KqFakeWorker *w = &m->rig.workers[worker - 1];
@@ -87,9 +87,9 @@
 }
 
 static int64_t
-declare (KqModel *m, const KqModelClass *k, int64_t truth, int64_t whole)
+declared_size (KqModel *m, const KqModelClass *k, int64_t actual, int64_t whole)
 {
-  double v = (double)truth * k->declared * between (&m->rand, 0.8, 1.25);
+  double v = (double)actual * k->declared * uniform (&m->rand, 0.8, 1.25);
   return (int64_t)fmax (50, fmin (v, 0.5 * (double)whole));
 }
 
@@ -102,9 +102,11 @@
   snprintf (team, sizeof team, "t%zu", (size_t)kq_rand_below (&m->rand, m->d->teams));
   s.team = kq_name (kq_str (team));
   s.latency_critical = c < KQ_MODEL_SERVICES;
-  s.size.cpu_milli = declare (m, k, k->truth.cpu_milli, m->d->whole.cpu_milli);
-  s.size.memory_mb = declare (m, k, k->truth.memory_mb, m->d->whole.memory_mb);
-  s.size.accelerators = k->truth.accelerators;
+  s.size.cpu_milli
+      = declared_size (m, k, k->actual.cpu_milli, m->d->worker_size.cpu_milli);
+  s.size.memory_mb
+      = declared_size (m, k, k->actual.memory_mb, m->d->worker_size.memory_mb);
+  s.size.accelerators = k->actual.accelerators;
   m->next_id++;
   m->waiting[c]++;
   if (priority == KQ_PRIORITY_URGENT)
@@ -145,12 +147,12 @@
     init_class (m, c);
   init_effects (m);
   m->urgent = g_hash_table_new_full (g_int64_hash, g_int64_equal, free, free);
-  kq_rig_init (&m->rig, d->workers, d->whole, d->per_rack, seed);
+  kq_rig_init (&m->rig, d->workers, d->worker_size, d->per_rack, seed);
   m->rig.config.place_rule = place_rule;
   m->rig.net_delay = 2 * KQ_MS;
   m->rig.commit_delay = 20 * KQ_MS;
   m->rig.checkpoint_time = 800 * KQ_MS;
-  m->rig.started = note_start;
+  m->rig.started = on_started;
   m->rig.arg = m;
   for (size_t i = 0; i < d->accelerated; i++)
     m->rig.workers[i].whole.accelerators = m->rig.hosts[i].capacity.accelerators = 4;
@@ -182,19 +184,20 @@
   const KqModelClass *k = &m->classes[kq_model_class (&t->report.class_name)];
   KqModelReport r = { .worker = worker, .measured = m->rig.now };
   double cpu
-      = (double)k->truth.cpu_milli * t->throttle_percent / 100 / fmin (slowdown, 3);
-  r.due = m->rig.now + (KqTime)(between (&m->rand, 5, 30) * KQ_SEC);
+      = (double)k->actual.cpu_milli * t->throttle_percent / 100 / fmin (slowdown, 3);
+  r.due = m->rig.now + (KqTime)(uniform (&m->rand, 5, 30) * KQ_SEC);
   r.report.task = t->report.task;
-  r.report.cpu_milli = (int64_t)(cpu * between (&m->rand, 0.85, 1.05));
-  r.report.memory_mb = (int64_t)((double)k->truth.memory_mb * between (&m->rand, 0.8, 1));
-  r.report.slowdown = slowdown * between (&m->rand, 0.95, 1.05);
+  r.report.cpu_milli = (int64_t)(cpu * uniform (&m->rand, 0.85, 1.05));
+  r.report.memory_mb
+      = (int64_t)((double)k->actual.memory_mb * uniform (&m->rand, 0.8, 1));
+  r.report.slowdown = slowdown * uniform (&m->rand, 0.95, 1.05);
   if (m->n_reports % 1024 == 0)
     m->reports = kq_realloc (m->reports, (m->n_reports + 1024) * sizeof *m->reports);
   m->reports[m->n_reports++] = r;
 }
 
 static void
-hand_over_reports (KqModel *m)
+deliver_reports (KqModel *m)
 {
   size_t kept = 0;
   for (size_t i = 0; i < m->n_reports; i++)
@@ -212,7 +215,7 @@
   m->reports = kq_realloc (m->reports, (kept / 1024 + 1) * 1024 * sizeof *m->reports);
 }
 
-/* One task's second. */
+/* Advances one task by a second. */
 static void
 advance (KqModel *m, size_t worker, KqFakeTask *t, double slowdown)
 {
@@ -222,27 +225,27 @@
     {
       t->done += speed / k->seconds;
       if (m->measuring)
-        m->batch_done += speed * (double)k->truth.cpu_milli / 1000;
+        m->batch_done += speed * (double)k->actual.cpu_milli / 1000;
       if (t->done >= 1)
         t->report.state = KQ_TASK_FINISHED;
     }
   else if (m->measuring)
     m->slowdowns[(int)fmin (999, (slowdown - 1) * 100)]++;
-  if ((m->rig.now / KQ_SEC + (KqTime)t->report.task.job) % REPORT_PERIOD == 0)
+  if ((m->rig.now / KQ_SEC + (KqTime)t->report.task.job) % REPORT_PERIOD_S == 0)
     queue_report (m, worker, t, slowdown);
 }
 
-/* The worker kills the task that exceeds its size most; without a checkpoint its work
- * is lost. */
+/* A worker out of memory kills the task that exceeds its size most; without a checkpoint
+ * its work is lost. */
 static void
-overrun (KqModel *m, KqFakeWorker *w)
+kill_largest_excess (KqModel *m, KqFakeWorker *w)
 {
   KqFakeTask *worst = NULL;
   int64_t most = 0;
   for (size_t i = 0; i < w->n_tasks; i++)
     {
       KqFakeTask *t = &w->tasks[i];
-      int64_t above = m->classes[kq_model_class (&t->report.class_name)].truth.memory_mb
+      int64_t above = m->classes[kq_model_class (&t->report.class_name)].actual.memory_mb
                       - t->report.size.memory_mb;
       if (t->report.state == KQ_TASK_RUNNING && above > most)
         {
@@ -250,7 +253,7 @@
           most = above;
         }
     }
-  m->overrun += m->measuring;
+  m->memory_overruns += m->measuring;
   if (worst == NULL)
     return;
   worst->report.state = KQ_TASK_FAILED;
@@ -258,7 +261,7 @@
   if (m->measuring)
     {
       const KqModelClass *k = &m->classes[kq_model_class (&worst->report.class_name)];
-      double lost = worst->done * k->seconds * (double)k->truth.cpu_milli / 1000;
+      double lost = worst->done * k->seconds * (double)k->actual.cpu_milli / 1000;
       m->lost += lost;
       m->batch_done -= lost;
     }
@@ -283,9 +286,9 @@
   double mix[KQ_MODEL_CLASSES] = { 0 };
   double sum[KQ_MODEL_CLASSES];
   KqSize used = { 0 };
-  double crowd;
+  double overcommit;
   double factor;
-  KqSize given = kq_fake_worker_used (w);
+  KqSize allocated = kq_fake_worker_used (w);
   double services = 0;
   for (size_t n = 0; n < w->n_tasks; n++)
     if (w->tasks[n].report.state == KQ_TASK_RUNNING)
@@ -293,16 +296,16 @@
         int c = kq_model_class (&w->tasks[n].report.class_name);
         mix[c] += w->tasks[n].throttle_percent / 100.0;
         used.cpu_milli
-            += m->classes[c].truth.cpu_milli * w->tasks[n].throttle_percent / 100;
-        used.memory_mb += m->classes[c].truth.memory_mb;
+            += m->classes[c].actual.cpu_milli * w->tasks[n].throttle_percent / 100;
+        used.memory_mb += m->classes[c].actual.memory_mb;
         if (c < KQ_MODEL_SERVICES)
-          services += (double)m->classes[c].truth.cpu_milli;
+          services += (double)m->classes[c].actual.cpu_milli;
       }
-  m->breaches += given.cpu_milli > w->whole.cpu_milli
-                 || given.memory_mb > w->whole.memory_mb
-                 || given.accelerators > w->whole.accelerators;
+  m->breaches += allocated.cpu_milli > w->whole.cpu_milli
+                 || allocated.memory_mb > w->whole.memory_mb
+                 || allocated.accelerators > w->whole.accelerators;
   factor = band_factor[kq_load_band (used.cpu_milli, w->whole.cpu_milli)];
-  crowd = fmax (1, (double)used.cpu_milli / (double)w->whole.cpu_milli);
+  overcommit = fmax (1, (double)used.cpu_milli / (double)w->whole.cpu_milli);
   for (int v = 0; v < KQ_MODEL_CLASSES; v++)
     {
       sum[v] = -m->effect[v][v] * m->noise[v];
@@ -315,22 +318,22 @@
     if (w->tasks[n].report.state == KQ_TASK_RUNNING)
       {
         int c = kq_model_class (&w->tasks[n].report.class_name);
-        advance (m, i, &w->tasks[n], (1 + fmax (0, sum[c]) * factor) * crowd);
+        advance (m, i, &w->tasks[n], (1 + fmax (0, sum[c]) * factor) * overcommit);
       }
   if (used.memory_mb > w->whole.memory_mb)
-    overrun (m, w);
-  if (i >= m->d->workers - m->d->bad && m->measuring)
+    kill_largest_excess (m, w);
+  if (i >= m->d->workers - m->d->bad_workers && m->measuring)
     fail_all (m, w);
 }
 
 static void
-step_noise (KqModel *m, int second)
+update_noise (KqModel *m, int second)
 {
-  if (second % WAVE_PERIOD == 0)
+  if (second % NOISE_PERIOD_S == 0)
     m->noise[KQ_MODEL_SERVICES
              + kq_rand_below (&m->rand, KQ_MODEL_CLASSES - KQ_MODEL_SERVICES)]
-        = WAVE_FACTOR;
-  if (second % WAVE_PERIOD == WAVE_LENGTH)
+        = NOISE_FACTOR;
+  if (second % NOISE_PERIOD_S == NOISE_LENGTH_S)
     for (int c = 0; c < KQ_MODEL_CLASSES; c++)
       m->noise[c] = 1;
 }
@@ -347,7 +350,7 @@
     submit (m, KQ_MODEL_SERVICES + (int)kq_rand_below (&m->rand, 3), KQ_PRIORITY_URGENT);
 }
 
-/* How far the teams' use is from equal shares; all of them have jobs waiting. */
+/* Samples how far the teams' use is from equal shares; all teams have jobs queued. */
 static void
 sample_quotas (KqModel *m)
 {
@@ -366,19 +369,19 @@
 void
 kq_model_run (KqModel *m)
 {
-  for (int second = 0; second < m->d->warm_s + m->d->measured_s; second++)
+  for (int second = 0; second < m->d->warm_up_s + m->d->measured_s; second++)
     {
-      if (second == m->d->warm_s)
+      if (second == m->d->warm_up_s)
         {
           m->measuring = true;
           m->evicted_before = kq_jobs_account (m->rig.jobs).evicted;
           m->starts = 0;
         }
-      step_noise (m, second);
+      update_noise (m, second);
       submit_work (m, second);
       for (size_t i = 0; i < m->d->workers; i++)
         step_worker (m, i);
-      hand_over_reports (m);
+      deliver_reports (m);
       kq_rig_run (&m->rig, KQ_SEC);
       if (m->measuring)
         sample_quotas (m);
--- a/bench/place_model.h
+++ b/bench/place_model.h
@@ -1,44 +1,46 @@
 #ifndef KQ_BENCH_PLACE_MODEL_H
 #define KQ_BENCH_PLACE_MODEL_H
 
-/* place_model: what tasks really use and how they disturb each other, for bench-place.
+/* place_model: a model of the tasks' actual resource use and interference, for the place
+ * bench.
  *
- * Time-stepped: each second every running task is slowed by its neighbours (hidden
- * effects by pair of classes, times a factor by load, times a wave of noise) and by
- * processors that are given out more than once; a worker whose memory is overrun kills
- * the task that exceeds its size most. Reports of each task come every 10 s, 5 to 30 s
- * late, with 5 percent of noise. Declared sizes are off by up to ten times, by class. */
+ * It advances in steps of a second. In each, every running task is slowed by its
+ * neighbours (an effect by pair of classes, unknown to the scheduler, times a factor by
+ * load, times a periodic noise factor) and by overcommitted processors. A worker that
+ * runs out of memory kills the task that exceeds its size most. Usage of each task is
+ * reported every 10 s, 5 to 30 s late, with 5 percent noise. Declared sizes are wrong by
+ * up to ten times, by class. */
 
 #include "job_rig.h"
 
 #define KQ_MODEL_SERVICES 6
-#define KQ_MODEL_CLASSES 16 /* services first */
+#define KQ_MODEL_CLASSES 16 /* the first KQ_MODEL_SERVICES are services */
 
 typedef struct
 {
   const char *name;
   size_t workers;
-  KqSize whole;
+  KqSize worker_size;
   size_t per_rack;
-  size_t bad;         /* workers that fail every batch task, from the warm-up on */
+  size_t bad_workers; /* workers that fail every batch task after the warm-up */
   size_t accelerated; /* workers with 4 accelerators each */
   size_t teams;
-  size_t services; /* tasks */
+  size_t services; /* tasks of services */
   double scale;    /* of task sizes */
-  double batch_s;  /* mean seconds of a batch task alone */
-  size_t backlog;  /* batch jobs kept waiting */
+  double batch_s;  /* mean run time of an undisturbed batch task */
+  size_t backlog;  /* jobs of each batch class kept queued */
   double urgent_s; /* seconds between urgent jobs */
-  int warm_s;      /* before measuring */
+  int warm_up_s;   /* seconds before the measurement */
   int measured_s;
 } KqDeployment;
 
 typedef struct
 {
   KqName name;
-  KqSize truth;
-  double declared; /* declared over true size */
+  KqSize actual;
+  double declared; /* declared size / actual size */
   bool checkpoints;
-  double seconds; /* of work; 0: a service, which runs on */
+  double seconds; /* of work; 0: a service, which doesn't end */
 } KqModelClass;
 
 typedef struct
@@ -55,26 +57,27 @@
   KqRig rig;
   KqRand rand;
   KqModelClass classes[KQ_MODEL_CLASSES];
-  double effect[KQ_MODEL_CLASSES][KQ_MODEL_CLASSES]; /* victim, other */
-  double noise[KQ_MODEL_CLASSES];                    /* factor of the present wave */
+  double effect[KQ_MODEL_CLASSES]
+               [KQ_MODEL_CLASSES]; /* of the second class on the first */
+  double noise[KQ_MODEL_CLASSES];  /* present noise factor of a class's effects */
   KqJobId next_id;
-  size_t waiting[KQ_MODEL_CLASSES]; /* jobs that haven't started once */
+  size_t waiting[KQ_MODEL_CLASSES]; /* jobs that were never started */
   KqModelReport *reports;
   size_t n_reports;
   GHashTable *urgent; /* job -> time of submission */
   bool measuring;
   /* Results. */
   uint64_t slowdowns[1000]; /* seconds of service, by hundredths of slowdown */
-  double batch_done;        /* core-seconds of progress that wasn't thrown away */
-  double batch_bound;
-  double lost;    /* core-seconds of progress thrown away */
-  double overrun; /* worker-seconds with memory really overrun */
+  double batch_done;        /* core-seconds of batch progress that wasn't lost */
+  double batch_bound;       /* core-seconds that the services leave */
+  double lost;              /* core-seconds of progress lost by kills */
+  double memory_overruns;   /* worker-seconds out of memory */
   uint64_t killed;
-  uint64_t failed;   /* by bad workers */
-  uint64_t breaches; /* worker-seconds with more given than the worker has */
-  double *urgent_waits;
+  uint64_t failed;      /* by bad workers */
+  uint64_t breaches;    /* worker-seconds with more allocated than the worker has */
+  double *urgent_waits; /* seconds */
   size_t n_urgent;
-  double quota_error; /* summed over seconds */
+  double quota_error; /* sum over the samples */
   int quota_samples;
   uint64_t evicted_before;
   uint64_t starts;
@@ -83,9 +86,9 @@
 void kq_model_init (KqModel *m, const KqDeployment *d, const KqPolicyRow *policy,
                     int place_rule, uint64_t seed);
 void kq_model_clear (KqModel *m);
-/* Warms up and measures; the results are in the model. */
+/* Runs the warm-up and the measurement; the results are in the model. */
 void kq_model_run (KqModel *m);
-/* The class's number, from its name. */
+/* The class's index, from its name. */
 int kq_model_class (const KqName *n);
 
 #endif
--- a/bench/platform_main.c
+++ b/bench/platform_main.c
@@ -1,6 +1,6 @@
-/* bench-platform: what the platform's calls cost a node: processor time and bytes of one
- * store call and of one lease call by running tasks, through the real HTTP tasks. The
- * peer runs in a second thread, so that only the node's side is measured. */
+/* platform: measures the CPU time and bytes that a node spends on a store call and on a
+ * lease call, by number of running tasks, through the real HTTP clients. The peer runs in
+ * a second thread, so that only the node's side is measured. */
 
 #include "http/server.h"
 #include "port/mail.h"
@@ -17,7 +17,7 @@
 #include <string.h>
 #include <time.h>
 
-/* The target: 4,100 workers over about 100 nodes, 66,000 running tasks. */
+/* One node's share of 4,100 workers and 66,000 running tasks on about 100 nodes. */
 #define WORKERS 41
 #define TASKS_TARGET 16
 #define RENEW_S 3
@@ -25,15 +25,15 @@
 #define USAGE_LAG (USAGE_S * KQ_SEC)
 /* 640 starts a second over 100 nodes. */
 #define STARTS_PER_S 6.4
-/* Header lines of a call and its answer, and a task's entry in a list: as counted once
- * at the relay and in an answer of 16 tasks. */
+/* Bytes of the header lines of a call and its answer, and of a task's entry in a lease
+ * answer's list. */
 #define HEADER_BYTES 152
 #define ENTRY_BYTES 200
 #define ROUNDS 50
 #define STORE_CALLS 2000
-/* The letter: for control a node spends at most 1.9% of a core and 20 KB a second. */
+/* Limits of what a node spends on control: share of a core, and bytes a second. */
 #define CORE_LIMIT_PERCENT 1.9
-#define BYTES_LIMIT 20000.0
+#define BYTES_PER_S_LIMIT 20000.0
 
 typedef struct
 {
@@ -295,7 +295,7 @@
   c.class_name = kq_name (KQ_STR ("roster-build"));
   for (int t = 0; t < tasks; t++)
     {
-      /* Ids as the system draws them: all 64 bits used. */
+      /* Ids use all 64 bits, as real ones do, which affects their printed length. */
       c.task = (KqTaskKey){ kq_hash2 ((uint64_t)t, 7), 1 };
       call_workers (n, c);
     }
@@ -314,8 +314,9 @@
                  ((double)bytes_of (n, "worker", kind) - before.bytes) / calls };
 }
 
-/* A renewal with that many tasks running. usage: a report of each comes every time;
- * without, nothing has changed since the last renewal. */
+/* Measures a lease renewal with so many running tasks. With `usage` each answer has a
+ * usage report of every task; without, nothing has changed since the last renewal. Also
+ * returns the cost of a START in `start`. */
 static Cost
 bench_leases (int tasks, bool usage, Cost *start)
 {
@@ -348,8 +349,8 @@
   return c;
 }
 
-/* One node's share of the target, summed from the costs measured above: calls of workers
- * only; heartbeats and the store come on top. */
+/* One node's share of the load, computed from the measured costs: worker calls only,
+ * without heartbeats and the store. */
 static void
 bench_workers (void)
 {
@@ -368,8 +369,8 @@
   result ("start_cpu", start.us, "us", 0);
   result ("start_body", start.bytes, "bytes", 0);
   result ("node_workers_quiet", renewals * (quiet.bytes + HEADER_BYTES), "bytes/s",
-          BYTES_LIMIT);
-  result ("node_workers_peak", bytes, "bytes/s", BYTES_LIMIT);
+          BYTES_PER_S_LIMIT);
+  result ("node_workers_peak", bytes, "bytes/s", BYTES_PER_S_LIMIT);
   result ("node_workers_peak_core", us / 1e4, "percent", CORE_LIMIT_PERCENT);
 }
 
--- a/bench/shard_main.c
+++ b/bench/shard_main.c
@@ -1,9 +1,10 @@
-/* shard: what the journals of a fleet ask of the store, and how long a commit takes.
+/* shard: measures the store calls that the journals of all shards make, and how long a
+ * commit takes, with the real journal over the fake store in simulated time.
  *
- * The real journal over the fake store in simulated time. Each start appends two records
- * at once (accepted, assigned) and one later (finished); one start in twenty is urgent.
- * Measured for each rate of starts, size of fleet and latency of the store. The processor
- * time for each record includes the fake store and this bench. */
+ * Each start of a job appends two records at once (accepted, assigned) and one later
+ * (finished); one start in twenty is urgent. Measured by rate of starts, number of
+ * workers and store latency. The CPU time per record includes the fake store and this
+ * program. */
 
 #include "base/rand.h"
 #include "port/store_fake.h"
@@ -15,55 +16,56 @@
 #include <string.h>
 #include <time.h>
 
-#define SPAN (120 * KQ_SEC) /* simulated, after the warm-up */
+#define MEASURE_TIME (120 * KQ_SEC) /* simulated, after the warm-up */
 #define WARM_UP (10 * KQ_SEC)
-#define RUN_TIME (20 * KQ_SEC) /* of a job, mean */
+#define JOB_TIME_MEAN (20 * KQ_SEC) /* mean run time of a job */
 #define URGENT_ONE_IN 20
 #define OUTAGE (30 * KQ_SEC)
-#define RETURN_STARTS 640
+#define OUTAGE_STARTS_PER_S 640
 #define WORKERS_PER_SHARD 64
 #define SHARDS_MIN 4
 #define SHARDS_MAX 64
-/* Sizes of the job records' bodies as in job/, rounded up. */
+/* Body sizes of the records of src/job, rounded up. */
 #define BYTES_ACCEPTED 180
 #define BYTES_ASSIGNED 60
 #define BYTES_FINISHED 40
 #define BYTES_JOB 200
-#define BUDGET 300        /* of 400 calls/s: the rest is for leases and the table */
-#define LATENCIES_MAX 5   /* p99 of a commit, in store latencies */
-#define WAITS_MAX 4000000 /* samples */
+/* Of 400 store calls a second; the rest is for leases and the table. */
+#define CALLS_PER_S_LIMIT 300
+#define P99_LIMIT_LATENCIES 5 /* limit for p99 of a commit, in store latencies */
+#define SAMPLES_MAX 4000000   /* per kind */
 
 typedef struct
 {
   KqTime at;
   KqSeq seq;
   bool urgent;
-} Wait;
+} Pending;
 
-/* Appended, not yet committed: a queue in an array. */
+/* A queue of records that are appended and not yet committed. */
 typedef struct
 {
-  Wait *items;
+  Pending *items;
   size_t first, len, capacity;
-} Waits;
+} PendingQueue;
 
-/* When a running job ends. */
+/* The end of a running job. */
 typedef struct
 {
   KqTime at;
   uint32_t shard;
-} End;
+} JobEnd;
 
 typedef struct
 {
   KqStoreFake *store;
   KqJournal *journals[SHARDS_MAX];
-  Waits waits[SHARDS_MAX];
+  PendingQueue pending[SHARDS_MAX];
   int live[SHARDS_MAX]; /* jobs accepted and not finished */
   uint32_t n_shards;
   KqRand rand;
   KqTime now;
-  End *ends; /* a heap */
+  JobEnd *ends; /* a heap */
   size_t n_ends, ends_capacity;
   KqTime *samples[2]; /* normal, urgent */
   size_t n_samples[2];
@@ -73,7 +75,7 @@
 static const char zeros[BYTES_JOB];
 
 static void
-pump (Fleet *f, KqOutbox *out)
+run_outbox (Fleet *f, KqOutbox *out)
 {
   KqOut item;
   while (kq_outbox_take (out, &item))
@@ -86,7 +88,7 @@
 static void
 append (Fleet *f, uint32_t s, uint16_t type, size_t size, bool urgent)
 {
-  Waits *w = &f->waits[s];
+  PendingQueue *w = &f->pending[s];
   KqRecord r = { type, 1, { zeros, size } };
   KqSeq seq = kq_journal_append (f->journals[s], &r,
                                  urgent ? KQ_COMMIT_URGENT : KQ_COMMIT_NORMAL, f->now);
@@ -95,18 +97,18 @@
       w->capacity = w->capacity > 0 ? w->capacity * 2 : 256;
       w->items = kq_realloc (w->items, w->capacity * sizeof *w->items);
     }
-  w->items[w->len++] = (Wait){ f->now, seq, urgent };
+  w->items[w->len++] = (Pending){ f->now, seq, urgent };
 }
 
 static void
-note_committed (Fleet *f, uint32_t s)
+record_commits (Fleet *f, uint32_t s)
 {
-  Waits *w = &f->waits[s];
+  PendingQueue *w = &f->pending[s];
   KqSeq committed = kq_journal_committed (f->journals[s]);
   for (; w->first < w->len && w->items[w->first].seq <= committed; w->first++)
     {
-      const Wait *i = &w->items[w->first];
-      if (f->measuring && f->n_samples[i->urgent] < WAITS_MAX)
+      const Pending *i = &w->items[w->first];
+      if (f->measuring && f->n_samples[i->urgent] < SAMPLES_MAX)
         f->samples[i->urgent][f->n_samples[i->urgent]++] = f->now - i->at;
     }
   if (w->first == w->len)
@@ -131,7 +133,7 @@
   if (kq_journal_snapshot_due (f->journals[s]))
     write_snapshot (f, s, &out);
   kq_journal_tick (f->journals[s], f->now, &out);
-  pump (f, &out);
+  run_outbox (f, &out);
   kq_outbox_free (&out);
 }
 
@@ -146,14 +148,14 @@
   size_t i = f->n_ends++;
   for (; i > 0 && at < f->ends[(i - 1) / 2].at; i = (i - 1) / 2)
     f->ends[i] = f->ends[(i - 1) / 2];
-  f->ends[i] = (End){ at, shard };
+  f->ends[i] = (JobEnd){ at, shard };
 }
 
 static uint32_t
 take_end (Fleet *f)
 {
   uint32_t shard = f->ends[0].shard;
-  End last = f->ends[--f->n_ends];
+  JobEnd last = f->ends[--f->n_ends];
   size_t i = 0;
   for (size_t c = 1; c < f->n_ends; c = 2 * i + 1)
     {
@@ -176,7 +178,7 @@
   append (f, s, 200, BYTES_ACCEPTED, urgent);
   append (f, s, 201, BYTES_ASSIGNED, urgent);
   f->live[s]++;
-  add_end (f, f->now + (KqTime)kq_rand_exp (&f->rand, (double)RUN_TIME), s);
+  add_end (f, f->now + (KqTime)kq_rand_exp (&f->rand, (double)JOB_TIME_MEAN), s);
   tick_shard (f, s);
 }
 
@@ -190,7 +192,7 @@
 }
 
 static void
-take_replies (Fleet *f)
+handle_replies (Fleet *f)
 {
   KqStoreReply r;
   KqOutbox out;
@@ -200,8 +202,8 @@
     {
       uint32_t s = (uint32_t)(r.token >> 32);
       kq_journal_reply (f->journals[s], &r, f->now, &out);
-      pump (f, &out);
-      note_committed (f, s);
+      run_outbox (f, &out);
+      record_commits (f, s);
     }
   kq_outbox_free (&out);
 }
@@ -220,7 +222,7 @@
   return due > f->now ? due : f->now;
 }
 
-/* Runs until `end` with so many starts a second. */
+/* Runs until `end` with `starts` job starts a second. */
 static void
 run (Fleet *f, double starts, KqTime end)
 {
@@ -229,7 +231,7 @@
   while (f->now < end)
     {
       f->now = next_time (f, next_start);
-      take_replies (f);
+      handle_replies (f);
       while (f->n_ends > 0 && f->ends[0].at <= f->now)
         end_job (f);
       if (next_start <= f->now)
@@ -252,7 +254,7 @@
   for (uint32_t s = 0; s < f->n_shards; s++)
     {
       kq_journal_open (f->journals[s], epoch, f->now, &out);
-      pump (f, &out);
+      run_outbox (f, &out);
     }
   kq_outbox_free (&out);
   for (uint32_t s = 0; s < f->n_shards; s++)
@@ -260,7 +262,7 @@
       while (kq_journal_state (f->journals[s]) != KQ_JOURNAL_OPEN)
         {
           f->now = kq_store_fake_next_time (f->store);
-          take_replies (f);
+          handle_replies (f);
         }
       while (kq_journal_next_record (f->journals[s], &r))
         ;
@@ -279,7 +281,7 @@
       kq_journal_set_share (f->journals[s], n_shards);
     }
   for (int u = 0; u < 2; u++)
-    f->samples[u] = kq_alloc (WAITS_MAX * sizeof (KqTime));
+    f->samples[u] = kq_alloc (SAMPLES_MAX * sizeof (KqTime));
 }
 
 static void
@@ -288,7 +290,7 @@
   for (uint32_t s = 0; s < f->n_shards; s++)
     {
       kq_journal_free (f->journals[s]);
-      free (f->waits[s].items);
+      free (f->pending[s].items);
     }
   kq_store_fake_free (f->store);
   free (f->ends);
@@ -297,7 +299,7 @@
 }
 
 static int
-by_time (const void *a, const void *b)
+compare_times (const void *a, const void *b)
 {
   KqTime x = *(const KqTime *)a;
   KqTime y = *(const KqTime *)b;
@@ -310,7 +312,7 @@
   size_t n = f->n_samples[urgent];
   if (n == 0)
     return 0;
-  qsort (f->samples[urgent], n, sizeof (KqTime), by_time);
+  qsort (f->samples[urgent], n, sizeof (KqTime), compare_times);
   size_t rank = n * 99 / 100;
   return (double)f->samples[urgent][rank] / (double)KQ_MS;
 }
@@ -351,36 +353,36 @@
   KqJournalCount b = count_all (&f);
   KqTime start = f.now;
   f.measuring = true;
-  clock_t cpu = clock ();
-  run (&f, starts, f.now + SPAN);
-  cpu = clock () - cpu;
+  clock_t cpu_ticks = clock ();
+  run (&f, starts, f.now + MEASURE_TIME);
+  cpu_ticks = clock () - cpu_ticks;
   const KqStoreFakeCount *after = kq_store_fake_count (f.store);
   KqJournalCount a = count_all (&f);
-  double secs = (double)(f.now - start) / (double)KQ_SEC;
-  double calls = (double)(after->calls - before.calls) / secs;
-  double kb = (double)(after->put_bytes - before.put_bytes) / secs / 1000;
+  double seconds = (double)(f.now - start) / (double)KQ_SEC;
+  double calls = (double)(after->calls - before.calls) / seconds;
+  double kb = (double)(after->put_bytes - before.put_bytes) / seconds / 1000;
   double commits = (double)(a.commits - b.commits);
   KqTime ms = latency / KQ_MS;
   printf (
       "%3d starts/s, %4d workers, %2u shards, %3lld ms: %5.0f records/s, %5.1f calls/s, "
       "%6.1f KB/s, %5.0f bytes/commit, %llu snapshots, %.1f us/record\n",
       starts, workers, n, (long long)ms,
-      (double)(a.committed_records - b.committed_records) / secs, calls, kb,
+      (double)(a.committed_records - b.committed_records) / seconds, calls, kb,
       (double)(a.commit_bytes - b.commit_bytes) / commits,
       (unsigned long long)(a.snapshots - b.snapshots),
-      (double)cpu * 1e6 / CLOCKS_PER_SEC
+      (double)cpu_ticks * 1e6 / CLOCKS_PER_SEC
           / (double)(a.committed_records - b.committed_records));
   snprintf (name, sizeof name, "calls_%d_%d_%lldms", starts, workers, (long long)ms);
-  result (name, calls, "calls/s", BUDGET);
+  result (name, calls, "calls/s", CALLS_PER_S_LIMIT);
   snprintf (name, sizeof name, "commit_p99_%d_%d_%lldms", starts, workers, (long long)ms);
-  result (name, p99_ms (&f, 0), "ms", LATENCIES_MAX * (double)ms);
+  result (name, p99_ms (&f, 0), "ms", P99_LIMIT_LATENCIES * (double)ms);
   snprintf (name, sizeof name, "urgent_p99_%d_%d_%lldms", starts, workers, (long long)ms);
-  result (name, p99_ms (&f, 1), "ms", LATENCIES_MAX * (double)ms);
+  result (name, p99_ms (&f, 1), "ms", P99_LIMIT_LATENCIES * (double)ms);
   fleet_free (&f);
 }
 
-/* A successor reads a shard with so many jobs: simulated time is the store's part, and
- * the processor time is ours. */
+/* Measures how long a new owner takes to read a shard with so many jobs: simulated time,
+ * which is spent on store calls, and CPU time of the journal. */
 static void
 measure_recovery (int jobs, KqTime latency, uint64_t seed)
 {
@@ -392,7 +394,7 @@
   f.live[0] = jobs;
   kq_outbox_init (&out);
   write_snapshot (&f, 0, &out);
-  pump (&f, &out);
+  run_outbox (&f, &out);
   kq_outbox_free (&out);
   run (&f, 20, f.now + 5 * KQ_SEC);
   assert (kq_journal_count (f.journals[0])->snapshots > 0);
@@ -405,14 +407,14 @@
   KqTime ms = latency / KQ_MS;
   snprintf (name, sizeof name, "recovery_%d_jobs_%lldms", jobs, (long long)ms);
   result (name, (double)(f.now - start) / (double)KQ_MS, "ms",
-          LATENCIES_MAX * (double)ms);
+          P99_LIMIT_LATENCIES * (double)ms);
   snprintf (name, sizeof name, "recovery_cpu_%d_jobs", jobs);
   result (name, (double)clock / (double)KQ_MS, "ms", 100);
   fleet_free (&f);
 }
 
 static bool
-behind (const Fleet *f)
+any_behind (const Fleet *f)
 {
   for (uint32_t s = 0; s < f->n_shards; s++)
     if (kq_journal_lag (f->journals[s], f->now) > KQ_SEC)
@@ -420,25 +422,25 @@
   return false;
 }
 
-/* The store comes back after an outage: the shards must not return to it all at once, and
- * what has been waiting must soon be committed. */
+/* After a store outage the shards must not call the store all at once, and the records
+ * that were appended meanwhile must soon be committed. */
 static void
-measure_return (uint64_t seed)
+measure_after_outage (uint64_t seed)
 {
   Fleet f;
   fleet_init (&f, SHARDS_MAX, 2 * KQ_MS, seed);
   open_all (&f, 1);
-  run (&f, RETURN_STARTS, f.now + WARM_UP);
+  run (&f, OUTAGE_STARTS_PER_S, f.now + WARM_UP);
   kq_store_fake_faults (f.store)->down = true;
-  run (&f, RETURN_STARTS, f.now + OUTAGE);
+  run (&f, OUTAGE_STARTS_PER_S, f.now + OUTAGE);
   kq_store_fake_faults (f.store)->down = false;
   uint64_t calls = kq_store_fake_count (f.store)->calls;
   KqTime start = f.now;
-  run (&f, RETURN_STARTS, f.now + KQ_SEC);
+  run (&f, OUTAGE_STARTS_PER_S, f.now + KQ_SEC);
   result ("return_first_second", (double)(kq_store_fake_count (f.store)->calls - calls),
-          "calls", BUDGET);
-  while (behind (&f) && f.now < start + OUTAGE)
-    run (&f, RETURN_STARTS, f.now + KQ_SEC / 10);
+          "calls", CALLS_PER_S_LIMIT);
+  while (any_behind (&f) && f.now < start + OUTAGE)
+    run (&f, OUTAGE_STARTS_PER_S, f.now + KQ_SEC / 10);
   result ("return_caught_up", (double)(f.now - start) / (double)KQ_MS, "ms", 5000);
   fleet_free (&f);
 }
@@ -456,6 +458,6 @@
         measure (starts[s], workers[w], latencies[l] * KQ_MS, seed);
   measure_recovery (1000, 2 * KQ_MS, seed);
   measure_recovery (10000, 2 * KQ_MS, seed);
-  measure_return (seed);
+  measure_after_outage (seed);
   return 0;
 }
