--- a/bench/slopes.h
+++ b/bench/slopes.h
@@ -1,8 +1,9 @@
 #ifndef KQ_BENCH_SLOPES_H
 #define KQ_BENCH_SLOPES_H
 
-/* slopes: what grows by how much with workers, tasks, peers, starts and requests, as
- * lines fitted to measurements of the real modules and of real processes. */
+/* slopes: how memory, CPU time and traffic of a node grow with workers, tasks, peers,
+ * starts and requests, as linear fits to measurements of the modules and of real
+ * processes. */
 
 #include <stdbool.h>
 #include <stddef.h>
@@ -10,7 +11,7 @@
 
 #define SLOPES_TERMS 7
 
-/* Least squares over points of several terms, by the normal equations. */
+/* A linear least-squares fit over several terms, by the normal equations. */
 typedef struct
 {
   const char *name;
@@ -24,16 +25,19 @@
   double n;
 } SlopesFit;
 
+/* Adds a point: x has n_terms values. */
 void slopes_add (SlopesFit *f, const double *x, double y);
-/* False: the points don't tell the terms apart. r2: part of the spread explained. */
+/* Returns false if the points don't determine the slopes. r2: coefficient of
+ * determination. */
 bool slopes_solve (const SlopesFit *f, double *slopes, double *r2);
-/* A RESULT line per term, and one with the fit, which is ok from `wanted_r2` on. */
+/* Prints a RESULT line per term and one with r2, which is ok from `wanted_r2` on. */
 void slopes_print (const SlopesFit *f, double wanted_r2);
+/* Prints a RESULT line; limit 0: none. */
 void slopes_result (const char *name, double value, const char *unit, double limit,
                     bool ok);
 
 void slopes_modules (uint64_t seed);
-/* False: the processes could not be started. */
+/* Returns false if the processes could not be started. */
 bool slopes_live (const char *build);
 
 #endif
--- a/bench/slopes_live.c
+++ b/bench/slopes_live.c
@@ -10,10 +10,10 @@
 
 #define NODES_MAX 12
 #define REGIONS_MAX 2
-#define SETTLE (4 * KQ_SEC)
-#define MEASURE (7 * KQ_SEC)
+#define SETTLE_TIME (4 * KQ_SEC)
+#define MEASURE_TIME (7 * KQ_SEC)
 #define RUN_MS 300
-/* Explained part of the spread that a fit from real processes should reach. */
+/* Lowest r2 that a fit to real processes should reach. */
 #define WANTED_R2 0.9
 
 typedef struct
@@ -21,7 +21,7 @@
   int nodes;
   int regions;
   int workers;
-  int loads; /* how many of `loads` below are driven, idle being the first */
+  int loads; /* number of `loads` that are run, from the first */
 } Fleet;
 
 typedef struct
@@ -34,17 +34,17 @@
                                 { 6, 1, 200, 1 }, { 8, 2, 200, 5 }, { 12, 2, 400, 1 } };
 static const Load loads[] = { { 0, 0 }, { 5, 0 }, { 20, 0 }, { 0, 50 }, { 0, 200 } };
 
-/* Sums of one node's counters since its start. */
+/* Counters of a node since its start, and its memory. */
 typedef struct
 {
   double cpu_us;
-  double resident;
-  double near; /* mesh bytes, both ways */
-  double far;
-  double workers; /* bytes of worker calls, both ways */
-  double store;   /* bytes */
-  double calls;   /* to the store */
-  double starts;  /* worker calls of kind start */
+  double resident; /* bytes */
+  double near;     /* mesh bytes within the region, both directions */
+  double far;      /* mesh bytes between regions */
+  double workers;  /* bytes of worker calls, both directions */
+  double store;    /* bytes of store calls */
+  double calls;    /* to the store */
+  double starts;   /* worker calls of kind start */
 } Sample;
 
 enum
@@ -103,7 +103,7 @@
   return pages * (double)sysconf (_SC_PAGESIZE);
 }
 
-/* Sum of the lines that begin with `name` and hold `label`. */
+/* Sum of the values of the metric lines that begin with `name` and contain `label`. */
 static double
 sum_of (const char *text, const char *name, const char *label)
 {
@@ -169,7 +169,7 @@
   procs_ask (&l->procs, &q, on_answer, l);
 }
 
-/* Steady load for a time; sends what is due every few milliseconds. */
+/* Sends a constant load for `span`. */
 static void
 drive (Live *l, const Load *load, KqTime span)
 {
@@ -205,7 +205,7 @@
   return n;
 }
 
-/* One phase: the mean node of the fleet is one point of every fit. */
+/* Measures one load. The mean over the nodes is one point of every fit. */
 static void
 measure (Live *l, const Load *load)
 {
@@ -216,11 +216,11 @@
   int n = l->fleet->nodes;
   double span = 0;
   l->answered = l->refused = 0;
-  drive (l, load, SETTLE);
+  drive (l, load, SETTLE_TIME);
   for (int i = 0; i < n; i++)
     before[i] = take_sample (l, i);
   KqTime start = kq_time_now ();
-  drive (l, load, MEASURE);
+  drive (l, load, MEASURE_TIME);
   span = (double)(kq_time_now () - start) / KQ_SEC;
   for (int i = 0; i < n; i++)
     {
@@ -259,7 +259,7 @@
               sum.cpu_us * per);
   slopes_add (&f[FIT_MEMORY], (double[]){ 1, w, near + far }, sum.resident / n);
   slopes_add (&f[FIT_NEAR], (double[]){ 1, near, starts, requests }, sum.near * per);
-  /* One bundle goes between two regions, whatever their nodes. */
+  /* Two regions exchange one bundle of heartbeats, however many nodes they have. */
   if (far > 0)
     slopes_add (&f[FIT_FAR], (double[]){ 1.0 / n, 1, starts }, sum.far * per);
   slopes_add (&f[FIT_WORKERS], (double[]){ w, starts }, sum.workers * per);
--- a/bench/slopes_main.c
+++ b/bench/slopes_main.c
@@ -1,5 +1,5 @@
-/* bench-slopes: the slopes that docs/CAPACITY-SHARDS.md is worked out from. Usage: slopes
- * BUILD SEED. */
+/* slopes: prints the slopes that docs/CAPACITY-SHARDS.md is calculated from. Usage:
+ * slopes BUILD SEED. */
 
 #include "slopes.h"
 
--- a/bench/slopes_modules.c
+++ b/bench/slopes_modules.c
@@ -10,8 +10,8 @@
 #include <time.h>
 
 #define WANTED_R2 0.95
-#define HUGE_SIZE ((KqSize){ 1000000, 4000000, 0 })
-#define MODEST_SIZE ((KqSize){ 1000, 1000, 0 })
+#define LARGE_SIZE ((KqSize){ 1000000, 4000000, 0 })
+#define SMALL_SIZE ((KqSize){ 1000, 1000, 0 })
 #define REPEATS 2000
 
 static double
@@ -29,9 +29,9 @@
   return (double)t.tv_sec * 1e6 + (double)t.tv_nsec / 1e3;
 }
 
-/* What the shard's jobs alone hold: what goes away with them. */
+/* Bytes that the KqJobs holds, measured by freeing it. */
 static double
-weigh_jobs (KqRig *r)
+memory_of_jobs (KqRig *r)
 {
   double before = bytes_in_use ();
   kq_jobs_free (r->jobs);
@@ -47,13 +47,13 @@
 } State;
 
 static double
-weigh_state (uint64_t seed, State state, int jobs)
+memory_of_state (uint64_t seed, State state, int jobs)
 {
   KqRig r;
   double bytes;
-  KqJobSpec spec = kq_rig_spec ("plan", "plan", MODEST_SIZE);
+  KqJobSpec spec = kq_rig_spec ("plan", "plan", SMALL_SIZE);
   spec.run_ms = 3600 * 1000;
-  kq_rig_init (&r, 8, HUGE_SIZE, 8, seed);
+  kq_rig_init (&r, 8, LARGE_SIZE, 8, seed);
   kq_rig_run (&r, 10 * KQ_SEC);
   if (state != STATE_RUNNING)
     spec.size = (KqSize){ 1000000, 4000000, 0 };
@@ -66,24 +66,24 @@
         kq_rig_run (&r, 50 * KQ_MS);
     }
   kq_rig_run (&r, 20 * KQ_SEC);
-  bytes = weigh_jobs (&r);
+  bytes = memory_of_jobs (&r);
   kq_rig_clear (&r);
   return bytes;
 }
 
 static void
-jobs_memory (uint64_t seed, State state, const char *name)
+measure_jobs (uint64_t seed, State state, const char *name)
 {
   SlopesFit f
       = { .name = name, .unit = "bytes", .n_terms = 2, .terms = { "base", "each" } };
-  for (int n = 125; n <= 1000; n *= 2) /* ended ones are kept up to 1,024 */
-    slopes_add (&f, (double[]){ 1, n }, weigh_state (seed, state, n));
+  for (int n = 125; n <= 1000; n *= 2) /* a shard keeps up to 1,024 ended jobs */
+    slopes_add (&f, (double[]){ 1, n }, memory_of_state (seed, state, n));
   slopes_print (&f, WANTED_R2);
 }
 
-/* Memory of a worker, and processor time of its lease renewals in the decisions. */
+/* Memory per worker, and CPU time of its lease renewals in KqJobs. */
 static void
-workers (uint64_t seed)
+measure_workers (uint64_t seed)
 {
   SlopesFit m = {
     .name = "memory_worker", .unit = "bytes", .n_terms = 2, .terms = { "base", "each" }
@@ -97,14 +97,14 @@
       KqRig r;
       double cpu;
       uint64_t calls;
-      kq_rig_init (&r, n, HUGE_SIZE, 8, seed);
+      kq_rig_init (&r, n, LARGE_SIZE, 8, seed);
       kq_rig_run (&r, 30 * KQ_SEC);
       calls = r.calls[KQ_WORKER_LEASE];
       cpu = cpu_us ();
       kq_rig_run (&r, 60 * KQ_SEC);
       cpu = cpu_us () - cpu;
       slopes_add (&c, (double[]){ 1, (double)(r.calls[KQ_WORKER_LEASE] - calls) }, cpu);
-      slopes_add (&m, (double[]){ 1, (double)n }, weigh_jobs (&r));
+      slopes_add (&m, (double[]){ 1, (double)n }, memory_of_jobs (&r));
       kq_rig_clear (&r);
     }
   slopes_print (&m, WANTED_R2);
@@ -131,7 +131,7 @@
   return t;
 }
 
-/* One row changed in a table of so many. */
+/* CPU time in us to change one row of the table. */
 static double
 change_cost (const KqTable *t)
 {
@@ -146,7 +146,7 @@
 }
 
 static void
-tables (void)
+measure_tables (void)
 {
   SlopesFit m = {
     .name = "memory_table_row", .unit = "bytes", .n_terms = 2, .terms = { "base", "each" }
@@ -168,9 +168,9 @@
   slopes_print (&c, 0.9);
 }
 
-/* A dispatcher with runners, and with requests waiting of so many callers. */
+/* Bytes of a dispatcher with so many runners, and a queued request of each caller. */
 static double
-weigh_dispatch (uint64_t seed, KqTable *t, int runners, int callers)
+memory_of_dispatch (uint64_t seed, KqTable *t, int runners, int callers)
 {
   KqDispatch *d = kq_dispatch_new (seed);
   double before;
@@ -198,7 +198,7 @@
 }
 
 static void
-dispatchers (uint64_t seed)
+measure_dispatchers (uint64_t seed)
 {
   SlopesFit r = {
     .name = "memory_runner", .unit = "bytes", .n_terms = 2, .terms = { "base", "each" }
@@ -210,17 +210,17 @@
   KqTable *t = table_of (10);
   for (int n = 50; n <= 800; n *= 2)
     {
-      slopes_add (&r, (double[]){ 1, n }, weigh_dispatch (seed, t, n, 0));
-      slopes_add (&c, (double[]){ 1, n }, weigh_dispatch (seed, t, 1, n));
+      slopes_add (&r, (double[]){ 1, n }, memory_of_dispatch (seed, t, n, 0));
+      slopes_add (&c, (double[]){ 1, n }, memory_of_dispatch (seed, t, 1, n));
     }
   kq_table_unref (t);
   slopes_print (&r, WANTED_R2);
   slopes_print (&c, WANTED_R2);
 }
 
-/* What membership holds for each other node. */
+/* Memory of the membership module per other node. */
 static void
-peers (uint64_t seed)
+measure_peers (uint64_t seed)
 {
   SlopesFit f = {
     .name = "memory_peer", .unit = "bytes", .n_terms = 2, .terms = { "base", "each" }
@@ -240,31 +240,32 @@
   slopes_print (&f, WANTED_R2);
 }
 
-/* A heartbeat of one shard's digest with so many lines, packed and read. */
+/* CPU time and size of a heartbeat with a digest of one shard, by number of services in
+ * the digest. */
 static void
-heartbeats (void)
+measure_heartbeats (void)
 {
   SlopesFit sent = { .name = "cpu_heartbeat_sent",
                      .unit = "us",
                      .n_terms = 2,
                      .terms = { "base", "each_line" } };
-  SlopesFit got = { .name = "cpu_heartbeat_received",
-                    .unit = "us",
-                    .n_terms = 2,
-                    .terms = { "base", "each_line" } };
+  SlopesFit received = { .name = "cpu_heartbeat_received",
+                         .unit = "us",
+                         .n_terms = 2,
+                         .terms = { "base", "each_line" } };
   SlopesFit bytes = { .name = "bytes_heartbeat",
                       .unit = "bytes",
                       .n_terms = 2,
                       .terms = { "base", "each_line" } };
   for (size_t n = 5; n <= 80; n *= 2)
     {
-      KqServiceDigest *lines = kq_alloc (n * sizeof *lines);
-      KqShardDigest d = { .shard = 3, .epoch = 2, .services = lines, .n_services = n };
+      KqServiceDigest *services = kq_alloc (n * sizeof *services);
+      KqShardDigest d = { .shard = 3, .epoch = 2, .services = services, .n_services = n };
       KqMsg m = { .kind = KQ_MSG_HEARTBEAT };
       KqBuf b = { 0 };
       double cpu = cpu_us ();
       for (size_t i = 0; i < n; i++)
-        lines[i] = (KqServiceDigest){
+        services[i] = (KqServiceDigest){
           kq_name (KQ_STR ("service-17")), 512, 300, 20, 4000000, 90000
         };
       m.u.heartbeat.shards = &d;
@@ -283,24 +284,24 @@
           if (kq_msg_unpack (kq_str_n (b.ptr + 4, b.len - 4), &back) == KQ_OK)
             kq_msg_clear (&back);
         }
-      slopes_add (&got, (double[]){ 1, (double)n }, (cpu_us () - cpu) / REPEATS);
+      slopes_add (&received, (double[]){ 1, (double)n }, (cpu_us () - cpu) / REPEATS);
       kq_buf_free (&b);
-      free (lines);
+      free (services);
     }
   slopes_print (&bytes, WANTED_R2);
   slopes_print (&sent, 0.9);
-  slopes_print (&got, 0.9);
+  slopes_print (&received, 0.9);
 }
 
 void
 slopes_modules (uint64_t seed)
 {
-  workers (seed);
-  jobs_memory (seed, STATE_RUNNING, "memory_running_task");
-  jobs_memory (seed, STATE_QUEUED, "memory_queued_job");
-  jobs_memory (seed, STATE_ENDED, "memory_ended_job");
-  dispatchers (seed);
-  tables ();
-  peers (seed);
-  heartbeats ();
+  measure_workers (seed);
+  measure_jobs (seed, STATE_RUNNING, "memory_running_task");
+  measure_jobs (seed, STATE_QUEUED, "memory_queued_job");
+  measure_jobs (seed, STATE_ENDED, "memory_ended_job");
+  measure_dispatchers (seed);
+  measure_tables ();
+  measure_peers (seed);
+  measure_heartbeats ();
 }
--- a/bench/soak.c
+++ b/bench/soak.c
@@ -2,19 +2,20 @@
 
 #include <stdio.h>
 
-/* Between the starts of faults, and how long one lasts: some shorter than a lease of
- * 10 s, some longer; in between the fleet often, not always, settles. */
-#define FAULT_GAP (12 * KQ_SEC)
+/* Time between faults (mean), and the longest time until all end: some are shorter than
+ * the lease of 10 s, some longer. The fleet often, but not always, settles in between. */
+#define FAULT_INTERVAL_MEAN (12 * KQ_SEC)
 #define FAULT_MAX (25 * KQ_SEC)
-#define CALM (90 * KQ_SEC)
-#define BACKGROUND_LOSS 0.002 /* of each fate, at all times */
+#define TIME_WITHOUT_FAULTS (90 * KQ_SEC)
+#define BACKGROUND_LOSS 0.002 /* probability of each kind of store fault, at all times   \
+                               */
 
 static void
-lose_some (KqFleet *f)
+set_background_loss (KqFleet *f)
 {
   KqStoreFaults *s = kq_store_fake_faults (kq_fleet_store (f));
-  for (int fate = KQ_STORE_FAULT_LOST_BEFORE; fate < KQ_STORE_FAULT_COUNT; fate++)
-    s->p[fate] = BACKGROUND_LOSS;
+  for (int kind = KQ_STORE_FAULT_LOST_BEFORE; kind < KQ_STORE_FAULT_COUNT; kind++)
+    s->p[kind] = BACKGROUND_LOSS;
 }
 
 KqSoak
@@ -26,7 +27,7 @@
   KqTime next_fault = 5 * KQ_SEC;
   KqTime next_heal = KQ_TIME_NEVER;
   KqTime start = kq_fleet_now (f);
-  lose_some (f);
+  set_background_loss (f);
   for (uint64_t i = 0; i < steps && kq_fleet_violation (f) == NULL; i++)
     {
       kq_fleet_step (f);
@@ -34,7 +35,8 @@
         {
           KqFault fault = (KqFault)(1 + kq_rand_below (&faults, KQ_FAULT_COUNT - 1));
           kq_fleet_fault (f, fault, (int)kq_rand_below (&faults, KQ_FLEET_NODES));
-          next_fault = kq_fleet_now (f) + (KqTime)kq_rand_below (&faults, 2 * FAULT_GAP);
+          next_fault = kq_fleet_now (f)
+                       + (KqTime)kq_rand_below (&faults, 2 * FAULT_INTERVAL_MEAN);
           if (next_heal == KQ_TIME_NEVER)
             next_heal = kq_fleet_now (f) + (KqTime)kq_rand_below (&faults, FAULT_MAX);
           r.faults++;
@@ -42,13 +44,13 @@
       if (kq_fleet_now (f) >= next_heal)
         {
           kq_fleet_heal (f);
-          lose_some (f);
+          set_background_loss (f);
           next_heal = KQ_TIME_NEVER;
         }
     }
   r.simulated_s = (double)(kq_fleet_now (f) - start) / (double)KQ_SEC;
   kq_fleet_heal (f);
-  kq_fleet_run (f, CALM);
+  kq_fleet_run (f, TIME_WITHOUT_FAULTS);
   if (kq_fleet_violation (f) == NULL)
     kq_fleet_compare (f);
   const char *v = kq_fleet_violation (f);
--- a/bench/soak.h
+++ b/bench/soak.h
@@ -1,7 +1,7 @@
 #ifndef KQ_BENCH_SOAK_H
 #define KQ_BENCH_SOAK_H
 
-/* soak: one randomised run of the fleet. */
+/* soak: a randomised run of the simulated fleet (fleet.h). */
 
 #include "fleet.h"
 
@@ -14,8 +14,8 @@
   double simulated_s;
 } KqSoak;
 
-/* So many steps with faults, then a calm time; at the end every shard must have an
- * owner whose state is that of the committed records. */
+/* Runs `steps` steps with faults, then some time without. At the end every shard must
+ * have an owner whose state is that of the committed records. */
 KqSoak kq_soak (uint64_t seed, uint64_t steps);
 
 #endif
--- a/bench/soak_main.c
+++ b/bench/soak_main.c
@@ -1,5 +1,5 @@
-/* soak: randomised runs of the fleet with seeded faults. The same seed gives the same
- * trace, so a violation is found again by its seed. */
+/* soak: a randomised run of the fleet with seeded faults. The same seed gives the same
+ * trace, so a violation can be reproduced by its seed. */
 
 #include "soak.h"
 
--- a/bench/table_main.c
+++ b/bench/table_main.c
@@ -1,6 +1,6 @@
-/* bench table: what distribution of the table and membership cost at the target size:
- * 100 nodes in 8 regions, 1,700 changes a day, in simulated time against the fake store.
- * The store stands in region 0. Prints RESULT lines; usage: table [SEED]. */
+/* table: measures the traffic and delays of table distribution and membership with 100
+ * nodes in 8 regions and 1,700 changes a day, in simulated time against the fake store,
+ * which is in region 0. Prints RESULT lines; usage: table [SEED]. */
 
 #include "base/log.h"
 #include "base/rand.h"
@@ -17,11 +17,11 @@
 #define CHANGES 1700
 #define ROWS 1500
 #define LIMIT_S 5.0
-#define LIMIT_NODE_BYTES 20000.0
+#define LIMIT_NODE_BYTES_PER_S 20000.0
 #define SHARDS 64
 #define SERVICES 20
 #define TEAMS 51
-/* A silent trial takes a few seconds of simulated time; so many give a maximum. */
+/* Changes made while the watches are silent; the maximum delay is reported. */
 #define SILENT_TRIALS 200
 
 static void
@@ -35,7 +35,7 @@
 }
 
 static int
-by_value (const void *a, const void *b)
+compare_values (const void *a, const void *b)
 {
   double x = *(const double *)a;
   double y = *(const double *)b;
@@ -56,7 +56,7 @@
   if (r.code != KQ_OK)
     {
       fprintf (stderr, "the import failed: %d\n", (int)r.code);
-      exit (1); /* nothing could be measured */
+      exit (1); /* nothing can be measured without the table */
     }
   free (c);
   kq_table_sim_run (f, 30 * KQ_SEC);
@@ -89,7 +89,7 @@
 typedef struct
 {
   double calls;
-  double worst_node; /* bytes of the node that moved most */
+  double worst_node; /* bytes of the node with the most traffic */
   double link;       /* bytes between regions, the store's included */
   double all;
 } Counts;
@@ -111,7 +111,7 @@
   return c;
 }
 
-/* A whole day with watches that work. */
+/* A day of changes with working watches. */
 static void
 bench_day (uint64_t seed)
 {
@@ -145,21 +145,21 @@
     result ("table_head_size", (double)head.len, "bytes", 0);
   result ("table_whole_size", (double)packed.len, "bytes", 0);
   kq_buf_free (&packed);
-  qsort (took, (size_t)n, sizeof *took, by_value);
+  qsort (took, (size_t)n, sizeof *took, compare_values);
   result ("table_changes_failed", failed, "changes", 0.5);
   result ("table_in_force_p50", took[n / 2], "s", LIMIT_S);
   result ("table_in_force_max", took[n - 1], "s", LIMIT_S);
   result ("table_store_calls", c.calls, "calls/day", 0);
   result ("table_store_calls_rate", c.calls / 86400, "calls/s", 0);
-  result ("table_bytes_worst_node", c.worst_node / 86400, "B/s", LIMIT_NODE_BYTES);
-  result ("table_bytes_mean_node", c.all / 86400 / NODES, "B/s", LIMIT_NODE_BYTES);
+  result ("table_bytes_worst_node", c.worst_node / 86400, "B/s", LIMIT_NODE_BYTES_PER_S);
+  result ("table_bytes_mean_node", c.all / 86400 / NODES, "B/s", LIMIT_NODE_BYTES_PER_S);
   result ("table_link_bytes", c.link / 1e6, "MB/day", 0);
   free (took);
   kq_table_sim_free (f);
 }
 
-/* Every watch silent; `pushes`: whether the commit's own messages arrive, or only
- * heartbeats tell. */
+/* Changes while all watches are silent. pushes: whether the messages that a node sends on
+ * a commit arrive; if not, other nodes learn of it only by heartbeats. */
 static void
 bench_silent (uint64_t seed, bool pushes, const char *name)
 {
@@ -183,7 +183,7 @@
         worst = (double)(f->now - asked) / KQ_SEC;
       kq_table_sim_run (f, (KqTime)kq_rand_below (&r, 5 * KQ_SEC));
     }
-  /* A change that never came into force everywhere is worse than any time. */
+  /* A change that didn't reach all nodes fails the limit. */
   result (name, failed == 0 ? worst : 100, "s", LIMIT_S);
   if (failed > 0)
     printf ("%d changes failed in %s\n", failed, name);
@@ -221,7 +221,8 @@
   return d;
 }
 
-/* Heartbeats, bundles and the lease, with 64 shards of full digests. */
+/* Heartbeats, their bundles between regions and node leases, with full digests of 64
+ * shards. */
 static void
 bench_member (uint64_t seed)
 {
@@ -244,10 +245,10 @@
   Counts c = count (f);
   double s = (double)seconds;
   result ("member_store_calls_rate", c.calls / s, "calls/s", 0);
-  result ("member_bytes_worst_node", c.worst_node / s, "B/s", LIMIT_NODE_BYTES);
-  result ("member_bytes_mean_node", c.all / s / NODES, "B/s", LIMIT_NODE_BYTES);
+  result ("member_bytes_worst_node", c.worst_node / s, "B/s", LIMIT_NODE_BYTES_PER_S);
+  result ("member_bytes_mean_node", c.all / s / NODES, "B/s", LIMIT_NODE_BYTES_PER_S);
   result ("member_link_bytes_rate", c.link / s, "B/s", 0);
-  /* Both with the simulation's own share (packing and copying in place of sockets). */
+  /* Both include the simulation's own cost (packing and copying in place of sockets). */
   result ("member_cpu_node", 100.0 * (double)cpu / CLOCKS_PER_SEC / s / NODES, "%", 1.9);
   result ("member_memory_node", (double)memory / NODES / 1e6, "MB", 128);
   kq_table_sim_free (f);
--- a/bench/table_sim.c
+++ b/bench/table_sim.c
@@ -6,91 +6,91 @@
 #include <string.h>
 
 #define TICK (100 * KQ_MS)
-#define NEAR_BEAT (500 * KQ_MS)
-#define FAR_BEAT (2 * KQ_SEC)
+#define NEAR_HEARTBEAT_INTERVAL (500 * KQ_MS)
+#define FAR_HEARTBEAT_INTERVAL (2 * KQ_SEC)
 
-/* A message on its way. */
+/* A message in transit. */
 typedef struct
 {
   KqTime at;
   uint64_t serial;
   int from;
   int to;
-  int life; /* of the receiver */
+  int n_starts; /* n_starts of the receiver when sent */
   KqMsg *msg;
-} Flying;
+} InTransit;
 
-/* Whose store call it is. */
+/* The caller of a store call. */
 typedef struct
 {
   int node;
-  int life;
+  int n_starts;
   uint64_t token;
-} Asked;
+} StoreCall;
 
 typedef struct KqTableSimState
 {
-  Flying *flying; /* a heap by time and serial */
-  size_t n_flying;
+  InTransit *in_transit; /* a heap by time and serial */
+  size_t n_in_transit;
   size_t capacity;
   uint64_t serial;
-  Asked *asked; /* by the token that the store sees */
-  size_t n_asked;
-  size_t asked_capacity;
+  StoreCall *store_calls; /* indexed by the token given to the store */
+  size_t n_store_calls;
+  size_t store_calls_capacity;
   KqTime next_tick;
-  KqTime next_near;
-  KqTime next_far;
-  uint64_t beats;
+  KqTime next_near_heartbeats;
+  KqTime next_far_heartbeats;
+  uint64_t n_heartbeat_rounds;
 } State;
 
 static bool
-earlier (const Flying *a, const Flying *b)
+earlier (const InTransit *a, const InTransit *b)
 {
   return a->at != b->at ? a->at < b->at : a->serial < b->serial;
 }
 
 static void
-swap (Flying *a, Flying *b)
+swap (InTransit *a, InTransit *b)
 {
-  Flying t = *a;
+  InTransit t = *a;
   *a = *b;
   *b = t;
 }
 
 static void
-push (State *s, Flying f)
+push (State *s, InTransit f)
 {
-  size_t i = s->n_flying++;
-  if (s->n_flying > s->capacity)
+  size_t i = s->n_in_transit++;
+  if (s->n_in_transit > s->capacity)
     {
       s->capacity = s->capacity > 0 ? 2 * s->capacity : 256;
-      s->flying = kq_realloc (s->flying, s->capacity * sizeof *s->flying);
+      s->in_transit = kq_realloc (s->in_transit, s->capacity * sizeof *s->in_transit);
     }
   f.serial = s->serial++;
-  s->flying[i] = f;
-  while (i > 0 && earlier (&s->flying[i], &s->flying[(i - 1) / 2]))
+  s->in_transit[i] = f;
+  while (i > 0 && earlier (&s->in_transit[i], &s->in_transit[(i - 1) / 2]))
     {
-      swap (&s->flying[i], &s->flying[(i - 1) / 2]);
+      swap (&s->in_transit[i], &s->in_transit[(i - 1) / 2]);
       i = (i - 1) / 2;
     }
 }
 
-static Flying
+static InTransit
 pop (State *s)
 {
-  Flying top = s->flying[0];
+  InTransit top = s->in_transit[0];
   size_t i = 0;
-  s->flying[0] = s->flying[--s->n_flying];
+  s->in_transit[0] = s->in_transit[--s->n_in_transit];
   for (;;)
     {
       size_t c = 2 * i + 1;
-      if (c >= s->n_flying)
+      if (c >= s->n_in_transit)
         return top;
-      if (c + 1 < s->n_flying && earlier (&s->flying[c + 1], &s->flying[c]))
+      if (c + 1 < s->n_in_transit && earlier (&s->in_transit[c + 1], &s->in_transit[c]))
         c++;
-      if (!earlier (&s->flying[c], &s->flying[i]))
+      if (!earlier (&s->in_transit[c], &s->in_transit[i]))
         return top;
-      swap (&s->flying[c], &s->flying[i]);
+      swap (&s->in_transit[c], &s->in_transit[i]);
       i = c;
     }
 }
@@ -105,23 +105,25 @@
 }
 
 static void
-ask_store (KqTableSim *f, KqTableSimNode *n, KqStoreOp *op)
+call_store (KqTableSim *f, KqTableSimNode *n, KqStoreOp *op)
 {
   State *s = f->state;
-  if (s->n_asked == s->asked_capacity)
+  if (s->n_store_calls == s->store_calls_capacity)
     {
-      s->asked_capacity = s->asked_capacity > 0 ? 2 * s->asked_capacity : 1024;
-      s->asked = kq_realloc (s->asked, s->asked_capacity * sizeof *s->asked);
+      s->store_calls_capacity
+          = s->store_calls_capacity > 0 ? 2 * s->store_calls_capacity : 1024;
+      s->store_calls
+          = kq_realloc (s->store_calls, s->store_calls_capacity * sizeof *s->store_calls);
     }
-  s->asked[s->n_asked] = (Asked){ n->index, n->life, op->token };
-  op->token = s->n_asked++;
+  s->store_calls[s->n_store_calls] = (StoreCall){ n->index, n->n_starts, op->token };
+  op->token = s->n_store_calls++;
   n->store_calls++;
   n->store_bytes += op->value.len;
   kq_store_fake_call (f->store, n->index % KQ_STORE_FAKE_CLIENTS, op, f->now);
 }
 
 static void
-send (KqTableSim *f, KqTableSimNode *n, KqNodeId to, KqMsg **msg)
+send_msg (KqTableSim *f, KqTableSimNode *n, KqNodeId to, KqMsg **msg)
 {
   int i = index_of (f, to);
   KqBuf b = { 0 };
@@ -136,26 +138,26 @@
   *(far ? &n->far_bytes : &n->near_bytes) += b.len;
   kq_buf_free (&b);
   f->crossed[n->index][i] = f->crossed[n->index][i] || far;
-  push (f->state, (Flying){ .at = f->now + (far ? f->far_delay : f->near_delay),
-                            .from = n->index,
-                            .to = i,
-                            .life = r->life,
-                            .msg = *msg });
+  push (f->state, (InTransit){ .at = f->now + (far ? f->far_delay : f->near_delay),
+                               .from = n->index,
+                               .to = i,
+                               .n_starts = r->n_starts,
+                               .msg = *msg });
   *msg = NULL;
 }
 
-/* Carries out what a node wants, and notes its results. */
+/* Executes the node's store calls, sends its messages and keeps its results. */
 static void
-carry_out (KqTableSim *f, KqTableSimNode *n, KqOutbox *out)
+run_outbox (KqTableSim *f, KqTableSimNode *n, KqOutbox *out)
 {
   KqOut item;
   KqTableResult r;
   while (kq_outbox_take (out, &item))
     {
       if (item.kind == KQ_OUT_STORE)
-        ask_store (f, n, &item.u.store);
+        call_store (f, n, &item.u.store);
       else if (item.kind == KQ_OUT_SEND)
-        send (f, n, item.u.send.to, &item.u.send.msg);
+        send_msg (f, n, item.u.send.to, &item.u.send.msg);
       kq_out_clear (&item);
     }
   kq_outbox_free (out);
@@ -171,7 +173,7 @@
 }
 
 static bool
-runs (const KqTableSimNode *n)
+is_running (const KqTableSimNode *n)
 {
   return n->up && !n->paused;
 }
@@ -180,7 +182,7 @@
 tick (KqTableSim *f, KqTableSimNode *n)
 {
   KqOutbox out = { 0 };
-  if (!runs (n))
+  if (!is_running (n))
     return;
   if (n->member != NULL)
     {
@@ -189,21 +191,22 @@
                             kq_table_dist_revision (n->dist), false);
     }
   kq_table_dist_tick (n->dist, f->now, &out);
-  carry_out (f, n, &out);
+  run_outbox (f, n, &out);
 }
 
 static void
-tell_peer (KqTableSim *f, KqTableSimNode *n, KqNodeId id, uint64_t revision, int region)
+report_peer_revision (KqTableSim *f, KqTableSimNode *n, KqNodeId id, uint64_t revision,
+                      int region)
 {
   KqOutbox out = { 0 };
   kq_table_dist_peer_revision (n->dist, id, revision, region != n->region, f->now, &out);
   if (!kq_outbox_empty (&out))
-    carry_out (f, n, &out);
+    run_outbox (f, n, &out);
 }
 
-/* The heartbeats of a fleet without members. */
+/* Models the heartbeats when there are no members. */
 static void
-model_beats (KqTableSim *f, bool far)
+model_heartbeats (KqTableSim *f, bool far)
 {
   for (int a = 0; a < f->n; a++)
     for (int b = 0; b < f->n; b++)
@@ -211,23 +214,24 @@
         KqTableSimNode *from = &f->nodes[a];
         KqTableSimNode *to = &f->nodes[b];
         bool is_far = from->region != to->region;
-        if (a == b || is_far != far || !runs (from) || !runs (to) || f->cut[a][b])
+        if (a == b || is_far != far || !is_running (from) || !is_running (to)
+            || f->cut[a][b])
           continue;
-        bool news
+        bool differ
             = kq_table_dist_revision (from->dist) != kq_table_dist_revision (to->dist);
-        /* Equal revisions only keep the peer known; now and then is enough. */
-        if (news || far || f->state->beats % 8 == 0)
-          tell_peer (f, to, from->info.id, kq_table_dist_revision (from->dist),
-                     from->region);
+        /* Equal revisions only keep the peer alive; every eighth time is enough. */
+        if (differ || far || f->state->n_heartbeat_rounds % 8 == 0)
+          report_peer_revision (f, to, from->info.id, kq_table_dist_revision (from->dist),
+                                from->region);
       }
 }
 
 static void
-deliver (KqTableSim *f, const Flying *m)
+deliver (KqTableSim *f, const InTransit *m)
 {
   KqTableSimNode *n = &f->nodes[m->to];
   KqOutbox out = { 0 };
-  if (!runs (n) || n->life != m->life)
+  if (!is_running (n) || n->n_starts != m->n_starts)
     return;
   if (m->msg->kind == KQ_MSG_HEARTBEAT)
     {
@@ -236,20 +240,20 @@
       if (n->member != NULL)
         kq_member_heartbeat (n->member, h, f->now, &out);
       if (i >= 0)
-        tell_peer (f, n, h->node, h->table_revision, f->nodes[i].region);
+        report_peer_revision (f, n, h->node, h->table_revision, f->nodes[i].region);
     }
   else
     kq_table_dist_message (n->dist, f->nodes[m->from].info.id, m->msg, f->now, &out);
-  carry_out (f, n, &out);
+  run_outbox (f, n, &out);
 }
 
 static void
 deliver_reply (KqTableSim *f, KqStoreReply *r)
 {
-  Asked a = f->state->asked[r->token];
+  StoreCall a = f->state->store_calls[r->token];
   KqTableSimNode *n = &f->nodes[a.node];
   KqOutbox out = { 0 };
-  if (!runs (n) || n->life != a.life)
+  if (!is_running (n) || n->n_starts != a.n_starts)
     return;
   r->token = a.token;
   n->store_bytes += r->value.len;
@@ -259,7 +263,7 @@
     kq_member_reply (n->member, r, f->now, &out);
   else
     kq_table_dist_reply (n->dist, r, f->now, &out);
-  carry_out (f, n, &out);
+  run_outbox (f, n, &out);
 }
 
 static void
@@ -270,9 +274,9 @@
   int client;
   while (kq_store_fake_next (f->store, f->now, &client, &r))
     deliver_reply (f, &r);
-  while (s->n_flying > 0 && s->flying[0].at <= f->now)
+  while (s->n_in_transit > 0 && s->in_transit[0].at <= f->now)
     {
-      Flying m = pop (s);
+      InTransit m = pop (s);
       deliver (f, &m);
       kq_msg_free (m.msg);
     }
@@ -282,16 +286,16 @@
         tick (f, &f->nodes[i]);
       s->next_tick = f->now + TICK;
     }
-  if (!f->members && f->now >= s->next_near)
+  if (!f->members && f->now >= s->next_near_heartbeats)
     {
-      model_beats (f, false);
-      s->next_near = f->now + NEAR_BEAT;
-      s->beats++;
+      model_heartbeats (f, false);
+      s->next_near_heartbeats = f->now + NEAR_HEARTBEAT_INTERVAL;
+      s->n_heartbeat_rounds++;
     }
-  if (!f->members && f->now >= s->next_far)
+  if (!f->members && f->now >= s->next_far_heartbeats)
     {
-      model_beats (f, true);
-      s->next_far = f->now + FAR_BEAT;
+      model_heartbeats (f, true);
+      s->next_far_heartbeats = f->now + FAR_HEARTBEAT_INTERVAL;
     }
 }
 
@@ -307,8 +311,8 @@
       KqTime due = kq_store_fake_next_time (f->store);
       if (due < next)
         next = due;
-      if (s->n_flying > 0 && s->flying[0].at < next)
-        next = s->flying[0].at;
+      if (s->n_in_transit > 0 && s->in_transit[0].at < next)
+        next = s->in_transit[0].at;
       f->now = next > f->now ? next : f->now + 1;
       if (f->now > end)
         f->now = end;
@@ -330,17 +334,18 @@
 kq_table_sim_start (KqTableSim *f, int i)
 {
   KqTableSimNode *n = &f->nodes[i];
-  uint64_t seed = kq_hash2 (f->seed, (uint64_t)i * 1000 + (uint64_t)n->life);
+  uint64_t seed = kq_hash2 (f->seed, (uint64_t)i * 1000 + (uint64_t)n->n_starts);
   assert (!n->up);
-  n->life++;
+  n->n_starts++;
   n->up = true;
   n->highest = 0;
-  n->info.incarnation = (uint64_t)n->life;
+  n->info.incarnation = (uint64_t)n->n_starts;
   n->dist = kq_table_dist_new (n->info.id, seed);
   if (f->members)
     {
-      KqMemberConfig c
-          = { .self = n->info, .lease = 10 * KQ_SEC, .heartbeat_interval = NEAR_BEAT };
+      KqMemberConfig c = { .self = n->info,
+                           .lease = 10 * KQ_SEC,
+                           .heartbeat_interval = NEAR_HEARTBEAT_INTERVAL };
       c.suspect_after = 2 * KQ_SEC;
       n->member = kq_member_new (&c, seed);
     }
@@ -385,13 +390,13 @@
   for (int i = 0; i < f->n; i++)
     if (f->nodes[i].up)
       kq_table_sim_kill (f, i);
-  while (f->state->n_flying > 0)
+  while (f->state->n_in_transit > 0)
     {
-      Flying m = pop (f->state);
+      InTransit m = pop (f->state);
       kq_msg_free (m.msg);
     }
-  free (f->state->flying);
-  free (f->state->asked);
+  free (f->state->in_transit);
+  free (f->state->store_calls);
   free (f->state);
   kq_store_fake_free (f->store);
   free (f);
@@ -404,7 +409,7 @@
   int call = f->n_calls++ % 1024;
   f->done[call] = false;
   kq_table_dist_change (f->nodes[node].dist, (uint64_t)call, c, n, f->now, &out);
-  carry_out (f, &f->nodes[node], &out);
+  run_outbox (f, &f->nodes[node], &out);
   return call;
 }
 
@@ -427,7 +432,7 @@
       bool all = true;
       for (int i = 0; i < f->n; i++)
         all = all
-              && (!runs (&f->nodes[i])
+              && (!is_running (&f->nodes[i])
                   || kq_table_dist_revision (f->nodes[i].dist) >= revision);
       if (all)
         return f->now - start;
--- a/bench/table_sim.h
+++ b/bench/table_sim.h
@@ -1,8 +1,9 @@
 #ifndef KQ_BENCH_TABLE_SIM_H
 #define KQ_BENCH_TABLE_SIM_H
 
-/* table_sim: nodes' member and table modules, one fake store and the messages between
- * them, in simulated time. For tests and benches of src/member and src/table. */
+/* table_sim: simulates the member and table modules of nodes with a fake store and the
+ * messages between them, in simulated time. For tests and benches of src/member and
+ * src/table. */
 
 #include "member/member.h"
 #include "port/store_fake.h"
@@ -15,17 +16,17 @@
   int index;
   int region;
   bool up;
-  bool paused; /* nothing reaches it, it does nothing, its memory stays */
-  int life;    /* counts up at each start */
+  bool paused; /* handles nothing and loses what it is sent; its state stays */
+  int n_starts;
   KqNodeInfo info;
-  KqMember *member; /* NULL in a fleet of tables alone */
+  KqMember *member; /* NULL if simulated without members */
   KqTableDist *dist;
-  uint64_t highest; /* table revision in force in this life */
+  uint64_t highest; /* table revision in force since the last start */
   uint64_t store_calls;
   uint64_t store_bytes;  /* values read and written */
   uint64_t near_bytes;   /* frames sent within the region */
   uint64_t far_bytes;    /* frames sent to other regions */
-  KqShardDigest *digest; /* what the member says of itself; borrowed */
+  KqShardDigest *digest; /* sent in its heartbeats; owned by the caller */
   size_t n_digest;
 } KqTableSimNode;
 
@@ -44,7 +45,8 @@
   bool cut[KQ_TABLE_SIM_MAX][KQ_TABLE_SIM_MAX]; /* from, to: messages are lost */
   bool crossed[KQ_TABLE_SIM_MAX]
               [KQ_TABLE_SIM_MAX]; /* from, to: a frame between regions */
-  bool mute_tables;            /* TABLE and TABLE_WANT are lost: only the store tells */
+  bool mute_tables; /* messages about the table are lost: nodes learn of changes only by
+                       heartbeats and the store */
   KqTableResult results[1024]; /* of changes, by call */
   bool done[1024];
   int n_calls;
@@ -52,22 +54,24 @@
   struct KqTableSimState *state;
 };
 
-/* Nodes 0 to regions - 1 stand in regions 0 to regions - 1, and so on round. All are
- * started. Without members, heartbeats are modelled: revisions of near nodes are told
- * every 0.5 s, of far ones every 2 s. */
+/* Creates and starts `nodes` nodes; node i is in region i % regions. Without members,
+ * heartbeats are modelled: a node learns the table revisions of nodes in its region every
+ * 0.5 s, and of others every 2 s. */
 KqTableSim *kq_table_sim_new (uint64_t seed, int nodes, int regions, bool members);
 void kq_table_sim_free (KqTableSim *f);
 void kq_table_sim_run (KqTableSim *f, KqTime span);
-/* A process dies without a word; its memory is gone. */
+/* A crash: the node's state is lost. */
 void kq_table_sim_kill (KqTableSim *f, int i);
 void kq_table_sim_start (KqTableSim *f, int i);
-/* Returns the call's number. */
+/* Changes rows through a node. Returns the number of the call. */
 int kq_table_sim_change (KqTableSim *f, int node, const KqRowChange *c, size_t n);
-/* Runs until the call's result is there (at most 20 s). */
+/* Runs until the call has a result (asserts that it takes at most 20 s) and returns it.
+ */
 KqTableResult kq_table_sim_result (KqTableSim *f, int call);
-/* Runs until every node that is up has the revision; returns how long it took, or -1
- * after `limit`. */
+/* Runs until all running nodes have at least that revision. Returns how long it took, or
+ * -1 if it took more than `limit`. */
 KqTime kq_table_sim_wait (KqTableSim *f, uint64_t revision, KqTime limit);
+/* A change of a team's row. */
 KqRowChange kq_table_sim_row (const char *name, int64_t weight, uint64_t expect);
 
 #endif
