--- a/bench/handover_main.c
+++ b/bench/handover_main.c
@@ -10,8 +10,8 @@
 #define RUNS 40
 #define NODE 1
 #define SETTLE_TIME (20 * KQ_SEC)
-#define PHASE_STEP (97 * KQ_MS) /* added per run, to cover all phases of lease renewal   \
-                                 */
+/* Added per run, so that the runs cover all phases of lease renewal. */
+#define PHASE_STEP (97 * KQ_MS)
 #define WATCH_TIME (30 * KQ_SEC)
 #define GAPS_MAX (RUNS * KQ_FLEET_SHARDS)
 /* A takeover after a crash waits for the lease of 10 s to expire. */
--- a/bench/job_rig.c
+++ b/bench/job_rig.c
@@ -71,7 +71,7 @@
 }
 
 static void
-give_answer (KqRig *r, const KqMsg *m)
+record_answer (KqRig *r, const KqMsg *m)
 {
   free (r->json);
   r->code = m->u.answer.code;
@@ -80,7 +80,7 @@
 }
 
 static void
-carry_out (KqRig *r, KqOutbox *out)
+run_outbox (KqRig *r, KqOutbox *out)
 {
   KqOut item;
   while (kq_outbox_take (out, &item))
@@ -88,7 +88,7 @@
       if (item.kind == KQ_OUT_WORKER)
         send_call (r, &item.u.worker);
       else if (item.kind == KQ_OUT_SEND)
-        give_answer (r, item.u.send.msg);
+        record_answer (r, item.u.send.msg);
       kq_out_clear (&item);
     }
 }
@@ -96,10 +96,10 @@
 /* Sends items after the log record `after` is committed, or at once if they need none, as
  * the shard's owner does. */
 static void
-leave (KqRig *r, KqSeq after, KqOutbox *out)
+send_after_commit (KqRig *r, KqSeq after, KqOutbox *out)
 {
   if (after == 0)
-    carry_out (r, out);
+    run_outbox (r, out);
   else
     kq_hold_add (&r->hold, after, out);
   kq_outbox_free (out);
@@ -143,7 +143,7 @@
       return;
     }
   kq_outbox_init (&out);
-  leave (r, kq_jobs_worker_reply (r->jobs, &e.reply, r->now, &out), &out);
+  send_after_commit (r, kq_jobs_worker_reply (r->jobs, &e.reply, r->now, &out), &out);
   kq_fake_reply_clear (&e.reply);
 }
 
@@ -170,7 +170,7 @@
     }
   kq_outbox_init (&out);
   kq_hold_release (&r->hold, r->log.committed, &out);
-  carry_out (r, &out);
+  run_outbox (r, &out);
   kq_outbox_free (&out);
 }
 
@@ -207,7 +207,7 @@
       if (r->n_events > 0 && r->events[0].at <= r->now)
         continue;
       kq_outbox_init (&out);
-      leave (r, kq_jobs_tick (r->jobs, !r->store_down, r->now, &out), &out);
+      send_after_commit (r, kq_jobs_tick (r->jobs, !r->store_down, r->now, &out), &out);
     }
 }
 
@@ -306,7 +306,8 @@
 {
   KqOutbox out;
   kq_outbox_init (&out);
-  leave (r, kq_jobs_set_hosts (r->jobs, r->hosts, r->n_workers, r->now, &out), &out);
+  send_after_commit (r, kq_jobs_set_hosts (r->jobs, r->hosts, r->n_workers, r->now, &out),
+                     &out);
 }
 
 void
@@ -324,7 +325,7 @@
   for (size_t i = 0; i < r->log.n_records; i++)
     kq_jobs_apply (r->jobs, &r->log.records[i], r->now);
   kq_outbox_init (&out);
-  leave (r, kq_jobs_recovered (r->jobs, ++r->epoch, r->now, &out), &out);
+  send_after_commit (r, kq_jobs_recovered (r->jobs, ++r->epoch, r->now, &out), &out);
   kq_rig_hosts (r);
 }
 
@@ -335,7 +336,7 @@
   KqOutbox out;
   m.job = ((KqJobId)1 << 48) | id;
   kq_outbox_init (&out);
-  leave (r, kq_jobs_submit (r->jobs, &m, r->now, &out), &out);
+  send_after_commit (r, kq_jobs_submit (r->jobs, &m, r->now, &out), &out);
 }
 
 void
@@ -345,7 +346,7 @@
   KqOutbox out;
   m.job = ((KqJobId)1 << 48) | id;
   kq_outbox_init (&out);
-  leave (r, kq_jobs_call (r->jobs, &m, r->now, &out), &out);
+  send_after_commit (r, kq_jobs_call (r->jobs, &m, r->now, &out), &out);
 }
 
 bool
--- a/bench/job_rig.h
+++ b/bench/job_rig.h
@@ -73,8 +73,7 @@
  * one was open. */
 void kq_rig_open (KqRig *r);
 void kq_rig_run (KqRig *r, KqTime span);
-/* Submits a job now. The result is in r->code once kq_rig_run has delivered the answer.
- */
+/* Submits a job now. kq_rig_run delivers the answer, whose result is in r->code. */
 void kq_rig_submit (KqRig *r, KqJobId id, const KqJobSpec *spec);
 void kq_rig_call (KqRig *r, KqJobCallKind kind, KqJobId id);
 /* Whether the last answer's JSON contains `text`. */
--- a/bench/matrix_shard.c
+++ b/bench/matrix_shard.c
@@ -6,8 +6,7 @@
 
 #define SETTLE_TIME (40 * KQ_SEC) /* limit at the start and after the fault */
 #define FAULT_TIME (20 * KQ_SEC)
-#define STEP_TIMEOUT                                                                     \
-  (60 * KQ_SEC) /* limit until the step happens; a snapshot takes longest */
+#define STEP_TIMEOUT (60 * KQ_SEC) /* a snapshot takes longest to happen */
 #define TIME_AFTER (5 * KQ_SEC)
 #define ACKS_AFTER_MIN 100 /* minimum in TIME_AFTER, of about 1,000 sent */
 #define NODE 1             /* stopped or drained, so that others take over */
--- a/bench/path_main.c
+++ b/bench/path_main.c
@@ -113,8 +113,7 @@
   return m;
 }
 
-/* A memory field of /proc/PID/status in megabytes: VmRSS now, VmHWM the highest so far.
- */
+/* A field of /proc/PID/status in megabytes: VmRSS: memory now, VmHWM: the highest. */
 static double
 memory_mb (const Bench *b, int node, const char *field)
 {
--- a/bench/place_main.c
+++ b/bench/place_main.c
@@ -2,8 +2,7 @@
  *
  * For each deployment it runs the full policy, the policy with each part off, and two
  * simple baselines with the same seed in the same model (place_model.h). Then it measures
- * how far shards exceed a shared quota, and the cost of a decision by number of workers.
- */
+ * how far shards exceed a shared quota, and the cost of a decision by workers. */
 
 #include "place_model.h"
 
@@ -225,8 +224,7 @@
   return (double)t.tv_sec * 1e9 + (double)t.tv_nsec;
 }
 
-/* Nanoseconds per decision (submit, place, record and answer) while the workers fill up.
- */
+/* Nanoseconds per decision (submit, place, record, answer) while the workers fill up. */
 static double
 decision_cost (size_t workers, double *bytes_worker, double *bytes_job)
 {
--- a/bench/platform_main.c
+++ b/bench/platform_main.c
@@ -187,7 +187,7 @@
 }
 
 static void
-name_hosts (Node *n, const Peer *p)
+send_hosts (Node *n, const Peer *p)
 {
   KqMail *m = kq_mail_new (KQ_MAIL_HOSTS);
   m->u.hosts.hosts = kq_alloc (WORKERS * sizeof *m->u.hosts.hosts);
@@ -220,7 +220,7 @@
                                                           .calls_per_second = 1000000,
                                                           .counters = n->counters,
                                                           .receiver = &n->receiver });
-  name_hosts (n, p);
+  send_hosts (n, p);
 }
 
 static void
--- a/bench/shard_main.c
+++ b/bench/shard_main.c
@@ -88,31 +88,31 @@
 static void
 append (Fleet *f, uint32_t s, uint16_t type, size_t size, bool urgent)
 {
-  PendingQueue *w = &f->pending[s];
+  PendingQueue *q = &f->pending[s];
   KqRecord r = { type, 1, { zeros, size } };
   KqSeq seq = kq_journal_append (f->journals[s], &r,
                                  urgent ? KQ_COMMIT_URGENT : KQ_COMMIT_NORMAL, f->now);
-  if (w->len == w->capacity)
+  if (q->len == q->capacity)
     {
-      w->capacity = w->capacity > 0 ? w->capacity * 2 : 256;
-      w->items = kq_realloc (w->items, w->capacity * sizeof *w->items);
+      q->capacity = q->capacity > 0 ? q->capacity * 2 : 256;
+      q->items = kq_realloc (q->items, q->capacity * sizeof *q->items);
     }
-  w->items[w->len++] = (Pending){ f->now, seq, urgent };
+  q->items[q->len++] = (Pending){ f->now, seq, urgent };
 }
 
 static void
 record_commits (Fleet *f, uint32_t s)
 {
-  PendingQueue *w = &f->pending[s];
+  PendingQueue *q = &f->pending[s];
   KqSeq committed = kq_journal_committed (f->journals[s]);
-  for (; w->first < w->len && w->items[w->first].seq <= committed; w->first++)
+  for (; q->first < q->len && q->items[q->first].seq <= committed; q->first++)
     {
-      const Pending *i = &w->items[w->first];
+      const Pending *i = &q->items[q->first];
       if (f->measuring && f->n_samples[i->urgent] < SAMPLES_MAX)
         f->samples[i->urgent][f->n_samples[i->urgent]++] = f->now - i->at;
     }
-  if (w->first == w->len)
-    w->first = w->len = 0;
+  if (q->first == q->len)
+    q->first = q->len = 0;
 }
 
 static void
--- a/bench/slopes_live.c
+++ b/bench/slopes_live.c
@@ -176,12 +176,12 @@
   KqTime start = kq_time_now ();
   int jobs = 0;
   int requests = 0;
-  KqTime past;
-  while ((past = kq_time_now () - start) < span)
+  KqTime elapsed;
+  while ((elapsed = kq_time_now () - start) < span)
     {
-      while (jobs < load->jobs * past / KQ_SEC)
+      while (jobs < load->jobs * elapsed / KQ_SEC)
         send_one (l, jobs++, true);
-      while (requests < load->requests * past / KQ_SEC)
+      while (requests < load->requests * elapsed / KQ_SEC)
         send_one (l, requests++, false);
       procs_run (&l->procs, 5 * KQ_MS, NULL);
     }
--- a/bench/soak.c
+++ b/bench/soak.c
@@ -7,8 +7,8 @@
 #define FAULT_INTERVAL_MEAN (12 * KQ_SEC)
 #define FAULT_MAX (25 * KQ_SEC)
 #define TIME_WITHOUT_FAULTS (90 * KQ_SEC)
-#define BACKGROUND_LOSS 0.002 /* probability of each kind of store fault, at all times   \
-                               */
+/* Probability of each kind of store fault, at all times. */
+#define BACKGROUND_LOSS 0.002
 
 static void
 set_background_loss (KqFleet *f)
--- a/bench/table_sim.h
+++ b/bench/table_sim.h
@@ -65,8 +65,7 @@
 void kq_table_sim_start (KqTableSim *f, int i);
 /* Changes rows through a node. Returns the number of the call. */
 int kq_table_sim_change (KqTableSim *f, int node, const KqRowChange *c, size_t n);
-/* Runs until the call has a result (asserts that it takes at most 20 s) and returns it.
- */
+/* Runs until the call has a result, and returns it. It must take at most 20 s. */
 KqTableResult kq_table_sim_result (KqTableSim *f, int call);
 /* Runs until all running nodes have at least that revision. Returns how long it took, or
  * -1 if it took more than `limit`. */
--- a/bench/whole.c
+++ b/bench/whole.c
@@ -151,7 +151,8 @@
   return h != NULL && kq_shard_state (h) == KQ_SHARD_ACTIVE;
 }
 
-/* Triggers by the step that the message is, if its receiver owns the shard. */
+/* Calls check_trigger for the step that the message stands for, if its receiver owns the
+ * shard. */
 static void
 check_trigger_by_msg (KqWhole *w, int node, const KqMsg *m)
 {
--- a/bench/whole.h
+++ b/bench/whole.h
@@ -39,8 +39,7 @@
   char violation[160]; /* "": none */
 } KqWholeResult;
 
-/* Runs `steps` events under faults, then some time without faults, then the final checks.
- */
+/* Runs `steps` events under faults, then some time without, then the final checks. */
 KqWholeResult kq_whole_run (uint64_t seed, uint64_t steps);
 
 #endif
--- a/bench/whole_load.c
+++ b/bench/whole_load.c
@@ -99,7 +99,7 @@
     kq_whole_add_violation (w, "key k%d was granted again after it ran", key);
   k->runs++;
   k->open = true;
-  k->ended_at = w->now; /* the end if the entry node dies before it reports one */
+  k->ended_at = w->now; /* counts as the end if the entry node dies first */
   k->flight = c->flight;
   k->entry = entry;
   k->entry_starts = w->nodes[entry].n_starts;
