--- a/bench/fleet_state.h
+++ b/bench/fleet_state.h
@@ -66,8 +66,7 @@
   size_t n_in_flight, in_flight_capacity;
   bool cut[KQ_FLEET_NODES][KQ_FLEET_NODES];
   bool any_cut;                             /* any element of `cut` is set */
-  KqTime two_owners_since[KQ_FLEET_SHARDS]; /* since when a shard has two owners; 0: it
-                                               hasn't */
+  KqTime two_owners_since[KQ_FLEET_SHARDS]; /* 0: at most one owner */
   KqTime next_client;
   KqTime lease_lapsed_until; /* until then two owners are allowed */
   uint64_t incarnations;
--- a/bench/handover_main.c
+++ b/bench/handover_main.c
@@ -14,7 +14,8 @@
 #define PHASE_STEP (97 * KQ_MS)
 #define WATCH_TIME (30 * KQ_SEC)
 #define GAPS_MAX (RUNS * KQ_FLEET_SHARDS)
-/* A takeover after a crash waits for the lease of 10 s to expire. */
+/* A planned handover should take well under a second. A takeover after a crash waits for
+ * the lease of 10 s to expire and has a margin for itself. */
 #define LIMIT_PLANNED_MS 1000
 #define LIMIT_CRASH_MS 12000
 
--- a/bench/load_patterns.c
+++ b/bench/load_patterns.c
@@ -5,7 +5,8 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* 50 runners with 8 slots answer 10,000 requests of 40 ms a second. */
+/* 50 runners with 8 slots answer 10,000 requests of 40 ms a second. The deadline of a
+ * second is that of an interactive change by a user. */
 #define RUNNERS 50
 /* For a small service, where one bad runner is a tenth of the capacity. */
 #define FEW_RUNNERS 10
@@ -16,7 +17,7 @@
 #define END (8 * KQ_SEC)
 #define CALLERS 20
 #define HOT_CALLER_NUMBER 40
-#define QUICK_CLASS 1001
+#define SHORT_CLASS 1001
 #define LONG_CLASS 2002
 #define KEYS 50
 #define HOT_KEY 900
@@ -40,12 +41,12 @@
                       .row = sim_row (true) };
 }
 
-static const SimArrival short_request = { .class_id = QUICK_CLASS, .key = 1 };
+static const SimArrival short_request = { .class_id = SHORT_CLASS, .key = 1 };
 static const SimArrival hot_caller = {
-  .class_id = QUICK_CLASS, .key = 1, .caller = HOT_CALLER_NUMBER, .group = SIM_HOT
+  .class_id = SHORT_CLASS, .key = 1, .caller = HOT_CALLER_NUMBER, .group = SIM_HOT
 };
 static const SimArrival hot_key
-    = { .class_id = QUICK_CLASS, .key = HOT_KEY, .group = SIM_HOT };
+    = { .class_id = SHORT_CLASS, .key = HOT_KEY, .group = SIM_HOT };
 static const SimArrival long_request
     = { .class_id = LONG_CLASS, .key = 1, .group = SIM_LONG };
 
@@ -253,7 +254,7 @@
   free (a.items);
 }
 
-/* Short requests alone, then with requests that take 100 times as long. */
+/* Short requests alone, then with 1 to 2% of requests that take 100 times as long. */
 static void
 pattern_long (uint64_t seed, const char *name, double load, double long_load)
 {
--- a/bench/table_main.c
+++ b/bench/table_main.c
@@ -1,6 +1,6 @@
 /* table: measures the traffic and delays of table distribution and membership with 100
- * nodes in 8 regions and 1,700 changes a day, in simulated time against the fake store,
- * which is in region 0. Prints RESULT lines; usage: table [SEED]. */
+ * nodes in 8 regions and 1,700 changes a day (the target size), in simulated time against
+ * the fake store, which is in region 0. Prints RESULT lines; usage: table [SEED]. */
 
 #include "base/log.h"
 #include "base/rand.h"
