--- a/bench/fleet_nodes.c
+++ b/bench/fleet_nodes.c
@@ -442,9 +442,8 @@
     }
   if (by_lease > 1 && f->now > f->lease_lapsed_until)
     kq_fleet_add_violation (f, "two owners", s, by_lease, 0);
-  /* two_owners_since counts owners without a live lease too: one that stayed valid in a
-   * store outage must stop as soon as it receives a
-   * heartbeat of its successor. */
+  /* two_owners_since counts owners without a live lease too: an owner that stayed valid
+   * in a store outage must stop as soon as it receives a heartbeat of its successor. */
   if (all < 2 || f->any_cut)
     f->two_owners_since[s] = 0;
   else if (f->two_owners_since[s] == 0)
