--- a/bench/sched_rig.c
+++ b/bench/sched_rig.c
@@ -1,3 +1,5 @@
+/* sched_rig: the leader and the store of the rig, and its events. */
+
 #include "sched_rig_impl.h"
 
 #include "agent/frame.h"
@@ -73,7 +75,7 @@
   char task[96];
   char runner[16];
   bool start = o->kind == KQ_ORDER_START;
-  /* start and stop begin with the same two fields */
+  /* u.start and u.stop begin with the same two fields. */
   if ((start || o->kind == KQ_ORDER_STOP)
       && kq_str_copy (o->u.start.task, task, sizeof task)
       && kq_str_copy (o->runner, runner, sizeof runner))
@@ -81,7 +83,6 @@
                         o->u.start.run, 0);
 }
 
-/* What the scheduler orders, by its sink. */
 static void
 on_order (void *arg, int agent, const KqOrder *o)
 {
@@ -92,24 +93,24 @@
     if (r->agents[n].number == agent)
       {
         trace_order (r, o);
-        kq_sched_rig_tell_agent (r, n, &i);
+        kq_sched_rig_send_agent (r, n, &i);
       }
 }
 
 static bool
-has_come (KqSchedRig *r, KqSchedRigEvent *e)
+is_due (KqSchedRig *r, KqSchedRigEvent *e)
 {
   bool message = e->kind == KQ_SCHED_RIG_UP || e->kind == KQ_SCHED_RIG_DOWN;
   bool to_agent = e->kind == KQ_SCHED_RIG_DOWN || e->kind == KQ_SCHED_RIG_ANSWER;
   const KqSchedRigAgent *a = &r->agents[message ? e->agent : e->call.agent];
-  if (e->kind == KQ_SCHED_RIG_QUESTION)
-    return kq_sched_rig_question_due (r, e);
+  if (e->kind == KQ_SCHED_RIG_POLL)
+    return kq_sched_rig_poll_due (r, e);
   return r->now >= e->due && !(message && r->now < a->link_cut_until)
          && !(to_agent && r->now < a->frozen_until);
 }
 
 static void
-play (KqSchedRig *r, KqSchedRigEvent *e)
+handle_event (KqSchedRig *r, KqSchedRigEvent *e)
 {
   switch (e->kind)
     {
@@ -131,17 +132,17 @@
 }
 
 static void
-play_events (KqSchedRig *r)
+handle_due_events (KqSchedRig *r)
 {
   for (guint i = 0; i < r->events->len; i++)
     {
       KqSchedRigEvent *e = g_ptr_array_index (r->events, i);
-      if (e->due != KQ_TIME_NEVER && !has_come (r, e))
+      if (e->due != KQ_TIME_NEVER && !is_due (r, e))
         continue;
       g_ptr_array_steal_index (r->events, i);
       i--;
       if (e->due != KQ_TIME_NEVER)
-        play (r, e);
+        handle_event (r, e);
       free_event (e);
     }
 }
@@ -156,8 +157,8 @@
     return;
   if (kq_sched_used_runners_pack (r->sched, &b))
     {
-      g_byte_array_set_size (r->known, 0);
-      g_byte_array_append (r->known, (const guint8 *)b.ptr, (guint)b.len);
+      g_byte_array_set_size (r->used_runners, 0);
+      g_byte_array_append (r->used_runners, (const guint8 *)b.ptr, (guint)b.len);
       kq_sched_used_runners_stored (r->sched);
       r->revision++;
     }
@@ -197,14 +198,14 @@
           kq_sched_rig_agent_tick (r, i);
           kq_sched_rig_link_tick (r, i);
         }
-      play_events (r);
+      handle_due_events (r);
       kq_sched_run (r->sched, r->now, r->now / KQ_MS);
       store (r);
     }
 }
 
 static void
-tell_entries (KqSchedRig *r)
+add_entries (KqSchedRig *r)
 {
   for (int i = 0; i < r->n_runners; i++)
     {
@@ -223,7 +224,7 @@
 }
 
 static void
-tell_jobs (KqSchedRig *r)
+load_jobs (KqSchedRig *r)
 {
   GHashTableIter it;
   gpointer id;
@@ -245,7 +246,7 @@
 }
 
 static void
-tell_cancels (KqSchedRig *r)
+load_cancels (KqSchedRig *r)
 {
   GHashTableIter it;
   gpointer id;
@@ -260,27 +261,28 @@
 kq_sched_rig_new_leader (KqSchedRig *r)
 {
   KqSchedConfig c = { .lease_ms = KQ_SCHED_RIG_LEASE_MS,
-                      .renew_without_leader_ms = KQ_SCHED_RIG_BLIND_MS,
+                      .renew_without_leader_ms = KQ_SCHED_RIG_RENEW_WITHOUT_LEADER_MS,
                       .keep_ms = KEEP_MS,
                       .counters = r->counters,
                       .order = on_order,
                       .arg = r };
   kq_sched_free (r->sched);
   r->epoch = ++r->revision;
-  r->life++;
+  r->leader_serial++;
   c.epoch = r->epoch;
   c.term = ++r->term;
   r->sched = kq_sched_new (&c, r->now);
   for (int i = 0; i < r->n_agents; i++)
     kq_sched_rig_link_new_leader (r, i);
   kq_sched_run (r->sched, r->now, r->now / KQ_MS);
-  if (r->known->len > 0)
+  if (r->used_runners->len > 0)
     kq_sched_used_runners (
-        r->sched, kq_str_n ((const char *)r->known->data, r->known->len), r->now);
-  tell_jobs (r);
-  tell_entries (r);
+        r->sched, kq_str_n ((const char *)r->used_runners->data, r->used_runners->len),
+        r->now);
+  load_jobs (r);
+  add_entries (r);
   kq_sched_loaded (r->sched, r->now);
-  tell_cancels (r);
+  load_cancels (r);
 }
 
 int
@@ -306,10 +308,10 @@
   r->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, free, free_job);
   r->progress = g_hash_table_new_full (g_str_hash, g_str_equal, free, free_bytes);
   r->done = g_hash_table_new_full (g_str_hash, g_str_equal, free, NULL);
-  r->begun = g_hash_table_new_full (g_str_hash, g_str_equal, free, NULL);
-  r->failed = g_hash_table_new_full (g_str_hash, g_str_equal, free, NULL);
-  r->failed_at = g_hash_table_new_full (g_str_hash, g_str_equal, free, NULL);
-  r->known = g_byte_array_new ();
+  r->last_start_ms = g_hash_table_new_full (g_str_hash, g_str_equal, free, NULL);
+  r->failures = g_hash_table_new_full (g_str_hash, g_str_equal, free, NULL);
+  r->last_failure_ms = g_hash_table_new_full (g_str_hash, g_str_equal, free, NULL);
+  r->used_runners = g_byte_array_new ();
   for (int i = 0; i < runners; i++)
     {
       KqSchedRigRunner *g = &r->runners[i];
@@ -317,11 +319,11 @@
       g->room = room;
       g->alive = true;
       g->rate = i % 2 == 0 ? 1.0 : 0.98;
-      g->born_at = r->now - (KqTime)(i + 1) * KQ_SEC;
+      g->process_started_at = r->now - (KqTime)(i + 1) * KQ_SEC;
       g->started_ms = i + 1;
       g->runs = g_ptr_array_new_with_free_func (free_run);
       g->ends = g_ptr_array_new_with_free_func (free_end);
-      g->highest = g_hash_table_new_full (g_str_hash, g_str_equal, free, NULL);
+      g->highest_runs = g_hash_table_new_full (g_str_hash, g_str_equal, free, NULL);
     }
   kq_sched_rig_add_agent (r);
   kq_sched_rig_new_leader (r);
@@ -338,15 +340,15 @@
   g_hash_table_destroy (r->jobs);
   g_hash_table_destroy (r->progress);
   g_hash_table_destroy (r->done);
-  g_hash_table_destroy (r->begun);
-  g_hash_table_destroy (r->failed);
-  g_hash_table_destroy (r->failed_at);
-  g_byte_array_free (r->known, TRUE);
+  g_hash_table_destroy (r->last_start_ms);
+  g_hash_table_destroy (r->failures);
+  g_hash_table_destroy (r->last_failure_ms);
+  g_byte_array_free (r->used_runners, TRUE);
   for (int i = 0; i < r->n_runners; i++)
     {
       g_ptr_array_free (r->runners[i].runs, TRUE);
       g_ptr_array_free (r->runners[i].ends, TRUE);
-      g_hash_table_destroy (r->runners[i].highest);
+      g_hash_table_destroy (r->runners[i].highest_runs);
     }
 }
 
@@ -365,7 +367,7 @@
 {
   int broken = r->broken;
   if (broken > 0)
-    fprintf (stderr, "%s\n", r->why);
+    fprintf (stderr, "%s\n", r->first_breach);
   kq_sched_rig_clear (r);
   free (r);
   return broken;
--- a/bench/sched_rig.h
+++ b/bench/sched_rig.h
@@ -1,15 +1,15 @@
 #ifndef KQ_BENCH_SCHED_RIG_H
 #define KQ_BENCH_SCHED_RIG_H
 
-/* sched_rig: runners, agents and the store in memory, around a real scheduler.
+/* sched_rig: a real scheduler with simulated runners, agents and store, in memory.
  *
- * Runners keep to port/runner.h: fencing, run numbers, leases by their own clocks, ends
- * until acknowledged. Agents do what agent/agent.c does, and talk to the leader over a
- * connection as fleet/link.c keeps it: in order, with beats, closed by either side after
- * a silence. The rig loses and delays calls, slows and cuts connections, freezes and
- * stops agents, cuts and restarts runners, and replaces the leader; after each event it
- * checks what must always hold, and counts each breach in `broken` with the first one in
- * `why`.
+ * Simulated runners follow port/runner.h: fencing, run numbers, leases on their own
+ * clocks, ends of runs listed until they are acknowledged. Simulated agents do what
+ * agent/agent.c does, and exchange messages with the leader over a connection like that
+ * of fleet/link.c: in order, with heartbeats, closed by either side after a timeout. The
+ * rig loses and delays calls, slows and cuts connections, freezes and stops agents, cuts
+ * off and restarts runners, and replaces the leader. It checks invariants throughout:
+ * `broken` counts the breaches, `first_breach` describes the first one.
  */
 
 #include "agent/lease.h"
@@ -29,7 +29,7 @@
   KqTime length;
   bool fails;
   bool lasting;
-  bool stands_still;
+  bool stands_still; /* makes no progress and never ends */
 } KqSchedRigRun;
 
 typedef struct
@@ -37,9 +37,9 @@
   uint64_t number;
   char *task;
   uint32_t run;
-  KqEndReason how;
+  KqEndReason reason;
   KqTime at;
-  bool lapsed; /* its runner's lease has ended since */
+  bool lapsed; /* the runner's lease expired before this end was acknowledged */
 } KqSchedRigEnd;
 
 typedef struct
@@ -47,70 +47,70 @@
   char id[16];
   KqRoom room;
   bool alive;
-  KqTime cut_until;  /* no call passes either way */
-  KqTime deaf_until; /* calls pass, answers don't */
-  double rate;       /* of its clock, by true time */
-  KqTime born_at;
-  int64_t started_ms;
-  int64_t lease_end_ms;
-  uint64_t fence;
-  uint64_t next_end;
-  bool fails_all;
-  GPtrArray *runs;     /* KqSchedRigRun */
-  GPtrArray *ends;     /* KqSchedRigEnd, not yet acknowledged */
-  GHashTable *highest; /* task -> highest run stopped or ended */
+  KqTime cut_until;          /* calls and answers are lost */
+  KqTime deaf_until;         /* calls arrive, answers are lost */
+  double rate;               /* of its clock, relative to the rig's time */
+  KqTime process_started_at; /* its clock starts then */
+  int64_t started_ms;        /* identifies the process; as in the runner's list */
+  int64_t lease_end_ms;      /* on its clock */
+  uint64_t fence;    /* the highest epoch in a call; calls with a lower one are refused */
+  uint64_t last_end; /* number of the last end of a run */
+  bool fails_all;    /* every run started here fails */
+  GPtrArray *runs;   /* KqSchedRigRun */
+  GPtrArray *ends;   /* KqSchedRigEnd, not yet acknowledged */
+  GHashTable *highest_runs; /* task -> highest run stopped or ended */
 } KqSchedRigRunner;
 
-/* What an agent knows of a runner given to it. */
+/* A runner as an agent sees it. */
 typedef struct
 {
-  bool held;
+  bool held; /* assigned to the agent */
   uint64_t epoch;
-  uint64_t serial;     /* of this taking */
-  uint64_t assignment; /* the leader's number of it */
-  uint64_t halt;       /* nothing is granted before the leader names this; 0: no halt */
-  bool asking;
-  bool watched;
-  KqTime ask_at; /* unless asking */
-  uint64_t ends_seen;
-  uint64_t ends_told;
-  KqTime listed_at;
-  uint64_t results;
+  uint64_t serial;      /* of this assignment, among all of the agent */
+  uint64_t assignment;  /* the leader's number of the assignment */
+  uint64_t halt;        /* not 0: no lease is granted until an order RENEW names this */
+  bool polling;         /* a poll is in flight */
+  bool watched;         /* polled more often, as filling tasks run beside serving ones */
+  KqTime poll_at;       /* next poll, unless one is in flight */
+  uint64_t ends_acked;  /* the highest number that the leader has acknowledged */
+  uint64_t ends_listed; /* the highest number in the runner's last list */
+  KqTime listed_at;     /* last list; 0: none */
+  uint64_t outcomes_sent; /* outcomes of orders reported to the leader */
   KqLease lease;
-  int failures;
-  KqTime told_at;
-} KqSchedRigHeld;
+  int failures;               /* polls without an answer, in a row */
+  KqTime silence_reported_at; /* last reported as unreachable; 0: answered since */
+} KqSchedRigAgentRunner;
 
 typedef struct
 {
   KqAgentInfo info;
-  KqSchedRigHeld held[KQ_SCHED_RIG_RUNNERS_MAX];
+  KqSchedRigAgentRunner held[KQ_SCHED_RIG_RUNNERS_MAX];
   uint64_t serial;
-  uint64_t epoch;    /* the highest heard */
-  KqTime heard_at;   /* a word of the leader */
-  KqTime counted_at; /* the leader counts on it then, or later */
+  uint64_t epoch;             /* the highest received */
+  KqTime heard_at;            /* last message of the leader */
+  KqTime leader_confirmed_at; /* connected at the leader then, or later */
   KqTime frozen_until;
-  KqTime cut_until[KQ_SCHED_RIG_RUNNERS_MAX]; /* from this runner */
-  KqTime call_slow; /* each way of its calls to runners, beyond the usual way */
-  /* Its connection to the leader. */
+  KqTime cut_until[KQ_SCHED_RIG_RUNNERS_MAX]; /* calls to this runner are lost */
+  KqTime call_slow; /* added to each call to a runner and to its answer */
+  /* The agent's end of its connection to the leader. */
   KqTime link_cut_until;
-  KqTime up_slow; /* beyond the usual way, to the leader */
-  KqTime down_slow;
-  KqTime up_last; /* when what was sent last arrives */
-  KqTime down_last;
-  uint64_t conn;      /* number of the connection at the agent; 0: none */
-  uint64_t conns;     /* opened so far */
-  KqTime open_at;     /* it is being opened, and will be then; 0: it isn't */
-  KqTime tried_at;    /* last opened */
-  KqTime learns_at;   /* it knows no leader before that */
-  KqTime heard_up_at; /* any message */
-  KqTime beat_at;
-  /* At the leader. */
-  uint64_t peer; /* number of the connection that has joined; 0: none */
-  int number;    /* at the scheduler; -1: none */
+  KqTime up_slow;     /* added to the latency of messages to the leader */
+  KqTime down_slow;   /* added to the latency of messages to the agent */
+  KqTime up_last_due; /* arrival of the last message sent */
+  KqTime down_last_due;
+  uint64_t conn;           /* number of the present connection; 0: none */
+  uint64_t conns_opened;   /* so far */
+  KqTime opens_at;         /* time at which a connection being opened is open; 0: none */
+  KqTime connect_tried_at; /* start of the last attempt */
+  KqTime leader_known_at;  /* it knows no leader before */
+  KqTime conn_heard_at;    /* last message received on the connection */
+  KqTime next_heartbeat_at;
+  /* The leader's end. */
+  uint64_t peer; /* number of the connection whose HELLO was received; 0: none */
+  int number;    /* the scheduler's number of the agent; -1: none */
   KqTime peer_heard_at;
-  KqTime peer_beat_sent_at; /* of its last beat */
-  KqTime peer_beat_at;
+  KqTime peer_heartbeat_sent_at; /* time in the agent's last heartbeat */
+  KqTime peer_next_ping_at;
 } KqSchedRigAgent;
 
 /* A call of an agent to a runner. */
@@ -118,21 +118,21 @@
 {
   int agent;
   int runner;
-  uint64_t serial; /* of the taking it belongs to */
+  uint64_t serial; /* of the assignment that it belongs to */
   uint64_t epoch;
-  KqOrderKind kind; /* TAKE: a question for the list */
+  KqOrderKind kind; /* KQ_ORDER_TAKE stands for a poll */
   char *task;
   uint32_t run;
-  int64_t lease_end_ms; /* -1: none */
-  uint64_t seen;
-  int64_t started_ms; /* not 0: only on a connection of that life */
-  KqTime wait;
-  uint64_t order; /* results told when the question left */
-  KqTime way;
+  int64_t lease_end_ms; /* lease granted with the call; -1: none */
+  uint64_t ends_acked;
+  int64_t started_ms;     /* not 0: delivered only to the runner process started then */
+  KqTime wait;            /* of a poll: for an end, at the runner */
+  uint64_t outcomes_sent; /* outcomes that the agent had reported when it sent the poll */
+  KqTime latency;         /* one way */
   KqTime sent_at;
-  KqTime ends_at; /* no answer after that */
-  bool late;      /* held up for seconds */
-  bool answered;  /* its answer travels back */
+  KqTime timeout_at;  /* an answer after that is ignored */
+  bool delayed;       /* by seconds */
+  bool reply_arrives; /* false: its answer is lost */
 } KqSchedRigCall;
 
 typedef struct
@@ -140,16 +140,16 @@
   KqTime due;
   int kind; /* KQ_SCHED_RIG_CALL and following */
   KqSchedRigCall call;
-  /* Of an answer to the call. */
+  /* An answer. */
   KqOrderResult result;
   int64_t clock_ms;
-  /* Of a message between an agent and the leader. */
+  /* A message between an agent and the leader. */
   int agent;
   uint64_t conn;
   uint64_t epoch;
-  uint64_t life;     /* of the leader */
-  GByteArray *bytes; /* packed KqAgentItem; NULL: the connection's end. Of an answer: the
-                        runner's list */
+  uint64_t leader_serial; /* of the leader at the time of sending */
+  GByteArray *bytes; /* packed KqAgentItem; NULL: the connection was closed. In an answer:
+                        the runner's list */
 } KqSchedRigEvent;
 
 typedef struct
@@ -159,7 +159,7 @@
   KqSched *sched;
   KqCounters *counters;
   uint64_t epoch;
-  uint64_t life;
+  uint64_t leader_serial; /* leaders so far */
   uint32_t term;
   KqSchedRigAgent agents[KQ_SCHED_RIG_AGENTS_MAX];
   int n_agents;
@@ -169,21 +169,22 @@
   /* The store. */
   GHashTable *jobs;     /* id -> KqSchedRigJob */
   GHashTable *progress; /* id -> GByteArray */
-  GByteArray *known;
+  GByteArray *used_runners;
   uint64_t revision;
   KqTime store_down_until;
-  /* How calls go wrong, in percent. */
-  int lost;
-  int late;
-  int unsent; /* orders that don't leave their agent, and are told as refused */
-  /* What must hold. */
-  int broken;
-  char why[200];
-  GHashTable *done;      /* tasks of which an end as done counts for good */
-  GHashTable *begun;     /* task -> GINT: when its last run began, in ms */
-  GHashTable *failed;    /* task -> number of failures that count for good */
-  GHashTable *failed_at; /* task -> GINT: the latest of their times, in ms */
-  uint64_t starts;
+  /* Faults of calls to runners. */
+  int lost_percent;   /* no answer; half of them don't reach the runner either */
+  int late_percent;   /* reach the runner 1 to 6 s late; no answer */
+  int unsent_percent; /* starts and stops that aren't sent and fail as UNHEALTHY */
+  /* State of the invariant checks. */
+  int broken; /* number of breaches */
+  char first_breach[200];
+  GHashTable *done;          /* "TASK": its end as done was acknowledged within the lease;
+                                "ever TASK": a run of it has ended as done */
+  GHashTable *last_start_ms; /* task -> GINT: start of its last run */
+  GHashTable *failures; /* task -> number of failures acknowledged within the lease */
+  GHashTable *last_failure_ms; /* task -> GINT: time of the last of them */
+  uint64_t starts;             /* of runs, so far */
 } KqSchedRig;
 
 typedef struct
@@ -194,35 +195,42 @@
   KqTime cancelled_at;
   int attempts;
   KqSpec spec;         /* strings point into stored */
-  int32_t fails_index; /* this task index always fails; -1: none */
-  KqTime length;
+  int32_t fails_index; /* tasks with this index always fail; -1: none */
+  KqTime length;       /* of each run */
 } KqSchedRigJob;
 
-/* With one agent. */
+/* Sets up a rig with one agent. */
 void kq_sched_rig_init (KqSchedRig *r, int runners, KqRoom room, uint64_t seed);
-/* One agent more; its number in `agents`. */
+/* Adds an agent; returns its index in `agents`. */
 int kq_sched_rig_add_agent (KqSchedRig *r);
 void kq_sched_rig_clear (KqSchedRig *r);
-/* A rig of its own, a second old: all runners have been heard. */
+/* Allocates a rig and runs it for a second, so that all runners have been polled. */
 KqSchedRig *kq_sched_rig_new (int runners, KqRoom room, uint64_t seed);
-/* Ends it; the number of breaches, the first of which is printed. */
+/* Frees a rig of kq_sched_rig_new. Returns the number of breaches; prints the first one
+ * on stderr. */
 int kq_sched_rig_free (KqSchedRig *r);
-/* Stores a job as accepted and tells the leader. steps' `after` chains them. */
+/* Stores a job as accepted and passes it to the leader. The steps' `after` gives their
+ * order. length: of each run; fails_index: tasks with this index always fail, -1: none.
+ */
 void kq_sched_rig_submit (KqSchedRig *r, const char *id, const KqStep *steps, int n,
                           int attempts, KqTime length, int32_t fails_index);
 void kq_sched_rig_cancel (KqSchedRig *r, const char *id);
+/* Runs everything for the span, in ticks of 10 ms. */
 void kq_sched_rig_run (KqSchedRig *r, KqTime span);
-/* The leader dies; a new one starts from the store. */
+/* The leader fails; a new one loads its state from the store. */
 void kq_sched_rig_new_leader (KqSchedRig *r);
-void kq_sched_rig_restart_runner (KqSchedRig *r, int n); /* same id, a new life */
-/* The agent's end of its connection closes; the leader hears of it by that, or by silence
- * only. */
-void kq_sched_rig_break_link (KqSchedRig *r, int agent, bool heard);
-/* Its process ends, and is back after the span. */
-void kq_sched_rig_stop_agent (KqSchedRig *r, int agent, KqTime span, bool heard);
+/* The runner's process restarts under the same id; its runs and unacknowledged ends are
+ * lost. */
+void kq_sched_rig_restart_runner (KqSchedRig *r, int n);
+/* Closes the agent's end of its connection. With notify_leader the leader receives the
+ * close, else it notices by its timeout. */
+void kq_sched_rig_break_link (KqSchedRig *r, int agent, bool notify_leader);
+/* The agent's process ends, and a new one runs after the span. */
+void kq_sched_rig_stop_agent (KqSchedRig *r, int agent, KqTime span, bool notify_leader);
 KqJobState kq_sched_rig_state (KqSchedRig *r, const char *id);
-int kq_sched_rig_running (const KqSchedRig *r,
-                          const char *id); /* runs alive at runners */
+/* Number of the job's runs at runners. */
+int kq_sched_rig_running (const KqSchedRig *r, const char *id);
+/* A step with 100 MB of memory per task and no limit on unavailable tasks. */
 KqStep kq_sched_rig_step (int32_t width, int32_t cpu_milli, int32_t estimate_ms);
 
 #endif
--- a/bench/sched_rig_link.c
+++ b/bench/sched_rig_link.c
@@ -1,13 +1,13 @@
-/* sched_rig_link: the connection between an agent of the rig and the leader, as
- * fleet/link.c keeps it, and what the leader does with what comes, as fleet/leader.c. */
+/* sched_rig_link: the connection between a simulated agent and the leader, modelled on
+ * fleet/link.c, and the handling of received messages, modelled on fleet/leader.c. */
 
 #include "sched_rig_impl.h"
 
 #include <stdlib.h>
 
-#define BEAT (300 * KQ_MS)
-#define SILENT (1400 * KQ_MS)
-#define RECONNECT (150 * KQ_MS)
+#define HEARTBEAT_INTERVAL (300 * KQ_MS)
+#define PEER_TIMEOUT (1400 * KQ_MS)
+#define RECONNECT_DELAY (150 * KQ_MS)
 
 static GByteArray *
 pack (const KqAgentItem *i)
@@ -20,14 +20,14 @@
   return bytes;
 }
 
-/* Nothing overtakes. */
+/* Messages of one direction arrive in the order in which they were sent. */
 static void
 send (KqSchedRig *r, int agent, int kind, uint64_t epoch, const KqAgentItem *i)
 {
   KqSchedRigAgent *a = &r->agents[agent];
   bool up = kind == KQ_SCHED_RIG_UP;
-  KqTime *last = up ? &a->up_last : &a->down_last;
-  KqTime due = r->now + KQ_SCHED_RIG_WAY + (up ? a->up_slow : a->down_slow);
+  KqTime *last = up ? &a->up_last_due : &a->down_last_due;
+  KqTime due = r->now + KQ_SCHED_RIG_LATENCY + (up ? a->up_slow : a->down_slow);
   KqSchedRigEvent *e;
   if (due < *last)
     due = *last;
@@ -36,73 +36,73 @@
   e->agent = agent;
   e->conn = up ? a->conn : a->peer;
   e->epoch = epoch;
-  e->life = r->life;
+  e->leader_serial = r->leader_serial;
   e->bytes = i != NULL ? pack (i) : NULL;
 }
 
 void
-kq_sched_rig_tell_leader (KqSchedRig *r, int agent, uint64_t epoch, const KqAgentItem *i)
+kq_sched_rig_send_leader (KqSchedRig *r, int agent, uint64_t epoch, const KqAgentItem *i)
 {
   if (r->agents[agent].conn != 0)
     send (r, agent, KQ_SCHED_RIG_UP, epoch, i);
 }
 
 void
-kq_sched_rig_tell_agent (KqSchedRig *r, int agent, const KqAgentItem *i)
+kq_sched_rig_send_agent (KqSchedRig *r, int agent, const KqAgentItem *i)
 {
   if (r->agents[agent].peer != 0)
     send (r, agent, KQ_SCHED_RIG_DOWN, r->epoch, i);
 }
 
 void
-kq_sched_rig_break_link (KqSchedRig *r, int agent, bool heard)
+kq_sched_rig_break_link (KqSchedRig *r, int agent, bool notify_leader)
 {
   KqSchedRigAgent *a = &r->agents[agent];
-  if (a->conn != 0 && heard)
+  if (a->conn != 0 && notify_leader)
     send (r, agent, KQ_SCHED_RIG_UP, 0, NULL);
   a->conn = 0;
-  a->open_at = 0;
+  a->opens_at = 0;
 }
 
 static void
-open_link (KqSchedRig *r, int agent)
+start_connect (KqSchedRig *r, int agent)
 {
   KqSchedRigAgent *a = &r->agents[agent];
-  a->tried_at = r->now;
-  a->open_at = r->now + 2 * KQ_SCHED_RIG_WAY + a->up_slow + a->down_slow;
+  a->connect_tried_at = r->now;
+  a->opens_at = r->now + 2 * KQ_SCHED_RIG_LATENCY + a->up_slow + a->down_slow;
 }
 
 static void
-opened (KqSchedRig *r, int agent)
+on_connected (KqSchedRig *r, int agent)
 {
   KqSchedRigAgent *a = &r->agents[agent];
   KqAgentItem hello = { .kind = KQ_AGENT_ITEM_HELLO };
-  a->open_at = 0;
-  a->conn = ++a->conns;
-  a->heard_up_at = r->now;
+  a->opens_at = 0;
+  a->conn = ++a->conns_opened;
+  a->conn_heard_at = r->now;
   hello.u.hello.info = a->info;
-  kq_sched_rig_tell_leader (r, agent, r->epoch, &hello);
-  kq_sched_rig_agent_released (r, agent);
-  kq_sched_rig_agent_counted (r, agent, r->epoch, r->now);
+  kq_sched_rig_send_leader (r, agent, r->epoch, &hello);
+  kq_sched_rig_release_all (r, agent);
+  kq_sched_rig_leader_confirmed (r, agent, r->epoch, r->now);
 }
 
 static void
-beat_up (KqSchedRig *r, int agent)
+agent_heartbeat (KqSchedRig *r, int agent)
 {
   KqSchedRigAgent *a = &r->agents[agent];
-  KqAgentItem beat = { .kind = KQ_AGENT_ITEM_HEARTBEAT };
-  if (a->conn != 0 && r->now - a->heard_up_at > SILENT)
+  KqAgentItem heartbeat = { .kind = KQ_AGENT_ITEM_HEARTBEAT };
+  if (a->conn != 0 && r->now - a->conn_heard_at > PEER_TIMEOUT)
     kq_sched_rig_break_link (r, agent, true);
-  if (a->open_at != 0 && r->now - a->tried_at > SILENT)
-    a->open_at = 0;
-  if (a->conn == 0 && a->open_at == 0 && r->now - a->tried_at > RECONNECT)
-    open_link (r, agent);
-  beat.u.heartbeat.sent_at = r->now;
-  kq_sched_rig_tell_leader (r, agent, a->epoch, &beat);
+  if (a->opens_at != 0 && r->now - a->connect_tried_at > PEER_TIMEOUT)
+    a->opens_at = 0;
+  if (a->conn == 0 && a->opens_at == 0 && r->now - a->connect_tried_at > RECONNECT_DELAY)
+    start_connect (r, agent);
+  heartbeat.u.heartbeat.sent_at = r->now;
+  kq_sched_rig_send_leader (r, agent, a->epoch, &heartbeat);
 }
 
 static void
-leave (KqSchedRig *r, int agent)
+disconnect_peer (KqSchedRig *r, int agent)
 {
   KqSchedRigAgent *a = &r->agents[agent];
   int number = a->number;
@@ -114,20 +114,20 @@
 }
 
 static void
-beat_down (KqSchedRig *r, int agent)
+leader_ping (KqSchedRig *r, int agent)
 {
   const KqSchedRigAgent *a = &r->agents[agent];
   KqAgentItem ping = { .kind = KQ_AGENT_ITEM_PING };
   if (a->peer == 0)
     return;
-  if (r->now - a->peer_heard_at > SILENT)
+  if (r->now - a->peer_heard_at > PEER_TIMEOUT)
     {
       send (r, agent, KQ_SCHED_RIG_DOWN, r->epoch, NULL);
-      leave (r, agent);
+      disconnect_peer (r, agent);
       return;
     }
-  ping.u.ping.heartbeat_sent_at = a->peer_beat_sent_at;
-  kq_sched_rig_tell_agent (r, agent, &ping);
+  ping.u.ping.heartbeat_sent_at = a->peer_heartbeat_sent_at;
+  kq_sched_rig_send_agent (r, agent, &ping);
 }
 
 void
@@ -135,33 +135,34 @@
 {
   KqSchedRigAgent *a = &r->agents[agent];
   bool frozen = r->now < a->frozen_until;
-  if (a->open_at != 0 && r->now >= a->open_at && r->now >= a->link_cut_until && !frozen)
-    opened (r, agent);
-  /* After a freeze the heartbeat is overdue: it looks before anything is read. */
-  if (r->now >= a->beat_at && r->now >= a->learns_at && !frozen)
+  if (a->opens_at != 0 && r->now >= a->opens_at && r->now >= a->link_cut_until && !frozen)
+    on_connected (r, agent);
+  /* After a freeze the heartbeat is overdue, so the timeout is checked before any message
+   * is read. */
+  if (r->now >= a->next_heartbeat_at && r->now >= a->leader_known_at && !frozen)
     {
-      a->beat_at = r->now + BEAT;
-      beat_up (r, agent);
+      a->next_heartbeat_at = r->now + HEARTBEAT_INTERVAL;
+      agent_heartbeat (r, agent);
     }
-  if (r->now >= a->peer_beat_at)
+  if (r->now >= a->peer_next_ping_at)
     {
-      a->peer_beat_at = r->now + BEAT;
-      beat_down (r, agent);
+      a->peer_next_ping_at = r->now + HEARTBEAT_INTERVAL;
+      leader_ping (r, agent);
     }
 }
 
 static void
-join (KqSchedRig *r, const KqSchedRigEvent *e, const KqAgentInfo *info)
+on_hello (KqSchedRig *r, const KqSchedRigEvent *e, const KqAgentInfo *info)
 {
   KqSchedRigAgent *a = &r->agents[e->agent];
-  leave (r, e->agent);
+  disconnect_peer (r, e->agent);
   a->number = kq_sched_agent_up (r->sched, info, r->now);
   a->peer = e->conn;
-  a->peer_beat_sent_at = 0;
+  a->peer_heartbeat_sent_at = 0;
 }
 
 static void
-take_item (KqSchedRig *r, int number, const KqAgentItem *i)
+on_item (KqSchedRig *r, int number, const KqAgentItem *i)
 {
   switch (i->kind)
     {
@@ -186,26 +187,26 @@
   KqSchedRigAgent *a = &r->agents[e->agent];
   KqStr rest;
   KqAgentItem i;
-  if (e->life != r->life)
+  if (e->leader_serial != r->leader_serial)
     return;
   if (e->bytes == NULL)
     {
       if (e->conn == a->peer)
-        leave (r, e->agent);
+        disconnect_peer (r, e->agent);
       return;
     }
   rest = kq_str_n ((const char *)e->bytes->data, e->bytes->len);
   if (!kq_agent_item_unpack (&rest, &i))
     return;
   if (i.kind == KQ_AGENT_ITEM_HELLO)
-    join (r, e, &i.u.hello.info);
+    on_hello (r, e, &i.u.hello.info);
   if (e->conn == a->peer)
     {
       a->peer_heard_at = r->now;
       if (i.kind == KQ_AGENT_ITEM_HEARTBEAT)
-        a->peer_beat_sent_at = i.u.heartbeat.sent_at;
+        a->peer_heartbeat_sent_at = i.u.heartbeat.sent_at;
       if (e->epoch == r->epoch)
-        take_item (r, a->number, &i);
+        on_item (r, a->number, &i);
     }
   kq_agent_item_clear (&i);
 }
@@ -226,10 +227,10 @@
   rest = kq_str_n ((const char *)e->bytes->data, e->bytes->len);
   if (!kq_agent_item_unpack (&rest, &i))
     return;
-  a->heard_up_at = r->now;
-  kq_sched_rig_agent_heard (r, e->agent, e->epoch);
+  a->conn_heard_at = r->now;
+  kq_sched_rig_leader_heard (r, e->agent, e->epoch);
   if (i.kind == KQ_AGENT_ITEM_PING)
-    kq_sched_rig_agent_counted (r, e->agent, e->epoch, i.u.ping.heartbeat_sent_at);
+    kq_sched_rig_leader_confirmed (r, e->agent, e->epoch, i.u.ping.heartbeat_sent_at);
   else if (i.kind == KQ_AGENT_ITEM_ORDER)
     kq_sched_rig_agent_order (r, e->agent, e->epoch, &i.u.order);
   kq_agent_item_clear (&i);
@@ -242,9 +243,9 @@
   a->peer = 0;
   a->number = -1;
   a->conn = 0;
-  a->open_at = 0;
-  a->beat_at = r->now;
-  a->tried_at = 0;
+  a->opens_at = 0;
+  a->next_heartbeat_at = r->now;
+  a->connect_tried_at = 0;
 }
 
 void
--- a/bench/sched_rig_runner.c
+++ b/bench/sched_rig_runner.c
@@ -1,5 +1,5 @@
-/* sched_rig_runner: what a runner of the rig does with orders, and what must never
- * happen. */
+/* sched_rig_runner: the runners of the rig, modelled on port/runner.h, and the invariants
+ * of runs. */
 
 #include "sched_rig_impl.h"
 
@@ -11,11 +11,10 @@
 kq_sched_rig_breach (KqSchedRig *r, const char *rule, const char *what)
 {
   if (r->broken++ == 0)
-    snprintf (r->why, sizeof r->why, "%s: %s at %lld ms", rule, what,
+    snprintf (r->first_breach, sizeof r->first_breach, "%s: %s at %lld ms", rule, what,
               (long long)(r->now / KQ_MS));
 }
 
-/* With KQ_RIG_TRACE=TASK in the environment: what happens to it, on standard error. */
 void
 kq_sched_rig_trace (const KqSchedRig *r, const char *task, const char *what,
                     const char *where, uint32_t run, int detail)
@@ -47,14 +46,14 @@
   if (strcmp (wanted, r->runners[runner].id) == 0)
     fprintf (stderr, "%lld %s agent %d %s %lld (runner's clock %lld, lease %lld)\n",
              (long long)(r->now / KQ_MS), wanted, agent, what, (long long)detail,
-             (long long)kq_sched_rig_clock_of (r, &r->runners[runner]),
+             (long long)kq_sched_rig_clock_ms (r, &r->runners[runner]),
              (long long)r->runners[runner].lease_end_ms);
 }
 
 int64_t
-kq_sched_rig_clock_of (const KqSchedRig *r, const KqSchedRigRunner *n)
+kq_sched_rig_clock_ms (const KqSchedRig *r, const KqSchedRigRunner *n)
 {
-  return 1000 + (int64_t)((double)(r->now - n->born_at) / KQ_MS * n->rate);
+  return 1000 + (int64_t)((double)(r->now - n->process_started_at) / KQ_MS * n->rate);
 }
 
 KqSchedRigJob *
@@ -75,7 +74,7 @@
 }
 
 static int
-running_elsewhere (KqSchedRig *r, const char *task)
+count_runs_of (KqSchedRig *r, const char *task)
 {
   int n = 0;
   for (int i = 0; i < r->n_runners; i++)
@@ -113,61 +112,63 @@
       kq_sched_rig_breach (r, "unasked", run->task);
       return;
     }
-  if (running_elsewhere (r, run->task) > 1)
+  if (count_runs_of (r, run->task) > 1)
     kq_sched_rig_breach (r, "twice at a time", run->task);
   if (g_hash_table_contains (r->done, run->task))
     kq_sched_rig_breach (r, "again after done", run->task);
-  if (GPOINTER_TO_INT (g_hash_table_lookup (r->failed, run->task)) >= j->attempts
+  if (GPOINTER_TO_INT (g_hash_table_lookup (r->failures, run->task)) >= j->attempts
       && !j->spec.steps[step].lasting)
     kq_sched_rig_breach (r, "attempts", run->task);
   for (int32_t k = 0; k < j->spec.steps[step].n_after; k++)
     for (int32_t i = 0; i < j->spec.steps[j->spec.steps[step].after[k]].width; i++)
       {
         char name[96];
-        char *ended;
+        char *done_key;
         snprintf (name, sizeof name, "%.*s.0.%d.%d", KQ_STR_ARG (j->spec.id),
                   j->spec.steps[step].after[k], i);
-        ended = g_strdup_printf ("ever %s", name);
-        if (!g_hash_table_contains (r->done, ended))
+        done_key = g_strdup_printf ("ever %s", name);
+        if (!g_hash_table_contains (r->done, done_key))
           kq_sched_rig_breach (r, "before an earlier step", run->task);
-        g_free (ended);
+        g_free (done_key);
       }
   if (kq_sched_rig_cpu_used (r, g) > g->room.cpu_milli)
     kq_sched_rig_breach (r, "over the room", run->task);
 }
 
 static void
-end_run (KqSchedRig *r, KqSchedRigRunner *g, guint at, KqEndReason how)
+end_run (KqSchedRig *r, KqSchedRigRunner *g, guint at, KqEndReason reason)
 {
   KqSchedRigRun *run = g_ptr_array_index (g->runs, at);
   KqSchedRigEnd *e = kq_alloc (sizeof *e);
-  uint32_t highest = GPOINTER_TO_UINT (g_hash_table_lookup (g->highest, run->task));
-  e->number = ++g->next_end;
-  kq_sched_rig_trace (r, run->task, "ends", g->id, run->run, how);
+  uint32_t highest_run
+      = GPOINTER_TO_UINT (g_hash_table_lookup (g->highest_runs, run->task));
+  e->number = ++g->last_end;
+  kq_sched_rig_trace (r, run->task, "ends", g->id, run->run, reason);
   e->task = strdup (run->task);
   e->run = run->run;
-  e->how = how;
+  e->reason = reason;
   e->at = r->now;
   g_ptr_array_add (g->ends, e);
-  if (run->run > highest)
-    g_hash_table_insert (g->highest, strdup (run->task), GUINT_TO_POINTER (run->run));
-  if (how == KQ_END_DONE)
+  if (run->run > highest_run)
+    g_hash_table_insert (g->highest_runs, strdup (run->task),
+                         GUINT_TO_POINTER (run->run));
+  if (reason == KQ_END_DONE)
     g_hash_table_add (r->done, g_strdup_printf ("ever %s", run->task));
   g_ptr_array_remove_index (g->runs, at);
 }
 
-/* A runner shortens a lease that is longer than the longest allowed. */
+/* A runner shortens a lease that is longer than allowed. */
 static void
 extend_lease (const KqSchedRig *r, KqSchedRigRunner *g, int64_t end)
 {
-  int64_t most = kq_sched_rig_clock_of (r, g) + KQ_SCHED_RIG_LEASE_MS;
+  int64_t most = kq_sched_rig_clock_ms (r, g) + KQ_SCHED_RIG_LEASE_MS;
   end = end < most ? end : most;
   if (end > g->lease_end_ms)
     g->lease_end_ms = end;
 }
 
 static KqOrderResult
-start_at (KqSchedRig *r, KqSchedRigRunner *g, const KqSchedRigCall *c)
+handle_start (KqSchedRig *r, KqSchedRigRunner *g, const KqSchedRigCall *c)
 {
   const char *task = c->task;
   uint32_t number = c->run;
@@ -184,12 +185,12 @@
       if (strcmp (run->task, task) == 0 && run->run == number)
         return KQ_ORDER_OK;
     }
-  if (number <= GPOINTER_TO_UINT (g_hash_table_lookup (g->highest, task)))
+  if (number <= GPOINTER_TO_UINT (g_hash_table_lookup (g->highest_runs, task)))
     {
       extend_lease (r, g, c->lease_end_ms);
       return KQ_ORDER_OLD_RUN;
     }
-  if (c->lease_end_ms <= kq_sched_rig_clock_of (r, g))
+  if (c->lease_end_ms <= kq_sched_rig_clock_ms (r, g))
     return KQ_ORDER_LATE;
   extend_lease (r, g, c->lease_end_ms);
   run = kq_alloc (sizeof *run);
@@ -202,22 +203,23 @@
   g_ptr_array_add (g->runs, run);
   r->starts++;
   kq_sched_rig_trace (r, task, "starts", g->id, number,
-                      (int)(g->lease_end_ms - kq_sched_rig_clock_of (r, g)));
-  g_hash_table_insert (r->begun, strdup (task), GINT_TO_POINTER ((int)(r->now / KQ_MS)));
+                      (int)(g->lease_end_ms - kq_sched_rig_clock_ms (r, g)));
+  g_hash_table_insert (r->last_start_ms, strdup (task),
+                       GINT_TO_POINTER ((int)(r->now / KQ_MS)));
   check_start (r, g, run);
   return KQ_ORDER_OK;
 }
 
 static KqOrderResult
-stop_at (KqSchedRig *r, KqSchedRigRunner *g, const KqSchedRigCall *c)
+handle_stop (KqSchedRig *r, KqSchedRigRunner *g, const KqSchedRigCall *c)
 {
   const char *task = c->task;
   uint32_t number = c->run;
   if (c->epoch < g->fence)
     return KQ_ORDER_FENCED;
   g->fence = c->epoch;
-  if (number > GPOINTER_TO_UINT (g_hash_table_lookup (g->highest, task)))
-    g_hash_table_insert (g->highest, strdup (task), GUINT_TO_POINTER (number));
+  if (number > GPOINTER_TO_UINT (g_hash_table_lookup (g->highest_runs, task)))
+    g_hash_table_insert (g->highest_runs, strdup (task), GUINT_TO_POINTER (number));
   for (guint i = 0; i < g->runs->len; i++)
     {
       const KqSchedRigRun *run = g_ptr_array_index (g->runs, i);
@@ -230,63 +232,64 @@
   return KQ_ORDER_OK;
 }
 
-/* An end as done is taken note of when it is acknowledged, unless its runner's lease has
- * ended before: then it doesn't count. A start after it is a breach, whether the end was
- * known at the time or not. */
+/* Called when an end as done is acknowledged. It doesn't count if the runner's lease
+ * expired before. Else a later start of the task is a breach, even one from before the
+ * acknowledgement. */
 static void
-note_done (KqSchedRig *r, const KqSchedRigEnd *e)
+record_done (KqSchedRig *r, const KqSchedRigEnd *e)
 {
   int32_t step;
   int32_t index;
   const KqSchedRigJob *j = kq_sched_rig_job_of (r, e->task, &step, &index);
-  int begun = GPOINTER_TO_INT (g_hash_table_lookup (r->begun, e->task));
+  int started_ms = GPOINTER_TO_INT (g_hash_table_lookup (r->last_start_ms, e->task));
   if (e->lapsed)
     return;
   g_hash_table_add (r->done, strdup (e->task));
-  if (begun > e->at / KQ_MS && j != NULL && !j->spec.steps[step].speculative)
+  if (started_ms > e->at / KQ_MS && j != NULL && !j->spec.steps[step].speculative)
     kq_sched_rig_breach (r, "after done", e->task);
 }
 
-/* An end that outlived its runner's lease doesn't count, as above. One that does counts
- * against a run that began after all the failed ones, whether they were known or not. */
+/* Called when an end as failed is acknowledged. As above, it doesn't count if the
+ * runner's lease expired before. A run that started after as many counted failures as the
+ * job allows attempts is a breach, even if the leader didn't know them all then. */
 static void
-note_failed (KqSchedRig *r, const KqSchedRigEnd *e)
+record_failure (KqSchedRig *r, const KqSchedRigEnd *e)
 {
   int32_t step;
   int32_t index;
   KqSchedRigJob *j = kq_sched_rig_job_of (r, e->task, &step, &index);
-  int n = GPOINTER_TO_INT (g_hash_table_lookup (r->failed, e->task)) + 1;
-  int at = GPOINTER_TO_INT (g_hash_table_lookup (r->failed_at, e->task));
-  int begun = GPOINTER_TO_INT (g_hash_table_lookup (r->begun, e->task));
+  int n = GPOINTER_TO_INT (g_hash_table_lookup (r->failures, e->task)) + 1;
+  int at = GPOINTER_TO_INT (g_hash_table_lookup (r->last_failure_ms, e->task));
+  int started_ms = GPOINTER_TO_INT (g_hash_table_lookup (r->last_start_ms, e->task));
   if (e->lapsed)
     return;
   if (e->at / KQ_MS > at)
     at = (int)(e->at / KQ_MS);
-  g_hash_table_insert (r->failed, strdup (e->task), GINT_TO_POINTER (n));
-  g_hash_table_insert (r->failed_at, strdup (e->task), GINT_TO_POINTER (at));
-  if (j != NULL && n >= j->attempts && begun > at && !j->spec.steps[step].lasting)
+  g_hash_table_insert (r->failures, strdup (e->task), GINT_TO_POINTER (n));
+  g_hash_table_insert (r->last_failure_ms, strdup (e->task), GINT_TO_POINTER (at));
+  if (j != NULL && n >= j->attempts && started_ms > at && !j->spec.steps[step].lasting)
     kq_sched_rig_breach (r, "attempts", e->task);
 }
 
 static void
-forget_ends (KqSchedRig *r, KqSchedRigRunner *g, uint64_t seen)
+drop_acked_ends (KqSchedRig *r, KqSchedRigRunner *g, uint64_t seen)
 {
   while (g->ends->len > 0)
     {
       const KqSchedRigEnd *e = g_ptr_array_index (g->ends, 0);
       if (e->number > seen)
         return;
-      kq_sched_rig_trace (r, e->task, "acknowledged", g->id, e->run, e->how);
-      if (e->how == KQ_END_DONE)
-        note_done (r, e);
-      if (e->how == KQ_END_FAILED)
-        note_failed (r, e);
+      kq_sched_rig_trace (r, e->task, "acknowledged", g->id, e->run, e->reason);
+      if (e->reason == KQ_END_DONE)
+        record_done (r, e);
+      if (e->reason == KQ_END_FAILED)
+        record_failure (r, e);
       g_ptr_array_remove_index (g->ends, 0);
     }
 }
 
 static GByteArray *
-list_of (const KqSchedRig *r, const KqSchedRigRunner *g)
+pack_list (const KqSchedRig *r, const KqSchedRigRunner *g)
 {
   KqAgentItem i = { .kind = KQ_AGENT_ITEM_LIST, .runner = kq_str (g->id) };
   KqRunRow *rows = kq_alloc ((g->runs->len + 1) * sizeof *rows);
@@ -306,7 +309,7 @@
   for (guint k = 0; k < g->ends->len; k++)
     {
       const KqSchedRigEnd *end = g_ptr_array_index (g->ends, k);
-      ends[k] = (KqEndRow){ end->number, kq_str (end->task), end->run, end->how,
+      ends[k] = (KqEndRow){ end->number, kq_str (end->task), end->run, end->reason,
                             KQ_STR ("") };
     }
   i.u.list = (KqRunnerList){ .started_ms = g->started_ms,
@@ -336,16 +339,16 @@
 void
 kq_sched_rig_no_answer (KqSchedRig *r, const KqSchedRigCall *c)
 {
-  push_answer (r, c, KQ_ORDER_UNKNOWN, c->ends_at > r->now ? c->ends_at : r->now);
+  push_answer (r, c, KQ_ORDER_UNKNOWN, c->timeout_at > r->now ? c->timeout_at : r->now);
 }
 
-/* A connection is waited for until then. */
-#define CONNECT (700 * KQ_MS)
+/* An agent waits this long for a connection. */
+#define CONNECT_TIMEOUT (700 * KQ_MS)
 
 void
 kq_sched_rig_not_sent (KqSchedRig *r, const KqSchedRigCall *c)
 {
-  push_answer (r, c, KQ_ORDER_UNHEALTHY, r->now + CONNECT);
+  push_answer (r, c, KQ_ORDER_UNHEALTHY, r->now + CONNECT_TIMEOUT);
 }
 
 static bool
@@ -360,23 +363,23 @@
 {
   const KqSchedRigRunner *g = &r->runners[c->runner];
   KqSchedRigEvent *e;
-  if (!c->answered)
+  if (!c->reply_arrives)
     return;
-  if (cut_off (r, c) || r->now < g->deaf_until || r->now + c->way > c->ends_at)
+  if (cut_off (r, c) || r->now < g->deaf_until || r->now + c->latency > c->timeout_at)
     {
       kq_sched_rig_no_answer (r, c);
       return;
     }
-  e = push_answer (r, c, result, r->now + c->way);
+  e = push_answer (r, c, result, r->now + c->latency);
   if (result == KQ_ORDER_UNHEALTHY)
     return;
-  e->clock_ms = kq_sched_rig_clock_of (r, g);
+  e->clock_ms = kq_sched_rig_clock_ms (r, g);
   if (c->kind == KQ_ORDER_TAKE && result == KQ_ORDER_OK)
-    e->bytes = list_of (r, g);
+    e->bytes = pack_list (r, g);
 }
 
 bool
-kq_sched_rig_question_due (KqSchedRig *r, KqSchedRigEvent *e)
+kq_sched_rig_poll_due (KqSchedRig *r, KqSchedRigEvent *e)
 {
   if (r->now < e->due && r->runners[e->call.runner].ends->len == 0)
     return false;
@@ -385,7 +388,7 @@
 }
 
 static void
-question_at (KqSchedRig *r, KqSchedRigRunner *g, const KqSchedRigCall *c)
+handle_poll (KqSchedRig *r, KqSchedRigRunner *g, const KqSchedRigCall *c)
 {
   KqSchedRigEvent *e;
   if (c->epoch < g->fence)
@@ -396,8 +399,8 @@
   g->fence = c->epoch;
   if (c->lease_end_ms >= 0)
     extend_lease (r, g, c->lease_end_ms);
-  forget_ends (r, g, c->seen);
-  e = kq_sched_rig_push (r, KQ_SCHED_RIG_QUESTION, r->now + c->wait);
+  drop_acked_ends (r, g, c->ends_acked);
+  e = kq_sched_rig_push (r, KQ_SCHED_RIG_POLL, r->now + c->wait);
   e->call = *c;
 }
 
@@ -407,21 +410,21 @@
   const KqSchedRigCall *c = &e->call;
   KqSchedRigRunner *g = &r->runners[c->runner];
   if (!g->alive || (c->started_ms != 0 && c->started_ms != g->started_ms))
-    answer (r, c, KQ_ORDER_UNHEALTHY); /* it has not left */
+    answer (r, c, KQ_ORDER_UNHEALTHY); /* no connection, so not sent */
   else if (cut_off (r, c))
     answer (r, c, KQ_ORDER_UNKNOWN);
   else if (c->kind == KQ_ORDER_TAKE)
-    question_at (r, g, c);
+    handle_poll (r, g, c);
   else if (c->kind == KQ_ORDER_START)
-    answer (r, c, start_at (r, g, c));
+    answer (r, c, handle_start (r, g, c));
   else
-    answer (r, c, stop_at (r, g, c));
+    answer (r, c, handle_stop (r, g, c));
 }
 
 void
 kq_sched_rig_runner_tick (KqSchedRig *r, KqSchedRigRunner *g)
 {
-  if (g->alive && kq_sched_rig_clock_of (r, g) >= g->lease_end_ms)
+  if (g->alive && kq_sched_rig_clock_ms (r, g) >= g->lease_end_ms)
     {
       while (g->runs->len > 0)
         end_run (r, g, 0, KQ_END_LAPSED);
@@ -439,24 +442,24 @@
     }
 }
 
-/* What is held up on its way to a runner waits in connections of its earlier life
- * and goes with them, as do questions that wait for an end. */
+/* A restart closes the runner's connections: delayed calls in them are lost, and so are
+ * polls that wait for an end. */
 static void
-end_connections (KqSchedRig *r, int n)
+drop_connections (KqSchedRig *r, int n)
 {
   for (guint i = 0; i < r->events->len; i++)
     {
       KqSchedRigEvent *e = g_ptr_array_index (r->events, i);
-      bool waits = e->kind == KQ_SCHED_RIG_QUESTION;
-      bool held_up
-          = e->kind == KQ_SCHED_RIG_CALL && e->due != KQ_TIME_NEVER
-            && (e->call.late || e->call.way > KQ_SCHED_RIG_WAY || cut_off (r, &e->call));
-      if ((!waits && !held_up) || e->call.runner != n || e->due == KQ_TIME_NEVER)
+      bool waits = e->kind == KQ_SCHED_RIG_POLL;
+      bool delayed = e->kind == KQ_SCHED_RIG_CALL && e->due != KQ_TIME_NEVER
+                     && (e->call.delayed || e->call.latency > KQ_SCHED_RIG_LATENCY
+                         || cut_off (r, &e->call));
+      if ((!waits && !delayed) || e->call.runner != n || e->due == KQ_TIME_NEVER)
         continue;
       e->due = KQ_TIME_NEVER;
-      if (e->call.answered)
+      if (e->call.reply_arrives)
         kq_sched_rig_no_answer (r, &e->call);
-      e->call.answered = false;
+      e->call.reply_arrives = false;
     }
 }
 
@@ -469,15 +472,15 @@
       const KqSchedRigRun *run = g_ptr_array_index (g->runs, i);
       kq_sched_rig_trace (r, run->task, "dies with its runner", g->id, run->run, 0);
     }
-  end_connections (r, n);
+  drop_connections (r, n);
   g_ptr_array_set_size (g->runs, 0);
   g_ptr_array_set_size (g->ends, 0);
-  g_hash_table_remove_all (g->highest);
+  g_hash_table_remove_all (g->highest_runs);
   g->alive = true;
   g->fence = 0;
-  g->next_end = 0;
+  g->last_end = 0;
   g->lease_end_ms = 0;
-  g->born_at = r->now;
+  g->process_started_at = r->now;
   g->started_ms += 100;
 }
 
--- a/bench/sched_soak.c
+++ b/bench/sched_soak.c
@@ -8,18 +8,19 @@
 #include <string.h>
 
 #define JOBS_MAX 400
-/* With the faults over, all jobs end within the first; more work than the room can do
- * meanwhile has as long as the whole room needs for it, and the second. */
-#define SETTLE (60 * KQ_SEC)
-#define SETTLE_BESIDE_WORK (30 * KQ_SEC)
-/* From the end of the faults until nothing waits for a lease that nobody renews. */
-#define LEASES_END ((KQ_SCHED_RIG_BLIND_MS + KQ_SCHED_RIG_LEASE_MS + 1000) * KQ_MS)
-/* A job has no run for so long though half of the room is free. */
-#define IDLE_MOST (3 * KQ_SEC)
-#define LOOK (100 * KQ_MS)
+/* After the last fault all jobs have to end within SETTLE_MIN or, with more work left,
+ * within SETTLE_MARGIN more than all runners together need for it. */
+#define SETTLE_MIN (60 * KQ_SEC)
+#define SETTLE_MARGIN (30 * KQ_SEC)
+/* Time after the last fault until every lease that isn't renewed any more has expired. */
+#define LEASES_EXPIRED_AFTER                                                             \
+  ((KQ_SCHED_RIG_RENEW_WITHOUT_LEADER_MS + KQ_SCHED_RIG_LEASE_MS + 1000) * KQ_MS)
+/* The longest that a job may have no run while half of the cpu is free. */
+#define IDLE_MAX (3 * KQ_SEC)
+#define CHECK_INTERVAL (100 * KQ_MS)
 
-/* What an agent's ways are on the way to: a queue fills in steps, or its beats would miss
- * each time. */
+/* Target values of the delays of an agent's connections. They are approached in steps, as
+ * a queue fills: a sudden increase would exceed the heartbeat timeout each time. */
 typedef struct
 {
   KqTime up;
@@ -27,20 +28,20 @@
   KqTime calls;
   KqTime from;
   KqTime until;
-} Slow;
+} LinkDelay;
 
 typedef enum
 {
   SUBMIT,
   CANCEL,
-  HURT_RUNNER,
+  RUNNER_FAULT,
   NEW_LEADER,
   STORE_DOWN,
   LOSE_CALLS,
   DELAY_CALLS,
   UNSENT_CALLS,
   SLOW_LINK,
-  CUT_FROM_RUNNER,
+  CUT_OFF_RUNNER,
   CONGEST,
   CUT_LINK,
   BREAK_LINK,
@@ -49,26 +50,27 @@
   EVENTS
 } Event;
 
-/* How often each comes, and whether a seed may leave it out. */
+/* Relative frequency of each event; always: no seed leaves it out. */
 static const struct
 {
   int weight;
   bool always;
-} shares[EVENTS] = { [SUBMIT] = { 45, true },       [CANCEL] = { 8, false },
-                     [HURT_RUNNER] = { 14, false }, [NEW_LEADER] = { 2, false },
-                     [STORE_DOWN] = { 4, false },   [LOSE_CALLS] = { 4, false },
-                     [DELAY_CALLS] = { 3, false },  [UNSENT_CALLS] = { 4, false },
-                     [SLOW_LINK] = { 8, false },    [CUT_FROM_RUNNER] = { 6, false },
-                     [CONGEST] = { 4, false },      [CUT_LINK] = { 2, false },
-                     [BREAK_LINK] = { 2, false },   [RESTART_AGENT] = { 3, false },
-                     [FREEZE_AGENT] = { 3, false } };
+} event_weights[EVENTS]
+    = { [SUBMIT] = { 45, true },        [CANCEL] = { 8, false },
+        [RUNNER_FAULT] = { 14, false }, [NEW_LEADER] = { 2, false },
+        [STORE_DOWN] = { 4, false },    [LOSE_CALLS] = { 4, false },
+        [DELAY_CALLS] = { 3, false },   [UNSENT_CALLS] = { 4, false },
+        [SLOW_LINK] = { 8, false },     [CUT_OFF_RUNNER] = { 6, false },
+        [CONGEST] = { 4, false },       [CUT_LINK] = { 2, false },
+        [BREAK_LINK] = { 2, false },    [RESTART_AGENT] = { 3, false },
+        [FREEZE_AGENT] = { 3, false } };
 
 typedef struct
 {
   KqSchedRig rig;
   int jobs;
   int weights[EVENTS];
-  Slow slow[KQ_SCHED_RIG_AGENTS_MAX];
+  LinkDelay link_delays[KQ_SCHED_RIG_AGENTS_MAX];
 } Soak;
 
 static int
@@ -121,7 +123,7 @@
 }
 
 static void
-hurt_runner (Soak *s)
+inject_runner_fault (Soak *s)
 {
   KqSchedRig *r = &s->rig;
   int n = below (s, r->n_runners);
@@ -154,13 +156,13 @@
   KqSchedRig *r = &s->rig;
   kq_sched_rig_new_leader (r);
   for (int i = 0; i < r->n_agents; i++)
-    r->agents[i].learns_at = r->now + (KqTime)below (s, 1000) * KQ_MS;
+    r->agents[i].leader_known_at = r->now + (KqTime)below (s, 1000) * KQ_MS;
 }
 
 static void
 slow_link (Soak *s, int agent)
 {
-  Slow *w = &s->slow[agent];
+  LinkDelay *w = &s->link_delays[agent];
   w->from = s->rig.now;
   w->until = s->rig.now + (KqTime)(500 + below (s, 4000)) * KQ_MS;
   w->up = below (s, 3) > 0 ? (KqTime)(200 + below (s, 1300)) * KQ_MS : 0;
@@ -168,24 +170,26 @@
   w->calls = (KqTime)below (s, 450) * KQ_MS;
 }
 
-/* A link between regions: the agent's calls to runners behind it get no answer for a
- * while, then late ones, when the way to the leader has become slow as well. */
+/* Congestion of a link between regions: for a while the agent's calls to the runners
+ * behind it get no answer, then late ones, and its messages to the leader are delayed as
+ * well. */
 static void
 congest (Soak *s, int agent)
 {
   KqSchedRigAgent *a = &s->rig.agents[agent];
   KqTime span = (KqTime)(1500 + below (s, 3500)) * KQ_MS;
   slow_link (s, agent);
-  s->slow[agent].from = s->rig.now + span - (KqTime)below (s, 1000) * KQ_MS;
-  s->slow[agent].until = s->rig.now + span + (KqTime)(1000 + below (s, 2000)) * KQ_MS;
-  s->slow[agent].up = (KqTime)(500 + below (s, 1000)) * KQ_MS;
+  s->link_delays[agent].from = s->rig.now + span - (KqTime)below (s, 1000) * KQ_MS;
+  s->link_delays[agent].until
+      = s->rig.now + span + (KqTime)(1000 + below (s, 2000)) * KQ_MS;
+  s->link_delays[agent].up = (KqTime)(500 + below (s, 1000)) * KQ_MS;
   for (int i = 0; i < s->rig.n_runners; i++)
     if (below (s, 2) == 0)
       a->cut_until[i] = s->rig.now + span + (KqTime)below (s, 200) * KQ_MS;
 }
 
 static void
-approach (KqTime *at, KqTime to, KqTime step)
+move_towards (KqTime *at, KqTime to, KqTime step)
 {
   if (*at < to)
     *at = *at + step < to ? *at + step : to;
@@ -194,16 +198,16 @@
 }
 
 static void
-move_links (Soak *s)
+update_link_delays (Soak *s)
 {
   for (int i = 0; i < s->rig.n_agents; i++)
     {
       KqSchedRigAgent *a = &s->rig.agents[i];
-      Slow *w = &s->slow[i];
+      LinkDelay *w = &s->link_delays[i];
       KqTime step = (KqTime)(50 + below (s, 600)) * KQ_MS;
       bool on = s->rig.now >= w->from && s->rig.now < w->until;
-      approach (&a->up_slow, on ? w->up : 0, step);
-      approach (&a->down_slow, on ? w->down : 0, step);
+      move_towards (&a->up_slow, on ? w->up : 0, step);
+      move_towards (&a->down_slow, on ? w->down : 0, step);
       a->call_slow = on ? w->calls : 0;
     }
 }
@@ -211,14 +215,14 @@
 static void
 restart_agent (Soak *s, int agent)
 {
-  /* Another share moves runners from one to another. */
+  /* Another share makes the leader move runners between agents. */
   s->rig.agents[agent].info.share_milli = 100 + below (s, 1900);
   kq_sched_rig_stop_agent (&s->rig, agent, (KqTime)below (s, 4000) * KQ_MS,
                            below (s, 2) == 0);
 }
 
 static void
-hurt_agent (Soak *s, Event e)
+inject_agent_fault (Soak *s, Event e)
 {
   KqSchedRig *r = &s->rig;
   int agent = below (s, r->n_agents);
@@ -229,7 +233,7 @@
     case SLOW_LINK:
       slow_link (s, agent);
       break;
-    case CUT_FROM_RUNNER:
+    case CUT_OFF_RUNNER:
       a->cut_until[below (s, r->n_runners)] = until;
       break;
     case CONGEST:
@@ -251,7 +255,7 @@
 }
 
 static Event
-draw (Soak *s)
+draw_event (Soak *s)
 {
   int sum = 0;
   int at;
@@ -265,10 +269,10 @@
 }
 
 static void
-event (Soak *s)
+apply_event (Soak *s)
 {
   KqSchedRig *r = &s->rig;
-  Event e = draw (s);
+  Event e = draw_event (s);
   switch (e)
     {
     case SUBMIT:
@@ -277,8 +281,8 @@
     case CANCEL:
       cancel (s);
       break;
-    case HURT_RUNNER:
-      hurt_runner (s);
+    case RUNNER_FAULT:
+      inject_runner_fault (s);
       break;
     case NEW_LEADER:
       new_leader (s);
@@ -287,43 +291,44 @@
       r->store_down_until = r->now + (KqTime)below (s, 5000) * KQ_MS;
       break;
     case LOSE_CALLS:
-      r->lost = below (s, 30);
+      r->lost_percent = below (s, 30);
       break;
     case DELAY_CALLS:
-      r->late = below (s, 20);
+      r->late_percent = below (s, 20);
       break;
     case UNSENT_CALLS:
-      r->unsent = below (s, 40);
+      r->unsent_percent = below (s, 40);
       break;
     default:
-      hurt_agent (s, e);
+      inject_agent_fault (s, e);
       break;
     }
-  move_links (s);
+  update_link_delays (s);
 }
 
-/* A seed leaves some kinds out and has others more often: a new leader, or an agent lost,
- * makes the scheduler wait for nine seconds, in which nothing that takes a lease's end to
- * happen can be seen. */
+/* Each seed leaves some events out and has others more often. A new leader or a lost
+ * agent makes the scheduler wait for nine seconds, and meanwhile no fault can show that
+ * needs a lease to expire. */
 static void
 draw_weights (Soak *s)
 {
-  static const int times[] = { 0, 0, 1, 3 };
+  static const int factors[] = { 0, 0, 1, 3 };
   for (int i = 0; i < EVENTS; i++)
-    s->weights[i] = shares[i].weight * (shares[i].always ? 1 : times[below (s, 4)]);
+    s->weights[i]
+        = event_weights[i].weight * (event_weights[i].always ? 1 : factors[below (s, 4)]);
 }
 
 static void
-heal (Soak *s)
+end_faults (Soak *s)
 {
   KqSchedRig *r = &s->rig;
-  r->lost = r->late = r->unsent = 0;
+  r->lost_percent = r->late_percent = r->unsent_percent = 0;
   r->store_down_until = 0;
   for (int i = 0; i < r->n_agents; i++)
     {
       KqSchedRigAgent *a = &r->agents[i];
       memset (a->cut_until, 0, sizeof a->cut_until);
-      a->link_cut_until = a->frozen_until = a->learns_at = 0;
+      a->link_cut_until = a->frozen_until = a->leader_known_at = 0;
       a->up_slow = a->down_slow = a->call_slow = 0;
     }
   for (int i = 0; i < r->n_runners; i++)
@@ -334,7 +339,7 @@
 }
 
 static bool
-has_ended (KqSchedRig *r, const char *id)
+job_ended (KqSchedRig *r, const char *id)
 {
   KqJobState state = kq_sched_rig_state (r, id);
   return state >= KQ_JOB_COMPLETED && state < KQ_JOB_UNKNOWN;
@@ -348,9 +353,9 @@
   return g_hash_table_contains (r->done, key);
 }
 
-/* The first step with a task that isn't done; -1: none. */
+/* The first step with a task that has no run ended as done; -1: none. */
 static int32_t
-open_step (const KqSchedRig *r, const char *id, const KqSpec *spec)
+first_open_step (const KqSchedRig *r, const char *id, const KqSpec *spec)
 {
   for (int32_t k = 0; k < spec->n_steps; k++)
     for (int32_t i = 0; i < spec->steps[k].width; i++)
@@ -359,13 +364,13 @@
   return -1;
 }
 
-/* What the tasks that aren't done need, as time of the whole room. */
+/* Time that all runners together need for the tasks that aren't done. */
 static KqTime
 work_left (Soak *s)
 {
   KqSchedRig *r = &s->rig;
   int64_t room = 0;
-  int64_t work = 0; /* thousandths of a core times KqTime */
+  int64_t work = 0; /* cpu_milli times KqTime */
   for (int i = 0; i < r->n_runners; i++)
     room += r->runners[i].room.cpu_milli;
   for (int n = 0; n < s->jobs; n++)
@@ -374,7 +379,7 @@
       const KqSchedRigJob *j;
       snprintf (id, sizeof id, "j%d", n);
       j = g_hash_table_lookup (r->jobs, id);
-      if (has_ended (r, id) || kq_spec_lasting (&j->spec))
+      if (job_ended (r, id) || kq_spec_lasting (&j->spec))
         continue;
       for (int32_t k = 0; k < j->spec.n_steps; k++)
         for (int32_t i = 0; i < j->spec.steps[k].width; i++)
@@ -385,7 +390,7 @@
   return work / room;
 }
 
-/* Whether under half of the room is in use, and that step fits into the rest twice. */
+/* Whether less than half of the cpu is reserved and two tasks of the step fit. */
 static bool
 fits_twice (const KqSchedRig *r, const KqStep *step)
 {
@@ -402,9 +407,10 @@
   return used < room / 2 && fits >= 2;
 }
 
-/* idle: since when a job has had no run with room for it; 0: it has, or there is none. */
+/* idle_since: since when each job has had no run although its next step fits; 0: it has
+ * one, or the step doesn't fit. */
 static void
-check_idle (Soak *s, KqTime *idle)
+check_idle (Soak *s, KqTime *idle_since)
 {
   KqSchedRig *r = &s->rig;
   for (int n = 0; n < s->jobs; n++)
@@ -414,16 +420,16 @@
       int32_t step;
       snprintf (id, sizeof id, "j%d", n);
       j = g_hash_table_lookup (r->jobs, id);
-      step = has_ended (r, id) ? -1 : open_step (r, id, &j->spec);
+      step = job_ended (r, id) ? -1 : first_open_step (r, id, &j->spec);
       if (step < 0 || kq_sched_rig_running (r, id) > 0
           || !fits_twice (r, &j->spec.steps[step]))
-        idle[n] = 0;
-      else if (idle[n] == 0)
-        idle[n] = r->now;
-      else if (r->now - idle[n] > IDLE_MOST)
+        idle_since[n] = 0;
+      else if (idle_since[n] == 0)
+        idle_since[n] = r->now;
+      else if (r->now - idle_since[n] > IDLE_MAX)
         {
           kq_sched_rig_breach (r, "waits beside free room", id);
-          idle[n] = r->now;
+          idle_since[n] = r->now;
         }
     }
 }
@@ -431,19 +437,19 @@
 static void
 settle (Soak *s)
 {
-  KqTime idle[JOBS_MAX] = { 0 };
+  KqTime idle_since[JOBS_MAX] = { 0 };
   KqTime from = s->rig.now;
-  KqTime needed = work_left (s) + SETTLE_BESIDE_WORK;
-  KqTime until = from + (needed > SETTLE ? needed : SETTLE);
+  KqTime needed = work_left (s) + SETTLE_MARGIN;
+  KqTime until = from + (needed > SETTLE_MIN ? needed : SETTLE_MIN);
   while (s->rig.now < until)
     {
-      kq_sched_rig_run (&s->rig, LOOK);
-      if (s->rig.now - from > LEASES_END)
-        check_idle (s, idle);
+      kq_sched_rig_run (&s->rig, CHECK_INTERVAL);
+      if (s->rig.now - from > LEASES_EXPIRED_AFTER)
+        check_idle (s, idle_since);
     }
 }
 
-/* With the faults over, every job must end. */
+/* After the last fault every job has to end. */
 static void
 check_end (Soak *s)
 {
@@ -452,10 +458,11 @@
     {
       char id[16];
       snprintf (id, sizeof id, "j%d", i);
-      if (has_ended (r, id))
+      if (job_ended (r, id))
         continue;
       if (r->broken++ == 0)
-        snprintf (r->why, sizeof r->why, "never ended: %s is %s, %d running", id,
+        snprintf (r->first_breach, sizeof r->first_breach,
+                  "never ended: %s is %s, %d running", id,
                   kq_job_state_name (kq_sched_rig_state (r, id)),
                   kq_sched_rig_running (r, id));
       if (getenv ("KQ_RIG_TRACE") != NULL)
@@ -480,13 +487,13 @@
   draw_weights (s);
   for (int i = 0; i < steps; i++)
     {
-      event (s);
+      apply_event (s);
       kq_sched_rig_run (&s->rig, (KqTime)(10 + below (s, 250)) * KQ_MS);
     }
-  heal (s);
+  end_faults (s);
   for (int i = 0; i < s->jobs; i++)
     {
-      /* Lasting jobs would fill the room for good. */
+      /* Lasting jobs never end and would keep the others waiting. */
       char id[16];
       const KqSchedRigJob *j;
       snprintf (id, sizeof id, "j%d", i);
@@ -497,7 +504,7 @@
   settle (s);
   check_end (s);
   broken = s->rig.broken;
-  snprintf (why, (size_t)why_size, "%s", s->rig.why);
+  snprintf (why, (size_t)why_size, "%s", s->rig.first_breach);
   kq_sched_rig_clear (&s->rig);
   free (s);
   return broken;
--- a/bench/sched_soak_main.c
+++ b/bench/sched_soak_main.c
@@ -1,5 +1,5 @@
-/* sched_soak [SEED [STEPS [SEEDS]]]: random faults on the scheduler; non-zero on a
- * breach. */
+/* sched_soak [SEED [STEPS [SEEDS]]]: random faults on the scheduler. The exit status is
+ * not 0 if an invariant was breached. KQ_SOAK_LOG in the environment: debug logs. */
 
 #include "base/log.h"
 #include "sched_soak.h"
