--- a/bench/sched_desk.c
+++ b/bench/sched_desk.c
@@ -12,12 +12,12 @@
 }
 
 static void
-note_start (KqSchedDesk *d)
+record_start (KqSchedDesk *d)
 {
   KqSchedDeskStart start = { .run = d->run };
   memcpy (start.runner, d->runner, sizeof start.runner);
   memcpy (start.task, d->task, sizeof start.task);
-  g_array_append_val (d->starts_out, start);
+  g_array_append_val (d->starts_pending, start);
 }
 
 static void
@@ -56,7 +56,7 @@
   kq_str_copy (o->u.start.task, d->task, sizeof d->task);
   kq_str_copy (o->u.start.ticket, d->ticket, sizeof d->ticket);
   d->run = o->u.start.run;
-  note_start (d);
+  record_start (d);
 }
 
 static void
@@ -134,13 +134,13 @@
 void
 kq_sched_desk_carry_out (KqSchedDesk *d)
 {
-  guint n = d->starts_out->len; /* more may follow */
+  guint n = d->starts_pending->len; /* outcomes may cause further starts */
   for (guint i = 0; i < n; i++)
     {
-      KqSchedDeskStart s = g_array_index (d->starts_out, KqSchedDeskStart, i);
+      KqSchedDeskStart s = g_array_index (d->starts_pending, KqSchedDeskStart, i);
       kq_sched_desk_outcome (d, KQ_ORDER_START, s.runner, s.task, s.run, KQ_ORDER_OK);
     }
-  g_array_remove_range (d->starts_out, 0, n);
+  g_array_remove_range (d->starts_pending, 0, n);
 }
 
 void
@@ -208,7 +208,7 @@
 }
 
 static void
-tell_entries (KqSchedDesk *d)
+add_entries (KqSchedDesk *d)
 {
   for (int i = 0; i < 2; i++)
     {
@@ -224,8 +224,8 @@
 void
 kq_sched_desk_store_known (KqSchedDesk *d)
 {
-  kq_buf_clear (&d->known);
-  kq_sched_used_runners_pack (d->sched, &d->known);
+  kq_buf_clear (&d->used_runners);
+  kq_sched_used_runners_pack (d->sched, &d->used_runners);
   kq_sched_used_runners_stored (d->sched);
 }
 
@@ -235,8 +235,8 @@
   kq_sched_free (d->sched);
   d->results = 0;
   new_sched (d, 20);
-  kq_sched_used_runners (d->sched, kq_buf_str (&d->known), d->now);
-  tell_entries (d);
+  kq_sched_used_runners (d->sched, kq_buf_str (&d->used_runners), d->now);
+  add_entries (d);
 }
 
 int
@@ -246,11 +246,11 @@
   kq_log_set_level (KQ_LOG_ERROR);
   d->now = 100 * KQ_SEC;
   d->started_ms = 1;
-  d->starts_out = g_array_new (FALSE, FALSE, sizeof (KqSchedDeskStart));
+  d->starts_pending = g_array_new (FALSE, FALSE, sizeof (KqSchedDeskStart));
   d->counters = kq_counters_new ();
   new_sched (d, 5);
   kq_sched_loaded (d->sched, d->now);
-  tell_entries (d);
+  add_entries (d);
   kq_sched_desk_store_known (d);
   kq_sched_desk_run (d, 100 * KQ_MS);
   kq_sched_desk_list (d, "r0", NULL, 0);
@@ -265,8 +265,8 @@
   KqSchedDesk *d = *state;
   kq_sched_free (d->sched);
   kq_counters_free (d->counters);
-  kq_buf_free (&d->known);
-  g_array_free (d->starts_out, TRUE);
+  kq_buf_free (&d->used_runners);
+  g_array_free (d->starts_pending, TRUE);
   free (d);
   return 0;
 }
--- a/bench/sched_load.c
+++ b/bench/sched_load.c
@@ -15,21 +15,21 @@
 #define TICK (5 * KQ_MS)
 #define CPU_MILLI 16000
 #define MEM_MB 64000
-#define RACK 8
+#define RUNNERS_PER_RACK 8
 #define LEASE_MS 5000
-#define LIST_WAIT (1500 * KQ_MS)
-#define WATCHED_WAIT (500 * KQ_MS)
-#define GATHER (20 * KQ_MS)
-#define STORE_TAKES (5 * KQ_MS)
+#define LIST_INTERVAL (1500 * KQ_MS)
+#define WATCHED_LIST_INTERVAL (500 * KQ_MS)
+#define END_BATCH_DELAY (20 * KQ_MS)
+#define STORE_LATENCY (5 * KQ_MS)
 #define AGENTS 16
 #define FILLING_IMAGES 30
 #define SERVING_IMAGES 16
-/* Jobs a second for each runner at full load. */
-#define SHORT_RATE 0.030
-#define WIDE_RATE 0.028
-#define LASTING_RATE 0.0011
-/* Lasting jobs that are there at the start, for each runner. */
-#define LASTING_FIRST 0.19
+/* New jobs per second and runner at load 1. */
+#define SHORT_JOBS_PER_S 0.030
+#define WIDE_JOBS_PER_S 0.028
+#define LASTING_JOBS_PER_S 0.0011
+/* Lasting jobs at the start, per runner. */
+#define LASTING_AT_START 0.19
 
 typedef enum
 {
@@ -47,7 +47,7 @@
   int target_ms;
   int cpu_milli;
   double phase;
-  KqTime work; /* left */
+  KqTime left; /* of the work; at pace 100 it falls as time passes */
   KqTime total;
   int pace;
   bool fails;
@@ -64,15 +64,15 @@
   char id[16];
   int agent;
   uint64_t assignment;
-  uint64_t results;
+  uint64_t outcomes_sent;
   uint64_t halt;
   uint64_t next_end;
-  bool held;
+  bool assigned;
   bool watched;
-  KqTime list_at;
-  GArray *runs;    /* Run */
-  GPtrArray *ends; /* End, not acknowledged */
-  size_t told;     /* of them listed */
+  KqTime next_list_at;
+  GArray *runs;       /* Run */
+  GPtrArray *ends;    /* End, not acknowledged */
+  size_t ends_listed; /* of those in `ends`, listed already */
 } Runner;
 
 typedef struct
@@ -95,41 +95,42 @@
   KqSchedLoadConfig config;
   KqSchedLoadResult out;
   KqSched *sched;
-  KqRand rand;     /* for jobs and runners: the same whatever is decided */
+  KqRand rand;     /* for jobs and runners: independent of the decisions */
   KqRand run_rand; /* for runs */
   KqTime now;
   Runner *runners;
   GHashTable *by_id; /* runner id -> index + 1 */
-  GArray *orders;    /* Order, given in this tick */
+  GArray *orders;    /* Order, received in this tick; carried out in the next */
   GHashTable *kinds; /* job id -> Kind + 1 */
   GArray *deadlines; /* Deadline */
-  double harm[SERVING_IMAGES][FILLING_IMAGES];
+  double harm[SERVING_IMAGES][FILLING_IMAGES]; /* slack that a filling run takes */
   int n_jobs;
-  KqTime stored_at; /* the batch under way is in the store then; 0: none */
+  KqTime store_done_at; /* time at which the batch in flight is stored; 0: none */
 } Load;
 
 static double
-cpu_now (void)
+cpu_time_s (void)
 {
   struct timespec t;
   clock_gettime (CLOCK_PROCESS_CPUTIME_ID, &t);
   return (double)t.tv_sec + (double)t.tv_nsec / 1e9;
 }
 
+/* Uniform between mean * (1 - by) and mean * (1 + by). */
 static double
-spread_by (KqRand *r, double mean, double by)
+draw_from (KqRand *r, double mean, double by)
 {
   return mean * (1 - by + 2 * by * kq_rand_unit (r));
 }
 
 static double
-spread (Load *l, double mean, double by)
+draw (Load *l, double mean, double by)
 {
-  return spread_by (&l->rand, mean, by);
+  return draw_from (&l->rand, mean, by);
 }
 
 static void
-note_decision (Load *l, const KqOrder *o, KqStr task, uint32_t run)
+hash_decision (Load *l, const KqOrder *o, KqStr task, uint32_t run)
 {
   uint64_t what = kq_hash2 (kq_str_hash (task), (uint64_t)run << 8 | o->kind);
   l->out.decisions
@@ -137,7 +138,7 @@
 }
 
 static void
-keep_order (Load *l, int runner, const KqOrder *o, KqStr task, uint32_t run, int percent)
+queue_order (Load *l, int runner, const KqOrder *o, KqStr task, uint32_t run, int percent)
 {
   Order order = { .runner = runner, .kind = o->kind, .run = run, .percent = percent };
   kq_str_copy (task, order.task, sizeof order.task);
@@ -145,13 +146,13 @@
 }
 
 static void
-forget_ends (Runner *r, uint64_t seen)
+drop_acked_ends (Runner *r, uint64_t seen)
 {
   while (r->ends->len > 0 && ((End *)r->ends->pdata[0])->row.number <= seen)
     {
       g_ptr_array_remove_index (r->ends, 0);
-      if (r->told > 0)
-        r->told--;
+      if (r->ends_listed > 0)
+        r->ends_listed--;
     }
 }
 
@@ -170,49 +171,47 @@
   switch (o->kind)
     {
     case KQ_ORDER_TAKE:
-      r->held = true;
+      r->assigned = true;
       r->agent = agent;
       r->assignment = o->u.take.assignment;
       r->halt = o->u.take.assignment;
-      r->list_at = l->now + TICK;
+      r->next_list_at = l->now + TICK;
       break;
     case KQ_ORDER_DROP:
-      r->held = false;
+      r->assigned = false;
       break;
     case KQ_ORDER_RENEW:
       r->halt = 0;
       break;
     case KQ_ORDER_SEEN:
-      forget_ends (r, o->u.seen.ends);
+      drop_acked_ends (r, o->u.seen.ends);
       r->watched = o->u.seen.watched;
       break;
     case KQ_ORDER_START:
       l->out.starts++;
-      note_decision (l, o, o->u.start.task, o->u.start.run);
-      keep_order (l, n, o, o->u.start.task, o->u.start.run, 100);
+      hash_decision (l, o, o->u.start.task, o->u.start.run);
+      queue_order (l, n, o, o->u.start.task, o->u.start.run, 100);
       break;
     case KQ_ORDER_STOP:
-      note_decision (l, o, o->u.stop.task, o->u.stop.run);
-      keep_order (l, n, o, o->u.stop.task, o->u.stop.run, 0);
+      hash_decision (l, o, o->u.stop.task, o->u.stop.run);
+      queue_order (l, n, o, o->u.stop.task, o->u.stop.run, 0);
       break;
     case KQ_ORDER_PACE:
       l->out.paces++;
-      keep_order (l, n, o, o->u.pace.task, o->u.pace.run, o->u.pace.percent);
+      queue_order (l, n, o, o->u.pace.task, o->u.pace.run, o->u.pace.percent);
       break;
     case KQ_ORDER_ADVISE:
       break;
     }
 }
 
-/* Jobs. */
-
 static KqStep
 short_step (Load *l)
 {
-  return (KqStep){ .width = (int32_t)spread (l, 9.4, 0.8),
-                   .cpu_milli = (int32_t)spread (l, 3200, 0.45),
-                   .mem_mb = (int32_t)spread (l, 6400, 0.3),
-                   .estimate_ms = (int32_t)spread (l, 640, 0.5),
+  return (KqStep){ .width = (int32_t)draw (l, 9.4, 0.8),
+                   .cpu_milli = (int32_t)draw (l, 3200, 0.45),
+                   .mem_mb = (int32_t)draw (l, 6400, 0.3),
+                   .estimate_ms = (int32_t)draw (l, 640, 0.5),
                    .image = KQ_STR ("") };
 }
 
@@ -220,10 +219,10 @@
 wide_step (Load *l, char image[8])
 {
   snprintf (image, 8, "f%d", (int)kq_rand_below (&l->rand, FILLING_IMAGES));
-  return (KqStep){ .width = (int32_t)spread (l, 39, 0.6),
-                   .cpu_milli = (int32_t)spread (l, 1800, 0.3),
-                   .mem_mb = (int32_t)spread (l, 3200, 0.3),
-                   .estimate_ms = (int32_t)spread (l, 1700, 0.5),
+  return (KqStep){ .width = (int32_t)draw (l, 39, 0.6),
+                   .cpu_milli = (int32_t)draw (l, 1800, 0.3),
+                   .mem_mb = (int32_t)draw (l, 3200, 0.3),
+                   .estimate_ms = (int32_t)draw (l, 1700, 0.5),
                    .filling = true,
                    .checkpoints = true,
                    .image = kq_str (image) };
@@ -233,9 +232,9 @@
 lasting_step (Load *l, char image[8])
 {
   snprintf (image, 8, "s%d", (int)kq_rand_below (&l->rand, SERVING_IMAGES));
-  return (KqStep){ .width = (int32_t)spread (l, 24, 0.4),
-                   .cpu_milli = (int32_t)spread (l, 3200, 0.25),
-                   .mem_mb = (int32_t)spread (l, 6400, 0.3),
+  return (KqStep){ .width = (int32_t)draw (l, 24, 0.4),
+                   .cpu_milli = (int32_t)draw (l, 3200, 0.25),
+                   .mem_mb = (int32_t)draw (l, 6400, 0.3),
                    .estimate_ms = 500,
                    .lasting = true,
                    .target_ms = 18,
@@ -287,7 +286,7 @@
 static void
 submit_due (Load *l)
 {
-  static const double rates[] = { SHORT_RATE, WIDE_RATE, LASTING_RATE };
+  static const double rates[] = { SHORT_JOBS_PER_S, WIDE_JOBS_PER_S, LASTING_JOBS_PER_S };
   for (int k = 0; k < 3; k++)
     {
       double n = rates[k] * l->config.load * l->config.runners * TICK / KQ_SEC;
@@ -297,7 +296,7 @@
 }
 
 static void
-look_at_deadlines (Load *l)
+check_deadlines (Load *l)
 {
   for (guint i = 0; i < l->deadlines->len; i++)
     {
@@ -313,13 +312,13 @@
 /* Runners. */
 
 static double
-work_of (const Run *r)
+progress_rate (const Run *r)
 {
   return r->kind == LASTING ? 0 : (double)r->pace / 100;
 }
 
 static int
-tail_of (const Load *l, const Runner *r, const Run *serving)
+latency_tail_ms (const Load *l, const Runner *r, const Run *serving)
 {
   double swing
       = 1
@@ -344,7 +343,7 @@
 }
 
 static void
-begin_run (Load *l, Runner *r, const Order *o)
+start_run (Load *l, Runner *r, const Order *o)
 {
   KqStr rest = kq_str (o->task);
   KqStr job = kq_str_cut (&rest, '.');
@@ -356,8 +355,8 @@
   run.image = image_of (l, run.task, run.kind);
   run.phase = (double)(kq_str_hash (job) % 628) / 100;
   run.total
-      = (KqTime)spread_by (&l->run_rand, run.kind == SHORT ? 640 : 1700, 0.6) * KQ_MS;
-  run.work = run.total;
+      = (KqTime)draw_from (&l->run_rand, run.kind == SHORT ? 640 : 1700, 0.6) * KQ_MS;
+  run.left = run.total;
   run.fails = kq_rand_below (&l->run_rand, 20) == 0;
   g_array_append_val (r->runs, run);
 }
@@ -372,8 +371,8 @@
   g_ptr_array_add (r->ends, e);
   l->out.done += how == KQ_END_DONE;
   g_array_remove_index_fast (r->runs, at);
-  if (r->list_at > l->now + GATHER && r->told == 0)
-    r->list_at = l->now + GATHER;
+  if (r->next_list_at > l->now + END_BATCH_DELAY && r->ends_listed == 0)
+    r->next_list_at = l->now + END_BATCH_DELAY;
 }
 
 static Run *
@@ -392,20 +391,20 @@
 }
 
 static void
-carry_out (Load *l, const Order *o)
+execute_order (Load *l, const Order *o)
 {
   Runner *r = &l->runners[o->runner];
   KqOrderOutcome out = { .kind = o->kind,
                          .task = kq_str (o->task),
                          .run = o->run,
                          .result = KQ_ORDER_OK,
-                         .order = ++r->results,
+                         .order = ++r->outcomes_sent,
                          .assignment = r->assignment,
                          .lease_left_ms = LEASE_MS };
   guint at;
   Run *run = find_run (r, o, &at);
   if (o->kind == KQ_ORDER_START && run == NULL)
-    begin_run (l, r, o);
+    start_run (l, r, o);
   else if (o->kind == KQ_ORDER_STOP && run != NULL)
     end_run (l, r, at, KQ_END_STOPPED);
   else if (o->kind == KQ_ORDER_PACE && run != NULL)
@@ -414,15 +413,15 @@
 }
 
 static void
-work (Load *l, Runner *r)
+advance_runs (Load *l, Runner *r)
 {
   for (guint i = 0; i < r->runs->len; i++)
     {
       Run *run = &g_array_index (r->runs, Run, i);
       if (run->kind == LASTING)
         continue;
-      run->work -= (KqTime)((double)TICK * work_of (run));
-      if (run->work <= 0)
+      run->left -= (KqTime)((double)TICK * progress_rate (run));
+      if (run->left <= 0)
         end_run (l, r, i--, run->fails ? KQ_END_FAILED : KQ_END_DONE);
     }
 }
@@ -435,36 +434,36 @@
   KqEndRow *ends = kq_alloc ((r->ends->len + 1) * sizeof *ends);
   KqRunnerList list = { .started_ms = 1,
                         .lease_left_ms = LEASE_MS,
-                        .order = r->results,
+                        .order = r->outcomes_sent,
                         .assignment = r->assignment,
                         .halt = r->halt,
                         .running = rows,
                         .n_running = n,
                         .ended = ends,
                         .n_ended = r->ends->len };
-  double begun;
+  double cpu_before_s;
   for (guint i = 0; i < n; i++)
     {
       const Run *run = &g_array_index (r->runs, Run, i);
-      int tail = run->kind == LASTING ? tail_of (l, r, run) : run->cpu_milli;
+      int tail = run->kind == LASTING ? latency_tail_ms (l, r, run) : run->cpu_milli;
       rows[i] = (KqRunRow){ .task = kq_str (run->task),
                             .run = run->run,
                             .checkpoint = KQ_STR (""),
                             .percent = run->kind == LASTING
                                            ? 100
-                                           : (int)(100 - 100 * run->work / run->total),
+                                           : (int)(100 - 100 * run->left / run->total),
                             .load = tail };
       if (run->kind == LASTING && tail > run->target_ms)
-        l->out.over_s += r->watched ? 0.5 : 1.5;
+        l->out.over_target_s += r->watched ? 0.5 : 1.5;
     }
   for (guint i = 0; i < r->ends->len; i++)
     ends[i] = ((End *)r->ends->pdata[i])->row;
-  r->told = r->ends->len;
-  begun = cpu_now ();
+  r->ends_listed = r->ends->len;
+  cpu_before_s = cpu_time_s ();
   kq_sched_list (l->sched, r->agent, kq_str (r->id), &list, l->now);
-  l->out.list_s += cpu_now () - begun;
+  l->out.list_s += cpu_time_s () - cpu_before_s;
   l->out.lists++;
-  r->list_at = l->now + (r->watched ? WATCHED_WAIT : LIST_WAIT);
+  r->next_list_at = l->now + (r->watched ? WATCHED_LIST_INTERVAL : LIST_INTERVAL);
   free (rows);
   free (ends);
 }
@@ -473,48 +472,48 @@
 store (Load *l)
 {
   KqProgress rows[27];
-  KqBuf known = { 0 };
-  if (l->stored_at != 0 && l->now >= l->stored_at)
+  KqBuf used_runners = { 0 };
+  if (l->store_done_at != 0 && l->now >= l->store_done_at)
     {
       kq_sched_stored (l->sched, true, l->now);
-      l->stored_at = 0;
+      l->store_done_at = 0;
     }
   if (kq_sched_used_runners_pending (l->sched))
     {
-      kq_sched_used_runners_pack (l->sched, &known);
+      kq_sched_used_runners_pack (l->sched, &used_runners);
       kq_sched_used_runners_stored (l->sched);
-      kq_buf_free (&known);
+      kq_buf_free (&used_runners);
     }
-  if (l->stored_at == 0 && kq_sched_store_due (l->sched) <= l->now
+  if (l->store_done_at == 0 && kq_sched_store_due (l->sched) <= l->now
       && kq_sched_store_begin (l->sched, rows, G_N_ELEMENTS (rows), l->now) > 0)
-    l->stored_at = l->now + STORE_TAKES;
+    l->store_done_at = l->now + STORE_LATENCY;
 }
 
 static void
 tick (Load *l)
 {
   GArray *orders = l->orders;
-  double begun = cpu_now ();
+  double cpu_before_s = cpu_time_s ();
   l->orders = g_array_new (FALSE, FALSE, sizeof (Order));
   submit_due (l);
   for (guint i = 0; i < orders->len; i++)
-    carry_out (l, &g_array_index (orders, Order, i));
+    execute_order (l, &g_array_index (orders, Order, i));
   g_array_free (orders, TRUE);
-  l->out.cpu_s += cpu_now () - begun;
+  l->out.cpu_s += cpu_time_s () - cpu_before_s;
   for (int i = 0; i < l->config.runners; i++)
     {
       Runner *r = &l->runners[i];
-      work (l, r);
-      if (r->held && l->now >= r->list_at)
+      advance_runs (l, r);
+      if (r->assigned && l->now >= r->next_list_at)
         send_list (l, r);
     }
-  begun = cpu_now ();
+  cpu_before_s = cpu_time_s ();
   kq_sched_run (l->sched, l->now, l->now / KQ_MS);
-  l->out.pass_s += cpu_now () - begun;
-  l->out.turns++;
-  begun = cpu_now ();
+  l->out.pass_s += cpu_time_s () - cpu_before_s;
+  l->out.passes++;
+  cpu_before_s = cpu_time_s ();
   store (l);
-  l->out.store_s += cpu_now () - begun;
+  l->out.store_s += cpu_time_s () - cpu_before_s;
 }
 
 static void
@@ -536,7 +535,7 @@
               .started_ms = 1,
               .room = { (int64_t)(CPU_MILLI * size), (int64_t)(MEM_MB * size), 0 } };
       snprintf (r->id, sizeof r->id, "r%d", i);
-      snprintf (rack, sizeof rack, "k%d", i / RACK);
+      snprintf (rack, sizeof rack, "k%d", i / RUNNERS_PER_RACK);
       snprintf (host, sizeof host, "h%d", i);
       snprintf (domain, sizeof domain, "d%d", i % 6);
       e.id = kq_str (r->id);
@@ -612,13 +611,13 @@
   add_agents (&l);
   add_runners (&l);
   kq_sched_loaded (l.sched, l.now);
-  for (int i = (int)(LASTING_FIRST * c->load * c->runners); i > 0; i--)
+  for (int i = (int)(LASTING_AT_START * c->load * c->runners); i > 0; i--)
     submit (&l, LASTING);
   for (KqTime end = l.now + c->span; l.now < end; l.now += TICK)
     {
       tick (&l);
       if (l.now % (50 * KQ_MS) == 0)
-        look_at_deadlines (&l);
+        check_deadlines (&l);
     }
   l.out.looks = *kq_counter (counters, "kq_place_looks_total", "", "");
   l.out.cpu_s += l.out.pass_s + l.out.list_s + l.out.store_s;
--- a/bench/sched_load.h
+++ b/bench/sched_load.h
@@ -1,12 +1,13 @@
 #ifndef KQ_BENCH_SCHED_LOAD_H
 #define KQ_BENCH_SCHED_LOAD_H
 
-/* sched_load: the scheduler alone under a load of any size, without faults.
+/* sched_load: measures the cost of the scheduler alone, for a fleet of any size, without
+ * faults.
  *
- * Runners in memory keep what they are told to start, report tails and progress, and end
- * their tasks. Three kinds of jobs come: short ones with room of their own, wide ones
- * that fill, lasting ones with a latency target. All is drawn from a seed, so that two
- * versions of the scheduler can be compared by their decisions (`decisions` below).
+ * Simulated runners start and end tasks as ordered and report progress and tail latency.
+ * There are three kinds of jobs: short ones with reserved cpu, wide ones of filling
+ * tasks, and lasting ones with a latency target. Everything is drawn from a seed, so that
+ * the decisions of two versions of the scheduler can be compared (`decisions` below).
  */
 
 #include "base/time.h"
@@ -16,7 +17,7 @@
 typedef struct
 {
   int runners;
-  double load; /* of what a fleet of that size has room for; 1: about all of it */
+  double load; /* relative to the capacity of that many runners; 1: about all of it */
   KqTime span;
   uint64_t seed;
 } KqSchedLoadConfig;
@@ -24,20 +25,21 @@
 typedef struct
 {
   double cpu_s;       /* processor time in the scheduler */
-  double pass_s;      /* of it in kq_sched_run */
+  double pass_s;      /* of that in kq_sched_run */
   double list_s;      /* in kq_sched_list */
-  double store_s;     /* in batches for the store */
-  uint64_t lists;     /* taken in */
-  uint64_t turns;     /* of kq_sched_run */
+  double store_s;     /* in writing batches for the store */
+  uint64_t lists;     /* passed to the scheduler */
+  uint64_t passes;    /* calls of kq_sched_run */
   uint64_t starts;    /* ordered */
-  uint64_t looks;     /* at runners, to place tasks */
+  uint64_t looks;     /* candidate runners examined to place tasks */
   uint64_t paces;     /* ordered */
-  uint64_t done;      /* tasks */
+  uint64_t done;      /* tasks ended as done */
   uint64_t jobs;      /* submitted, without lasting ones */
-  uint64_t jobs_late; /* of those ended, over their objective */
+  uint64_t jobs_late; /* of those ended, after their deadline */
   uint64_t jobs_ended;
-  uint64_t decisions; /* hash over all start and stop orders in their order */
-  double over_s;      /* seconds of serving tasks over their target */
+  uint64_t decisions; /* hash of all start and stop orders, in sequence */
+  double
+      over_target_s; /* time that serving tasks spent over their latency target, summed */
 } KqSchedLoadResult;
 
 KqSchedLoadResult kq_sched_load (const KqSchedLoadConfig *c);
--- a/bench/sched_load_main.c
+++ b/bench/sched_load_main.c
@@ -1,5 +1,5 @@
-/* sched_load [SEED [RUNNERS[,RUNNERS] [LOAD [SECONDS]]]]: what the scheduler costs at
- * sizes of fleet. */
+/* sched_load [SEED [RUNNERS[,RUNNERS] [LOAD [SECONDS]]]]: measures the scheduler's cost
+ * for fleets of these sizes. */
 
 #include "base/log.h"
 #include "sched_load.h"
@@ -9,7 +9,7 @@
 #include <string.h>
 
 static void
-play (int runners, double load, KqTime span, uint64_t seed)
+run_size (int runners, double load, KqTime span, uint64_t seed)
 {
   KqSchedLoadConfig c = { .runners = runners, .load = load, .span = span, .seed = seed };
   KqSchedLoadResult r = kq_sched_load (&c);
@@ -20,7 +20,7 @@
           runners, load, r.cpu_s / s, r.pass_s / s, r.list_s / s, r.store_s / s,
           (double)r.starts / s, (double)r.looks / (double)(r.starts > 0 ? r.starts : 1),
           (double)r.lists / s, (double)r.paces / s, (unsigned long long)r.jobs_ended,
-          (unsigned long long)r.jobs, (unsigned long long)r.jobs_late, r.over_s,
+          (unsigned long long)r.jobs, (unsigned long long)r.jobs_late, r.over_target_s,
           (unsigned long long)r.decisions);
   printf ("RESULT sched_load.%d.core %.5f\n", runners, r.cpu_s / s);
   printf ("RESULT sched_load.%d.us_per_start %.2f\n", runners,
@@ -36,7 +36,7 @@
   double span = argc > 4 ? atof (argv[4]) : 20;
   kq_log_set_level (KQ_LOG_ERROR);
   for (char *at = strtok (sizes, ","); at != NULL; at = strtok (NULL, ","))
-    play (atoi (at), load, (KqTime)(span * KQ_SEC), seed);
+    run_size (atoi (at), load, (KqTime)(span * KQ_SEC), seed);
   free (sizes);
   return 0;
 }
