--- a/bench/lives.c
+++ b/bench/lives.c
@@ -18,12 +18,12 @@
 #define RUNNERS_MAX 16
 #define EPOCH 7
 #define LEASE_MS 5000
-#define BLIND_MS 4000
+#define RENEW_WITHOUT_LEADER_MS 4000
 /* More than the agent's connections to one runner. */
-#define STARTS_MAX 10
-#define STEP (4 * KQ_MS)
-/* A question waits for an end and then for its answer. */
-#define CALLS_END (2500 * KQ_MS)
+#define STARTS_PENDING_MAX 10
+#define STEP_INTERVAL (4 * KQ_MS)
+/* All calls have ended after this: the wait and the timeout of a poll. */
+#define CALLS_TIMEOUT (2500 * KQ_MS)
 #define CLOCK_FIRST_MS 1000000000000
 #define CLOCK_STEP_MS 100000000
 
@@ -35,10 +35,10 @@
   int port;
   char id[16];
   char address[32];
-  KqTime kill_at;  /* 0: it is down */
-  KqTime pause_at; /* 0: not before its end */
+  KqTime kill_at;  /* 0: it has been killed */
+  KqTime pause_at; /* SIGSTOP; 0: none before kill_at */
   KqTime start_at;
-  int starts; /* without an outcome */
+  int starts_pending; /* without an outcome */
 } Runner;
 
 typedef struct
@@ -50,19 +50,19 @@
   KqAgent *agent;
   Runner runners[RUNNERS_MAX];
   uint64_t tasks;
-  KqTime relay_at;
-} Lives;
+  KqTime next_relay_fault_at;
+} LivesRun;
 
 static int
-below (Lives *l, int n)
+below (LivesRun *l, int n)
 {
   return (int)kq_rand_below (&l->rand, (uint64_t)n);
 }
 
-/* The leader. */
+/* This program acts as the leader. */
 
 static Runner *
-runner_of (Lives *l, KqStr id)
+find_runner (LivesRun *l, KqStr id)
 {
   for (int i = 0; i < l->plan->runners; i++)
     if (kq_str_eq (id, kq_str (l->runners[i].id)))
@@ -71,14 +71,14 @@
 }
 
 static void
-order (Lives *l, const Runner *r, KqOrder *o)
+order (LivesRun *l, const Runner *r, KqOrder *o)
 {
   o->runner = kq_str (r->id);
   kq_agent_order (l->agent, EPOCH, o, kq_time_now ());
 }
 
 static void
-order_start (Lives *l, Runner *r)
+order_start (LivesRun *l, Runner *r)
 {
   KqOrder o = { .kind = KQ_ORDER_START };
   char task[64];
@@ -86,13 +86,13 @@
   o.u.start.task = kq_str (task);
   o.u.start.run = 1;
   o.u.start.text = KQ_STR ("ms=15");
-  r->starts++;
+  r->starts_pending++;
   l->report->ordered++;
   order (l, r, &o);
 }
 
 static void
-take (Lives *l, const Runner *r)
+assign_runner (LivesRun *l, const Runner *r)
 {
   KqOrder o = { .kind = KQ_ORDER_TAKE };
   o.u.take.address = kq_str (r->address);
@@ -101,7 +101,7 @@
 }
 
 static void
-on_list (Lives *l, const Runner *r, const KqRunnerList *list)
+on_list (LivesRun *l, const Runner *r, const KqRunnerList *list)
 {
   KqOrder o = { .kind = KQ_ORDER_RENEW };
   if (list->halt != 0)
@@ -118,9 +118,9 @@
 }
 
 static void
-on_outcome (Lives *l, Runner *r, const KqOrderOutcome *o)
+on_outcome (LivesRun *l, Runner *r, const KqOrderOutcome *o)
 {
-  r->starts--;
+  r->starts_pending--;
   if (o->result == KQ_ORDER_OK)
     l->report->begun++;
   else if (o->result == KQ_ORDER_UNKNOWN)
@@ -132,8 +132,8 @@
 static void
 on_notice (void *arg, uint64_t epoch, const KqAgentItem *i)
 {
-  Lives *l = arg;
-  Runner *r = runner_of (l, i->runner);
+  LivesRun *l = arg;
+  Runner *r = find_runner (l, i->runner);
   (void)epoch;
   if (r == NULL)
     return;
@@ -153,7 +153,7 @@
 /* Runners and relays. */
 
 static void
-start_life (Lives *l, int i)
+start_process (LivesRun *l, int i)
 {
   Runner *r = &l->runners[i];
   char options[128];
@@ -170,13 +170,13 @@
 }
 
 static bool
-start_runner (Lives *l, int i)
+set_up_runner (LivesRun *l, int i)
 {
   Runner *r = &l->runners[i];
   char rest[256];
   snprintf (r->id, sizeof r->id, "i-%08x", i + 1);
   r->process = r->relay = -1;
-  start_life (l, i);
+  start_process (l, i);
   if (r->process < 0 || !procs_await_text (&l->procs, r->process, "out", "runner ", rest))
     return false;
   r->port = atoi (rest);
@@ -193,14 +193,14 @@
 }
 
 static void
-on_relay_set (void *arg, const ProcsAnswer *a)
+ignore_answer (void *arg, const ProcsAnswer *a)
 {
   (void)arg;
   (void)a;
 }
 
 static void
-set_relay (Lives *l, const Runner *r)
+set_relay_fault (LivesRun *l, const Runner *r)
 {
   static const char *const modes[] = { "{}",
                                        "{\"delay_ms\":20}",
@@ -216,12 +216,13 @@
   if (r->relay < 0)
     return;
   snprintf (url, sizeof url, "http://127.0.0.1:%d/v1/relay", r->relay_control);
-  procs_ask (&l->procs, &q, on_relay_set, NULL);
+  procs_ask (&l->procs, &q, ignore_answer, NULL);
 }
 
-/* Paused first, it leaves connections in its queue that it has never accepted. */
+/* A process that is stopped before it is killed leaves connections in its listen queue
+ * that it never accepted. */
 static void
-step_runner (Lives *l, int i, KqTime now)
+update_runner (LivesRun *l, int i, KqTime now)
 {
   Runner *r = &l->runners[i];
   ProcsProcess *p = &l->procs.processes[r->process];
@@ -242,31 +243,31 @@
   if (p->pid != 0 && waitpid (p->pid, &status, WNOHANG) == p->pid)
     p->pid = 0;
   if (p->pid == 0 && now >= r->start_at)
-    start_life (l, i);
+    start_process (l, i);
 }
 
 static void
-step (Lives *l, KqTime now)
+run_step (LivesRun *l, KqTime now)
 {
   kq_agent_leader_heard (l->agent, EPOCH, now);
   kq_agent_leader_confirmed (l->agent, EPOCH, now);
   for (int i = 0; i < l->plan->runners; i++)
     {
       Runner *r = &l->runners[i];
-      step_runner (l, i, now);
-      if (r->starts < STARTS_MAX && below (l, 3) == 0)
+      update_runner (l, i, now);
+      if (r->starts_pending < STARTS_PENDING_MAX && below (l, 3) == 0)
         order_start (l, r);
     }
-  if (now >= l->relay_at)
+  if (now >= l->next_relay_fault_at)
     {
-      l->relay_at = now + (KqTime)(20 + below (l, 100)) * KQ_MS;
-      set_relay (l, &l->runners[below (l, l->plan->runners)]);
+      l->next_relay_fault_at = now + (KqTime)(20 + below (l, 100)) * KQ_MS;
+      set_relay_fault (l, &l->runners[below (l, l->plan->runners)]);
     }
 }
 
-/* Its open calls end by their timeouts; nobody hears of it. */
+/* Drops and kills the runners. The calls in flight time out without a report. */
 static void
-stop_agent (Lives *l)
+stop_agent (LivesRun *l)
 {
   for (int i = 0; i < l->plan->runners; i++)
     {
@@ -274,11 +275,11 @@
       order (l, &l->runners[i], &o);
       procs_signal (&l->procs, l->runners[i].process, SIGKILL);
     }
-  procs_run (&l->procs, CALLS_END, NULL);
+  procs_run (&l->procs, CALLS_TIMEOUT, NULL);
 }
 
 static void
-count_breaches (Lives *l)
+count_breaches (LivesRun *l)
 {
   for (int i = 0; i < l->plan->runners; i++)
     {
@@ -300,7 +301,7 @@
 int
 kq_lives_run (const KqLivesPlan *p, KqLivesReport *out)
 {
-  Lives *l = kq_alloc (sizeof *l);
+  LivesRun *l = kq_alloc (sizeof *l);
   KqCounters *counters = kq_counters_new ();
   KqRunnerClient *calls = NULL;
   int result = -1;
@@ -311,24 +312,25 @@
   if (p->runners > RUNNERS_MAX || !procs_init (&l->procs, p->build))
     goto out;
   calls = kq_runner_client_new (l->procs.loop);
-  l->agent = kq_agent_new (&(KqAgentConfig){ .loop = l->procs.loop,
-                                             .calls = calls,
-                                             .lease_ms = LEASE_MS,
-                                             .renew_without_leader_ms = BLIND_MS,
-                                             .counters = counters,
-                                             .notice = on_notice,
-                                             .arg = l });
+  l->agent = kq_agent_new (
+      &(KqAgentConfig){ .loop = l->procs.loop,
+                        .calls = calls,
+                        .lease_ms = LEASE_MS,
+                        .renew_without_leader_ms = RENEW_WITHOUT_LEADER_MS,
+                        .counters = counters,
+                        .notice = on_notice,
+                        .arg = l });
   kq_agent_leader_heard (l->agent, EPOCH, kq_time_now ());
   kq_agent_leader_confirmed (l->agent, EPOCH, kq_time_now ());
   for (int i = 0; i < p->runners; i++)
-    if (!start_runner (l, i))
+    if (!set_up_runner (l, i))
       goto end;
   for (int i = 0; i < p->runners; i++)
-    take (l, &l->runners[i]);
+    assign_runner (l, &l->runners[i]);
   while (out->lives < p->lives)
     {
-      step (l, kq_time_now ());
-      procs_run (&l->procs, STEP, NULL);
+      run_step (l, kq_time_now ());
+      procs_run (&l->procs, STEP_INTERVAL, NULL);
     }
   stop_agent (l);
   count_breaches (l);
--- a/bench/lives_main.c
+++ b/bench/lives_main.c
@@ -1,5 +1,5 @@
-/* lives BUILD [SEED [SEEDS [LIVES]]]: runners killed and started again while starts for
- * them are under way; non-zero on a breach. */
+/* lives BUILD [SEED [SEEDS [LIVES]]]: kills and restarts runners while starts for them
+ * are in flight (lives.h). The exit status is not 0 if a runner reported a breach. */
 
 #include "base/log.h"
 #include "lives.h"
