--- a/bench/demo_main.c
+++ b/bench/demo_main.c
@@ -1,6 +1,6 @@
-/* demo: a fleet on loopback, requests and jobs through it, one node and one worker killed
- * while work is running, and a count of what became of everything. Exits non-zero when
- * anything was lost or ran twice. */
+/* demo [BUILD [keep]]: starts a fleet on loopback, sends requests and jobs, kills a node
+ * and a worker process meanwhile, and counts the results. The exit status is not 0 if
+ * anything was lost or ran twice. keep: the directory with the logs stays. */
 
 #include "procs.h"
 
@@ -23,14 +23,14 @@
   ANSWERED,
   REFUSED,
   UNKNOWN
-} Fate;
+} Outcome;
 
 typedef struct
 {
   int number;
   bool post;
-  Fate fate;
-  int code; /* of a refusal or an unknown end */
+  Outcome outcome;
+  int code; /* result code, unless ANSWERED */
 } Request;
 
 typedef struct
@@ -45,7 +45,7 @@
   char jobs[JOBS][24];
   int n_jobs;
   int resubmitted;
-  /* the count */
+  /* Results. */
   int answered;
   int refused;
   int unknown;
@@ -68,7 +68,7 @@
       "{\"kind\":\"team\",\"name\":\"rounds\",\"fields\":{}}]}";
 
 static void
-say (const char *text)
+print_progress (const char *text)
 {
   printf ("demo: %s\n", text);
   fflush (stdout);
@@ -99,7 +99,7 @@
 }
 
 static int
-live_node (Demo *d, int i)
+running_node (Demo *d, int i)
 {
   int node = d->nodes[i % NODES];
   if (d->fleet.processes[node].pid == 0)
@@ -117,11 +117,11 @@
   d->open--;
   r->code = a->code;
   if (a->end == KQ_HTTP_NOT_SENT || strcmp (a->ran, "no") == 0)
-    r->fate = REFUSED;
+    r->outcome = REFUSED;
   else if (a->end != KQ_HTTP_DONE || strcmp (a->ran, "unknown") == 0)
-    r->fate = UNKNOWN;
+    r->outcome = UNKNOWN;
   else
-    r->fate = ANSWERED;
+    r->outcome = ANSWERED;
 }
 
 /* number < KEYED_FIRST: a GET; else a POST with a key. */
@@ -151,7 +151,7 @@
   procs_ask (&d->fleet, &q, on_answer, pair);
 }
 
-/* True when the job was accepted. A refusal says "not run": it may be sent again. */
+/* True: the job was accepted. A refused job may be sent again, as it hasn't run. */
 static bool
 submit_once (Demo *d, int node, int run_ms)
 {
@@ -207,7 +207,8 @@
   return r;
 }
 
-/* One row changed at one node; the time until every node has that revision in force. */
+/* Changes one row of the table at one node and measures the time until every node has
+ * applied that revision. */
 static bool
 change_table (Demo *d)
 {
@@ -235,28 +236,28 @@
   return revision > 0;
 }
 
-/* First wave: everything works. Second wave: a node and a worker die in the middle. */
+/* First half: no faults. Second half: a node and a worker process are killed. */
 static void
-waves (Demo *d)
+run_load (Demo *d)
 {
-  say ("requests and jobs, all processes alive");
+  print_progress ("requests and jobs, all processes alive");
   for (int i = 0; i < REQUESTS / 2; i++)
     {
-      send_request (d, i, live_node (d, i));
+      send_request (d, i, running_node (d, i));
       if (i % 3 == 0 && d->n_jobs < JOBS / 2)
-        submit_job (d, live_node (d, i), 300 + 50 * (i % 10));
+        submit_job (d, running_node (d, i), 300 + 50 * (i % 10));
       procs_run (&d->fleet, 10 * KQ_MS, NULL);
     }
-  say (change_table (d) ? "a table change is in force everywhere"
-                        : "THE TABLE CHANGE IS NOT IN FORCE");
+  print_progress (change_table (d) ? "a table change is in force everywhere"
+                                   : "THE TABLE CHANGE IS NOT IN FORCE");
   for (int i = 0; i < JOBS - JOBS / 2; i++)
-    submit_job (d, live_node (d, i), 1500 + 100 * (i % 10));
+    submit_job (d, running_node (d, i), 1500 + 100 * (i % 10));
   for (int i = REQUESTS / 2; i < REQUESTS; i++)
     {
-      send_request (d, i, live_node (d, i));
+      send_request (d, i, running_node (d, i));
       if (i == REQUESTS / 2 + 20)
         {
-          say ("killing kumquatd east-2 and one worker");
+          print_progress ("killing kumquatd east-2 and one worker");
           procs_signal (&d->fleet, d->nodes[1], SIGKILL);
           procs_signal (&d->fleet, d->workers[1], SIGKILL);
           procs_wait_exit (&d->fleet, d->nodes[1], KQ_SEC);
@@ -265,13 +266,14 @@
       procs_run (&d->fleet, 20 * KQ_MS, NULL);
     }
   procs_wait (&d->fleet, 20 * KQ_SEC, none_open, d);
-  say ("the non-idempotent requests again, with their keys, through another node");
+  print_progress (
+      "the non-idempotent requests again, with their keys, through another node");
   for (int i = 0; i < REPEATS; i++)
-    send_request (d, KEYED_FIRST + i, live_node (d, i + 2));
+    send_request (d, KEYED_FIRST + i, running_node (d, i + 2));
   procs_wait (&d->fleet, 20 * KQ_SEC, none_open, d);
 }
 
-/* "finished", "queued", ...; "" when the job isn't known. */
+/* state: "finished", "queued", ...; "" if the job isn't known. */
 static void
 job_state (Demo *d, const char *id, char state[32], int *evictions, int *attempts)
 {
@@ -335,7 +337,7 @@
 }
 
 static void
-show_codes (const Demo *d)
+print_codes (const Demo *d)
 {
   for (int code = 1; code < KQ_RESULT_LIMIT; code++)
     {
@@ -347,7 +349,8 @@
     }
 }
 
-/* The workers' own count: how many ran at once, how often each request id ran. */
+/* Reads the workers' counts: how many copies of a job ran at once, and how often each
+ * request ran. */
 static void
 count_effects (Demo *d)
 {
@@ -368,7 +371,7 @@
         }
       json_decref (o);
     }
-  /* The keyed ones came after the kill, so their workers are all still there to ask. */
+  /* The requests with a key were sent after the kill, so their workers' counts exist. */
   for (int i = KEYED_FIRST; i < REQUESTS; i++)
     {
       d->run_twice += runs[i] > 1;
@@ -377,10 +380,10 @@
   for (int i = 0; i < d->n_requests; i++)
     {
       const Request *r = &d->requests[i];
-      d->answered += r->fate == ANSWERED;
-      d->refused += r->fate == REFUSED;
-      d->unknown += r->fate == UNKNOWN;
-      d->lost += r->fate == WAITING;
+      d->answered += r->outcome == ANSWERED;
+      d->refused += r->outcome == REFUSED;
+      d->unknown += r->outcome == UNKNOWN;
+      d->lost += r->outcome == WAITING;
     }
 }
 
@@ -394,7 +397,7 @@
   printf ("%-44s %8d\n", "  answered", d->answered);
   printf ("%-44s %8d\n", "  refused (not run)", d->refused);
   printf ("%-44s %8d\n", "  unknown (told so)", d->unknown);
-  show_codes (d);
+  print_codes (d);
   printf ("%-44s %8d\n", "jobs accepted", d->n_jobs);
   printf ("%-44s %8d\n", "  submissions refused and sent again", d->resubmitted);
   printf ("%-44s %8d\n", "  finished", d->finished);
@@ -419,18 +422,18 @@
   int code = 1;
   if (!procs_init (&d.fleet, argc > 1 ? argv[1] : "build"))
     return 1;
-  say ("starting store, 3 kumquatd, 6 workers");
+  print_progress ("starting store, 3 kumquatd, 6 workers");
   if (!start_fleet (&d) || !procs_set_table (&d.fleet, 10 * KQ_SEC, d.nodes[0], table)
       || !procs_wait_ready (&d.fleet, 15 * KQ_SEC)
       || !procs_wait_serve (&d.fleet, 15 * KQ_SEC, "/s/tag-watch/ready"))
     {
-      say ("the fleet did not come up");
+      print_progress ("the fleet did not come up");
       goto out;
     }
-  waves (&d);
-  say ("waiting for the jobs to end");
+  run_load (&d);
+  print_progress ("waiting for the jobs to end");
   if (!procs_wait (&d.fleet, 30 * KQ_SEC, jobs_ended, &d))
-    say ("some jobs have not ended");
+    print_progress ("some jobs have not ended");
   count_jobs (&d);
   count_effects (&d);
   code = report (&d);
--- a/bench/faults_live_main.c
+++ b/bench/faults_live_main.c
@@ -1,6 +1,8 @@
-/* bench-faults-live: each fault of the brief on real processes while requests and jobs
- * run; judged by what the callers received and by what the workers counted. A fleet of
- * its own for each case. CASE=name runs one. Exits 0 when it could measure. */
+/* faults_live: causes each fault of the table below in a fleet of real processes under a
+ * load of requests and jobs, and checks the answers that callers received and the
+ * workers' counts. Each case has its own fleet. In the environment: CASE=NAME runs one
+ * case, LIST lists them, KEEP keeps the logs. The exit status is 0 if all cases could be
+ * run, whether they passed or not. */
 
 #include "procs.h"
 
@@ -10,35 +12,36 @@
 #include <string.h>
 
 #define NODES 3
-#define WORKERS 2 /* processes, of 3 workers each */
+#define WORKERS 2 /* processes with 3 workers each */
 #define REQUESTS_MAX 1200
 #define JOBS_MAX 100
 #define TICK (20 * KQ_MS)
-#define BEFORE (1500 * KQ_MS)
-#define BEHIND (2500 * KQ_MS)
-#define SETTLE (60 * KQ_SEC)
-/* Case 'none' refuses 1 to 3, as slots are full for a moment. */
-#define OUTAGE_REFUSALS 8
+#define LOAD_BEFORE (1500 * KQ_MS)
+#define LOAD_AFTER (2500 * KQ_MS)
+#define JOBS_TIMEOUT (60 * KQ_SEC)
+/* Refused GETs allowed while only the store is down. Without any fault 1 to 3 are
+ * refused, as all slots are taken for a moment. */
+#define OUTAGE_REFUSALS_MAX 8
 
 typedef struct
 {
   const char *name;
   const char *store;  /* fault of the store, or NULL */
-  const char *worker; /* fault of the first worker process */
-  const char *relay;  /* mode of the relay in front of the store */
-  int stop;           /* signals: stopped until the fault ends */
-  int kill;           /* killed and not replaced */
-  int term;           /* a planned stop */
+  const char *worker; /* fault of the first worker process, or NULL */
+  const char *relay;  /* mode of the relay in front of the store, or NULL */
+  int stop;           /* target of SIGSTOP, until the fault ends */
+  int kill;           /* target of SIGKILL; not replaced */
+  int term;           /* target of SIGTERM: a planned stop */
   int span_ms;
 } Case;
 
-/* Whom the signals hit. */
+/* Targets of signals. */
 enum
 {
-  NOBODY,
-  A_NODE,
-  A_WORKER,
-  THE_STORE
+  TARGET_NONE,
+  TARGET_NODE,
+  TARGET_WORKER,
+  TARGET_STORE
 };
 
 static const Case cases[] = {
@@ -52,7 +55,7 @@
     3000 },
   { "store-cuts-answers", "{\"partial_answer\":-1}", NULL, NULL, 0, 0, 0, 3000 },
   { "store-silent-watch", "{\"silent_watch\":true}", NULL, NULL, 0, 0, 0, 5000 },
-  { "store-stopped", NULL, NULL, NULL, THE_STORE, 0, 0, 4000 },
+  { "store-stopped", NULL, NULL, NULL, TARGET_STORE, 0, 0, 4000 },
   { "store-connections-silent", NULL, NULL, "{\"stall\":\"open\"}", 0, 0, 0, 3000 },
   { "store-one-way", NULL, NULL, "{\"stall\":\"all\",\"direction\":\"down\"}", 0, 0, 0,
     4000 },
@@ -64,8 +67,8 @@
     0, 0, 0, 4000 },
   { "worker-fails-everything", NULL, "{\"path\":\"/w/a1/v1/\",\"fail_everything\":true}",
     NULL, 0, 0, 0, 5000 },
-  { "worker-stopped", NULL, NULL, NULL, A_WORKER, 0, 0, 5000 },
-  { "worker-killed", NULL, NULL, NULL, 0, A_WORKER, 0, 4000 },
+  { "worker-stopped", NULL, NULL, NULL, TARGET_WORKER, 0, 0, 5000 },
+  { "worker-killed", NULL, NULL, NULL, 0, TARGET_WORKER, 0, 4000 },
   { "runner-hangs", NULL, "{\"path\":\"/w/a1/r/\",\"accept_and_hang\":true}", NULL, 0, 0,
     0, 4000 },
   { "runner-loses-answers", NULL, "{\"path\":\"/w/a1/r/\",\"lose_answer\":-1}", NULL, 0,
@@ -74,24 +77,24 @@
     0, 0, 4000 },
   { "runner-slow", NULL, "{\"path\":\"/w/a1/r/\",\"delay_ms\":1000}", NULL, 0, 0, 0,
     4000 },
-  { "node-stopped", NULL, NULL, NULL, A_NODE, 0, 0, 6000 },
-  { "node-killed", NULL, NULL, NULL, 0, A_NODE, 0, 4000 },
-  { "node-planned-stop", NULL, NULL, NULL, 0, 0, A_NODE, 4000 },
-  { "store-refuses-node-killed", "{\"outage\":\"refuse\"}", NULL, NULL, 0, A_NODE, 0,
-    6000 },
-  { "store-hangs-worker-killed", "{\"accept_and_hang\":true}", NULL, NULL, 0, A_WORKER, 0,
+  { "node-stopped", NULL, NULL, NULL, TARGET_NODE, 0, 0, 6000 },
+  { "node-killed", NULL, NULL, NULL, 0, TARGET_NODE, 0, 4000 },
+  { "node-planned-stop", NULL, NULL, NULL, 0, 0, TARGET_NODE, 4000 },
+  { "store-refuses-node-killed", "{\"outage\":\"refuse\"}", NULL, NULL, 0, TARGET_NODE, 0,
     6000 },
+  { "store-hangs-worker-killed", "{\"accept_and_hang\":true}", NULL, NULL, 0,
+    TARGET_WORKER, 0, 6000 },
   { "store-loses-answers-node-killed", "{\"method\":\"PUT\",\"lose_answer\":-1}", NULL,
-    NULL, 0, A_NODE, 0, 4000 },
+    NULL, 0, TARGET_NODE, 0, 4000 },
 };
 
 typedef enum
 {
   WAITING,
   ANSWERED,
-  REFUSED, /* "not run" */
+  REFUSED, /* reported as not run */
   UNKNOWN
-} Fate;
+} Outcome;
 
 typedef enum
 {
@@ -107,9 +110,9 @@
   struct Run *run;
   int number;
   Kind kind;
-  Fate fate;
-  int code;   /* of a refusal or an unknown end */
-  bool other; /* the answer isn't this request's own, or isn't whole */
+  Outcome outcome;
+  int code;          /* result code, unless ANSWERED */
+  bool wrong_answer; /* the answer is another request's or incomplete */
 } Request;
 
 typedef struct Run
@@ -120,23 +123,23 @@
   int relay;
   int nodes[NODES];
   int workers[WORKERS];
-  bool avoid[NODES]; /* by the balancer: it is being stopped */
+  bool avoid[NODES]; /* gets no calls: it is being stopped */
   Request requests[REQUESTS_MAX];
   int n_requests;
   int open;
   char jobs[JOBS_MAX][24];
   int n_jobs;
-  int jobs_unsure;
+  int jobs_unknown;
   int ticks;
-  KqTime worst;
-  int faults; /* of the rules, each printed */
+  KqTime slowest;
+  int violations; /* of the expected results; each is printed */
 } Run;
 
 static void
-broken (Run *r, const char *rule, int number)
+report_violation (Run *r, const char *rule, int number)
 {
   printf ("  %s: %s, request or job %d\n", r->c->name, rule, number);
-  r->faults++;
+  r->violations++;
 }
 
 static bool
@@ -203,7 +206,7 @@
   return true;
 }
 
-/* The node for the next call, as a balancer would choose it: not one that has gone. */
+/* The node for the next call. Like a load balancer it avoids nodes that are down. */
 static int
 pick_node (Run *r, int n)
 {
@@ -223,17 +226,17 @@
   Run *r = q->run;
   char id[40];
   r->open--;
-  r->worst = a->took > r->worst ? a->took : r->worst;
+  r->slowest = a->took > r->slowest ? a->took : r->slowest;
   q->code = a->code;
   if (a->end == KQ_HTTP_NOT_SENT || strcmp (a->ran, "no") == 0)
-    q->fate = REFUSED;
+    q->outcome = REFUSED;
   else if (a->end != KQ_HTTP_DONE || strcmp (a->ran, "unknown") == 0)
-    q->fate = UNKNOWN;
+    q->outcome = UNKNOWN;
   else
     {
       snprintf (id, sizeof id, "\"fl-%d\"", q->number);
-      q->fate = ANSWERED;
-      q->other
+      q->outcome = ANSWERED;
+      q->wrong_answer
           = a->status == 200 && (a->body.ptr == NULL || strstr (a->body.ptr, id) == NULL);
     }
 }
@@ -273,7 +276,7 @@
   if (a->status == 200 && id != NULL)
     snprintf (r->jobs[r->n_jobs++], sizeof r->jobs[0], "%s", id);
   else if (a->end != KQ_HTTP_NOT_SENT && strcmp (a->ran, "no") != 0)
-    r->jobs_unsure++;
+    r->jobs_unknown++;
   json_decref (o);
 }
 
@@ -335,9 +338,11 @@
 }
 
 static int
-target_of (const Run *r, int whom)
+process_of (const Run *r, int target)
 {
-  return whom == A_NODE ? r->nodes[1] : whom == A_WORKER ? r->workers[0] : r->store;
+  return target == TARGET_NODE     ? r->nodes[1]
+         : target == TARGET_WORKER ? r->workers[0]
+                                   : r->store;
 }
 
 static void
@@ -350,15 +355,15 @@
     procs_fault (&r->p, r->workers[0], c->worker);
   if (c->relay != NULL)
     post_relay (r, c->relay);
-  r->avoid[1] = c->term == A_NODE || c->stop == A_NODE;
-  if (c->stop != NOBODY)
-    procs_signal (&r->p, target_of (r, c->stop), SIGSTOP);
-  if (c->term != NOBODY)
-    procs_signal (&r->p, target_of (r, c->term), SIGTERM);
-  if (c->kill != NOBODY)
+  r->avoid[1] = c->term == TARGET_NODE || c->stop == TARGET_NODE;
+  if (c->stop != TARGET_NONE)
+    procs_signal (&r->p, process_of (r, c->stop), SIGSTOP);
+  if (c->term != TARGET_NONE)
+    procs_signal (&r->p, process_of (r, c->term), SIGTERM);
+  if (c->kill != TARGET_NONE)
     {
-      procs_signal (&r->p, target_of (r, c->kill), SIGKILL);
-      procs_wait_exit (&r->p, target_of (r, c->kill), KQ_SEC);
+      procs_signal (&r->p, process_of (r, c->kill), SIGKILL);
+      procs_wait_exit (&r->p, process_of (r, c->kill), KQ_SEC);
     }
 }
 
@@ -366,17 +371,17 @@
 end_fault (Run *r)
 {
   const Case *c = r->c;
-  if (c->stop != NOBODY)
-    procs_signal (&r->p, target_of (r, c->stop), SIGCONT);
+  if (c->stop != TARGET_NONE)
+    procs_signal (&r->p, process_of (r, c->stop), SIGCONT);
   if (c->store != NULL)
     procs_fault (&r->p, r->store, "{\"clear\":true}");
   if (c->worker != NULL)
     procs_fault (&r->p, r->workers[0], "{\"clear\":true}");
   if (c->relay != NULL)
     post_relay (r, "{}");
-  if (c->term != NOBODY
-      && procs_wait_exit (&r->p, target_of (r, c->term), 15 * KQ_SEC) != 0)
-    broken (r, "the planned stop did not exit with 0", 0);
+  if (c->term != TARGET_NONE
+      && procs_wait_exit (&r->p, process_of (r, c->term), 15 * KQ_SEC) != 0)
+    report_violation (r, "the planned stop did not exit with 0", 0);
 }
 
 static bool
@@ -427,77 +432,79 @@
   return n;
 }
 
-/* Idempotent requests are served throughout an outage of the store. */
+/* Idempotent requests have to be served throughout an outage of the store. */
 static void
-judge_outage (Run *r)
+check_outage (Run *r)
 {
   bool store_alone
-      = (r->c->store != NULL || r->c->relay != NULL || r->c->stop == THE_STORE)
-        && r->c->kill == NOBODY;
+      = (r->c->store != NULL || r->c->relay != NULL || r->c->stop == TARGET_STORE)
+        && r->c->kill == TARGET_NONE;
   int refused = 0;
   for (int i = 0; i < r->n_requests; i++)
-    refused += r->requests[i].kind == GET && r->requests[i].fate == REFUSED;
-  if (store_alone && refused > OUTAGE_REFUSALS)
-    broken (r, "idempotent requests refused while only the store was away", refused);
+    refused += r->requests[i].kind == GET && r->requests[i].outcome == REFUSED;
+  if (store_alone && refused > OUTAGE_REFUSALS_MAX)
+    report_violation (r, "idempotent requests refused while only the store was away",
+                      refused);
 }
 
 static void
-judge (Run *r)
+check_run (Run *r)
 {
   json_t *effects[WORKERS] = { 0 };
-  bool all = r->c->kill != A_WORKER; /* a killed process's counts are gone */
+  bool counts_complete
+      = r->c->kill != TARGET_WORKER; /* the counts of a killed process are lost */
   for (int w = 0; w < WORKERS; w++)
     {
       if (r->p.processes[r->workers[w]].pid != 0)
         effects[w] = procs_standin_json (&r->p, r->workers[w], "/v1/effects");
       if (json_integer_value (json_object_get (effects[w], "max_running_at_once")) > 1)
-        broken (r, "a job ran in two places at once", 0);
+        report_violation (r, "a job ran in two places at once", 0);
       if (json_integer_value (json_object_get (effects[w], "overcommits")) > 0)
-        broken (r, "a worker was given more than it holds", 0);
+        report_violation (r, "a worker was given more than it holds", 0);
     }
   for (int i = 0; i < r->n_requests; i++)
     {
       const Request *q = &r->requests[i];
       int runs = runs_of (effects, i);
-      if (q->fate == WAITING)
-        broken (r, "no answer", i);
-      if (q->fate == REFUSED && runs > 0)
-        broken (r, "refused as not run, but ran", i);
+      if (q->outcome == WAITING)
+        report_violation (r, "no answer", i);
+      if (q->outcome == REFUSED && runs > 0)
+        report_violation (r, "refused as not run, but ran", i);
       if (q->kind != GET && runs > 1)
-        broken (r, "ran twice", i);
-      if (q->fate == ANSWERED && runs == 0 && all)
-        broken (r, "answered, but never ran", i);
-      if (q->other)
-        broken (r, "an answer that isn't its own or isn't whole", i);
-      if (q->fate == UNKNOWN && r->c->term != NOBODY)
-        broken (r, "cut by a planned stop", i);
+        report_violation (r, "ran twice", i);
+      if (q->outcome == ANSWERED && runs == 0 && counts_complete)
+        report_violation (r, "answered, but never ran", i);
+      if (q->wrong_answer)
+        report_violation (r, "an answer that isn't its own or isn't whole", i);
+      if (q->outcome == UNKNOWN && r->c->term != TARGET_NONE)
+        report_violation (r, "cut by a planned stop", i);
     }
-  judge_outage (r);
+  check_outage (r);
   for (int i = 0; i < r->n_jobs; i++)
     {
       char state[32];
       job_state (r, i, state);
       if (strcmp (state, "finished") != 0)
-        broken (r, state[0] != '\0' ? state : "job not known", i);
+        report_violation (r, state[0] != '\0' ? state : "job not known", i);
     }
   for (int w = 0; w < WORKERS; w++)
     json_decref (effects[w]);
 }
 
 static void
-show (const Run *r)
+print_case (const Run *r)
 {
   int n[4] = { 0 };
   for (int i = 0; i < r->n_requests; i++)
-    n[r->requests[i].fate]++;
+    n[r->requests[i].outcome]++;
   printf ("%-32s %5d %5d %5d %5d %5d %5d %7.2f  %s\n", r->c->name, r->n_requests,
-          n[ANSWERED], n[REFUSED], n[UNKNOWN], r->n_jobs, r->jobs_unsure,
-          (double)r->worst / KQ_SEC, r->faults == 0 ? "passed" : "FAILED");
+          n[ANSWERED], n[REFUSED], n[UNKNOWN], r->n_jobs, r->jobs_unknown,
+          (double)r->slowest / KQ_SEC, r->violations == 0 ? "passed" : "FAILED");
   fflush (stdout);
 }
 
 static void
-show_codes (const Run *r)
+print_codes (const Run *r)
 {
   static const char *const kinds[] = { "GET", "POST", "keyed" };
   for (int code = 0; code < KQ_RESULT_LIMIT; code++)
@@ -505,7 +512,7 @@
       int n[3] = { 0 };
       for (int i = 0; i < r->n_requests; i++)
         n[r->requests[i].kind]
-            += r->requests[i].fate >= REFUSED && r->requests[i].code == code;
+            += r->requests[i].outcome >= REFUSED && r->requests[i].code == code;
       for (int k = 0; k < 3; k++)
         {
           if (n[k] > 0)
@@ -516,7 +523,7 @@
     }
 }
 
-/* 1: measured; 0: the fleet didn't come up. */
+/* Returns 1, or 0: the fleet didn't start. */
 static int
 run_case (const Case *c, int *failed)
 {
@@ -534,18 +541,18 @@
       && procs_wait (&r->p, 10 * KQ_SEC, has_table, r)
       && procs_wait (&r->p, 20 * KQ_SEC, serves, r))
     {
-      load_for (r, BEFORE);
+      load_for (r, LOAD_BEFORE);
       begin_fault (r);
       load_for (r, c->span_ms * KQ_MS);
       end_fault (r);
-      r->avoid[1] = r->avoid[1] && c->term != NOBODY;
-      load_for (r, BEHIND);
+      r->avoid[1] = r->avoid[1] && c->term != TARGET_NONE;
+      load_for (r, LOAD_AFTER);
       procs_wait (&r->p, 30 * KQ_SEC, none_open, r);
-      procs_wait (&r->p, SETTLE, jobs_finished, r);
-      judge (r);
-      show (r);
-      show_codes (r);
-      *failed += r->faults > 0;
+      procs_wait (&r->p, JOBS_TIMEOUT, jobs_finished, r);
+      check_run (r);
+      print_case (r);
+      print_codes (r);
+      *failed += r->violations > 0;
       ok = 1;
     }
   else
--- a/bench/guard.c
+++ b/bench/guard.c
@@ -3,7 +3,7 @@
 #include <ev.h>
 
 static void
-on_guard (struct ev_loop *ev, ev_timer *w, int events)
+on_timeout (struct ev_loop *ev, ev_timer *w, int events)
 {
   (void)w;
   (void)events;
@@ -13,9 +13,9 @@
 void
 guard_run (KqLoop *loop, double seconds)
 {
-  ev_timer guard;
-  ev_timer_init (&guard, on_guard, seconds, 0);
-  ev_timer_start (kq_loop_ev (loop), &guard);
+  ev_timer timer;
+  ev_timer_init (&timer, on_timeout, seconds, 0);
+  ev_timer_start (kq_loop_ev (loop), &timer);
   kq_loop_run (loop);
-  ev_timer_stop (kq_loop_ev (loop), &guard);
+  ev_timer_stop (kq_loop_ev (loop), &timer);
 }
--- a/bench/procs.c
+++ b/bench/procs.c
@@ -13,7 +13,7 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#define START_LIMIT (10 * KQ_SEC)
+#define START_TIMEOUT (10 * KQ_SEC)
 #define TOKEN "fleet-operator-token"
 #define POLL_US 20000
 #define ARGS_MAX 48
@@ -90,9 +90,10 @@
     remove_dir (f->dir);
 }
 
-/* In the child: output to files, then the program. Only async-signal-safe calls. */
+/* In the child process: redirects output to files and executes the program. Calls only
+ * async-signal-safe functions. */
 static void
-become (const char *path, char **argv, const char *out, const char *log)
+exec_program (const char *path, char **argv, const char *out, const char *log)
 {
   int fd = open (out, O_WRONLY | O_CREAT | O_TRUNC, 0600);
   int fd2 = open (log, O_WRONLY | O_CREAT | O_APPEND, 0600);
@@ -110,19 +111,19 @@
   char log[128];
   char *text = kq_str_dup (kq_str (options));
   char *argv[ARGS_MAX] = { path };
-  char *save = NULL;
+  char *next_arg = NULL;
   int n = 1;
   ProcsProcess *p = &f->processes[index];
   snprintf (path, sizeof path, "%s/%s", f->build, program);
   snprintf (out, sizeof out, "%s/%d.out", f->dir, index);
   snprintf (log, sizeof log, "%s/%d.log", f->dir, index);
-  for (char *a = strtok_r (text, " ", &save); a != NULL && n < ARGS_MAX - 1;
-       a = strtok_r (NULL, " ", &save))
+  for (char *a = strtok_r (text, " ", &next_arg); a != NULL && n < ARGS_MAX - 1;
+       a = strtok_r (NULL, " ", &next_arg))
     argv[n++] = a;
   p->kind = kind;
   p->pid = fork ();
   if (p->pid == 0)
-    become (path, argv, out, log);
+    exec_program (path, argv, out, log);
   free (text);
 }
 
@@ -142,7 +143,7 @@
   char now[128];
   char kept[160];
   snprintf (now, sizeof now, "%s/%d.out", f->dir, index);
-  snprintf (kept, sizeof kept, "%s/%d.out.%d", f->dir, index, ++p->starts);
+  snprintf (kept, sizeof kept, "%s/%d.out.%d", f->dir, index, ++p->restarts);
   rename (now, kept);
   spawn (f, index, p->kind, program, options);
 }
@@ -164,12 +165,12 @@
 }
 
 bool
-procs_await_text (Procs *f, int index, const char *ending, const char *text,
+procs_await_text (Procs *f, int index, const char *suffix, const char *text,
                   char rest[256])
 {
-  KqTime until = kq_time_now () + START_LIMIT;
+  KqTime until = kq_time_now () + START_TIMEOUT;
   char path[128];
-  snprintf (path, sizeof path, "%s/%d.%s", f->dir, index, ending);
+  snprintf (path, sizeof path, "%s/%d.%s", f->dir, index, suffix);
   while (kq_time_now () < until)
     {
       char *all = read_file (path);
@@ -182,7 +183,7 @@
         return true;
       usleep (POLL_US);
     }
-  fprintf (stderr, "fleet: no \"%s\" in %s\n", text, path);
+  fprintf (stderr, "fleet: timeout waiting for \"%s\" in %s\n", text, path);
   return false;
 }
 
@@ -288,19 +289,19 @@
   return i;
 }
 
-/* A request under way. */
+/* A request in flight. */
 typedef struct
 {
   ProcsAnswer answer;
   ProcsDone done;
   void *arg;
-} Asking;
+} PendingCall;
 
 static void
 on_head (void *arg, KqHttpCall *c, int status, const KqHeader *h, size_t n,
          int64_t length)
 {
-  Asking *a = arg;
+  PendingCall *a = arg;
   (void)c;
   (void)h;
   (void)n;
@@ -311,7 +312,7 @@
 static void
 on_data (void *arg, KqHttpCall *c, KqStr chunk)
 {
-  Asking *a = arg;
+  PendingCall *a = arg;
   (void)c;
   kq_buf_add_str (&a->answer.body, chunk);
 }
@@ -332,7 +333,7 @@
 static void
 on_done (void *arg, KqHttpCall *c, KqHttpOutcome end)
 {
-  Asking *a = arg;
+  PendingCall *a = arg;
   (void)c;
   a->answer.end = end;
   a->answer.took = kq_time_now () - a->answer.started_at;
@@ -346,7 +347,7 @@
 void
 procs_ask (Procs *f, const ProcsRequest *r, ProcsDone done, void *arg)
 {
-  Asking *a = kq_alloc (sizeof *a);
+  PendingCall *a = kq_alloc (sizeof *a);
   KqHttpCallback cb = { a, on_head, on_data, NULL, on_done };
   KqHttpRequest q = { .method = r->method,
                       .url = r->url,
@@ -366,12 +367,12 @@
 {
   ProcsAnswer *answer;
   bool done;
-} Waiting;
+} SyncCall;
 
 static void
-keep_answer (void *arg, const ProcsAnswer *a)
+copy_answer (void *arg, const ProcsAnswer *a)
 {
-  Waiting *w = arg;
+  SyncCall *w = arg;
   *w->answer = *a;
   w->answer->body = (KqBuf){ 0 };
   kq_buf_add_str (&w->answer->body, kq_buf_str (&a->body));
@@ -381,27 +382,27 @@
 void
 procs_call (Procs *f, const ProcsRequest *r, ProcsAnswer *a)
 {
-  Waiting w = { a, false };
+  SyncCall w = { a, false };
   *a = (ProcsAnswer){ 0 };
-  procs_ask (f, r, keep_answer, &w);
+  procs_ask (f, r, copy_answer, &w);
   procs_run (f, 60 * KQ_SEC, &w.done);
 }
 
 static void
-on_wake (struct ev_loop *ev, ev_timer *w, int events)
+on_wake_timer (struct ev_loop *ev, ev_timer *w, int events)
 {
   (void)w;
   (void)events;
   ev_break (ev, EVBREAK_ALL);
 }
 
-/* The loop is left every few milliseconds to look at the flag. */
+/* The loop is interrupted every 2 ms to check the flag. */
 bool
 procs_run (Procs *f, KqTime limit, const bool *flag)
 {
   KqTime until = kq_time_now () + limit;
   struct ev_loop *ev = kq_loop_ev (f->loop);
-  ev_timer wake;
+  ev_timer wake_timer;
   do
     {
       KqTime left = until - kq_time_now ();
@@ -410,10 +411,10 @@
       if (flag != NULL && left > 2 * KQ_MS)
         left = 2 * KQ_MS;
       ev_now_update (ev);
-      ev_timer_init (&wake, on_wake, (double)left / KQ_SEC, 0);
-      ev_timer_start (ev, &wake);
+      ev_timer_init (&wake_timer, on_wake_timer, (double)left / KQ_SEC, 0);
+      ev_timer_start (ev, &wake_timer);
       kq_loop_run (f->loop);
-      ev_timer_stop (ev, &wake);
+      ev_timer_stop (ev, &wake_timer);
       if (flag != NULL && *flag)
         return true;
     }
@@ -474,7 +475,7 @@
   snprintf (url, sizeof url, "http://127.0.0.1:%d/v1/fault", f->processes[index].port);
   procs_call (f, &r, &a);
   if (a.status >= 300)
-    fprintf (stderr, "fleet: fault refused: %s\n", a.body.ptr);
+    fprintf (stderr, "fleet: stand-in refused the fault: %s\n", a.body.ptr);
   kq_buf_free (&a.body);
 }
 
--- a/bench/procs_ready.c
+++ b/bench/procs_ready.c
@@ -3,18 +3,18 @@
 #include <stdio.h>
 #include <string.h>
 
-/* What must hold before a run begins, and what the stand-ins have counted. */
+/* Waits for a fleet to be ready, and reads the stand-ins' counts. */
 
 typedef struct
 {
   int node;
   const char *changes;
-} TableWanted;
+} TableChange;
 
 static bool
-table_taken (Procs *f, void *arg)
+table_accepted (Procs *f, void *arg)
 {
-  const TableWanted *t = arg;
+  const TableChange *t = arg;
   ProcsAnswer a;
   bool ok;
   procs_operator (f, t->node, "POST", "/v1/table", t->changes, NULL, &a);
@@ -26,8 +26,8 @@
 bool
 procs_set_table (Procs *f, KqTime limit, int node, const char *changes)
 {
-  TableWanted t = { node, changes };
-  return procs_wait (f, limit, table_taken, &t);
+  TableChange t = { node, changes };
+  return procs_wait (f, limit, table_accepted, &t);
 }
 
 static bool
@@ -86,7 +86,7 @@
   return ok;
 }
 
-/* How many shards a node holds, and how many its region has. */
+/* Counts the shards that a node owns, and those of its region. */
 static void
 count_shards (Procs *f, int i, int *active, int *all)
 {
