--- a/fuzz/driver.c
+++ b/fuzz/driver.c
@@ -1,4 +1,4 @@
-/* driver: libFuzzer's side of one entry, which the Makefile names. */
+/* driver: calls one entry point from libFuzzer; the Makefile sets KQ_FUZZ_ENTRY. */
 
 #include "fuzz.h"
 
@@ -6,7 +6,7 @@
 #define KQ_FUZZ_ENTRY kq_fuzz_frame
 #endif
 
-/* The name is libFuzzer's. NOLINTBEGIN(readability-identifier-naming) */
+/* libFuzzer requires this name. NOLINTBEGIN(readability-identifier-naming) */
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t size);
 
 int
--- a/fuzz/fuzz_block.c
+++ b/fuzz/fuzz_block.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-#define DIGEST_AT (KQ_BLOCK_HEAD - 8)
+#define DIGEST_OFFSET (KQ_BLOCK_HEAD - 8)
 
 static void
 decode (KqStr value)
@@ -17,18 +17,18 @@
     return;
   kq_block_encode (&b, &first);
   kq_fuzz_check (kq_block_decode (kq_buf_str (&first), &again) == KQ_OK,
-                 "a block that was read can be written");
+                 "a decoded block can be encoded");
   kq_block_encode (&again, &second);
   kq_fuzz_check (kq_str_eq (kq_buf_str (&first), kq_buf_str (&second)),
-                 "a block that is written again stays the same");
+                 "encoding a block again gives the same bytes");
   kq_block_free (&b);
   kq_block_free (&again);
   kq_buf_free (&first);
   kq_buf_free (&second);
 }
 
-/* The digest keeps random bytes out, so they also come as the payload behind a right
- * one: what a faulty program of ours would write. */
+/* Random bytes hardly ever have a valid digest. So they are also decoded as a payload
+ * with the right digest, as a node with a fault could write it. */
 void
 kq_fuzz_block (KqStr data)
 {
@@ -39,7 +39,7 @@
   kq_block_encode (&empty, &value);
   value.len = KQ_BLOCK_HEAD;
   for (int i = 0; i < 8; i++)
-    value.ptr[DIGEST_AT + i] = (char)(digest >> (56 - 8 * i));
+    value.ptr[DIGEST_OFFSET + i] = (char)(digest >> (56 - 8 * i));
   kq_buf_add_str (&value, data);
   decode (kq_buf_str (&value));
   kq_buf_free (&value);
--- a/fuzz/fuzz_frame.c
+++ b/fuzz/fuzz_frame.c
@@ -21,10 +21,10 @@
     return;
   kq_msg_pack (&m, &first);
   kq_fuzz_check (kq_msg_unpack (body_of (&first), &again) == KQ_OK,
-                 "a message that was read can be sent on");
+                 "a decoded message can be encoded");
   kq_msg_pack (&again, &second);
   kq_fuzz_check (kq_str_eq (kq_buf_str (&first), kq_buf_str (&second)),
-                 "a message that is sent on stays the same");
+                 "encoding a message again gives the same bytes");
   kq_msg_clear (&m);
   kq_msg_clear (&again);
   kq_buf_free (&first);
--- a/fuzz/fuzz_hosts.c
+++ b/fuzz/fuzz_hosts.c
@@ -8,7 +8,7 @@
   KqHostList l;
   if (kq_hosts_parse (data, &l) != KQ_OK)
     {
-      kq_fuzz_check (l.n_hosts == 0, "a refused list is empty");
+      kq_fuzz_check (l.n_hosts == 0, "a rejected list is empty");
       return;
     }
   for (size_t i = 0; i < l.n_hosts; i++)
--- a/fuzz/fuzz_platform.c
+++ b/fuzz/fuzz_platform.c
@@ -9,10 +9,11 @@
 #include "settings/fleet_settings.h"
 
 static void
-take (void *arg, const KqRunnerEntry *e)
+check_runner (void *arg, const KqRunnerEntry *e)
 {
   (void)arg;
-  kq_fuzz_check (e->room.cpu_milli >= 0 && e->address.len > 0, "a usable entry is whole");
+  kq_fuzz_check (e->room.cpu_milli >= 0 && e->address.len > 0,
+                 "a usable entry has an address and no negative resources");
 }
 
 /* A key under a prefix; freed by the caller. */
@@ -38,16 +39,16 @@
 }
 
 static void
-read_entry (KqStr text)
+read_runner (KqStr text)
 {
   KqBuf key = key_under (kq_source_runners_prefix (), KQ_STR ("i-1"));
   KqStr id;
-  kq_source_runner (kq_buf_str (&key), text, &id, take, NULL);
+  kq_source_runner (kq_buf_str (&key), text, &id, check_runner, NULL);
   kq_buf_free (&key);
 }
 
 static void
-read_list (KqStr text)
+read_runner_reply (KqStr text)
 {
   json_error_t e;
   json_t *j = json_loadb (text.ptr, text.len, 0, &e);
@@ -64,12 +65,13 @@
   const char *why;
   if (!kq_spec_unpack (text, &s))
     return;
-  kq_fuzz_check (kq_spec_check (&s, &why) == KQ_OK, "a stored job that is read is sound");
+  kq_fuzz_check (kq_spec_check (&s, &why) == KQ_OK,
+                 "a stored job that is accepted is valid");
   kq_spec_clear (&s);
 }
 
 static void
-read_crew (KqStr text)
+read_agent_items (KqStr text)
 {
   KqAgentItem i;
   while (kq_agent_item_unpack (&text, &i))
@@ -77,7 +79,7 @@
 }
 
 static void
-read_learned (KqStr text)
+read_disturb (KqStr text)
 {
   KqDisturb *d = kq_disturb_new ();
   kq_disturb_unpack (d, text);
@@ -94,17 +96,17 @@
 }
 
 static void
-take_wave (void *arg, const KqWaveInfo *w)
+check_wave (void *arg, const KqWaveInfo *w)
 {
   (void)arg;
-  kq_fuzz_check (w->cap > 0 && w->number >= 0, "a usable wave is whole");
+  kq_fuzz_check (w->cap > 0 && w->number >= 0, "a usable wave has a limit and a number");
 }
 
 static void
 read_wave (KqStr text)
 {
   KqBuf key = key_under (kq_source_waves_prefix (), KQ_STR ("1"));
-  kq_source_wave (kq_buf_str (&key), text, take_wave, NULL);
+  kq_source_wave (kq_buf_str (&key), text, check_wave, NULL);
   kq_buf_free (&key);
 }
 
@@ -121,7 +123,7 @@
 }
 
 static void
-read_waves (KqStr text)
+read_stored_waves (KqStr text)
 {
   KqSchedConfig c = { .counters = kq_counters_new () };
   KqSched *s = kq_sched_new (&c, KQ_SEC);
@@ -130,25 +132,26 @@
   kq_counters_free (c.counters);
 }
 
-/* The first byte chooses the reader. Readers that came later have the highest bytes, so
- * that the corpus keeps its meaning. */
+/* The first byte selects the reader. Readers added after the corpus was made are selected
+ * by the highest values, so that the older files still reach the same readers. */
 void
 kq_fuzz_platform (KqStr data)
 {
   static void (*const readers[]) (KqStr)
-      = { read_config, read_entry,   read_list,    read_spec,
-          read_crew,   read_learned, read_settings };
-  static void (*const later[]) (KqStr) = { read_wave, read_advice, read_waves };
+      = { read_config,      read_runner,  read_runner_reply, read_spec,
+          read_agent_items, read_disturb, read_settings };
+  static void (*const added_readers[]) (KqStr)
+      = { read_wave, read_advice, read_stored_waves };
   size_t n = sizeof readers / sizeof readers[0];
-  size_t n_later = sizeof later / sizeof later[0];
+  size_t n_added = sizeof added_readers / sizeof added_readers[0];
   uint8_t first;
   KqStr rest;
   if (data.len == 0)
     return;
   first = (uint8_t)data.ptr[0];
   rest = kq_str_n (data.ptr + 1, data.len - 1);
-  if (first > UINT8_MAX - n_later)
-    later[UINT8_MAX - first](rest);
+  if (first > UINT8_MAX - n_added)
+    added_readers[UINT8_MAX - first](rest);
   else
     readers[first % n](rest);
 }
--- a/fuzz/fuzz_record.c
+++ b/fuzz/fuzz_record.c
@@ -8,8 +8,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TYPES_FIRST 100 /* of the claims */
-#define JOB_TYPES 200
+#define CLAIM_RECORD_TYPE_FIRST 100
+#define JOB_RECORD_TYPE_FIRST 200
 
 static void
 check_event (const KqRecord *r, KqJobSet *set)
@@ -23,10 +23,10 @@
     return;
   packed = kq_job_event_pack (&e, &first);
   kq_fuzz_check (kq_job_event_unpack (&packed, &again) == KQ_OK,
-                 "an event that was read can be written");
+                 "a decoded event can be encoded");
   kq_job_event_pack (&again, &second);
   kq_fuzz_check (kq_str_eq (kq_buf_str (&first), kq_buf_str (&second)),
-                 "an event that is written again stays the same");
+                 "encoding an event again gives the same bytes");
   if (kq_job_event_fits (set, &e))
     {
       kq_job_set_apply (set, &e);
@@ -38,23 +38,23 @@
   kq_buf_free (&second);
 }
 
-/* What was learned may be wrong, but never a size that no task can have. */
+/* Learned values may be wrong, but must give a size that is possible for a task. */
 static void
 check_learned (const KqRecord *r)
 {
   static KqClasses classes;
   static KqSizes sizes;
   static KqInterference interference;
-  KqSize whole = { 64000, 250000, 8 };
+  KqSize largest = { 64000, 250000, 8 };
   KqSize need;
   memset (&classes, 0, sizeof classes);
   memset (&sizes, 0, sizeof sizes);
   memset (&interference, 0, sizeof interference);
   if (kq_learned_apply (r, &classes, &sizes, &interference, 1) != KQ_OK)
     return;
-  need = kq_sizes_need (&sizes, 0, (KqSize){ 1000, 512, 0 }, whole);
+  need = kq_sizes_need (&sizes, 0, (KqSize){ 1000, 512, 0 }, largest);
   kq_fuzz_check (need.cpu_milli >= 0 && need.memory_mb >= 0, "a size isn't negative");
-  kq_fuzz_check (kq_size_fits (&need, &whole), "a size is never beyond every worker");
+  kq_fuzz_check (kq_size_fits (&need, &largest), "a size fits the largest worker");
 }
 
 static void
@@ -68,8 +68,8 @@
   kq_claims_apply (claims, r, 1);
 }
 
-/* A series of records: type less 100, version, length, body. What a journal holds was
- * read behind a digest; here it may be anything. */
+/* A series of records: type - 100, version, length, body. A journal's records are read
+ * only after their digest was checked; these may have any content. */
 void
 kq_fuzz_record (KqStr data)
 {
@@ -80,7 +80,7 @@
   kq_job_set_init (set);
   while (data.len >= 3)
     {
-      KqRecord r = { .type = (uint16_t)(TYPES_FIRST + (uint8_t)data.ptr[0]),
+      KqRecord r = { .type = (uint16_t)(CLAIM_RECORD_TYPE_FIRST + (uint8_t)data.ptr[0]),
                      .version = (uint8_t)data.ptr[1] };
       size_t len = (uint8_t)data.ptr[2];
       data = kq_str_n (data.ptr + 3, data.len - 3);
@@ -89,7 +89,7 @@
       data = kq_str_n (data.ptr + len, data.len - len);
       if (r.type == KQ_JOB_RECORD_LEARNED)
         check_learned (&r);
-      else if (r.type >= JOB_TYPES)
+      else if (r.type >= JOB_RECORD_TYPE_FIRST)
         check_event (&r, set);
       else
         check_claim (&r, claims);
--- a/fuzz/fuzz_table.c
+++ b/fuzz/fuzz_table.c
@@ -15,10 +15,10 @@
     return;
   kq_table_pack (t, &first);
   again = kq_table_unpack (kq_buf_str (&first), &why);
-  kq_fuzz_check (again != NULL, "a table that was read can be sent on");
+  kq_fuzz_check (again != NULL, "a decoded table can be encoded");
   kq_table_pack (again, &second);
   kq_fuzz_check (kq_str_eq (kq_buf_str (&first), kq_buf_str (&second)),
-                 "a table that is sent on stays the same");
+                 "encoding a table again gives the same bytes");
   kq_table_unref (t);
   kq_table_unref (again);
   kq_buf_free (&first);
@@ -49,13 +49,13 @@
   if (kq_head_unpack (bytes, &h))
     {
       kq_head_pack (&h, &out);
-      kq_fuzz_check (out.len > 0, "a head that was read can be written");
+      kq_fuzz_check (out.len > 0, "a decoded head can be encoded");
       kq_head_free (&h);
     }
   kq_buf_free (&out);
 }
 
-/* Once as they are, once behind a right digest. */
+/* The bytes as they are, and with a valid digest. */
 void
 kq_fuzz_table (KqStr data)
 {
--- a/fuzz/fuzz_worker.c
+++ b/fuzz/fuzz_worker.c
@@ -29,7 +29,7 @@
   free (call.acks);
 }
 
-/* The first byte chooses the call, and whether its status said that it was done. */
+/* The first byte selects the call, and whether its HTTP status was a success. */
 void
 kq_fuzz_worker (KqStr data)
 {
--- a/soak/soak.c
+++ b/soak/soak.c
@@ -13,10 +13,10 @@
 
 #define NODES_MAX 12
 #define JOBS_MAX 2000
-#define SUBMIT_GAP (60 * KQ_MS)
-#define ASK_MS 3000
-/* With all faults over, everything accepted must have ended by then. */
-#define SETTLE (60 * KQ_SEC)
+#define SUBMIT_INTERVAL (60 * KQ_MS)
+#define CALL_TIMEOUT_MS 3000
+/* Within this time after the last fault every accepted job must have ended. */
+#define SETTLE_TIMEOUT (60 * KQ_SEC)
 
 typedef struct Soak Soak;
 
@@ -27,23 +27,23 @@
   int tasks;
   bool lasting;
   bool fails;
-  bool asking; /* a call about it is open */
+  bool call_open; /* waits for an answer */
   bool accepted;
-  bool unsure;    /* some attempt had no clear answer */
-  bool rejected;  /* some attempt was refused as not run */
+  bool uncertain; /* an attempt may or may not have been accepted */
+  bool rejected;  /* an attempt was refused as not run */
   bool cancelled; /* the cancellation was acknowledged */
   bool cancel_sent;
-  char state[16]; /* as last told */
-  int tries;
+  char state[16]; /* as last received */
+  int attempts;
 } Job;
 
 typedef struct
 {
   int process; /* in procs; -1: down */
   int relay;
-  int relay_control;
-  int front;
-  KqTime up_at; /* when to start or wake it again; 0: it is up */
+  int relay_control_port;
+  int front_port;
+  KqTime restart_at; /* when to start or resume it; 0: it is up */
   bool paused;
 } Node;
 
@@ -53,22 +53,22 @@
   Procs procs;
   KqRand rand;
   int platform;
-  int control;
+  int control_port;
   int store_port;
   int runner_ports[64];
   Node nodes[NODES_MAX];
   Job jobs[JOBS_MAX];
   int n_jobs;
   KqTime began_at;
-  KqTime heal_store_at;
-  KqTime heal_runner_at[64];
+  KqTime store_fault_end;
+  KqTime runner_fault_end[64];
   int breaches;
   int answers;
   int refusals;
 };
 
 static int
-below (Soak *s, int n)
+rand_below (Soak *s, int n)
 {
   return (int)kq_rand_below (&s->rand, (uint64_t)n);
 }
@@ -81,7 +81,7 @@
           (double)(kq_time_now () - s->began_at) / KQ_SEC, rule, what);
 }
 
-/* Starting. */
+/* Start of the processes. */
 
 static bool
 start_platform (Soak *s)
@@ -94,7 +94,7 @@
   if (s->platform < 0
       || !procs_await_text (&s->procs, s->platform, "out", "control ", rest))
     return false;
-  s->control = atoi (rest);
+  s->control_port = atoi (rest);
   procs_await_text (&s->procs, s->platform, "out", "store ", rest);
   s->store_port = atoi (rest);
   return true;
@@ -127,7 +127,7 @@
   n->relay = procs_start_relay (&s->procs, target);
   if (n->relay < 0 || !procs_await_text (&s->procs, n->relay, "out", "control ", rest))
     return false;
-  n->relay_control = atoi (rest);
+  n->relay_control_port = atoi (rest);
   return true;
 }
 
@@ -163,8 +163,8 @@
   if (n->process < 0
       || !procs_await_text (&s->procs, n->process, "out", "Started. front=", rest))
     return false;
-  n->front = atoi (rest);
-  n->up_at = 0;
+  n->front_port = atoi (rest);
+  n->restart_at = 0;
   n->paused = false;
   return true;
 }
@@ -184,7 +184,7 @@
   Job *j = arg;
   json_t *o;
   const char *state;
-  j->asking = false;
+  j->call_open = false;
   j->soak->answers++;
   if (a->end != KQ_HTTP_DONE)
     return;
@@ -211,7 +211,7 @@
 on_submitted (void *arg, const ProcsAnswer *a)
 {
   Job *j = arg;
-  j->asking = false;
+  j->call_open = false;
   j->soak->answers++;
   if (a->end == KQ_HTTP_DONE && a->status == 200)
     j->accepted = true;
@@ -221,14 +221,14 @@
       j->soak->refusals++;
     }
   else if (a->end != KQ_HTTP_NOT_SENT)
-    j->unsure = true;
+    j->uncertain = true;
 }
 
 static void
 on_cancelled (void *arg, const ProcsAnswer *a)
 {
   Job *j = arg;
-  j->asking = false;
+  j->call_open = false;
   if (a->end == KQ_HTTP_DONE && (a->status == 200 || a->status == 410))
     j->cancelled = true;
 }
@@ -245,12 +245,12 @@
                      .headers = h,
                      .n_headers = 3,
                      .body = body,
-                     .total_ms = ASK_MS };
-  const Node *n = &s->nodes[below (s, s->plan->nodes)];
-  if (n->front == 0)
+                     .total_ms = CALL_TIMEOUT_MS };
+  const Node *n = &s->nodes[rand_below (s, s->plan->nodes)];
+  if (n->front_port == 0)
     return;
-  snprintf (url, sizeof url, "http://127.0.0.1:%d/plans/%s", n->front, j->id);
-  j->asking = true;
+  snprintf (url, sizeof url, "http://127.0.0.1:%d/plans/%s", n->front_port, j->id);
+  j->call_open = true;
   procs_ask (&s->procs, &q, done, j);
 }
 
@@ -270,7 +270,7 @@
                    "\"after\":[0]}",
                    ms);
   kq_buf_printf (&b, "]}");
-  j->tries++;
+  j->attempts++;
   call (s, j, "POST", kq_buf_str (&b), on_submitted);
   kq_buf_free (&b);
 }
@@ -284,20 +284,20 @@
   s->n_jobs++;
   j->soak = s;
   snprintf (j->id, sizeof j->id, "%016llx", (unsigned long long)kq_rand_next (&s->rand));
-  j->tasks = 2 + below (s, 4);
-  j->lasting = below (s, 12) == 0;
-  j->fails = !j->lasting && below (s, 15) == 0;
+  j->tasks = 2 + rand_below (s, 4);
+  j->lasting = rand_below (s, 12) == 0;
+  j->fails = !j->lasting && rand_below (s, 15) == 0;
   submit (s, j);
 }
 
 static void
-step_job (Soak *s, Job *j)
+call_for_job (Soak *s, Job *j)
 {
-  if (j->asking)
+  if (j->call_open)
     return;
-  if (!j->accepted && j->tries < 8)
+  if (!j->accepted && j->attempts < 8)
     submit (s, j);
-  else if (j->accepted && !has_ended (j) && below (s, 30) == 0 && j->lasting
+  else if (j->accepted && !has_ended (j) && rand_below (s, 30) == 0 && j->lasting
            && !j->cancelled)
     {
       j->cancel_sent = true;
@@ -322,14 +322,14 @@
 }
 
 static void
-hurt_node (Soak *s)
+fault_node (Soak *s)
 {
-  Node *n = &s->nodes[below (s, s->plan->nodes)];
+  Node *n = &s->nodes[rand_below (s, s->plan->nodes)];
   KqTime now = kq_time_now ();
-  if (n->up_at != 0)
+  if (n->restart_at != 0)
     return;
-  n->up_at = now + (KqTime)(200 + below (s, 3500)) * KQ_MS;
-  switch (below (s, 4))
+  n->restart_at = now + (KqTime)(200 + rand_below (s, 3500)) * KQ_MS;
+  switch (rand_below (s, 4))
     {
     case 0:
       procs_signal (&s->procs, n->process, SIGSTOP);
@@ -337,7 +337,7 @@
       break;
     case 1:
       procs_signal (&s->procs, n->process, SIGTERM);
-      n->up_at = now + 7 * KQ_SEC;
+      n->restart_at = now + 7 * KQ_SEC;
       break;
     default:
       procs_signal (&s->procs, n->process, SIGKILL);
@@ -346,7 +346,7 @@
 }
 
 static void
-hurt_all_nodes (Soak *s)
+kill_all_nodes (Soak *s)
 {
   for (int i = 0; i < s->plan->nodes; i++)
     {
@@ -355,106 +355,106 @@
         procs_signal (&s->procs, n->process, SIGCONT);
       n->paused = false;
       procs_signal (&s->procs, n->process, SIGKILL);
-      n->up_at = kq_time_now () + (KqTime)(300 + below (s, 1500)) * KQ_MS;
+      n->restart_at = kq_time_now () + (KqTime)(300 + rand_below (s, 1500)) * KQ_MS;
     }
 }
 
 static void
-hurt_store (Soak *s)
+fault_store (Soak *s)
 {
-  if (s->heal_store_at != 0)
+  if (s->store_fault_end != 0)
     return;
   post (s, s->store_port, "/v1/fault",
-        kq_platform_kv_faults[below (s, KQ_PLATFORM_KV_FAULTS)]);
-  s->heal_store_at = kq_time_now () + (KqTime)(300 + below (s, 4500)) * KQ_MS;
+        kq_platform_kv_faults[rand_below (s, KQ_PLATFORM_KV_FAULTS)]);
+  s->store_fault_end = kq_time_now () + (KqTime)(300 + rand_below (s, 4500)) * KQ_MS;
 }
 
 static void
-hurt_link (Soak *s)
+fault_link (Soak *s)
 {
   static const char *const modes[]
       = { "{\"stall\":\"all\",\"direction\":\"up\"}",
           "{\"stall\":\"all\",\"direction\":\"down\"}", "{\"stall\":\"open\"}",
           "{\"refuse\":true}", "{\"delay_ms\":150}" };
-  post (s, s->nodes[below (s, s->plan->nodes)].relay_control, "/v1/mode",
-        modes[below (s, 5)]);
+  post (s, s->nodes[rand_below (s, s->plan->nodes)].relay_control_port, "/v1/mode",
+        modes[rand_below (s, 5)]);
 }
 
 static void
-heal_links (Soak *s)
+end_link_faults (Soak *s)
 {
   for (int i = 0; i < s->plan->nodes; i++)
-    post (s, s->nodes[i].relay_control, "/v1/mode", "{}");
+    post (s, s->nodes[i].relay_control_port, "/v1/mode", "{}");
 }
 
 static void
-hurt_runner (Soak *s)
+fault_runner (Soak *s)
 {
-  int i = below (s, s->plan->runners);
+  int i = rand_below (s, s->plan->runners);
   char path[48];
-  if (s->heal_runner_at[i] != 0)
+  if (s->runner_fault_end[i] != 0)
     return;
-  s->heal_runner_at[i] = kq_time_now () + (KqTime)(200 + below (s, 8000)) * KQ_MS;
-  if (below (s, 2) == 0)
+  s->runner_fault_end[i] = kq_time_now () + (KqTime)(200 + rand_below (s, 8000)) * KQ_MS;
+  if (rand_below (s, 2) == 0)
     {
       snprintf (path, sizeof path, "/v1/crash?runner=%d", i);
-      post (s, s->control, path, "{}");
+      post (s, s->control_port, path, "{}");
     }
   else
     post (s, s->runner_ports[i], "/v1/fault",
-          kq_platform_runner_faults[below (s, KQ_PLATFORM_RUNNER_FAULTS)]);
+          kq_platform_runner_faults[rand_below (s, KQ_PLATFORM_RUNNER_FAULTS)]);
 }
 
 static void
-heal_runner (Soak *s, int i)
+end_runner_fault (Soak *s, int i)
 {
   char path[48];
   snprintf (path, sizeof path, "/v1/rise?runner=%d", i);
-  post (s, s->control, path, "{}");
+  post (s, s->control_port, path, "{}");
   post (s, s->runner_ports[i], "/v1/fault", "{\"clear\":true}");
-  s->heal_runner_at[i] = 0;
+  s->runner_fault_end[i] = 0;
 }
 
 static void
-hurt (Soak *s)
+inject_fault (Soak *s)
 {
-  int n = below (s, 20);
+  int n = rand_below (s, 20);
   if (n < 7)
-    hurt_node (s);
+    fault_node (s);
   else if (n < 11)
-    hurt_store (s);
+    fault_store (s);
   else if (n < 14)
-    hurt_link (s);
+    fault_link (s);
   else if (n < 16)
-    heal_links (s);
+    end_link_faults (s);
   else if (n < 19)
-    hurt_runner (s);
-  else if (below (s, 3) == 0)
-    hurt_all_nodes (s);
+    fault_runner (s);
+  else if (rand_below (s, 3) == 0)
+    kill_all_nodes (s);
 }
 
 static void
-heal (Soak *s, bool all)
+end_faults (Soak *s, bool all)
 {
   KqTime now = kq_time_now ();
-  if (s->heal_store_at != 0 && (all || now >= s->heal_store_at))
+  if (s->store_fault_end != 0 && (all || now >= s->store_fault_end))
     {
       post (s, s->store_port, "/v1/fault", "{\"clear\":true}");
-      s->heal_store_at = 0;
+      s->store_fault_end = 0;
     }
   for (int i = 0; i < s->plan->runners; i++)
-    if (s->heal_runner_at[i] != 0 && (all || now >= s->heal_runner_at[i]))
-      heal_runner (s, i);
+    if (s->runner_fault_end[i] != 0 && (all || now >= s->runner_fault_end[i]))
+      end_runner_fault (s, i);
   for (int i = 0; i < s->plan->nodes; i++)
     {
       Node *n = &s->nodes[i];
-      if (n->up_at == 0 || (!all && now < n->up_at))
+      if (n->restart_at == 0 || (!all && now < n->restart_at))
         continue;
       if (n->paused)
         {
           procs_signal (&s->procs, n->process, SIGCONT);
           n->paused = false;
-          n->up_at = 0;
+          n->restart_at = 0;
           continue;
         }
       if (procs_wait_exit (&s->procs, n->process, 8 * KQ_SEC) < 0)
@@ -464,17 +464,17 @@
     }
 }
 
-/* Judging. */
+/* Checks. */
 
-/* What the stand-in's control port says; the caller's to decref. */
+/* GET from the stand-in's control port; the caller owns the result. */
 static json_t *
-ask_platform (Soak *s, const char *path)
+query_platform (Soak *s, const char *path)
 {
   char url[128];
   ProcsRequest q = { .method = "GET", .url = url, .total_ms = 2000 };
   ProcsAnswer a;
   json_t *o;
-  snprintf (url, sizeof url, "http://127.0.0.1:%d%s", s->control, path);
+  snprintf (url, sizeof url, "http://127.0.0.1:%d%s", s->control_port, path);
   procs_call (&s->procs, &q, &a);
   o = json_loadb (a.body.ptr, a.body.len, 0, NULL);
   kq_buf_free (&a.body);
@@ -482,17 +482,17 @@
 }
 
 static void
-judge_job (Soak *s, Job *j)
+check_job (Soak *s, Job *j)
 {
   char path[64];
   json_t *o;
   bool started;
   int done;
   snprintf (path, sizeof path, "/v1/job?id=%s", j->id);
-  o = ask_platform (s, path);
+  o = query_platform (s, path);
   started = json_is_true (json_object_get (o, "started"));
   done = (int)json_integer_value (json_object_get (o, "done"));
-  if (!j->accepted && !j->unsure && j->rejected && started)
+  if (!j->accepted && !j->uncertain && j->rejected && started)
     breach (s, "refused as not run, and it ran", j->id);
   if (j->accepted && !has_ended (j))
     breach (s, "an accepted job never ended", j->id);
@@ -504,9 +504,9 @@
 }
 
 static void
-judge_runners (Soak *s)
+check_ledger (Soak *s)
 {
-  json_t *o = ask_platform (s, "/v1/ledger");
+  json_t *o = query_platform (s, "/v1/ledger");
   if (json_integer_value (json_object_get (o, "breaches")) > 0)
     breach (s, "seen by a runner", json_string_value (json_object_get (o, "first")));
   printf ("seed %llu: %d jobs, %d answers, %d refusals, %lld starts, %lld tasks done, %d "
@@ -532,7 +532,7 @@
   for (int i = 0; i < s->n_jobs; i++)
     {
       Job *j = &s->jobs[i];
-      if (!j->lasting || !j->accepted || j->cancelled || j->asking)
+      if (!j->lasting || !j->accepted || j->cancelled || j->call_open)
         continue;
       j->cancel_sent = true;
       call (s, j, "DELETE", KQ_STR (""), on_cancelled);
@@ -540,29 +540,29 @@
 }
 
 static void
-work (Soak *s, KqTime until, bool faults)
+run_clients (Soak *s, KqTime until, bool faults)
 {
   KqTime submit_at = 0;
-  KqTime hurt_at = kq_time_now () + KQ_SEC;
+  KqTime fault_at = kq_time_now () + KQ_SEC;
   while (kq_time_now () < until && (faults || !all_ended (s)))
     {
       KqTime now = kq_time_now ();
       if (faults && now >= submit_at)
         {
           new_job (s);
-          submit_at = now + SUBMIT_GAP;
+          submit_at = now + SUBMIT_INTERVAL;
         }
-      if (faults && now >= hurt_at)
+      if (faults && now >= fault_at)
         {
-          hurt (s);
-          hurt_at = now + (KqTime)(100 + below (s, 900)) * KQ_MS;
+          inject_fault (s);
+          fault_at = now + (KqTime)(100 + rand_below (s, 900)) * KQ_MS;
         }
-      heal (s, false);
+      end_faults (s, false);
       if (!faults)
         cancel_lasting (s);
       for (int i = 0; i < s->n_jobs; i++)
-        if (below (s, 12) == 0)
-          step_job (s, &s->jobs[i]);
+        if (rand_below (s, 12) == 0)
+          call_for_job (s, &s->jobs[i]);
       procs_run (&s->procs, 20 * KQ_MS, NULL);
     }
 }
@@ -595,14 +595,14 @@
   s->began_at = kq_time_now ();
   if (!procs_init (&s->procs, p->build) || !start_all (s))
     goto out;
-  work (s, kq_time_now () + p->seconds * KQ_SEC, true);
-  heal (s, true);
-  heal_links (s);
-  work (s, kq_time_now () + SETTLE, false);
+  run_clients (s, kq_time_now () + p->seconds * KQ_SEC, true);
+  end_faults (s, true);
+  end_link_faults (s);
+  run_clients (s, kq_time_now () + SETTLE_TIMEOUT, false);
   procs_run (&s->procs, KQ_SEC, NULL);
   for (int i = 0; i < s->n_jobs; i++)
-    judge_job (s, &s->jobs[i]);
-  judge_runners (s);
+    check_job (s, &s->jobs[i]);
+  check_ledger (s);
   breaches = s->breaches;
 out:
   if (p->keep || breaches != 0)
--- a/soak/soak.h
+++ b/soak/soak.h
@@ -1,12 +1,13 @@
 #ifndef KQ_SOAK_SOAK_H
 #define KQ_SOAK_SOAK_H
 
-/* soak: a fleet of real processes on one machine under random faults from outside.
+/* soak: a fleet of kumquatd processes on one machine under random faults.
  *
- * Nodes reach the store through relays, so that their connections can be silenced,
- * delayed or cut. Processes are paused, killed, stopped as planned and started again; the
- * store is away, slow or loses answers; runners die and come back. Clients submit, ask
- * and cancel through any node. What is checked is what clients and runners see. */
+ * Nodes reach the store through relays, so that their connections can be stalled, delayed
+ * or refused. Nodes are paused, killed, stopped by SIGTERM and started again; the store
+ * is unreachable, slow or loses answers; runners crash and start again. Clients submit,
+ * query and cancel jobs through any node. The checks use what clients and runners
+ * observe. */
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -15,13 +16,14 @@
 {
   const char *build; /* where the programs are */
   uint64_t seed;
-  int seconds; /* of faults */
+  int seconds; /* with faults */
   int nodes;
   int runners;
   bool keep; /* keep the processes' output */
 } KqSoakPlan;
 
-/* Returns the number of breaches, each told on standard output; -1: it couldn't start. */
+/* Returns the number of breached invariants, each printed to stdout; -1: the start
+ * failed. */
 int kq_soak_run (const KqSoakPlan *p);
 
 #endif
--- a/soak/soak_main.c
+++ b/soak/soak_main.c
@@ -1,5 +1,5 @@
-/* soak BUILD [SEED [SEEDS [SECONDS]]]: random faults on real processes; non-zero on a
- * breach. KEEP=1 in the environment keeps all output. */
+/* soak BUILD [SEED [SEEDS [SECONDS]]]: random faults on a fleet of processes. Exit status
+ * 1: an invariant was breached. KEEP in the environment keeps the processes' output. */
 
 #include "soak.h"
 
@@ -16,13 +16,13 @@
                    .runners = 8,
                    .keep = getenv ("KEEP") != NULL };
   int seeds = argc > 3 ? atoi (argv[3]) : 1;
-  int bad = 0;
+  int failed_seeds = 0;
   setvbuf (stdout, NULL, _IOLBF, 0);
   for (int i = 0; i < seeds; i++)
     {
-      bad += kq_soak_run (&p) != 0;
+      failed_seeds += kq_soak_run (&p) != 0;
       p.seed++;
     }
-  printf ("%d seeds, %d with a breach\n", seeds, bad);
-  return bad > 0;
+  printf ("%d seeds, %d with a breach\n", seeds, failed_seeds);
+  return failed_seeds > 0;
 }
--- a/standin/platform_faults.h
+++ b/standin/platform_faults.h
@@ -1,9 +1,9 @@
 #ifndef KQ_STANDIN_PLATFORM_FAULTS_H
 #define KQ_STANDIN_PLATFORM_FAULTS_H
 
-/* platform_faults: bodies of /v1/fault that hurt the users' store and a runner of the
- * stand-in: outages, answers lost or late, calls that hang. Whoever draws one needs none
- * of the platform's paths. */
+/* platform_faults: bodies of POST /v1/fault for the store and the runners of
+ * standin-platform: outages, lost or delayed answers, calls that hang. A test picks one
+ * at random without knowing the platform's paths. */
 
 static const char *const kq_platform_kv_faults[]
     = { "{\"path\":\"/kv\",\"outage\":\"refuse\"}",
--- a/standin/platform_kv.c
+++ b/standin/platform_kv.c
@@ -4,16 +4,16 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Watches look behind this many changes; a longer gap is told as gone. */
-#define HISTORY 4000
-#define PAGE 500
-#define LEASE_LOOK_S 0.05
+/* Changes kept for watches; a watch that starts before them gets 410. */
+#define HISTORY_MAX 4000
+#define RANGE_ITEMS_MAX 500
+#define LEASE_CHECK_INTERVAL_S 0.05
 
 typedef struct
 {
-  char *value; /* base64, as it came */
+  char *value; /* base64, as received */
   uint64_t revision;
-  uint64_t created;
+  uint64_t create_revision;
   uint64_t lease;
 } Item;
 
@@ -22,7 +22,7 @@
   char *key;
   char *value; /* NULL: deleted */
   uint64_t revision;
-  uint64_t created;
+  uint64_t create_revision;
   uint64_t lease;
 } Change;
 
@@ -30,27 +30,27 @@
 {
   uint64_t id;
   int64_t ttl_ms;
-  KqTime ends;
+  KqTime expires_at;
 } Lease;
 
 struct KqPlatformKv
 {
   KqLoop *loop;
   KqWeb *web;
-  GTree *items; /* key -> Item, in order */
-  GQueue *history;
+  GTree *items;       /* key -> Item, in key order */
+  GQueue *history;    /* Change, the oldest first */
   GHashTable *leases; /* id -> Lease */
-  GPtrArray *watches; /* KqWebCall, waiting */
+  GPtrArray *watches; /* KqWebCall; its data is a Watch */
   uint64_t revision;
-  uint64_t next_lease;
-  ev_timer look;
+  uint64_t last_lease;
+  ev_timer lease_check;
 };
 
 typedef struct
 {
   KqPlatformKv *kv;
   KqBuf prefix;
-  uint64_t after;
+  uint64_t after; /* changes above this revision are wanted */
 } Watch;
 
 static void
@@ -62,7 +62,7 @@
 }
 
 static int
-by_key (gconstpointer a, gconstpointer b, gpointer arg)
+compare_keys (gconstpointer a, gconstpointer b, gpointer arg)
 {
   (void)arg;
   return strcmp (a, b);
@@ -72,8 +72,8 @@
 item_json (const char *key, const Item *i)
 {
   return json_pack ("{s:s, s:s, s:I, s:I, s:I}", "key", key, "value", i->value, "rev",
-                    (json_int_t)i->revision, "create_revision", (json_int_t)i->created,
-                    "lease", (json_int_t)i->lease);
+                    (json_int_t)i->revision, "create_revision",
+                    (json_int_t)i->create_revision, "lease", (json_int_t)i->lease);
 }
 
 static json_t *
@@ -83,8 +83,8 @@
     return json_pack ("{s:s, s:I, s:b}", "key", c->key, "rev", (json_int_t)c->revision,
                       "deleted", 1);
   return json_pack ("{s:s, s:s, s:I, s:I, s:I}", "key", c->key, "value", c->value, "rev",
-                    (json_int_t)c->revision, "create_revision", (json_int_t)c->created,
-                    "lease", (json_int_t)c->lease);
+                    (json_int_t)c->revision, "create_revision",
+                    (json_int_t)c->create_revision, "lease", (json_int_t)c->lease);
 }
 
 static json_t *
@@ -101,24 +101,25 @@
 }
 
 static void
-answer_watch (KqWebCall *c, json_t *events, uint64_t at)
+answer_watch (KqWebCall *c, json_t *events, uint64_t revision)
 {
-  kq_web_reply_json (c, 200,
-                     json_pack ("{s:o, s:I}", "events", events, "at", (json_int_t)at));
+  kq_web_reply_json (
+      c, 200, json_pack ("{s:o, s:I}", "events", events, "at", (json_int_t)revision));
 }
 
 static void
-watch_due (KqWebCall *c)
+on_watch_timeout (KqWebCall *c)
 {
   Watch *w = c->data;
   g_ptr_array_remove (w->kv->watches, c);
-  /* What a silent watch has withheld is still to come: going on from the present
-   * revision the caller would never hear of it, which no store does. */
+  /* A silent watch has withheld changes. With the revision that the caller asked from,
+   * its next watch returns them; with the current one they would be lost, which the
+   * platform's store never does. */
   answer_watch (c, json_array (), kq_web_watch_silent (c) ? w->after : w->kv->revision);
 }
 
 static void
-wake_watches (KqPlatformKv *kv)
+answer_watches (KqPlatformKv *kv)
 {
   for (guint i = 0; i < kv->watches->len; i++)
     {
@@ -137,8 +138,9 @@
     }
 }
 
+/* Adds the key's change to the history. i: its new value; NULL: deleted. */
 static void
-record (KqPlatformKv *kv, const char *key, const Item *i)
+record_change (KqPlatformKv *kv, const char *key, const Item *i)
 {
   Change *c = kq_alloc (sizeof *c);
   c->key = strdup (key);
@@ -146,11 +148,11 @@
   if (i != NULL)
     {
       c->value = strdup (i->value);
-      c->created = i->created;
+      c->create_revision = i->create_revision;
       c->lease = i->lease;
     }
   g_queue_push_tail (kv->history, c);
-  if (g_queue_get_length (kv->history) <= HISTORY)
+  if (g_queue_get_length (kv->history) <= HISTORY_MAX)
     return;
   c = g_queue_pop_head (kv->history);
   free (c->key);
@@ -159,24 +161,24 @@
 }
 
 static void
-put (KqPlatformKv *kv, const char *key, const char *base64, uint64_t lease)
+put_item (KqPlatformKv *kv, const char *key, const char *base64, uint64_t lease)
 {
   Item *old = g_tree_lookup (kv->items, key);
   Item *i = kq_alloc (sizeof *i);
   i->value = strdup (base64);
   i->revision = kv->revision;
-  i->created = old != NULL ? old->created : kv->revision;
+  i->create_revision = old != NULL ? old->create_revision : kv->revision;
   i->lease = lease;
   g_tree_replace (kv->items, strdup (key), i);
-  record (kv, key, i);
+  record_change (kv, key, i);
 }
 
 static void
-drop (KqPlatformKv *kv, const char *key)
+remove_item (KqPlatformKv *kv, const char *key)
 {
   if (g_tree_lookup (kv->items, key) == NULL)
     return;
-  record (kv, key, NULL);
+  record_change (kv, key, NULL);
   g_tree_remove (kv->items, key);
 }
 
@@ -185,29 +187,29 @@
 {
   gchar *text = g_base64_encode ((const guchar *)value.ptr, value.len);
   kv->revision++;
-  put (kv, key, text, 0);
+  put_item (kv, key, text, 0);
   g_free (text);
-  wake_watches (kv);
+  answer_watches (kv);
 }
 
 void
 kq_platform_kv_remove (KqPlatformKv *kv, const char *key)
 {
   kv->revision++;
-  drop (kv, key);
-  wake_watches (kv);
+  remove_item (kv, key);
+  answer_watches (kv);
 }
 
 typedef struct
 {
   uint64_t lease;
   GPtrArray *keys;
-} OfLease;
+} LeaseKeys;
 
 static gboolean
-collect_of_lease (gpointer key, gpointer value, gpointer arg)
+collect_lease_keys (gpointer key, gpointer value, gpointer arg)
 {
-  OfLease *o = arg;
+  LeaseKeys *o = arg;
   if (((Item *)value)->lease == o->lease)
     g_ptr_array_add (o->keys, strdup (key));
   return FALSE;
@@ -216,19 +218,19 @@
 static void
 end_lease (KqPlatformKv *kv, uint64_t id)
 {
-  OfLease o = { id, g_ptr_array_new_with_free_func (free) };
-  g_tree_foreach (kv->items, collect_of_lease, &o);
+  LeaseKeys o = { id, g_ptr_array_new_with_free_func (free) };
+  g_tree_foreach (kv->items, collect_lease_keys, &o);
   if (o.keys->len > 0)
     kv->revision++;
   for (guint i = 0; i < o.keys->len; i++)
-    drop (kv, g_ptr_array_index (o.keys, i));
+    remove_item (kv, g_ptr_array_index (o.keys, i));
   g_ptr_array_free (o.keys, TRUE);
   g_hash_table_remove (kv->leases, &id);
-  wake_watches (kv);
+  answer_watches (kv);
 }
 
 static void
-on_look (struct ev_loop *ev, ev_timer *w, int events)
+on_lease_check (struct ev_loop *ev, ev_timer *w, int events)
 {
   KqPlatformKv *kv = w->data;
   GHashTableIter it;
@@ -238,7 +240,7 @@
   (void)events;
   g_hash_table_iter_init (&it, kv->leases);
   while (g_hash_table_iter_next (&it, NULL, &value))
-    if (((Lease *)value)->ends < kq_time_now ())
+    if (((Lease *)value)->expires_at < kq_time_now ())
       ended = ((Lease *)value)->id;
   if (ended != 0)
     end_lease (kv, ended);
@@ -277,7 +279,7 @@
   Range *r = arg;
   if (strncmp (key, r->prefix, strlen (r->prefix)) != 0 || strcmp (key, r->after) <= 0)
     return FALSE;
-  if (json_array_size (r->items) == PAGE)
+  if (json_array_size (r->items) == RANGE_ITEMS_MAX)
     {
       r->more = true;
       return TRUE;
@@ -314,7 +316,7 @@
   w->after = kq_web_query_u64 (c, "after", 0);
   kq_web_query (c, "prefix", &w->prefix);
   c->data = w;
-  if (oldest != NULL && g_queue_get_length (kv->history) == HISTORY
+  if (oldest != NULL && g_queue_get_length (kv->history) == HISTORY_MAX
       && w->after + 1 < oldest->revision)
     {
       kq_web_error (c, 410, "history is gone");
@@ -328,23 +330,25 @@
     }
   json_decref (events);
   g_ptr_array_add (kv->watches, c);
-  kq_web_after (c, (int64_t)kq_web_query_u64 (c, "wait_ms", 0), watch_due);
+  kq_web_after (c, (int64_t)kq_web_query_u64 (c, "wait_ms", 0), on_watch_timeout);
 }
 
+/* Compares the revision of each key (0: the key doesn't exist) and adds the current items
+ * to `current`. */
 static bool
-checks_hold (KqPlatformKv *kv, const json_t *checks, json_t *now)
+preconditions_hold (KqPlatformKv *kv, const json_t *preconditions, json_t *current)
 {
   bool hold = true;
-  for (size_t i = 0; i < json_array_size (checks); i++)
+  for (size_t i = 0; i < json_array_size (preconditions); i++)
     {
-      const json_t *row = json_array_get (checks, i);
+      const json_t *row = json_array_get (preconditions, i);
       const char *key = json_string_value (json_object_get (row, "key"));
       const Item *item = g_tree_lookup (kv->items, key);
       uint64_t rev = (uint64_t)json_integer_value (json_object_get (row, "rev"));
       if ((item != NULL ? item->revision : 0) != rev)
         hold = false;
       if (item != NULL)
-        json_array_append_new (now, item_json (key, item));
+        json_array_append_new (current, item_json (key, item));
     }
   return hold;
 }
@@ -355,10 +359,10 @@
   json_t *t = kq_json_parse (kq_buf_str (&c->body));
   const json_t *puts = json_object_get (t, "puts");
   const json_t *removes = json_object_get (t, "remove");
-  json_t *now = json_array ();
-  if (!checks_hold (kv, json_object_get (t, "precondition"), now))
+  json_t *current = json_array ();
+  if (!preconditions_hold (kv, json_object_get (t, "precondition"), current))
     {
-      kq_web_reply_json (c, 412, json_pack ("{s:O}", "items", now));
+      kq_web_reply_json (c, 412, json_pack ("{s:O}", "items", current));
       goto out;
     }
   for (size_t i = 0; i < json_array_size (puts); i++)
@@ -375,27 +379,27 @@
   for (size_t i = 0; i < json_array_size (puts); i++)
     {
       const json_t *p = json_array_get (puts, i);
-      put (kv, json_string_value (json_object_get (p, "key")),
-           json_string_value (json_object_get (p, "value")),
-           (uint64_t)json_integer_value (json_object_get (p, "lease")));
+      put_item (kv, json_string_value (json_object_get (p, "key")),
+                json_string_value (json_object_get (p, "value")),
+                (uint64_t)json_integer_value (json_object_get (p, "lease")));
     }
   for (size_t i = 0; i < json_array_size (removes); i++)
-    drop (kv, json_string_value (json_array_get (removes, i)));
+    remove_item (kv, json_string_value (json_array_get (removes, i)));
   kq_web_reply_json (c, 200, json_pack ("{s:I}", "rev", (json_int_t)kv->revision));
-  wake_watches (kv);
+  answer_watches (kv);
 out:
-  json_decref (now);
+  json_decref (current);
   json_decref (t);
 }
 
 static void
-do_lease (KqPlatformKv *kv, KqWebCall *c)
+do_lease_grant (KqPlatformKv *kv, KqWebCall *c)
 {
   json_t *j = kq_json_parse (kq_buf_str (&c->body));
   Lease *l = kq_alloc (sizeof *l);
-  l->id = ++kv->next_lease;
+  l->id = ++kv->last_lease;
   l->ttl_ms = json_integer_value (json_object_get (j, "ttl_ms"));
-  l->ends = kq_time_now () + l->ttl_ms * KQ_MS;
+  l->expires_at = kq_time_now () + l->ttl_ms * KQ_MS;
   g_hash_table_insert (kv->leases, &l->id, l);
   kq_web_reply_json (c, 200,
                      json_pack ("{s:I, s:I}", "lease", (json_int_t)l->id, "ttl_ms",
@@ -403,8 +407,9 @@
   json_decref (j);
 }
 
+/* The number after the prefix in the call's path; 0: none. */
 static uint64_t
-id_behind (const KqWebCall *c, const char *prefix)
+id_after_prefix (const KqWebCall *c, const char *prefix)
 {
   KqStr path = kq_http_path (c->x);
   uint64_t id = 0;
@@ -415,23 +420,23 @@
 }
 
 static void
-do_keep (KqPlatformKv *kv, KqWebCall *c)
+do_lease_renew (KqPlatformKv *kv, KqWebCall *c)
 {
-  uint64_t id = id_behind (c, "/kv-keep/");
+  uint64_t id = id_after_prefix (c, "/kv-keep/");
   Lease *l = g_hash_table_lookup (kv->leases, &id);
   if (l == NULL)
     {
       kq_web_error (c, 404, "the lease has ended");
       return;
     }
-  l->ends = kq_time_now () + l->ttl_ms * KQ_MS;
+  l->expires_at = kq_time_now () + l->ttl_ms * KQ_MS;
   kq_web_reply_json (c, 200, json_pack ("{s:I}", "ttl_ms", (json_int_t)l->ttl_ms));
 }
 
 static void
-do_end (KqPlatformKv *kv, KqWebCall *c)
+do_lease_end (KqPlatformKv *kv, KqWebCall *c)
 {
-  uint64_t id = id_behind (c, "/kv-lease-end/");
+  uint64_t id = id_after_prefix (c, "/kv-lease-end/");
   if (g_hash_table_lookup (kv->leases, &id) == NULL)
     {
       kq_web_error (c, 404, "the lease has ended");
@@ -455,17 +460,17 @@
   else if (kq_web_is (c, "POST", "/kv-txn"))
     do_txn (kv, c);
   else if (kq_web_is (c, "POST", "/kv-lease"))
-    do_lease (kv, c);
+    do_lease_grant (kv, c);
   else if (kq_str_has_prefix (path, KQ_STR ("/kv-keep/")))
-    do_keep (kv, c);
+    do_lease_renew (kv, c);
   else if (kq_str_has_prefix (path, KQ_STR ("/kv-lease-end/")))
-    do_end (kv, c);
+    do_lease_end (kv, c);
   else
     kq_web_error (c, 400, "no such call");
 }
 
 static void
-on_gone (void *arg, KqWebCall *c)
+on_finished (void *arg, KqWebCall *c)
 {
   KqPlatformKv *kv = arg;
   Watch *w = c->data;
@@ -480,16 +485,17 @@
 kq_platform_kv_new (KqLoop *loop)
 {
   KqPlatformKv *kv = kq_alloc (sizeof *kv);
-  KqWebApp app = { .arg = kv, .handle = on_handle, .gone = on_gone };
+  KqWebApp app = { .arg = kv, .handle = on_handle, .finished = on_finished };
   kv->loop = loop;
-  kv->items = g_tree_new_full (by_key, NULL, free, free_item);
+  kv->items = g_tree_new_full (compare_keys, NULL, free, free_item);
   kv->history = g_queue_new ();
   kv->leases = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, free);
   kv->watches = g_ptr_array_new ();
   kv->revision = 1;
   kv->web = kq_web_new (loop, 0, "store", &app);
-  ev_timer_init (&kv->look, on_look, LEASE_LOOK_S, LEASE_LOOK_S);
-  kv->look.data = kv;
-  ev_timer_start (kq_loop_ev (loop), &kv->look);
+  ev_timer_init (&kv->lease_check, on_lease_check, LEASE_CHECK_INTERVAL_S,
+                 LEASE_CHECK_INTERVAL_S);
+  kv->lease_check.data = kv;
+  ev_timer_start (kq_loop_ev (loop), &kv->lease_check);
   return kv;
 }
--- a/standin/platform_main.c
+++ b/standin/platform_main.c
@@ -1,11 +1,13 @@
-/* standin-platform: the users' platform in one process: its store, some runners, and a
- * control port with what the runners have seen.
+/* standin-platform: the platform's store and runners in one process, for tests, and a
+ * control port that shows what the runners have executed:
  *
- *   GET  /v1/ledger             breaches of what must never happen, starts, done tasks
+ *   GET  /v1/ledger             counts of breached invariants, starts and done tasks
  *   GET  /v1/job?id=ID          {"started":B,"running":N,"done":N}
- *   POST /v1/crash?runner=N     the runner dies without a word
- *   POST /v1/rise?runner=N      and comes back in a new life
- * Faults of store and runners: POST /v1/fault at their own ports, as of all stand-ins. */
+ *   POST /v1/crash?runner=N     the runner ends without reporting anything
+ *   POST /v1/rise?runner=N      starts a crashed runner again, without its earlier state
+ *
+ * Faults of the store and the runners are set with POST /v1/fault at their own ports, as
+ * for all stand-ins (web.h). */
 
 #include "platform_runner.h"
 
@@ -23,7 +25,7 @@
 } Platform;
 
 static void
-tell_job (Platform *p, KqWebCall *c)
+reply_job (Platform *p, KqWebCall *c)
 {
   KqBuf id = { 0 };
   kq_web_query (c, "id", &id);
@@ -43,7 +45,7 @@
   if (kq_web_is (c, "GET", "/v1/ledger"))
     kq_web_reply_json (c, 200, kq_platform_ledger_json (p->ledger));
   else if (kq_web_is (c, "GET", "/v1/job"))
-    tell_job (p, c);
+    reply_job (p, c);
   else if (n >= (uint64_t)p->n)
     kq_web_error (c, 404, "no such call");
   else
@@ -51,7 +53,7 @@
       if (kq_web_is (c, "POST", "/v1/crash"))
         kq_platform_runner_crash (p->runners[n]);
       else
-        kq_platform_runner_rise (p->runners[n]);
+        kq_platform_runner_restart (p->runners[n]);
       kq_web_reply_json (c, 200, json_object ());
     }
 }
--- a/standin/platform_runner.c
+++ b/standin/platform_runner.c
@@ -4,36 +4,36 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LOOK_S 0.02
-#define ATTEMPTS 3 /* as the stand-in's configuration says */
-#define HOLD_MAX_MS 6000
+#define RUN_CHECK_INTERVAL_S 0.02
+#define ATTEMPTS_MAX 3    /* "attempts" in the configuration of standin-platform */
+#define LEASE_MAX_MS 6000 /* no lease ends later than this from now */
 
 typedef struct
 {
   char *task;
   uint32_t run;
   KqTime started_at;
-  KqTime length; /* 0: lasts */
+  KqTime duration; /* 0: runs until stopped */
   bool fails;
 } Run;
 
 typedef struct
 {
-  uint64_t number;
+  uint64_t number; /* counts the runner's ends from 1 */
   char *task;
   uint32_t run;
-  const char *how;
+  const char *reason; /* "done", "failed", "stopped" or "lapsed" (lease expired) */
 } End;
 
 struct KqPlatformLedger
 {
-  GHashTable *done;    /* task: an end as done has been acknowledged */
-  GHashTable *ever;    /* task: has ended as done */
-  GHashTable *failed;  /* task -> acknowledged failures */
-  GHashTable *running; /* task -> how many runs now */
-  GHashTable *jobs;    /* job: some task has started */
+  GHashTable *acked_done;     /* tasks with an acknowledged end as done */
+  GHashTable *reported_done;  /* tasks that have ended as done */
+  GHashTable *acked_failures; /* task -> number of acknowledged failures */
+  GHashTable *running;        /* task -> number of current runs */
+  GHashTable *started_jobs;   /* jobs of which a task has started */
   int breaches;
-  char first[200];
+  char first_breach[200];
   uint64_t starts;
 };
 
@@ -46,25 +46,25 @@
   char id[32];
   char key[48];
   int cpu_milli;
-  int64_t clock_base_ms;
+  int64_t clock_base_ms; /* clock_ms at the start */
   bool alive;
-  int64_t started_ms;
-  KqTime born_at;
-  int64_t lease_end_ms;
+  int64_t started_ms; /* wall clock */
+  KqTime started_at;
+  int64_t lease_end_ms; /* by clock_ms */
   uint64_t fence;
-  uint64_t next_end;
+  uint64_t last_end;
   GPtrArray *runs;
   GPtrArray *ends;
-  GHashTable *highest; /* task -> highest run stopped or ended */
-  GPtrArray *waiting;  /* questions that wait for an end */
-  ev_timer look;
+  GHashTable *highest_run;  /* task -> highest run number that was stopped or ended */
+  GPtrArray *waiting_holds; /* KqWebCall of /hold, until a task ends or wait_ms is over */
+  ev_timer run_check;
 };
 
 static void
 breach (KqPlatformLedger *l, const char *rule, const char *task)
 {
   if (l->breaches++ == 0)
-    snprintf (l->first, sizeof l->first, "%s: %s", rule, task);
+    snprintf (l->first_breach, sizeof l->first_breach, "%s: %s", rule, task);
   fprintf (stderr, "breach: %s: %s\n", rule, task);
 }
 
@@ -72,30 +72,30 @@
 kq_platform_ledger_new (void)
 {
   KqPlatformLedger *l = kq_alloc (sizeof *l);
-  l->done = g_hash_table_new_full (g_str_hash, g_str_equal, free, NULL);
-  l->ever = g_hash_table_new_full (g_str_hash, g_str_equal, free, NULL);
-  l->failed = g_hash_table_new_full (g_str_hash, g_str_equal, free, NULL);
+  l->acked_done = g_hash_table_new_full (g_str_hash, g_str_equal, free, NULL);
+  l->reported_done = g_hash_table_new_full (g_str_hash, g_str_equal, free, NULL);
+  l->acked_failures = g_hash_table_new_full (g_str_hash, g_str_equal, free, NULL);
   l->running = g_hash_table_new_full (g_str_hash, g_str_equal, free, NULL);
-  l->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, free, NULL);
+  l->started_jobs = g_hash_table_new_full (g_str_hash, g_str_equal, free, NULL);
   return l;
 }
 
 json_t *
 kq_platform_ledger_json (const KqPlatformLedger *l)
 {
-  return json_pack ("{s:i, s:s, s:I, s:i}", "breaches", l->breaches, "first", l->first,
-                    "starts", (json_int_t)l->starts, "done",
-                    (int)g_hash_table_size (l->ever));
+  return json_pack ("{s:i, s:s, s:I, s:i}", "breaches", l->breaches, "first",
+                    l->first_breach, "starts", (json_int_t)l->starts, "done",
+                    (int)g_hash_table_size (l->reported_done));
 }
 
 bool
 kq_platform_ledger_started (const KqPlatformLedger *l, const char *job)
 {
-  return g_hash_table_contains (l->jobs, job);
+  return g_hash_table_contains (l->started_jobs, job);
 }
 
 static int
-count_of_job (GHashTable *t, const char *job, bool by_value)
+count_tasks_of_job (GHashTable *t, const char *job, bool sum_values)
 {
   GHashTableIter it;
   gpointer key;
@@ -105,33 +105,34 @@
   g_hash_table_iter_init (&it, t);
   while (g_hash_table_iter_next (&it, &key, &value))
     if (strncmp (key, job, len) == 0 && ((char *)key)[len] == '.')
-      n += by_value ? GPOINTER_TO_INT (value) : 1;
+      n += sum_values ? GPOINTER_TO_INT (value) : 1;
   return n;
 }
 
 int
 kq_platform_ledger_running (const KqPlatformLedger *l, const char *job)
 {
-  return count_of_job (l->running, job, true);
+  return count_tasks_of_job (l->running, job, true);
 }
 
 int
 kq_platform_ledger_done (const KqPlatformLedger *l, const char *job)
 {
-  return count_of_job (l->ever, job, false);
+  return count_tasks_of_job (l->reported_done, job, false);
 }
 
 static void
-add_to (GHashTable *t, const char *key, int n)
+add_count (GHashTable *t, const char *key, int n)
 {
   int have = GPOINTER_TO_INT (g_hash_table_lookup (t, key));
   g_hash_table_insert (t, strdup (key), GINT_TO_POINTER (have + n));
 }
 
+/* The runner's monotonic clock, by which its lease ends. */
 static int64_t
 clock_ms (const KqPlatformRunner *r)
 {
-  return r->clock_base_ms + (kq_time_now () - r->born_at) / KQ_MS;
+  return r->clock_base_ms + (kq_time_now () - r->started_at) / KQ_MS;
 }
 
 static void
@@ -175,72 +176,72 @@
 }
 
 static json_t *
-lists (const KqPlatformRunner *r)
+report_json (const KqPlatformRunner *r)
 {
   json_t *running = json_array ();
   json_t *ended = json_array ();
   for (guint i = 0; i < r->runs->len; i++)
     {
       const Run *run = g_ptr_array_index (r->runs, i);
-      int64_t part = run->length > 0
-                         ? (kq_time_now () - run->started_at) * 100 / run->length
-                         : 100;
+      int64_t percent = run->duration > 0
+                            ? (kq_time_now () - run->started_at) * 100 / run->duration
+                            : 100;
       json_array_append_new (
           running, json_pack ("[s, i, s, i, i]", run->task, (int)run->run, "",
-                              part > 99 && run->length > 0 ? 99 : (int)part, 0));
+                              percent > 99 && run->duration > 0 ? 99 : (int)percent, 0));
     }
   for (guint i = 0; i < r->ends->len; i++)
     {
       const End *e = g_ptr_array_index (r->ends, i);
       json_array_append_new (ended, json_pack ("[I, s, i, s, s]", (json_int_t)e->number,
-                                               e->task, (int)e->run, e->how, ""));
+                                               e->task, (int)e->run, e->reason, ""));
     }
   return json_pack ("{s:I, s:I, s:o, s:o}", "clock_ms", (json_int_t)clock_ms (r), "born",
                     (json_int_t)r->started_ms, "running", running, "ended", ended);
 }
 
 static void
-answer_lists (KqWebCall *c)
+answer_hold (KqWebCall *c)
 {
   KqPlatformRunner *r = c->data;
-  g_ptr_array_remove (r->waiting, c);
-  kq_web_reply_json (c, 200, lists (r));
+  g_ptr_array_remove (r->waiting_holds, c);
+  kq_web_reply_json (c, 200, report_json (r));
 }
 
 static void
-answer_waiting (KqPlatformRunner *r)
+answer_waiting_holds (KqPlatformRunner *r)
 {
-  while (r->waiting->len > 0)
+  while (r->waiting_holds->len > 0)
     {
-      KqWebCall *c = g_ptr_array_index (r->waiting, 0);
+      KqWebCall *c = g_ptr_array_index (r->waiting_holds, 0);
       ev_timer_stop (kq_loop_ev (r->loop), &c->timer);
-      answer_lists (c);
+      answer_hold (c);
     }
 }
 
 static void
-end_run (KqPlatformRunner *r, guint at, const char *how)
+end_run (KqPlatformRunner *r, guint index, const char *reason)
 {
-  Run *run = g_ptr_array_index (r->runs, at);
+  Run *run = g_ptr_array_index (r->runs, index);
   End *e = kq_alloc (sizeof *e);
-  e->number = ++r->next_end;
+  e->number = ++r->last_end;
   e->task = strdup (run->task);
   e->run = run->run;
-  e->how = how;
+  e->reason = reason;
   g_ptr_array_add (r->ends, e);
-  if (run->run > GPOINTER_TO_UINT (g_hash_table_lookup (r->highest, run->task)))
-    g_hash_table_insert (r->highest, strdup (run->task), GUINT_TO_POINTER (run->run));
-  if (strcmp (how, "done") == 0)
-    g_hash_table_add (r->ledger->ever, strdup (run->task));
-  add_to (r->ledger->running, run->task, -1);
-  g_ptr_array_remove_index (r->runs, at);
+  if (run->run > GPOINTER_TO_UINT (g_hash_table_lookup (r->highest_run, run->task)))
+    g_hash_table_insert (r->highest_run, strdup (run->task), GUINT_TO_POINTER (run->run));
+  if (strcmp (reason, "done") == 0)
+    g_hash_table_add (r->ledger->reported_done, strdup (run->task));
+  add_count (r->ledger->running, run->task, -1);
+  g_ptr_array_remove_index (r->runs, index);
 }
 
 static void
-on_look (struct ev_loop *ev, ev_timer *w, int events)
+on_run_check (struct ev_loop *ev, ev_timer *w, int events)
 {
   KqPlatformRunner *r = w->data;
-  uint64_t before = r->next_end;
+  uint64_t before = r->last_end;
   (void)ev;
   (void)events;
   if (!r->alive)
@@ -251,18 +252,18 @@
   for (guint i = 0; i < r->runs->len; i++)
     {
       const Run *run = g_ptr_array_index (r->runs, i);
-      if (run->length == 0 || kq_time_now () - run->started_at < run->length)
+      if (run->duration == 0 || kq_time_now () - run->started_at < run->duration)
         continue;
       end_run (r, i, run->fails ? "failed" : "done");
       i--;
     }
-  if (r->next_end > before)
-    answer_waiting (r);
+  if (r->last_end > before)
+    answer_waiting_holds (r);
 }
 
-/* The part of a task's name that names its job. */
+/* The job's id from a task's id "JOB.OCCURRENCE.STEP.INDEX"; freed by the caller. */
 static char *
-job_of (const char *task)
+job_id (const char *task)
 {
   return strndup (task, strcspn (task, "."));
 }
@@ -273,13 +274,13 @@
   KqPlatformLedger *l = r->ledger;
   if (GPOINTER_TO_INT (g_hash_table_lookup (l->running, task)) > 0)
     breach (l, "two runs at a time", task);
-  if (g_hash_table_contains (l->done, task))
+  if (g_hash_table_contains (l->acked_done, task))
     breach (l, "started after it was done", task);
-  if (GPOINTER_TO_INT (g_hash_table_lookup (l->failed, task)) >= ATTEMPTS)
+  if (GPOINTER_TO_INT (g_hash_table_lookup (l->acked_failures, task)) >= ATTEMPTS_MAX)
     breach (l, "more attempts than allowed", task);
   l->starts++;
-  add_to (l->running, task, 1);
-  g_hash_table_add (l->jobs, job_of (task));
+  add_count (l->running, task, 1);
+  g_hash_table_add (l->started_jobs, job_id (task));
 }
 
 static void
@@ -293,16 +294,17 @@
 static void
 extend_lease (KqPlatformRunner *r, int64_t end)
 {
-  int64_t most = clock_ms (r) + HOLD_MAX_MS;
-  end = end < most ? end : most;
+  int64_t latest = clock_ms (r) + LEASE_MAX_MS;
+  end = end < latest ? end : latest;
   if (end > r->lease_end_ms)
     r->lease_end_ms = end;
 }
 
+/* The number behind "name=" in a spec; -1: it isn't there. */
 static int64_t
-number_in (const char *text, const char *name)
+spec_number (const char *spec, const char *name)
 {
-  const char *at = strstr (text, name);
+  const char *at = strstr (spec, name);
   return at != NULL ? atoll (at + strlen (name)) : -1;
 }
 
@@ -310,27 +312,27 @@
 do_start (KqPlatformRunner *r, KqWebCall *c, const json_t *j)
 {
   const char *task = json_string_value (json_object_get (j, "task"));
-  const char *text = json_string_value (json_object_get (j, "spec"));
-  uint32_t number = (uint32_t)json_integer_value (json_object_get (j, "run"));
+  const char *spec = json_string_value (json_object_get (j, "spec"));
+  uint32_t run_number = (uint32_t)json_integer_value (json_object_get (j, "run"));
   int64_t end = json_integer_value (json_object_get (j, "expiry_ms"));
   const char *index = strrchr (task, '.');
   Run *run;
   for (guint i = 0; i < r->runs->len; i++)
     {
       run = g_ptr_array_index (r->runs, i);
-      if (strcmp (run->task, task) == 0 && run->run == number)
+      if (strcmp (run->task, task) == 0 && run->run == run_number)
         {
           kq_web_reply_json (c, 200,
                              json_pack ("{s:I}", "clock_ms", (json_int_t)clock_ms (r)));
           return;
         }
     }
-  if (number <= GPOINTER_TO_UINT (g_hash_table_lookup (r->highest, task)))
+  if (run_number <= GPOINTER_TO_UINT (g_hash_table_lookup (r->highest_run, task)))
     {
       refuse (r, c, "old");
       return;
     }
-  if (end > clock_ms (r) + HOLD_MAX_MS)
+  if (end > clock_ms (r) + LEASE_MAX_MS)
     breach (r->ledger, "a start with a lease by the clock of another life", task);
   if (end <= clock_ms (r))
     {
@@ -340,10 +342,10 @@
   extend_lease (r, end);
   run = kq_alloc (sizeof *run);
   run->task = strdup (task);
-  run->run = number;
+  run->run = run_number;
   run->started_at = kq_time_now ();
-  run->length = number_in (text, "ms=") * KQ_MS;
-  run->fails = number_in (text, "fail=") == atoll (index + 1);
+  run->duration = spec_number (spec, "ms=") * KQ_MS;
+  run->fails = spec_number (spec, "fail=") == atoll (index + 1);
   g_ptr_array_add (r->runs, run);
   check_start (r, task);
   kq_web_reply_json (c, 200, json_pack ("{s:I}", "clock_ms", (json_int_t)clock_ms (r)));
@@ -353,34 +355,35 @@
 do_stop (KqPlatformRunner *r, KqWebCall *c, const json_t *j)
 {
   const char *task = json_string_value (json_object_get (j, "task"));
-  uint32_t number = (uint32_t)json_integer_value (json_object_get (j, "run"));
-  if (number > GPOINTER_TO_UINT (g_hash_table_lookup (r->highest, task)))
-    g_hash_table_insert (r->highest, strdup (task), GUINT_TO_POINTER (number));
+  uint32_t run_number = (uint32_t)json_integer_value (json_object_get (j, "run"));
+  if (run_number > GPOINTER_TO_UINT (g_hash_table_lookup (r->highest_run, task)))
+    g_hash_table_insert (r->highest_run, strdup (task), GUINT_TO_POINTER (run_number));
   for (guint i = 0; i < r->runs->len; i++)
     {
       const Run *run = g_ptr_array_index (r->runs, i);
-      if (strcmp (run->task, task) == 0 && run->run <= number)
+      if (strcmp (run->task, task) == 0 && run->run <= run_number)
         {
           end_run (r, i, "stopped");
           break;
         }
     }
   kq_web_reply_json (c, 200, json_pack ("{s:I}", "clock_ms", (json_int_t)clock_ms (r)));
-  answer_waiting (r);
+  answer_waiting_holds (r);
 }
 
+/* Ends that were acknowledged as done or failed count in the ledger. */
 static void
-forget_ends (KqPlatformRunner *r, uint64_t seen)
+drop_acked_ends (KqPlatformRunner *r, uint64_t last_seen)
 {
   while (r->ends->len > 0)
     {
       const End *e = g_ptr_array_index (r->ends, 0);
-      if (e->number > seen)
+      if (e->number > last_seen)
         return;
-      if (strcmp (e->how, "done") == 0)
-        g_hash_table_add (r->ledger->done, strdup (e->task));
-      if (strcmp (e->how, "failed") == 0)
-        add_to (r->ledger->failed, e->task, 1);
+      if (strcmp (e->reason, "done") == 0)
+        g_hash_table_add (r->ledger->acked_done, strdup (e->task));
+      if (strcmp (e->reason, "failed") == 0)
+        add_count (r->ledger->acked_failures, e->task, 1);
       g_ptr_array_remove_index (r->ends, 0);
     }
 }
@@ -390,20 +393,20 @@
 {
   const json_t *end = json_object_get (j, "expiry_ms");
   int64_t wait = json_integer_value (json_object_get (j, "wait_ms"));
-  uint64_t seen = (uint64_t)json_integer_value (json_object_get (j, "last_seen"));
+  uint64_t last_seen = (uint64_t)json_integer_value (json_object_get (j, "last_seen"));
   if (end != NULL)
     extend_lease (r, json_integer_value (end));
-  if (seen > r->next_end)
+  if (last_seen > r->last_end)
     breach (r->ledger, "an acknowledgement of another life's ends", r->id);
-  forget_ends (r, seen);
+  drop_acked_ends (r, last_seen);
   c->data = r;
   if (r->ends->len > 0 || wait == 0)
     {
-      kq_web_reply_json (c, 200, lists (r));
+      kq_web_reply_json (c, 200, report_json (r));
       return;
     }
-  g_ptr_array_add (r->waiting, c);
-  kq_web_after (c, wait, answer_lists);
+  g_ptr_array_add (r->waiting_holds, c);
+  kq_web_after (c, wait, answer_hold);
 }
 
 static void
@@ -433,10 +436,10 @@
 }
 
 static void
-on_gone (void *arg, KqWebCall *c)
+on_finished (void *arg, KqWebCall *c)
 {
   KqPlatformRunner *r = arg;
-  g_ptr_array_remove (r->waiting, c);
+  g_ptr_array_remove (r->waiting_holds, c);
 }
 
 void
@@ -446,7 +449,7 @@
     return;
   r->alive = false;
   for (guint i = 0; i < r->runs->len; i++)
-    add_to (r->ledger->running, ((Run *)g_ptr_array_index (r->runs, i))->task, -1);
+    add_count (r->ledger->running, ((Run *)g_ptr_array_index (r->runs, i))->task, -1);
   g_ptr_array_set_size (r->runs, 0);
   g_ptr_array_set_size (r->ends, 0);
   kq_web_close (r->web);
@@ -455,17 +458,17 @@
 }
 
 void
-kq_platform_runner_rise (KqPlatformRunner *r)
+kq_platform_runner_restart (KqPlatformRunner *r)
 {
   if (r->alive)
     return;
   r->alive = true;
   r->started_ms = kq_time_wall_ms ();
-  r->born_at = kq_time_now ();
+  r->started_at = kq_time_now ();
   r->lease_end_ms = 0;
   r->fence = 0;
-  r->next_end = 0;
-  g_hash_table_remove_all (r->highest);
+  r->last_end = 0;
+  g_hash_table_remove_all (r->highest_run);
   kq_web_open (r->web);
   publish (r);
 }
@@ -475,7 +478,7 @@
                         const KqPlatformRunnerConfig *c)
 {
   KqPlatformRunner *r = kq_alloc (sizeof *r);
-  KqWebApp app = { .arg = r, .handle = on_handle, .gone = on_gone };
+  KqWebApp app = { .arg = r, .handle = on_handle, .finished = on_finished };
   r->loop = loop;
   r->kv = kv;
   r->ledger = l;
@@ -485,13 +488,13 @@
   snprintf (r->key, sizeof r->key, "servers/%s", r->id);
   r->runs = g_ptr_array_new_with_free_func (free_run);
   r->ends = g_ptr_array_new_with_free_func (free_end);
-  r->waiting = g_ptr_array_new ();
-  r->highest = g_hash_table_new_full (g_str_hash, g_str_equal, free, NULL);
+  r->waiting_holds = g_ptr_array_new ();
+  r->highest_run = g_hash_table_new_full (g_str_hash, g_str_equal, free, NULL);
   r->web = kq_web_new (loop, c->port, "runner", &app);
-  kq_web_close (r->web); /* until it is up */
-  ev_timer_init (&r->look, on_look, LOOK_S, LOOK_S);
-  r->look.data = r;
-  ev_timer_start (kq_loop_ev (loop), &r->look);
-  kq_platform_runner_rise (r);
+  kq_web_close (r->web); /* opened again by kq_platform_runner_restart */
+  ev_timer_init (&r->run_check, on_run_check, RUN_CHECK_INTERVAL_S, RUN_CHECK_INTERVAL_S);
+  r->run_check.data = r;
+  ev_timer_start (kq_loop_ev (loop), &r->run_check);
+  kq_platform_runner_restart (r);
   return r;
 }
--- a/standin/platform_runner.h
+++ b/standin/platform_runner.h
@@ -1,11 +1,14 @@
 #ifndef KQ_STANDIN_PLATFORM_RUNNER_H
 #define KQ_STANDIN_PLATFORM_RUNNER_H
 
-/* platform_runner: a runner of the users' platform, and a ledger over all runners that
- * notices what must never happen.
+/* platform_runner: a stand-in for a runner of the platform, and a ledger.
  *
- * A task's text tells what it does: "ms=300" runs so long, "ms=0" lasts; "fail=2" makes
- * the task of index 2 fail each time. */
+ * The ledger records starts and ends of tasks on all runners of the process and counts
+ * breaches of invariants: two runs of a task at a time, a start after the task was done,
+ * more attempts than allowed. Each breach is a line "breach: RULE: TASK" on stderr.
+ *
+ * A job's spec says what its tasks do: "ms=300" runs for 300 ms, "ms=0" until stopped;
+ * "fail=2" makes the tasks of index 2 fail at each attempt. */
 
 #include "platform_kv.h"
 
@@ -13,28 +16,31 @@
 typedef struct KqPlatformRunner KqPlatformRunner;
 
 KqPlatformLedger *kq_platform_ledger_new (void);
-/* {"breaches":N,"first":"...","starts":N,"done":N} */
+/* {"breaches":N,"first":"...","starts":N,"done":N}; first: the first breach, or "". */
 json_t *kq_platform_ledger_json (const KqPlatformLedger *l);
 /* Whether some task of the job has ever started. */
 bool kq_platform_ledger_started (const KqPlatformLedger *l, const char *job);
-/* Tasks of the job that run now; of its steps, all that have ended as done. */
+/* How many tasks of the job run now, and how many have ended as done, over all steps. */
 int kq_platform_ledger_running (const KqPlatformLedger *l, const char *job);
 int kq_platform_ledger_done (const KqPlatformLedger *l, const char *job);
 
 typedef struct
 {
-  int number; /* its id follows from it */
-  int port;   /* 0: the kernel's */
+  int number; /* the runner's id is "i-" and number + 1 in hexadecimal */
+  int port;   /* 0: chosen by the kernel */
   int cpu_milli;
-  int64_t clock_ms; /* its steady clock at the start of each life */
+  int64_t clock_ms; /* its monotonic clock at each start */
 } KqPlatformRunnerConfig;
 
-/* kv: where it registers; NULL: nowhere. */
+/* kv: the store where it registers; NULL: it doesn't register. kv and l must outlive the
+ * runner, which lives as long as the process. Prints "runner PORT". */
 KqPlatformRunner *kq_platform_runner_new (KqLoop *loop, KqPlatformKv *kv,
                                           KqPlatformLedger *l,
                                           const KqPlatformRunnerConfig *c);
-/* Dies without a word and stays away, or comes back in a new life. */
+/* Ends the runner as a kill of its process would: closes the port, loses runs and ends
+ * and removes its entry from the store. Restart opens the same port with a new start
+ * time and without the earlier state. */
 void kq_platform_runner_crash (KqPlatformRunner *r);
-void kq_platform_runner_rise (KqPlatformRunner *r);
+void kq_platform_runner_restart (KqPlatformRunner *r);
 
 #endif
--- a/standin/relay_main.c
+++ b/standin/relay_main.c
@@ -1,5 +1,5 @@
-/* standin-relay: passes TCP bytes to a target and loses track of connections on command
- * (docs/PLATFORM.md, "Stand-ins"). */
+/* standin-relay: a TCP relay to a target that stalls, delays or refuses connections as
+ * set on its control port (docs/PLATFORM.md, "Stand-ins"). */
 
 #include "web.h"
 
@@ -13,12 +13,13 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define BLOCK (64 * 1024)
+#define BUFFER_BYTES (64 * 1024)
 
 typedef struct Relay Relay;
 typedef struct Link Link;
 
-/* One direction: read from one end, held for the delay, written to the other. */
+/* One direction of a link: bytes are read from one socket, held for the delay and written
+ * to the other. */
 typedef struct
 {
   Link *link;
@@ -26,19 +27,20 @@
   int to;
   ev_io readable;
   ev_io writable;
-  ev_timer due;
-  char bytes[BLOCK];
+  ev_timer delay_timer;
+  char bytes[BUFFER_BYTES];
   size_t len;
-  size_t done;
+  size_t written; /* of len */
   bool stalled;
-  uint64_t *count;
+  uint64_t *byte_count; /* bytes read, over all links */
 } Pipe;
 
+/* A connection that is relayed. */
 struct Link
 {
   Link *next;
   Relay *relay;
-  Pipe up;
+  Pipe up; /* to the target */
   Pipe down;
 };
 
@@ -52,28 +54,28 @@
   uint64_t accepted;
   uint64_t bytes_up;
   uint64_t bytes_down;
-  bool stall_new;
+  bool stall_new; /* also connections made from now on */
   bool stall_up;
   bool stall_down;
   bool refuse;
   int64_t delay_ms;
-  int64_t connect_ms;
+  int64_t connect_delay_ms; /* between accept and connect to the target */
 };
 
-/* A connection that has been accepted and isn't connected to the target yet. */
+/* A connection that was accepted and isn't connected to the target yet. */
 typedef struct
 {
   Relay *relay;
   int fd;
-  ev_timer due;
-} Waiting;
+  ev_timer delay_timer;
+} PendingConnect;
 
 static void
 stop_pipe (struct ev_loop *ev, Pipe *p)
 {
   ev_io_stop (ev, &p->readable);
   ev_io_stop (ev, &p->writable);
-  ev_timer_stop (ev, &p->due);
+  ev_timer_stop (ev, &p->delay_timer);
 }
 
 static void
@@ -105,15 +107,15 @@
       return;
     }
   p->len = (size_t)n;
-  p->done = 0;
-  *p->count += (uint64_t)n;
+  p->written = 0;
+  *p->byte_count += (uint64_t)n;
   ev_io_stop (ev, &p->readable);
-  ev_timer_set (&p->due, (double)p->link->relay->delay_ms / 1000.0, 0);
-  ev_timer_start (ev, &p->due);
+  ev_timer_set (&p->delay_timer, (double)p->link->relay->delay_ms / 1000.0, 0);
+  ev_timer_start (ev, &p->delay_timer);
 }
 
 static void
-on_due (struct ev_loop *ev, ev_timer *w, int events)
+on_delay_over (struct ev_loop *ev, ev_timer *w, int events)
 {
   Pipe *p = w->data;
   (void)events;
@@ -125,7 +127,7 @@
 on_writable (struct ev_loop *ev, ev_io *w, int events)
 {
   Pipe *p = w->data;
-  ssize_t n = send (p->to, p->bytes + p->done, p->len - p->done, MSG_DONTWAIT);
+  ssize_t n = send (p->to, p->bytes + p->written, p->len - p->written, MSG_DONTWAIT);
   (void)events;
   if (n < 0 && (errno == EAGAIN || errno == EINTR))
     return;
@@ -134,27 +136,27 @@
       close_link (p->link);
       return;
     }
-  p->done += (size_t)n;
-  if (p->done < p->len)
+  p->written += (size_t)n;
+  if (p->written < p->len)
     return;
   ev_io_stop (ev, &p->writable);
   ev_io_start (ev, &p->readable);
 }
 
 static void
-start_pipe (Pipe *p, Link *l, int from, int to, uint64_t *count)
+start_pipe (Pipe *p, Link *l, int from, int to, uint64_t *byte_count)
 {
   int one = 1;
   p->link = l;
   p->from = from;
   p->to = to;
-  p->count = count;
+  p->byte_count = byte_count;
   setsockopt (to, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
   fcntl (to, F_SETFL, O_NONBLOCK);
   ev_io_init (&p->readable, on_readable, from, EV_READ);
   ev_io_init (&p->writable, on_writable, to, EV_WRITE);
-  ev_timer_init (&p->due, on_due, 0, 0);
-  p->readable.data = p->writable.data = p->due.data = p;
+  ev_timer_init (&p->delay_timer, on_delay_over, 0, 0);
+  p->readable.data = p->writable.data = p->delay_timer.data = p;
 }
 
 static void
@@ -184,9 +186,9 @@
 }
 
 static void
-on_connect_due (struct ev_loop *ev, ev_timer *t, int events)
+on_connect_delay_over (struct ev_loop *ev, ev_timer *t, int events)
 {
-  Waiting *w = t->data;
+  PendingConnect *w = t->data;
   (void)ev;
   (void)events;
   connect_target (w->relay, w->fd);
@@ -198,11 +200,11 @@
 {
   Relay *r = io->data;
   int fd = accept4 (io->fd, NULL, NULL, SOCK_NONBLOCK);
-  Waiting *w;
+  PendingConnect *w;
   (void)events;
   if (fd < 0)
     return;
-  if (r->connect_ms == 0)
+  if (r->connect_delay_ms == 0)
     {
       connect_target (r, fd);
       return;
@@ -210,14 +212,16 @@
   w = kq_alloc (sizeof *w);
   w->relay = r;
   w->fd = fd;
-  ev_timer_init (&w->due, on_connect_due, (double)r->connect_ms / 1000.0, 0);
-  w->due.data = w;
-  ev_timer_start (ev, &w->due);
+  ev_timer_init (&w->delay_timer, on_connect_delay_over,
+                 (double)r->connect_delay_ms / 1000.0, 0);
+  w->delay_timer.data = w;
+  ev_timer_start (ev, &w->delay_timer);
 }
 
-/* A stalled connection is never taken up again: what lost track of it doesn't find it. */
+/* A stalled link stays stalled in every later mode, like a connection whose state a
+ * middlebox (NAT, firewall) has dropped. */
 static void
-stall_open (Relay *r)
+stall_open_links (Relay *r)
 {
   for (Link *l = r->links; l != NULL; l = l->next)
     {
@@ -230,15 +234,15 @@
 set_mode (Relay *r, const json_t *j)
 {
   const char *stall = json_string_value (json_object_get (j, "stall"));
-  const char *way = json_string_value (json_object_get (j, "direction"));
+  const char *direction = json_string_value (json_object_get (j, "direction"));
   r->stall_new = g_strcmp0 (stall, "all") == 0;
-  r->stall_up = g_strcmp0 (way, "down") != 0;
-  r->stall_down = g_strcmp0 (way, "up") != 0;
+  r->stall_up = g_strcmp0 (direction, "down") != 0;
+  r->stall_down = g_strcmp0 (direction, "up") != 0;
   r->refuse = json_is_true (json_object_get (j, "refuse"));
   r->delay_ms = json_integer_value (json_object_get (j, "delay_ms"));
-  r->connect_ms = json_integer_value (json_object_get (j, "connect_ms"));
+  r->connect_delay_ms = json_integer_value (json_object_get (j, "connect_ms"));
   if (r->stall_new || g_strcmp0 (stall, "open") == 0)
-    stall_open (r);
+    stall_open_links (r);
 }
 
 static void
--- a/standin/runner_main.c
+++ b/standin/runner_main.c
@@ -1,6 +1,6 @@
-/* standin-runner: one runner of the users' platform as a process of its own, to be killed
- * and started again at its address. A breach is a line "breach: RULE: TASK" on standard
- * error. */
+/* standin-runner: one runner of the platform in its own process, so that a test can kill
+ * it and start it again on the same port. A breached invariant is a line
+ * "breach: RULE: TASK" on stderr. */
 
 #include "platform_runner.h"
 
--- a/standin/store_main.c
+++ b/standin/store_main.c
@@ -1,5 +1,5 @@
-/* standin-store: the platform's key-value service and host list for tests: HTTP in front
- * of port/store_fake. Its calls and switches are stated in docs/PLATFORM.md. */
+/* standin-store: the platform's key-value service and host list, for tests: an HTTP
+ * server over port/store_fake. docs/PLATFORM.md describes its calls and faults. */
 
 #include "port/budget.h"
 #include "port/store_fake.h"
@@ -11,25 +11,25 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The brief: several hundred writes and about two thousand reads a second. */
+/* The platform allows several hundred writes and about 2000 reads a second. */
 #define WRITES_PER_SECOND 500
 #define READS_PER_SECOND 2000
-#define KINDS (KQ_STORE_HOSTS + 1)
-/* A gap between two ticks that means that this process was stopped. */
-#define TICK_S 0.1
-#define PAUSE_SEEN (500 * KQ_MS)
+#define OP_KINDS (KQ_STORE_HOSTS + 1)
+#define TICK_INTERVAL_S 0.1
+/* A longer gap between two ticks means that this process was paused. */
+#define PAUSE_MIN (500 * KQ_MS)
 
-static const char *const kind_names[KINDS]
+static const char *const op_kind_names[OP_KINDS]
     = { "get",         "put",          "delete", "list", "lease_grant",
         "lease_renew", "lease_revoke", "watch",  "hosts" };
 
 typedef struct
 {
   json_t *json;
-  KqTime heard_at;
+  KqTime registered_at;
   KqTime changed_at;
-  const char *state;  /* NULL: not there */
-  const char *before; /* what the lagging list says until changed_at + lag */
+  const char *state;          /* NULL: not listed */
+  const char *previous_state; /* listed until changed_at + hosts_lag_ms */
 } Host;
 
 typedef struct
@@ -37,19 +37,19 @@
   KqLoop *loop;
   KqWeb *web;
   KqStoreFake *fake;
-  ev_timer due;
-  GHashTable *open; /* token -> KqWebCall whose answer is due */
+  ev_timer reply_timer;
+  GHashTable *pending; /* token -> KqWebCall without an answer yet */
   uint64_t last_token;
-  uint64_t calls[KINDS];
+  uint64_t calls[OP_KINDS];
   uint64_t refused;
   gboolean limited;
   KqBudget reads;
   KqBudget writes;
   GTree *hosts; /* name -> Host */
-  KqTime alive_at;
-  ev_timer alive;
+  KqTime last_tick;
+  ev_timer tick;
   int hosts_lag_ms;
-  int hosts_gone_ms; /* a host not heard of for so long is gone */
+  int hosts_gone_ms; /* a host that didn't register for so long is gone */
 } Store;
 
 static void
@@ -105,7 +105,7 @@
 reply (KqWebCall *c, const KqStoreReply *r)
 {
   if (r->kind == KQ_STORE_WATCH && kq_web_watch_silent (c))
-    return; /* it stays open without an answer */
+    return; /* stays open without an answer */
   if (r->result == KQ_OK)
     reply_ok (c, r);
   else if (r->result == KQ_ERR_STORE_CONFLICT)
@@ -128,22 +128,22 @@
   int client;
   while (kq_store_fake_next (s->fake, now, &client, &r))
     {
-      KqWebCall *c = g_hash_table_lookup (s->open, GSIZE_TO_POINTER (r.token));
-      g_hash_table_remove (s->open, GSIZE_TO_POINTER (r.token));
+      KqWebCall *c = g_hash_table_lookup (s->pending, GSIZE_TO_POINTER (r.token));
+      g_hash_table_remove (s->pending, GSIZE_TO_POINTER (r.token));
       if (c != NULL)
         reply (c, &r);
     }
   due = kq_store_fake_next_time (s->fake);
-  ev_timer_stop (ev, &s->due);
+  ev_timer_stop (ev, &s->reply_timer);
   if (due == KQ_TIME_NEVER)
     return;
   ev_now_update (ev);
-  ev_timer_set (&s->due, due > now ? (double)(due - now) / 1e6 : 0, 0);
-  ev_timer_start (ev, &s->due);
+  ev_timer_set (&s->reply_timer, due > now ? (double)(due - now) / 1e6 : 0, 0);
+  ev_timer_start (ev, &s->reply_timer);
 }
 
 static void
-on_due (struct ev_loop *ev, ev_timer *w, int events)
+on_reply_due (struct ev_loop *ev, ev_timer *w, int events)
 {
   (void)ev;
   (void)events;
@@ -155,7 +155,7 @@
 {
   if (g_strcmp0 (h->state, state) == 0)
     return;
-  h->before = h->state;
+  h->previous_state = h->state;
   h->state = state;
   h->changed_at = now;
 }
@@ -175,31 +175,32 @@
       g_tree_insert (s->hosts, g_strdup (name), h);
     }
   json_object_update (h->json, j);
-  h->heard_at = now;
+  h->registered_at = now;
   set_host_state (h, g_strcmp0 (state, "leaving") == 0 ? "leaving" : "live", now);
 }
 
 static int
-hear_later (void *name, void *host, void *span)
+shift_registered_at (void *name, void *host, void *pause)
 {
   Host *h = host;
   (void)name;
-  h->heard_at += *(KqTime *)span;
+  h->registered_at += *(KqTime *)pause;
   return FALSE;
 }
 
-/* While this process stood still it could hear nobody: no host is gone for that. */
+/* While this process is paused no host can register; so a pause doesn't count towards
+ * hosts_gone_ms. */
 static void
-on_alive (struct ev_loop *ev, ev_timer *w, int events)
+on_tick (struct ev_loop *ev, ev_timer *w, int events)
 {
   Store *s = w->data;
   KqTime now = kq_time_now ();
-  KqTime span = now - s->alive_at;
+  KqTime pause = now - s->last_tick;
   (void)ev;
   (void)events;
-  if (span > PAUSE_SEEN)
-    g_tree_foreach (s->hosts, hear_later, &span);
-  s->alive_at = now;
+  if (pause > PAUSE_MIN)
+    g_tree_foreach (s->hosts, shift_registered_at, &pause);
+  s->last_tick = now;
 }
 
 static void
@@ -216,7 +217,7 @@
   json_decref (j);
 }
 
-/* With an entity tag; 304 when the asker has this text already. Takes over j. */
+/* Replies with an ETag; 304 if it equals If-None-Match. Consumes j. */
 static void
 reply_tagged (KqWebCall *c, json_t *j)
 {
@@ -238,17 +239,18 @@
   KqTime now = kq_time_now ();
   json_t *hosts = json_array ();
   KqBuf depot = { 0 };
-  on_alive (NULL, &s->alive, 0);
+  on_tick (NULL, &s->tick, 0);
   kq_web_query (c, "depot", &depot);
   for (GTreeNode *n = g_tree_node_first (s->hosts); n != NULL; n = g_tree_node_next (n))
     {
       Host *h = g_tree_node_value (n);
-      const char *at = json_string_value (json_object_get (h->json, "depot"));
+      const char *host_depot = json_string_value (json_object_get (h->json, "depot"));
       const char *state;
-      if (now - h->heard_at > s->hosts_gone_ms * KQ_MS)
+      if (now - h->registered_at > s->hosts_gone_ms * KQ_MS)
         set_host_state (h, "gone", now);
-      state = now - h->changed_at < s->hosts_lag_ms * KQ_MS ? h->before : h->state;
-      if (state == NULL || (depot.len > 0 && g_strcmp0 (at, depot.ptr) != 0))
+      state
+          = now - h->changed_at < s->hosts_lag_ms * KQ_MS ? h->previous_state : h->state;
+      if (state == NULL || (depot.len > 0 && g_strcmp0 (host_depot, depot.ptr) != 0))
         continue;
       json_object_set_new (h->json, "state", json_string (state));
       json_array_append_new (hosts, json_copy (h->json));
@@ -262,9 +264,9 @@
 {
   json_t *j = json_object ();
   uint64_t sum = 0;
-  for (int i = 0; i < KINDS; i++)
+  for (int i = 0; i < OP_KINDS; i++)
     {
-      json_object_set_new (j, kind_names[i], json_integer ((json_int_t)s->calls[i]));
+      json_object_set_new (j, op_kind_names[i], json_integer ((json_int_t)s->calls[i]));
       sum += s->calls[i];
     }
   json_object_set_new (j, "calls", json_integer ((json_int_t)sum));
@@ -297,7 +299,7 @@
   return true;
 }
 
-/* Reads method and path; false when there is no such call. */
+/* Reads method, path and key; false: there is no such call. */
 static bool
 read_op (const KqWebCall *c, KqStoreOp *op, KqBuf *key)
 {
@@ -341,7 +343,7 @@
     {
       op.key = kq_buf_str (&key);
       c->data = GSIZE_TO_POINTER (op.token);
-      g_hash_table_insert (s->open, c->data, c);
+      g_hash_table_insert (s->pending, c->data, c);
       kq_store_fake_call (s->fake, 0, &op, kq_time_now ());
       run_fake (s);
     }
@@ -363,10 +365,10 @@
 }
 
 static void
-on_gone (void *arg, KqWebCall *c)
+on_finished (void *arg, KqWebCall *c)
 {
   Store *s = arg;
-  g_hash_table_remove (s->open, c->data);
+  g_hash_table_remove (s->pending, c->data);
 }
 
 static int
@@ -380,7 +382,7 @@
 main (int argc, char **argv)
 {
   Store s = { .hosts_lag_ms = 2000, .hosts_gone_ms = 10000 };
-  KqWebApp app = { .arg = &s, .handle = on_call, .gone = on_gone };
+  KqWebApp app = { .arg = &s, .handle = on_call, .finished = on_finished };
   KqTime now = kq_time_now ();
   int port = 0;
   const GOptionEntry options[] = {
@@ -396,15 +398,15 @@
   s.loop = kq_loop_new ();
   s.fake = kq_store_fake_new (1);
   kq_store_fake_faults (s.fake)->latency = 0;
-  s.open = g_hash_table_new (g_direct_hash, g_direct_equal);
+  s.pending = g_hash_table_new (g_direct_hash, g_direct_equal);
   s.hosts = g_tree_new_full (compare_names, NULL, g_free, NULL);
   kq_budget_init (&s.writes, WRITES_PER_SECOND, WRITES_PER_SECOND, 0, now);
   kq_budget_init (&s.reads, READS_PER_SECOND, READS_PER_SECOND, 0, now);
-  ev_timer_init (&s.due, on_due, 0, 0);
-  ev_timer_init (&s.alive, on_alive, TICK_S, TICK_S);
-  s.due.data = s.alive.data = &s;
-  s.alive_at = now;
-  ev_timer_start (kq_loop_ev (s.loop), &s.alive);
+  ev_timer_init (&s.reply_timer, on_reply_due, 0, 0);
+  ev_timer_init (&s.tick, on_tick, TICK_INTERVAL_S, TICK_INTERVAL_S);
+  s.reply_timer.data = s.tick.data = &s;
+  s.last_tick = now;
+  ev_timer_start (kq_loop_ev (s.loop), &s.tick);
   s.web = kq_web_new (s.loop, port, "listening", &app);
   kq_loop_run (s.loop);
   return 0;
--- a/standin/web.c
+++ b/standin/web.c
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Between the first half of a partial answer and the cut, so that the half leaves. */
+/* Between the first half of a partial answer and the abort, so that the half is sent. */
 #define PARTIAL_CUT_MS 20
 
 typedef enum
@@ -16,21 +16,21 @@
   OUTAGE_CLOSE
 } Outage;
 
-/* What goes wrong for calls of a method (any: "") whose path begins with `path`. */
-typedef struct Rule
+/* The faults for calls with this method ("": any) whose path begins with `path`. */
+typedef struct FaultRule
 {
-  struct Rule *next;
+  struct FaultRule *next;
   char *path;
   char *method;
   Outage outage;
-  int64_t delay_ms;        /* before the effect */
-  int64_t answer_delay_ms; /* behind the effect */
-  int64_t lose_answer;     /* so many next answers; -1: all */
-  int64_t partial_answer;  /* the same */
+  int64_t delay_ms;        /* before the request is handled */
+  int64_t answer_delay_ms; /* after it was handled */
+  int64_t lose_answer;     /* number of next answers to lose; -1: all */
+  int64_t partial_answer;  /* likewise, sent by half */
   bool hang;
   bool silent_watch;
-  bool fail;
-} Rule;
+  bool fail_all;
+} FaultRule;
 
 struct KqWeb
 {
@@ -38,7 +38,7 @@
   KqHttpServer *server; /* NULL: closed */
   int port;
   KqWebApp app;
-  Rule *rules; /* the newest first: the first that matches counts */
+  FaultRule *rules; /* the newest first; the first that matches applies */
 };
 
 static bool
@@ -50,14 +50,14 @@
          || kq_str_eq (p, KQ_STR ("/v1/effects")) || kq_web_is (c, "POST", "/v1/hosts");
 }
 
-static Rule *
-rule_of (const KqWebCall *c)
+static FaultRule *
+find_rule (const KqWebCall *c)
 {
   KqStr path = kq_http_path (c->x);
   KqStr method = kq_http_method (c->x);
   if (is_control (c))
     return NULL;
-  for (Rule *r = c->web->rules; r != NULL; r = r->next)
+  for (FaultRule *r = c->web->rules; r != NULL; r = r->next)
     {
       bool method_fits = r->method[0] == '\0' || kq_str_eq (kq_str (r->method), method);
       if (method_fits && kq_str_has_prefix (path, kq_str (r->path)))
@@ -66,8 +66,9 @@
   return NULL;
 }
 
+/* Counts down; false: the count is 0. A negative count has no end. */
 static bool
-use_up (int64_t *count)
+count_down (int64_t *count)
 {
   if (*count > 0)
     return (*count)--, true;
@@ -79,7 +80,7 @@
 {
   while (w->rules != NULL)
     {
-      Rule *r = w->rules;
+      FaultRule *r = w->rules;
       w->rules = r->next;
       free (r->path);
       free (r->method);
@@ -104,7 +105,7 @@
 add_rule (KqWeb *w, const json_t *j)
 {
   const char *outage = optional_string (j, "outage");
-  Rule *r = kq_alloc (sizeof *r);
+  FaultRule *r = kq_alloc (sizeof *r);
   r->path = kq_str_dup (kq_str (optional_string (j, "path")));
   r->method = kq_str_dup (kq_str (optional_string (j, "method")));
   if (strcmp (outage, "close") == 0)
@@ -117,7 +118,7 @@
   r->partial_answer = optional_int (j, "partial_answer");
   r->hang = json_is_true (json_object_get (j, "accept_and_hang"));
   r->silent_watch = json_is_true (json_object_get (j, "silent_watch"));
-  r->fail = json_is_true (json_object_get (j, "fail_everything"));
+  r->fail_all = json_is_true (json_object_get (j, "fail_everything"));
   r->next = w->rules;
   w->rules = r;
 }
@@ -140,11 +141,11 @@
   json_decref (j);
   kq_web_reply (c, 200, NULL, NULL, KQ_STR ("{}"));
   if (pause_ms > 0)
-    usleep ((useconds_t)pause_ms * 1000); /* the whole process stands still */
+    usleep ((useconds_t)pause_ms * 1000); /* blocks the whole process */
 }
 
 static void
-on_due (struct ev_loop *ev, ev_timer *w, int events)
+on_timer (struct ev_loop *ev, ev_timer *w, int events)
 {
   KqWebCall *c = w->data;
   (void)ev;
@@ -158,7 +159,7 @@
   struct ev_loop *ev = kq_loop_ev (c->web->loop);
   ev_timer_stop (ev, &c->timer);
   ev_now_update (ev);
-  ev_timer_init (&c->timer, on_due, (double)ms / 1000.0, 0);
+  ev_timer_init (&c->timer, on_timer, (double)ms / 1000.0, 0);
   c->timer.data = c;
   c->due = due;
   ev_timer_start (ev, &c->timer);
@@ -178,17 +179,17 @@
 {
   KqWeb *w = arg;
   KqWebCall *c = kq_alloc (sizeof *c);
-  const Rule *r;
+  const FaultRule *r;
   c->web = w;
   c->x = x;
   kq_http_set_data (x, c);
-  r = rule_of (c);
-  c->hung = r != NULL && (r->hang || r->outage != OUTAGE_NONE);
+  r = find_rule (c);
+  c->ignored = r != NULL && (r->hang || r->outage != OUTAGE_NONE);
   if (r != NULL && r->outage == OUTAGE_CLOSE)
     kq_http_abort (x);
   else if (r != NULL && r->outage == OUTAGE_REFUSE)
     kq_http_reply (x, 503, NULL, 0, KQ_STR ("{\"error\":\"outage\"}"));
-  else if (!c->hung)
+  else if (!c->ignored)
     c->streamed = w->app.begin != NULL && w->app.begin (w->app.arg, c);
 }
 
@@ -197,7 +198,7 @@
 {
   KqWeb *w = arg;
   KqWebCall *c = kq_http_data (x);
-  if (c->hung)
+  if (c->ignored)
     return;
   if (c->streamed)
     w->app.chunk (w->app.arg, c, chunk);
@@ -209,9 +210,9 @@
 on_end (void *arg, KqHttpExchange *x)
 {
   KqWebCall *c = kq_http_data (x);
-  const Rule *r = rule_of (c);
+  const FaultRule *r = find_rule (c);
   (void)arg;
-  if (c->hung)
+  if (c->ignored)
     return;
   if (r != NULL && r->delay_ms > 0)
     kq_web_after (c, r->delay_ms, handle);
@@ -228,13 +229,13 @@
 }
 
 static void
-on_gone (void *arg, KqHttpExchange *x, bool whole)
+on_finished (void *arg, KqHttpExchange *x, bool whole)
 {
   KqWeb *w = arg;
   KqWebCall *c = kq_http_data (x);
   (void)whole;
-  if (w->app.gone != NULL)
-    w->app.gone (w->app.arg, c);
+  if (w->app.finished != NULL)
+    w->app.finished (w->app.arg, c);
   ev_timer_stop (kq_loop_ev (w->loop), &c->timer);
   kq_buf_free (&c->body);
   kq_buf_free (&c->out);
@@ -266,7 +267,7 @@
 void
 kq_web_open (KqWeb *w)
 {
-  KqHttpHandler h = { w, on_begin, on_body, on_end, on_drained, on_gone };
+  KqHttpHandler h = { w, on_begin, on_body, on_end, on_drained, on_finished };
   w->server = kq_http_server_new (w->loop, "127.0.0.1", w->port, &h);
   if (w->server == NULL)
     {
@@ -277,14 +278,14 @@
 }
 
 KqWeb *
-kq_web_new (KqLoop *loop, int port, const char *word, const KqWebApp *app)
+kq_web_new (KqLoop *loop, int port, const char *label, const KqWebApp *app)
 {
   KqWeb *w = kq_alloc (sizeof *w);
   w->loop = loop;
   w->app = *app;
   w->port = port;
   kq_web_open (w);
-  printf ("%s %d\n", word, w->port);
+  printf ("%s %d\n", label, w->port);
   fflush (stdout);
   return w;
 }
@@ -298,16 +299,16 @@
 KqWebCut
 kq_web_cut (const KqWebCall *c)
 {
-  Rule *r = rule_of (c);
-  if (r != NULL && use_up (&r->lose_answer))
+  FaultRule *r = find_rule (c);
+  if (r != NULL && count_down (&r->lose_answer))
     return KQ_WEB_LOST;
-  if (r != NULL && use_up (&r->partial_answer))
+  if (r != NULL && count_down (&r->partial_answer))
     return KQ_WEB_PARTIAL;
   return KQ_WEB_WHOLE;
 }
 
 static void
-cut (KqWebCall *c)
+abort_call (KqWebCall *c)
 {
   kq_http_abort (c->x);
 }
@@ -318,8 +319,9 @@
   KqStr body = kq_buf_str (&c->out);
   KqHeader h = { kq_str (c->header), kq_str (c->value) };
   size_t n = c->header != NULL ? 1 : 0;
-  const Rule *r = rule_of (c);
-  /* An outage that began while the call waited: a watch must not bring word of it. */
+  const FaultRule *r = find_rule (c);
+  /* An outage may have begun while the call waited; a waiting watch isn't answered
+   * either. */
   if (r != NULL && r->hang)
     return;
   if (r != NULL && r->outage != OUTAGE_NONE)
@@ -338,7 +340,7 @@
     case KQ_WEB_PARTIAL:
       kq_http_reply_begin (c->x, c->status, &h, n, (int64_t)body.len + 1);
       kq_http_reply_data (c->x, kq_str_n (body.ptr, body.len / 2));
-      kq_web_after (c, PARTIAL_CUT_MS, cut);
+      kq_web_after (c, PARTIAL_CUT_MS, abort_call);
       break;
     }
 }
@@ -346,7 +348,7 @@
 void
 kq_web_reply (KqWebCall *c, int status, const char *header, const char *value, KqStr body)
 {
-  const Rule *r = rule_of (c);
+  const FaultRule *r = find_rule (c);
   c->status = status;
   c->header = header;
   snprintf (c->value, sizeof c->value, "%s", value != NULL ? value : "");
@@ -395,12 +397,12 @@
 }
 
 uint64_t
-kq_web_query_u64 (const KqWebCall *c, const char *name, uint64_t otherwise)
+kq_web_query_u64 (const KqWebCall *c, const char *name, uint64_t fallback)
 {
   KqBuf text = { 0 };
-  uint64_t v = otherwise;
+  uint64_t v = fallback;
   if (kq_web_query (c, name, &text) && !kq_str_to_u64 (kq_buf_str (&text), &v))
-    v = otherwise;
+    v = fallback;
   kq_buf_free (&text);
   return v;
 }
@@ -408,13 +410,13 @@
 bool
 kq_web_fails (const KqWebCall *c)
 {
-  const Rule *r = rule_of (c);
-  return r != NULL && r->fail;
+  const FaultRule *r = find_rule (c);
+  return r != NULL && r->fail_all;
 }
 
 bool
 kq_web_watch_silent (const KqWebCall *c)
 {
-  const Rule *r = rule_of (c);
+  const FaultRule *r = find_rule (c);
   return r != NULL && r->silent_watch;
 }
--- a/standin/worker_main.c
+++ b/standin/worker_main.c
@@ -1,5 +1,5 @@
-/* standin-worker: workers with their runners, many in one process, for tests. Their
- * calls and switches are stated in docs/PLATFORM.md. */
+/* standin-worker: workers with their runners, any number in one process, for tests.
+ * docs/PLATFORM.md describes their calls and faults. */
 
 #include "base/rand.h"
 #include "http/client.h"
@@ -14,13 +14,13 @@
 #include <string.h>
 
 #define RUNNERS_MAX 16
-#define REGISTER_EVERY_S 1.0
-#define TICK_S 0.1
-/* A host registered at most so long ago when its process stops. */
-#define REGISTERED_AGO (2 * KQ_SEC)
-/* Answer bytes held at a time for a slow reader. */
-#define ANSWER_BLOCK (64 * 1024)
-#define ANSWER_AHEAD (256 * 1024)
+#define REGISTER_INTERVAL_S 1.0
+#define TICK_INTERVAL_S 0.1
+/* The last registration is at most this old when the process is paused. */
+#define REGISTRATION_AGE_MAX (2 * KQ_SEC)
+#define ANSWER_BLOCK_BYTES (64 * 1024)
+/* Unsent bytes of an answer that are kept in memory for a slow client. */
+#define UNSENT_MAX_BYTES (256 * 1024)
 
 typedef struct
 {
@@ -47,9 +47,10 @@
   KqName name;
   KqName rack;
   KqWorkerFake worker;
-  int busy[RUNNERS_MAX]; /* slots of each runner */
+  int busy_slots[RUNNERS_MAX]; /* of each runner */
 } Host;
 
+/* All workers of this process. */
 typedef struct
 {
   const Options *o;
@@ -57,24 +58,25 @@
   KqHttpClient *client;
   Host *hosts;
   KqWorkerFakeEffects effects;
-  GHashTable *requests; /* id -> how often a runner ran it */
+  GHashTable *requests; /* id -> how often it was run */
   bool registering;
-  KqBuf answer; /* of the registration */
-  KqTime pause_max;
-  KqTime alive_at;
+  KqBuf answer;     /* of the registration */
+  KqTime pause_max; /* after a longer pause the leases have ended */
+  KqTime last_tick;
 } Fleet;
 
-/* One request at a runner. */
+/* A request that a runner executes; it takes a slot. */
 typedef struct
 {
-  int *busy;
-  KqBuf id;
+  int *busy_slots; /* the runner's count */
+  KqBuf id;        /* request id or idempotency key */
   XXH3_state_t *hash;
   uint64_t length; /* of the request's body */
-  uint64_t sent;   /* of a large answer */
-  uint64_t bytes;
-  uint64_t cut_at;
-} Flight;
+  /* Of a large answer: */
+  uint64_t sent;
+  uint64_t answer_bytes;
+  uint64_t cut_at; /* aborted after so many bytes, if fewer than all */
+} RunnerRequest;
 
 /* Finds the worker of "/w/NAME/REST" and puts the rest into *rest. */
 static Host *
@@ -93,7 +95,7 @@
   return NULL;
 }
 
-/* The slot counter of "/w/NAME/r/rN/REST"; NULL when there is no such runner. */
+/* The count of busy slots of the runner in "/w/NAME/r/rN/REST"; NULL: no such runner. */
 static int *
 find_runner (Fleet *f, KqStr path)
 {
@@ -107,107 +109,107 @@
   name = kq_str_cut (&rest, '/');
   if (!kq_str_to_i64 (name, &n) || n < 1 || n > f->o->runners)
     return NULL;
-  return &h->busy[n - 1];
+  return &h->busy_slots[n - 1];
 }
 
 static bool
 begin (void *arg, KqWebCall *c)
 {
   Fleet *f = arg;
-  int *busy = find_runner (f, kq_http_path (c->x));
-  Flight *fl;
-  if (busy == NULL)
+  int *busy_slots = find_runner (f, kq_http_path (c->x));
+  RunnerRequest *request;
+  if (busy_slots == NULL)
     return false;
-  if (*busy >= f->o->slots)
+  if (*busy_slots >= f->o->slots)
     {
-      c->hung = true;
+      c->ignored = true;
       kq_web_reply (c, 503, "X-Kq-Ran", "no", KQ_STR ("{\"error\":\"no slot\"}"));
       return false;
     }
-  (*busy)++;
-  fl = kq_alloc (sizeof *fl);
-  fl->busy = busy;
-  fl->hash = XXH3_createState ();
-  XXH3_64bits_reset (fl->hash);
-  kq_buf_add_str (&fl->id, kq_http_header (c->x, "X-Request-Id"));
-  if (fl->id.len == 0)
-    kq_buf_add_str (&fl->id, kq_http_header (c->x, "Idempotency-Key"));
-  c->data = fl;
+  (*busy_slots)++;
+  request = kq_alloc (sizeof *request);
+  request->busy_slots = busy_slots;
+  request->hash = XXH3_createState ();
+  XXH3_64bits_reset (request->hash);
+  kq_buf_add_str (&request->id, kq_http_header (c->x, "X-Request-Id"));
+  if (request->id.len == 0)
+    kq_buf_add_str (&request->id, kq_http_header (c->x, "Idempotency-Key"));
+  c->data = request;
   return true;
 }
 
 static void
 chunk (void *arg, KqWebCall *c, KqStr bytes)
 {
-  Flight *fl = c->data;
+  RunnerRequest *request = c->data;
   (void)arg;
-  fl->length += bytes.len;
-  XXH3_64bits_update (fl->hash, bytes.ptr, bytes.len);
+  request->length += bytes.len;
+  XXH3_64bits_update (request->hash, bytes.ptr, bytes.len);
 }
 
 static void
-gone (void *arg, KqWebCall *c)
+finished (void *arg, KqWebCall *c)
 {
-  Flight *fl = c->data;
+  RunnerRequest *request = c->data;
   (void)arg;
-  if (fl == NULL)
+  if (request == NULL)
     return;
-  (*fl->busy)--;
-  XXH3_freeState (fl->hash);
-  kq_buf_free (&fl->id);
-  free (fl);
+  (*request->busy_slots)--;
+  XXH3_freeState (request->hash);
+  kq_buf_free (&request->id);
+  free (request);
 }
 
-/* Byte i of a large answer is 'a' + i % 23, so that a gap shows. */
+/* Byte i of a large answer is 'a' + i % 23, so that a client notices a gap. */
 static void
-feed (KqWebCall *c)
+send_answer_blocks (KqWebCall *c)
 {
-  Flight *fl = c->data;
-  char block[ANSWER_BLOCK];
-  while (fl->sent < fl->cut_at && kq_http_unsent (c->x) < ANSWER_AHEAD)
+  RunnerRequest *request = c->data;
+  char block[ANSWER_BLOCK_BYTES];
+  while (request->sent < request->cut_at && kq_http_unsent (c->x) < UNSENT_MAX_BYTES)
     {
-      uint64_t left = fl->cut_at - fl->sent;
+      uint64_t left = request->cut_at - request->sent;
       size_t n = left < sizeof block ? (size_t)left : sizeof block;
       for (size_t i = 0; i < n; i++)
-        block[i] = (char)('a' + (fl->sent + i) % 23);
-      fl->sent += n;
+        block[i] = (char)('a' + (request->sent + i) % 23);
+      request->sent += n;
       kq_http_reply_data (c->x, kq_str_n (block, n));
     }
-  if (fl->sent == fl->bytes)
+  if (request->sent == request->answer_bytes)
     kq_http_reply_end (c->x);
-  else if (fl->sent == fl->cut_at && kq_http_unsent (c->x) == 0)
+  else if (request->sent == request->cut_at && kq_http_unsent (c->x) == 0)
     kq_http_abort (c->x);
 }
 
 static void
 drained (void *arg, KqWebCall *c)
 {
-  Flight *fl = c->data;
+  RunnerRequest *request = c->data;
   (void)arg;
-  if (fl != NULL && fl->bytes > 0)
-    feed (c);
+  if (request != NULL && request->answer_bytes > 0)
+    send_answer_blocks (c);
 }
 
 static void
 send_large (KqWebCall *c, int status, uint64_t bytes)
 {
-  Flight *fl = c->data;
+  RunnerRequest *request = c->data;
   KqWebCut cut = kq_web_cut (c);
-  fl->bytes = bytes;
-  fl->cut_at = cut == KQ_WEB_PARTIAL ? bytes / 2 : bytes;
+  request->answer_bytes = bytes;
+  request->cut_at = cut == KQ_WEB_PARTIAL ? bytes / 2 : bytes;
   if (cut == KQ_WEB_LOST)
     {
       kq_http_abort (c->x);
       return;
     }
   kq_http_reply_begin (c->x, status, NULL, 0, (int64_t)bytes);
-  feed (c);
+  send_answer_blocks (c);
 }
 
 static void
 answer_request (KqWebCall *c)
 {
-  const Flight *fl = c->data;
+  const RunnerRequest *request = c->data;
   KqStr path = kq_http_path (c->x);
   uint64_t bytes = kq_web_query_u64 (c, "bytes", 0);
   int status = (int)kq_web_query_u64 (c, "status", 200);
@@ -219,35 +221,36 @@
   else
     {
       snprintf (hash, sizeof hash, "%016llx",
-                (unsigned long long)XXH3_64bits_digest (fl->hash));
+                (unsigned long long)XXH3_64bits_digest (request->hash));
       kq_web_reply_json (c, status,
                          json_pack ("{s:s%,s:s,s:I,s:s}", "path", path.ptr, path.len,
-                                    "id", fl->id.len > 0 ? fl->id.ptr : "", "length",
-                                    (json_int_t)fl->length, "xxh3", hash));
+                                    "id", request->id.len > 0 ? request->id.ptr : "",
+                                    "length", (json_int_t)request->length, "xxh3", hash));
     }
 }
 
 static void
 run_request (Fleet *f, KqWebCall *c)
 {
-  const Flight *fl = c->data;
-  if (fl->id.len > 0)
+  const RunnerRequest *request = c->data;
+  if (request->id.len > 0)
     {
-      guint n = GPOINTER_TO_UINT (g_hash_table_lookup (f->requests, fl->id.ptr));
-      g_hash_table_insert (f->requests, g_strdup (fl->id.ptr), GUINT_TO_POINTER (n + 1));
+      guint n = GPOINTER_TO_UINT (g_hash_table_lookup (f->requests, request->id.ptr));
+      g_hash_table_insert (f->requests, g_strdup (request->id.ptr),
+                           GUINT_TO_POINTER (n + 1));
     }
   kq_web_after (c, (int64_t)kq_web_query_u64 (c, "ms", 5), answer_request);
 }
 
 static void
-worker_call (Fleet *f, Host *h, KqWebCall *c, KqStr what)
+worker_call (Fleet *f, Host *h, KqWebCall *c, KqStr call_name)
 {
   KqWorkerCall call = { 0 };
   KqWorkerReply r;
   KqWorkerCallKind kind;
   KqRunnerReport runners[RUNNERS_MAX];
   char *text;
-  if (!kq_worker_call_kind (what, &kind)
+  if (!kq_worker_call_kind (call_name, &kind)
       || !kq_worker_call_read (kq_buf_str (&c->body), kind, &call))
     kq_web_error (c, 400, "malformed");
   else
@@ -258,8 +261,9 @@
         {
           char name[16];
           snprintf (name, sizeof name, "r%d", i + 1);
-          runners[i] = (KqRunnerReport){ kq_name (kq_str (name)), f->o->slots, h->busy[i],
-                                         f->o->connections, h->worker.leaving };
+          runners[i]
+              = (KqRunnerReport){ kq_name (kq_str (name)), f->o->slots, h->busy_slots[i],
+                                  f->o->connections, h->worker.leaving };
         }
       r.runners = runners;
       r.n_runners = (size_t)f->o->runners;
@@ -272,29 +276,30 @@
   free (call.acks);
 }
 
-/* The host list says "gone" of a worker that was stopped for long, and its tasks start
- * elsewhere; so they must not go on when the process wakes, though the lease still runs.
- * Looked at before anything else is done. */
+/* After a long pause of this process the host list has shown its workers as gone and
+ * their tasks have been started elsewhere; they must not continue here, although the
+ * leases may not have expired. So the leases end where the pause began. Called before
+ * anything else when a request arrives. */
 static void
-note_alive (Fleet *f)
+end_leases_after_pause (Fleet *f)
 {
   KqTime now = kq_time_now ();
-  for (int i = 0; i < f->o->count && now - f->alive_at > f->pause_max; i++)
+  for (int i = 0; i < f->o->count && now - f->last_tick > f->pause_max; i++)
     {
       KqWorkerFake *w = &f->hosts[i].worker;
-      if (w->lease_until > f->alive_at)
-        w->lease_until = f->alive_at;
+      if (w->lease_until > f->last_tick)
+        w->lease_until = f->last_tick;
       kq_worker_fake_advance (w, now);
     }
-  f->alive_at = now;
+  f->last_tick = now;
 }
 
 static void
-on_alive (struct ev_loop *ev, ev_timer *w, int events)
+on_tick (struct ev_loop *ev, ev_timer *w, int events)
 {
   (void)ev;
   (void)events;
-  note_alive (w->data);
+  end_leases_after_pause (w->data);
 }
 
 static void
@@ -335,7 +340,7 @@
   Fleet *f = arg;
   KqStr rest;
   Host *h = find_host (f, kq_http_path (c->x), &rest);
-  note_alive (f);
+  end_leases_after_pause (f);
   if (c->data != NULL)
     run_request (f, c);
   else if (kq_web_is (c, "GET", "/v1/effects"))
@@ -359,32 +364,32 @@
   json_t *runners = json_array ();
   json_t *services = json_array ();
   char **names = g_strsplit (o->services, ",", 0);
-  char at[128];
-  char address[192];
+  char worker_url[128];
+  char runner_url[192];
   for (int i = 0; names[i] != NULL; i++)
     {
       if (names[i][0] != '\0')
         json_array_append_new (services, json_string (names[i]));
     }
-  snprintf (at, sizeof at, "http://127.0.0.1:%d/w/%.*s", kq_web_port (f->web),
-            KQ_STR_ARG (kq_name_str (&h->name)));
+  snprintf (worker_url, sizeof worker_url, "http://127.0.0.1:%d/w/%.*s",
+            kq_web_port (f->web), KQ_STR_ARG (kq_name_str (&h->name)));
   for (int i = 0; i < o->runners; i++)
     {
       char name[16];
       snprintf (name, sizeof name, "r%d", i + 1);
-      snprintf (address, sizeof address, "%s/r/%s", at, name);
+      snprintf (runner_url, sizeof runner_url, "%s/r/%s", worker_url, name);
       json_array_append_new (runners,
                              json_pack ("{s:s,s:s,s:i,s:i,s:O}", "name", name, "address",
-                                        address, "slots", o->slots, "connections",
+                                        runner_url, "slots", o->slots, "connections",
                                         o->connections, "services", services));
     }
   json_decref (services);
   g_strfreev (names);
   return json_pack ("{s:s%,s:s,s:s,s:s%,s:s,s:s,s:{s:I,s:I,s:I},s:o}", "name",
                     h->name.bytes, (size_t)h->name.len, "region", o->region, "depot",
-                    o->depot, "rack", h->rack.bytes, (size_t)h->rack.len, "address", at,
-                    "state", w->leaving ? "leaving" : "live", "size", "cpu_milli",
-                    (json_int_t)w->capacity.cpu_milli, "memory_mb",
+                    o->depot, "rack", h->rack.bytes, (size_t)h->rack.len, "address",
+                    worker_url, "state", w->leaving ? "leaving" : "live", "size",
+                    "cpu_milli", (json_int_t)w->capacity.cpu_milli, "memory_mb",
                     (json_int_t)w->capacity.memory_mb, "accelerators",
                     (json_int_t)w->capacity.accelerators, "runners", runners);
 }
@@ -406,7 +411,7 @@
   (void)c;
   (void)end;
   if (gone > 0)
-    f->pause_max = MAX (gone - REGISTERED_AGO, 3 * TICK_S * KQ_SEC);
+    f->pause_max = MAX (gone - REGISTRATION_AGE_MAX, 3 * TICK_INTERVAL_S * KQ_SEC);
   json_decref (j);
   kq_buf_clear (&f->answer);
   f->registering = false;
@@ -459,23 +464,23 @@
 run (const Options *o)
 {
   Fleet f = { .o = o };
-  KqWebApp app = { &f, begin, chunk, on_call, gone, drained };
+  KqWebApp app = { &f, begin, chunk, on_call, finished, drained };
   KqLoop *loop = kq_loop_new ();
   ev_timer registering;
-  ev_timer alive;
+  ev_timer tick;
   kq_worker_fake_effects_init (&f.effects, kq_rand_system () >> 2,
                                o->usage_lag_ms * KQ_MS);
   f.requests = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   make_hosts (&f);
   f.web = kq_web_new (loop, o->port, "listening", &app);
   f.client = kq_http_client_new (loop, 2, 5000);
-  ev_timer_init (&registering, on_register, 0, REGISTER_EVERY_S);
+  ev_timer_init (&registering, on_register, 0, REGISTER_INTERVAL_S);
   registering.data = &f;
   f.pause_max = KQ_TIME_NEVER;
-  f.alive_at = kq_time_now ();
-  ev_timer_init (&alive, on_alive, TICK_S, TICK_S);
-  alive.data = &f;
-  ev_timer_start (kq_loop_ev (loop), &alive);
+  f.last_tick = kq_time_now ();
+  ev_timer_init (&tick, on_tick, TICK_INTERVAL_S, TICK_INTERVAL_S);
+  tick.data = &f;
+  ev_timer_start (kq_loop_ev (loop), &tick);
   if (o->store != NULL)
     ev_timer_start (kq_loop_ev (loop), &registering);
   kq_loop_run (loop);
