--- a/fuzz/fuzz_block.c
+++ b/fuzz/fuzz_block.c
@@ -17,7 +17,7 @@
     return;
   kq_block_encode (&b, &first);
   kq_fuzz_check (kq_block_decode (kq_buf_str (&first), &again) == KQ_OK,
-                 "a decoded block can be encoded");
+                 "an encoded block can be decoded");
   kq_block_encode (&again, &second);
   kq_fuzz_check (kq_str_eq (kq_buf_str (&first), kq_buf_str (&second)),
                  "encoding a block again gives the same bytes");
--- a/fuzz/fuzz_frame.c
+++ b/fuzz/fuzz_frame.c
@@ -21,7 +21,7 @@
     return;
   kq_msg_pack (&m, &first);
   kq_fuzz_check (kq_msg_unpack (body_of (&first), &again) == KQ_OK,
-                 "a decoded message can be encoded");
+                 "an encoded message can be decoded");
   kq_msg_pack (&again, &second);
   kq_fuzz_check (kq_str_eq (kq_buf_str (&first), kq_buf_str (&second)),
                  "encoding a message again gives the same bytes");
--- a/fuzz/fuzz_record.c
+++ b/fuzz/fuzz_record.c
@@ -23,7 +23,7 @@
     return;
   packed = kq_job_event_pack (&e, &first);
   kq_fuzz_check (kq_job_event_unpack (&packed, &again) == KQ_OK,
-                 "a decoded event can be encoded");
+                 "an encoded event can be decoded");
   kq_job_event_pack (&again, &second);
   kq_fuzz_check (kq_str_eq (kq_buf_str (&first), kq_buf_str (&second)),
                  "encoding an event again gives the same bytes");
--- a/fuzz/fuzz_table.c
+++ b/fuzz/fuzz_table.c
@@ -15,7 +15,7 @@
     return;
   kq_table_pack (t, &first);
   again = kq_table_unpack (kq_buf_str (&first), &why);
-  kq_fuzz_check (again != NULL, "a decoded table can be encoded");
+  kq_fuzz_check (again != NULL, "an encoded table can be decoded");
   kq_table_pack (again, &second);
   kq_fuzz_check (kq_str_eq (kq_buf_str (&first), kq_buf_str (&second)),
                  "encoding a table again gives the same bytes");
