--- a/soak/soak_main.c
+++ b/soak/soak_main.c
@@ -1,5 +1,6 @@
 /* soak BUILD [SEED [SEEDS [SECONDS]]]: random faults on a fleet of processes. Exit status
- * 1: an invariant was breached. KEEP in the environment keeps the processes' output. */
+ * 1: an invariant was breached, or the start failed. KEEP in the environment keeps the
+ * processes' output. */
 
 #include "soak.h"
 
