--- a/bench/demo_main.c
+++ b/bench/demo_main.c
@@ -116,9 +116,9 @@
   free (pair);
   d->open--;
   r->code = a->code;
-  if (a->end == KQ_HTTP_NOT_SENT || strcmp (a->ran, "no") == 0)
+  if (a->outcome == KQ_HTTP_NOT_SENT || strcmp (a->ran, "no") == 0)
     r->outcome = REFUSED;
-  else if (a->end != KQ_HTTP_DONE || strcmp (a->ran, "unknown") == 0)
+  else if (a->outcome != KQ_HTTP_DONE || strcmp (a->ran, "unknown") == 0)
     r->outcome = UNKNOWN;
   else
     r->outcome = ANSWERED;
@@ -144,11 +144,11 @@
   snprintf (id, sizeof id, "req-%d", number);
   h[0].value = h[2].value = kq_str (id);
   snprintf (url, sizeof url, "http://127.0.0.1:%d/s/%s/visit?ms=20",
-            d->fleet.processes[node].callers, r->post ? "seal-report" : "tag-watch");
+            d->fleet.processes[node].callers_port, r->post ? "seal-report" : "tag-watch");
   pair[0] = d;
   pair[1] = r;
   d->open++;
-  procs_ask (&d->fleet, &q, on_answer, pair);
+  procs_send (&d->fleet, &q, on_answer, pair);
 }
 
 /* True: the job was accepted. A refused job may be sent again, as it hasn't run. */
@@ -165,7 +165,7 @@
   snprintf (body, sizeof body, "{\"team\":\"rounds\",\"class\":\"plan\",\"run_ms\":%d}",
             run_ms);
   snprintf (url, sizeof url, "http://127.0.0.1:%d/v1/jobs",
-            d->fleet.processes[node].callers);
+            d->fleet.processes[node].callers_port);
   q.body = kq_str (body);
   procs_call (&d->fleet, &q, &a);
   o = json_loadb (a.body.ptr != NULL ? a.body.ptr : "", a.body.len, 0, NULL);
@@ -217,8 +217,8 @@
   KqTime until = start + 10 * KQ_SEC;
   json_t *o;
   json_int_t revision;
-  procs_operator (&d->fleet, d->nodes[2], "PUT", "/v1/table/service/tag-watch",
-                  "{\"weight\":7}", "*", &a);
+  procs_call_operator (&d->fleet, d->nodes[2], "PUT", "/v1/table/service/tag-watch",
+                       "{\"weight\":7}", "*", &a);
   o = json_loadb (a.body.ptr != NULL ? a.body.ptr : "", a.body.len, 0, NULL);
   revision = json_integer_value (json_object_get (o, "revision"));
   json_decref (o);
@@ -439,7 +439,7 @@
   code = report (&d);
   printf ("took %.1f s\n", (double)(kq_time_now () - start) / KQ_SEC);
 out:
-  procs_end (&d.fleet, keep);
+  procs_free (&d.fleet, keep);
   if (keep)
     printf ("logs are in %s\n", d.fleet.dir);
   return code;
--- a/bench/faults_live_main.c
+++ b/bench/faults_live_main.c
@@ -181,7 +181,7 @@
   Run *r = arg;
   ProcsAnswer a;
   bool ok;
-  procs_operator (f, r->nodes[0], "POST", "/v1/table", table, NULL, &a);
+  procs_call_operator (f, r->nodes[0], "POST", "/v1/table", table, NULL, &a);
   ok = a.status == 200;
   kq_buf_free (&a.body);
   return ok;
@@ -197,7 +197,7 @@
       ProcsRequest q = { .method = "GET", .url = url };
       ProcsAnswer a;
       snprintf (url, sizeof url, "http://127.0.0.1:%d/s/recalc/ready",
-                f->processes[r->nodes[i]].callers);
+                f->processes[r->nodes[i]].callers_port);
       procs_call (f, &q, &a);
       kq_buf_free (&a.body);
       if (a.status != 200)
@@ -226,11 +226,11 @@
   Run *r = q->run;
   char id[40];
   r->open--;
-  r->slowest = a->took > r->slowest ? a->took : r->slowest;
+  r->slowest = a->duration > r->slowest ? a->duration : r->slowest;
   q->code = a->code;
-  if (a->end == KQ_HTTP_NOT_SENT || strcmp (a->ran, "no") == 0)
+  if (a->outcome == KQ_HTTP_NOT_SENT || strcmp (a->ran, "no") == 0)
     q->outcome = REFUSED;
-  else if (a->end != KQ_HTTP_DONE || strcmp (a->ran, "unknown") == 0)
+  else if (a->outcome != KQ_HTTP_DONE || strcmp (a->ran, "unknown") == 0)
     q->outcome = UNKNOWN;
   else
     {
@@ -260,10 +260,10 @@
   w.n_headers = kind == POST_KEYED ? 3 : 2;
   w.body = kind == GET ? kq_str ("") : KQ_STR ("{\"pickup\":1}");
   snprintf (url, sizeof url, "http://127.0.0.1:%d/s/recalc/r?ms=15",
-            r->p.processes[pick_node (r, q->number)].callers);
+            r->p.processes[pick_node (r, q->number)].callers_port);
   r->n_requests++;
   r->open++;
-  procs_ask (&r->p, &w, on_answer, q);
+  procs_send (&r->p, &w, on_answer, q);
 }
 
 static void
@@ -275,7 +275,7 @@
   r->open--;
   if (a->status == 200 && id != NULL)
     snprintf (r->jobs[r->n_jobs++], sizeof r->jobs[0], "%s", id);
-  else if (a->end != KQ_HTTP_NOT_SENT && strcmp (a->ran, "no") != 0)
+  else if (a->outcome != KQ_HTTP_NOT_SENT && strcmp (a->ran, "no") != 0)
     r->jobs_unknown++;
   json_decref (o);
 }
@@ -291,10 +291,10 @@
   snprintf (body, sizeof body, "{\"team\":\"rounds\",\"class\":\"plan\",\"run_ms\":%d}",
             300 + 200 * (r->ticks % 7));
   snprintf (url, sizeof url, "http://127.0.0.1:%d/v1/jobs",
-            r->p.processes[pick_node (r, r->ticks)].callers);
+            r->p.processes[pick_node (r, r->ticks)].callers_port);
   q.body = kq_str (body);
   r->open++;
-  procs_ask (&r->p, &q, on_submitted, r);
+  procs_send (&r->p, &q, on_submitted, r);
 }
 
 static void
@@ -350,9 +350,9 @@
 {
   const Case *c = r->c;
   if (c->store != NULL)
-    procs_fault (&r->p, r->store, c->store);
+    procs_set_fault (&r->p, r->store, c->store);
   if (c->worker != NULL)
-    procs_fault (&r->p, r->workers[0], c->worker);
+    procs_set_fault (&r->p, r->workers[0], c->worker);
   if (c->relay != NULL)
     post_relay (r, c->relay);
   r->avoid[1] = c->term == TARGET_NODE || c->stop == TARGET_NODE;
@@ -374,9 +374,9 @@
   if (c->stop != TARGET_NONE)
     procs_signal (&r->p, process_of (r, c->stop), SIGCONT);
   if (c->store != NULL)
-    procs_fault (&r->p, r->store, "{\"clear\":true}");
+    procs_set_fault (&r->p, r->store, "{\"clear\":true}");
   if (c->worker != NULL)
-    procs_fault (&r->p, r->workers[0], "{\"clear\":true}");
+    procs_set_fault (&r->p, r->workers[0], "{\"clear\":true}");
   if (c->relay != NULL)
     post_relay (r, "{}");
   if (c->term != TARGET_NONE
@@ -557,7 +557,7 @@
     }
   else
     printf ("%-32s not run: the fleet did not come up\n", c->name);
-  procs_end (&r->p, getenv ("KEEP") != NULL);
+  procs_free (&r->p, getenv ("KEEP") != NULL);
   free (r);
   return ok;
 }
--- a/bench/fleet.h
+++ b/bench/fleet.h
@@ -47,43 +47,44 @@
 typedef struct
 {
   uint64_t words[KQ_FLEET_NUMBERS / 64];
-} KqFleetSet;
+} KqFleetSimSet;
 
-typedef struct KqFleet KqFleet;
+typedef struct KqFleetSim KqFleetSim;
 
 const char *kq_fault_name (KqFault fault);
 
-KqFleet *kq_fleet_new (uint64_t seed);
-void kq_fleet_free (KqFleet *f);
+KqFleetSim *kq_fleet_sim_new (uint64_t seed);
+void kq_fleet_sim_free (KqFleetSim *f);
 /* Runs one event: a store reply, a message, a node's tick or restart, or a client. */
-void kq_fleet_step (KqFleet *f);
-void kq_fleet_run (KqFleet *f, KqTime span);
-KqTime kq_fleet_now (const KqFleet *f);
-KqRand *kq_fleet_rand (KqFleet *f);
-uint64_t kq_fleet_trace (const KqFleet *f);        /* hash of all events so far */
-const char *kq_fleet_violation (const KqFleet *f); /* NULL: none */
+void kq_fleet_sim_step (KqFleetSim *f);
+void kq_fleet_sim_run (KqFleetSim *f, KqTime span);
+KqTime kq_fleet_sim_now (const KqFleetSim *f);
+KqRand *kq_fleet_sim_rand (KqFleetSim *f);
+uint64_t kq_fleet_sim_trace (const KqFleetSim *f);        /* hash of all events so far */
+const char *kq_fleet_sim_violation (const KqFleetSim *f); /* NULL: none */
 /* Count of acknowledged numbers. */
-uint64_t kq_fleet_acked (const KqFleet *f);
-KqStoreFake *kq_fleet_store (KqFleet *f);
+uint64_t kq_fleet_sim_acked (const KqFleetSim *f);
+KqStoreFake *kq_fleet_sim_store (KqFleetSim *f);
 
-void kq_fleet_fault (KqFleet *f, KqFault fault, int node);
+void kq_fleet_sim_inject_fault (KqFleetSim *f, KqFault fault, int node);
 /* Ends all faults, except that stopped nodes restart 3 s after they stopped, with a new
  * incarnation, and pauses run to their end. */
-void kq_fleet_heal (KqFleet *f);
+void kq_fleet_sim_heal (KqFleetSim *f);
 /* Injects the fault into the node that next makes a store call of this kind with this
  * key prefix. */
-void kq_fleet_on_call (KqFleet *f, KqStoreOpKind kind, const char *prefix, KqFault fault);
-bool kq_fleet_triggered (const KqFleet *f);
+void kq_fleet_sim_on_call (KqFleetSim *f, KqStoreOpKind kind, const char *prefix,
+                           KqFault fault);
+bool kq_fleet_sim_triggered (const KqFleetSim *f);
 /* Stops a node without restart; after KQ_FAULT_DIES it starts again after 3 s. */
-void kq_fleet_kill (KqFleet *f, int node);
+void kq_fleet_sim_kill (KqFleetSim *f, int node);
 /* A planned stop of a node: its shards are handed over. */
-void kq_fleet_drain (KqFleet *f, int node);
+void kq_fleet_sim_drain (KqFleetSim *f, int node);
 
 /* Whether every shard has an owner whose journal is open and at most 1 s behind. */
-bool kq_fleet_settled (const KqFleet *f);
-int kq_fleet_owner (const KqFleet *f, uint32_t shard); /* -1: none */
+bool kq_fleet_sim_settled (const KqFleetSim *f);
+int kq_fleet_sim_owner (const KqFleetSim *f, uint32_t shard); /* -1: none */
 /* Recovers each shard from the store and compares the result with the owner's state; a
  * difference is a violation. This fences the owners, so nothing can be run afterwards. */
-void kq_fleet_compare (KqFleet *f);
+void kq_fleet_sim_compare (KqFleetSim *f);
 
 #endif
--- a/bench/fleet_faults.c
+++ b/bench/fleet_faults.c
@@ -14,37 +14,37 @@
 #define LOST_PROBABILITY 0.2
 
 KqTime
-kq_fleet_now (const KqFleet *f)
+kq_fleet_sim_now (const KqFleetSim *f)
 {
   return f->now;
 }
 
 KqRand *
-kq_fleet_rand (KqFleet *f)
+kq_fleet_sim_rand (KqFleetSim *f)
 {
   return &f->rand;
 }
 
 uint64_t
-kq_fleet_trace (const KqFleet *f)
+kq_fleet_sim_trace (const KqFleetSim *f)
 {
   return f->trace;
 }
 
 const char *
-kq_fleet_violation (const KqFleet *f)
+kq_fleet_sim_violation (const KqFleetSim *f)
 {
   return f->violation[0] != '\0' ? f->violation : NULL;
 }
 
 uint64_t
-kq_fleet_acked (const KqFleet *f)
+kq_fleet_sim_acked (const KqFleetSim *f)
 {
   return f->acked;
 }
 
 KqStoreFake *
-kq_fleet_store (KqFleet *f)
+kq_fleet_sim_store (KqFleetSim *f)
 {
   return f->store;
 }
@@ -60,7 +60,7 @@
 }
 
 static void
-cut_peers (KqFleet *f, int node, bool both)
+cut_peers (KqFleetSim *f, int node, bool both)
 {
   f->any_cut = true;
   for (int k = 0; k < KQ_FLEET_NODES; k++)
@@ -71,7 +71,7 @@
 }
 
 static void
-cut_region (KqFleet *f)
+cut_region (KqFleetSim *f)
 {
   f->any_cut = true;
   KqStoreFaults *s = kq_store_fake_faults (f->store);
@@ -84,10 +84,10 @@
 }
 
 void
-kq_fleet_fault (KqFleet *f, KqFault fault, int node)
+kq_fleet_sim_inject_fault (KqFleetSim *f, KqFault fault, int node)
 {
   KqStoreFaults *s = kq_store_fake_faults (f->store);
-  KqFleetNode *n = &f->nodes[node];
+  KqFleetSimNode *n = &f->nodes[node];
   kq_log (KQ_LOG_INFO, "fleet", "Fault. name=%s node=%d at_us=%lld",
           kq_fault_name (fault), node, (long long)f->now);
   switch (fault)
@@ -111,7 +111,7 @@
       s->p[KQ_STORE_FAULT_LATE_EFFECT] = LOST_PROBABILITY;
       break;
     case KQ_FAULT_DIES:
-      kq_fleet_stop_node (f, node);
+      kq_fleet_sim_stop_node (f, node);
       break;
     case KQ_FAULT_PAUSES:
       n->paused_until = s->paused_until[node] = n->next_tick
@@ -141,7 +141,7 @@
 }
 
 void
-kq_fleet_heal (KqFleet *f)
+kq_fleet_sim_heal (KqFleetSim *f)
 {
   KqStoreFaults *s = kq_store_fake_faults (f->store);
   kq_log (KQ_LOG_INFO, "fleet", "Healed. at_us=%lld", (long long)f->now);
@@ -154,7 +154,8 @@
 }
 
 void
-kq_fleet_on_call (KqFleet *f, KqStoreOpKind kind, const char *prefix, KqFault fault)
+kq_fleet_sim_on_call (KqFleetSim *f, KqStoreOpKind kind, const char *prefix,
+                      KqFault fault)
 {
   f->trigger_on = true;
   f->triggered = false;
@@ -164,31 +165,31 @@
 }
 
 bool
-kq_fleet_triggered (const KqFleet *f)
+kq_fleet_sim_triggered (const KqFleetSim *f)
 {
   return f->triggered;
 }
 
 void
-kq_fleet_kill (KqFleet *f, int node)
+kq_fleet_sim_kill (KqFleetSim *f, int node)
 {
-  kq_fleet_stop_node (f, node);
+  kq_fleet_sim_stop_node (f, node);
   f->nodes[node].restart_at = KQ_TIME_NEVER;
 }
 
 void
-kq_fleet_drain (KqFleet *f, int node)
+kq_fleet_sim_drain (KqFleetSim *f, int node)
 {
   f->nodes[node].draining = true;
   kq_owner_drain (f->nodes[node].owner);
 }
 
 bool
-kq_fleet_settled (const KqFleet *f)
+kq_fleet_sim_settled (const KqFleetSim *f)
 {
   for (uint32_t s = 0; s < KQ_FLEET_SHARDS; s++)
     {
-      int i = kq_fleet_owner (f, s);
+      int i = kq_fleet_sim_owner (f, s);
       if (i < 0 || kq_owner_state (f->nodes[i].owner, s) != KQ_OWN_MINE
           || kq_journal_lag (f->nodes[i].shards[s].journal, f->now) > KQ_SEC)
         return false;
@@ -198,7 +199,7 @@
 
 /* Recovers a shard from the store with the real journal, as a new owner would. */
 static void
-read_shard (KqFleet *f, uint32_t s, KqFleetSet *set)
+read_shard (KqFleetSim *f, uint32_t s, KqFleetSimSet *set)
 {
   KqJournal *j = kq_journal_new (s, 1, kq_rand_next (&f->rand));
   KqOutbox out;
@@ -224,29 +225,29 @@
       kq_journal_tick (j, f->now, &out);
     }
   while (kq_journal_next_record (j, &r))
-    kq_fleet_apply (set, &r);
+    kq_fleet_sim_apply (set, &r);
   kq_journal_free (j);
   kq_outbox_free (&out);
 }
 
 void
-kq_fleet_compare (KqFleet *f)
+kq_fleet_sim_compare (KqFleetSim *f)
 {
-  static KqFleetSet sets[KQ_FLEET_SHARDS];
+  static KqFleetSimSet sets[KQ_FLEET_SHARDS];
   memset (sets, 0, sizeof sets);
   for (uint32_t s = 0; s < KQ_FLEET_SHARDS; s++)
     {
-      int i = kq_fleet_owner (f, s);
+      int i = kq_fleet_sim_owner (f, s);
       if (i < 0)
         {
-          kq_fleet_add_violation (f, "no owner at the end", s, -1, 0);
+          kq_fleet_sim_add_violation (f, "no owner at the end", s, -1, 0);
           continue;
         }
-      const KqFleetShard *shard = &f->nodes[i].shards[s];
+      const KqFleetSimShard *shard = &f->nodes[i].shards[s];
       bool all = kq_journal_lag (shard->journal, f->now) == 0;
-      KqFleetSet own = shard->set;
+      KqFleetSimSet own = shard->set;
       read_shard (f, s, &sets[s]);
       if (all && memcmp (&own, &sets[s], sizeof own) != 0)
-        kq_fleet_add_violation (f, "state differs from the records", s, i, 0);
+        kq_fleet_sim_add_violation (f, "state differs from the records", s, i, 0);
     }
 }
--- a/bench/fleet_nodes.c
+++ b/bench/fleet_nodes.c
@@ -13,21 +13,21 @@
 #define RECORD_SET 151 /* in a snapshot: the whole set */
 
 static void
-set_bit (KqFleetSet *b, uint64_t n, bool on)
+set_bit (KqFleetSimSet *b, uint64_t n, bool on)
 {
   b->words[n / 64] &= ~(1ULL << (n % 64));
   b->words[n / 64] |= (uint64_t)on << (n % 64);
 }
 
 static bool
-has_bit (const KqFleetSet *b, uint64_t n)
+has_bit (const KqFleetSimSet *b, uint64_t n)
 {
   return (b->words[n / 64] >> (n % 64) & 1) != 0;
 }
 
 void
-kq_fleet_add_violation (KqFleet *f, const char *what, uint32_t shard, int node,
-                        uint64_t number)
+kq_fleet_sim_add_violation (KqFleetSim *f, const char *what, uint32_t shard, int node,
+                            uint64_t number)
 {
   if (f->violation[0] != '\0')
     return;
@@ -37,13 +37,13 @@
 }
 
 static void
-add_to_trace (KqFleet *f, uint64_t what)
+add_to_trace (KqFleetSim *f, uint64_t what)
 {
   f->trace = kq_hash2 (f->trace, kq_hash2 (what, (uint64_t)f->now));
 }
 
 static int
-index_of (const KqFleet *f, KqNodeId id)
+index_of (const KqFleetSim *f, KqNodeId id)
 {
   for (int i = 0; i < KQ_FLEET_NODES; i++)
     if (f->nodes[i].info.id == id)
@@ -58,7 +58,7 @@
 }
 
 static void
-send_msg (KqFleet *f, int from, int to, KqMsg *msg)
+send_msg (KqFleetSim *f, int from, int to, KqMsg *msg)
 {
   if (to < 0 || !f->nodes[to].up || (from != to && f->cut[from][to]))
     {
@@ -75,11 +75,11 @@
   KqTime at = f->now + link_latency (from, to) + (KqTime)kq_rand_below (&f->rand, KQ_MS);
   if (at < f->nodes[to].paused_until)
     at = f->nodes[to].paused_until;
-  f->in_flight[f->n_in_flight++] = (KqFleetMsg){ at, from, to, msg };
+  f->in_flight[f->n_in_flight++] = (KqFleetSimMsg){ at, from, to, msg };
 }
 
 static void
-check_trigger (KqFleet *f, int i, const KqStoreOp *op)
+check_trigger (KqFleetSim *f, int i, const KqStoreOp *op)
 {
   if (!f->trigger_on || op->kind != f->trigger_kind
       || !kq_str_has_prefix (op->key, kq_str (f->trigger_prefix)))
@@ -90,13 +90,13 @@
     kq_store_fake_script (f->store, op->kind, f->trigger_prefix, 0,
                           KQ_STORE_FAULT_LOST_AFTER);
   else
-    kq_fleet_fault (f, f->trigger_fault, i);
+    kq_fleet_sim_inject_fault (f, f->trigger_fault, i);
 }
 
 /* Executes the node's store calls and sends its messages. A triggered fault may stop the
  * node meanwhile. */
 static void
-run_outbox (KqFleet *f, int i, KqOutbox *out)
+run_outbox (KqFleetSim *f, int i, KqOutbox *out)
 {
   KqOut item;
   while (kq_outbox_take (out, &item))
@@ -118,7 +118,7 @@
 }
 
 static void
-drop_shard (KqFleetShard *s)
+drop_shard (KqFleetSimShard *s)
 {
   kq_journal_close (s->journal);
   memset (&s->set, 0, sizeof s->set);
@@ -127,9 +127,9 @@
 }
 
 void
-kq_fleet_start_node (KqFleet *f, int i)
+kq_fleet_sim_start_node (KqFleetSim *f, int i)
 {
-  KqFleetNode *n = &f->nodes[i];
+  KqFleetSimNode *n = &f->nodes[i];
   bool a = i < REGION_A_NODES;
   char name[16];
   snprintf (name, sizeof name, "n%d", i);
@@ -167,9 +167,9 @@
 }
 
 void
-kq_fleet_stop_node (KqFleet *f, int i)
+kq_fleet_sim_stop_node (KqFleetSim *f, int i)
 {
-  KqFleetNode *n = &f->nodes[i];
+  KqFleetSimNode *n = &f->nodes[i];
   if (!n->up)
     return;
   n->up = false;
@@ -179,7 +179,7 @@
       drop_shard (&n->shards[s]);
       kq_journal_free (n->shards[s].journal);
       free (n->shards[s].pending);
-      n->shards[s] = (KqFleetShard){ 0 };
+      n->shards[s] = (KqFleetSimShard){ 0 };
     }
   kq_owner_free (n->owner);
   kq_member_free (n->member);
@@ -189,24 +189,24 @@
       kq_member_link (f->nodes[k].member, n->info.id, false, f->now);
 }
 
-KqFleet *
-kq_fleet_new (uint64_t seed)
+KqFleetSim *
+kq_fleet_sim_new (uint64_t seed)
 {
-  KqFleet *f = kq_alloc (sizeof *f);
+  KqFleetSim *f = kq_alloc (sizeof *f);
   f->rand = kq_rand (seed);
   f->store = kq_store_fake_new (kq_rand_next (&f->rand));
   kq_store_fake_faults (f->store)->jitter = KQ_MS;
   f->now = KQ_SEC;
   for (int i = 0; i < KQ_FLEET_NODES; i++)
-    kq_fleet_start_node (f, i);
+    kq_fleet_sim_start_node (f, i);
   return f;
 }
 
 void
-kq_fleet_free (KqFleet *f)
+kq_fleet_sim_free (KqFleetSim *f)
 {
   for (int i = 0; i < KQ_FLEET_NODES; i++)
-    kq_fleet_stop_node (f, i);
+    kq_fleet_sim_stop_node (f, i);
   for (size_t i = 0; i < f->n_in_flight; i++)
     kq_msg_free (f->in_flight[i].msg);
   free (f->in_flight);
@@ -215,7 +215,7 @@
 }
 
 bool
-kq_fleet_apply (KqFleetSet *set, const KqRecord *r)
+kq_fleet_sim_apply (KqFleetSimSet *set, const KqRecord *r)
 {
   uint64_t number = 0;
   if (r->type == RECORD_SET)
@@ -232,35 +232,35 @@
 /* The state that a new owner recovers must contain every acknowledged number and no
  * withdrawn one. */
 static void
-check_state (KqFleet *f, int i, uint32_t s)
+check_state (KqFleetSim *f, int i, uint32_t s)
 {
-  const KqFleetExpected *t = &f->expected[s];
-  const KqFleetSet *set = &f->nodes[i].shards[s].set;
+  const KqFleetSimExpected *t = &f->expected[s];
+  const KqFleetSimSet *set = &f->nodes[i].shards[s].set;
   for (size_t w = 0; w <= t->next_number / 64; w++)
     if ((t->acked.words[w] & ~set->words[w]) != 0)
-      kq_fleet_add_violation (f, "acknowledged record lost", s, i, w * 64);
+      kq_fleet_sim_add_violation (f, "acknowledged record lost", s, i, w * 64);
     else if ((t->withdrawn.words[w] & set->words[w]) != 0)
-      kq_fleet_add_violation (f, "withdrawn record applied", s, i, w * 64);
+      kq_fleet_sim_add_violation (f, "withdrawn record applied", s, i, w * 64);
 }
 
 static void
-recover (KqFleet *f, int i, uint32_t s)
+recover (KqFleetSim *f, int i, uint32_t s)
 {
-  KqFleetShard *shard = &f->nodes[i].shards[s];
+  KqFleetSimShard *shard = &f->nodes[i].shards[s];
   KqRecord r;
   if (shard->checked || kq_journal_state (shard->journal) != KQ_JOURNAL_OPEN)
     return;
   while (kq_journal_next_record (shard->journal, &r))
-    if (!kq_fleet_apply (&shard->set, &r))
-      kq_fleet_add_violation (f, "applied twice", s, i, 0);
+    if (!kq_fleet_sim_apply (&shard->set, &r))
+      kq_fleet_sim_add_violation (f, "applied twice", s, i, 0);
   shard->checked = true;
   check_state (f, i, s);
 }
 
 static void
-acknowledge (KqFleet *f, int i, uint32_t s)
+acknowledge (KqFleetSim *f, int i, uint32_t s)
 {
-  KqFleetShard *shard = &f->nodes[i].shards[s];
+  KqFleetSimShard *shard = &f->nodes[i].shards[s];
   KqSeq committed = kq_journal_committed (shard->journal);
   for (; shard->first < shard->len && shard->pending[shard->first].seq <= committed;
        shard->first++)
@@ -275,16 +275,16 @@
                    > kq_owner_epoch (f->nodes[i].owner, s)
             && kq_journal_state (f->nodes[k].shards[s].journal) == KQ_JOURNAL_OPEN
             && !has_bit (&f->nodes[k].shards[s].set, number))
-          kq_fleet_add_violation (f, "acknowledged beside a successor", s, k, number);
+          kq_fleet_sim_add_violation (f, "acknowledged beside a successor", s, k, number);
     }
   if (shard->first == shard->len)
     shard->first = shard->len = 0;
 }
 
 static void
-handle_owner_events (KqFleet *f, int i, KqOutbox *out)
+handle_owner_events (KqFleetSim *f, int i, KqOutbox *out)
 {
-  KqFleetNode *n = &f->nodes[i];
+  KqFleetSimNode *n = &f->nodes[i];
   KqOwnerEvent e;
   while (kq_owner_event (n->owner, &e))
     {
@@ -293,7 +293,7 @@
         {
         case KQ_OWNER_TAKEN:
           if (e.epoch <= f->expected[e.shard].epoch)
-            kq_fleet_add_violation (f, "epoch taken twice", e.shard, i, e.epoch);
+            kq_fleet_sim_add_violation (f, "epoch taken twice", e.shard, i, e.epoch);
           f->expected[e.shard].epoch = e.epoch;
           drop_shard (&n->shards[e.shard]);
           kq_journal_open (n->shards[e.shard].journal, e.epoch, f->now, out);
@@ -308,7 +308,7 @@
 }
 
 static void
-write_snapshot (KqFleet *f, KqFleetShard *shard, KqOutbox *out)
+write_snapshot (KqFleetSim *f, KqFleetSimShard *shard, KqOutbox *out)
 {
   KqRecord r
       = { RECORD_SET, 1, { (const char *)shard->set.words, sizeof shard->set.words } };
@@ -320,10 +320,10 @@
 /* Drives a shard's journal after a tick or a reply: acknowledgements, recovery,
  * snapshots, writes, and the release of the shard. */
 static void
-run_shard (KqFleet *f, int i, uint32_t s, KqOutbox *out)
+run_shard (KqFleetSim *f, int i, uint32_t s, KqOutbox *out)
 {
-  KqFleetNode *n = &f->nodes[i];
-  KqFleetShard *shard = &n->shards[s];
+  KqFleetSimNode *n = &f->nodes[i];
+  KqFleetSimShard *shard = &n->shards[s];
   if (kq_journal_state (shard->journal) == KQ_JOURNAL_CLOSED)
     return;
   acknowledge (f, i, s);
@@ -335,7 +335,7 @@
   kq_journal_tick (shard->journal, f->now, out);
   KqJournalState state = kq_journal_state (shard->journal);
   if (state == KQ_JOURNAL_DAMAGED)
-    kq_fleet_add_violation (f, kq_journal_damage (shard->journal)->what, s, i, 0);
+    kq_fleet_sim_add_violation (f, kq_journal_damage (shard->journal)->what, s, i, 0);
   if (state == KQ_JOURNAL_FENCED)
     kq_owner_step_down (n->owner, s, f->now);
   else if (kq_owner_state (n->owner, s) == KQ_OWN_RELEASING
@@ -347,7 +347,7 @@
 }
 
 static void
-run_node (KqFleet *f, int i, KqOutbox *out)
+run_node (KqFleetSim *f, int i, KqOutbox *out)
 {
   handle_owner_events (f, i, out);
   for (uint32_t s = 0; s < KQ_FLEET_SHARDS; s++)
@@ -357,9 +357,9 @@
 }
 
 static void
-tick_node (KqFleet *f, int i)
+tick_node (KqFleetSim *f, int i)
 {
-  KqFleetNode *n = &f->nodes[i];
+  KqFleetSimNode *n = &f->nodes[i];
   KqShardDigest digests[KQ_FLEET_SHARDS];
   KqOutbox out;
   size_t k = 0;
@@ -380,9 +380,9 @@
 }
 
 static void
-handle_reply (KqFleet *f, int i, const KqStoreReply *r)
+handle_reply (KqFleetSim *f, int i, const KqStoreReply *r)
 {
-  KqFleetNode *n = &f->nodes[i];
+  KqFleetSimNode *n = &f->nodes[i];
   KqOutbox out;
   uint32_t s = (uint32_t)(r->token >> 32);
   kq_outbox_init (&out);
@@ -401,7 +401,7 @@
 }
 
 static void
-handle_msg (KqFleet *f, int i, const KqMsg *msg)
+handle_msg (KqFleetSim *f, int i, const KqMsg *msg)
 {
   KqOutbox out;
   kq_outbox_init (&out);
@@ -412,10 +412,10 @@
 }
 
 static void
-deliver (KqFleet *f, size_t k)
+deliver (KqFleetSim *f, size_t k)
 {
-  KqFleetMsg m = f->in_flight[k];
-  KqFleetNode *n = &f->nodes[m.to];
+  KqFleetSimMsg m = f->in_flight[k];
+  KqFleetSimNode *n = &f->nodes[m.to];
   f->in_flight[k] = f->in_flight[--f->n_in_flight];
   add_to_trace (f, (uint64_t)m.from << 8 | (uint64_t)m.to);
   if (n->up)
@@ -428,20 +428,20 @@
  * never if it is cut off. For that long (lease_lapsed_until) only the fence keeps two
  * owners apart, which the other checks verify. */
 static void
-check_single_owner (KqFleet *f, uint32_t s)
+check_single_owner (KqFleetSim *f, uint32_t s)
 {
   int by_lease = 0;
   int all = 0;
   for (int i = 0; i < KQ_FLEET_NODES; i++)
     {
-      const KqFleetNode *n = &f->nodes[i];
+      const KqFleetSimNode *n = &f->nodes[i];
       if (!n->up || !kq_owner_is_mine (n->owner, s, n->member, f->now))
         continue;
       all++;
       by_lease += !kq_owner_valid_in_outage (n->owner, n->member, f->now);
     }
   if (by_lease > 1 && f->now > f->lease_lapsed_until)
-    kq_fleet_add_violation (f, "two owners", s, by_lease, 0);
+    kq_fleet_sim_add_violation (f, "two owners", s, by_lease, 0);
   /* two_owners_since counts owners without a live lease too: an owner that stayed valid
    * in a store outage must stop as soon as it receives a heartbeat of its successor. */
   if (all < 2 || f->any_cut)
@@ -450,15 +450,15 @@
     f->two_owners_since[s] = f->now;
   else if (f->now - f->two_owners_since[s] > OUTAGE_OVERLAP_MAX
            && f->now > f->lease_lapsed_until)
-    kq_fleet_add_violation (f, "a blind owner beside its successor", s, all, 0);
+    kq_fleet_sim_add_violation (f, "a blind owner beside its successor", s, all, 0);
 }
 
 int
-kq_fleet_owner (const KqFleet *f, uint32_t s)
+kq_fleet_sim_owner (const KqFleetSim *f, uint32_t s)
 {
   for (int i = 0; i < KQ_FLEET_NODES; i++)
     {
-      const KqFleetNode *n = &f->nodes[i];
+      const KqFleetSimNode *n = &f->nodes[i];
       if (n->up && f->now >= n->paused_until
           && kq_owner_is_mine (n->owner, s, n->member, f->now)
           && kq_journal_state (n->shards[s].journal) == KQ_JOURNAL_OPEN)
@@ -469,11 +469,11 @@
 
 /* Withdraws the shard's newest number if its record was certainly not written. */
 static void
-withdraw (KqFleet *f, KqFleetShard *shard, uint32_t s)
+withdraw (KqFleetSim *f, KqFleetSimShard *shard, uint32_t s)
 {
   if (shard->first == shard->len)
     return;
-  const KqFleetPending *p = &shard->pending[shard->len - 1];
+  const KqFleetSimPending *p = &shard->pending[shard->len - 1];
   if (kq_journal_withdraw (shard->journal, p->seq) != KQ_OK)
     return;
   set_bit (&shard->set, p->number, false);
@@ -482,7 +482,7 @@
 }
 
 static void
-add_number (KqFleet *f, KqFleetShard *shard, uint32_t s)
+add_number (KqFleetSim *f, KqFleetSimShard *shard, uint32_t s)
 {
   uint64_t number = f->expected[s].next_number++;
   KqRecord r = { RECORD_NUMBER, 1, { (const char *)&number, sizeof number } };
@@ -496,22 +496,22 @@
       shard->pending
           = kq_realloc (shard->pending, shard->capacity * sizeof *shard->pending);
     }
-  shard->pending[shard->len++] = (KqFleetPending){ seq, number };
+  shard->pending[shard->len++] = (KqFleetSimPending){ seq, number };
 }
 
 /* A client adds the next number to a random shard, or withdraws the newest. */
 static void
-run_client (KqFleet *f)
+run_client (KqFleetSim *f)
 {
   uint32_t s = (uint32_t)kq_rand_below (&f->rand, KQ_FLEET_SHARDS);
-  int i = kq_fleet_owner (f, s);
+  int i = kq_fleet_sim_owner (f, s);
   KqOutbox out;
   check_single_owner (f, s);
   f->next_client = f->now + (KqTime)kq_rand_below (&f->rand, 2 * CLIENT_INTERVAL_MEAN);
   if (i < 0 || kq_owner_state (f->nodes[i].owner, s) != KQ_OWN_MINE
       || f->expected[s].next_number == KQ_FLEET_NUMBERS)
     return;
-  KqFleetShard *shard = &f->nodes[i].shards[s];
+  KqFleetSimShard *shard = &f->nodes[i].shards[s];
   kq_outbox_init (&out);
   recover (f, i, s);
   if (kq_rand_below (&f->rand, WITHDRAW_ONE_IN) == 0)
@@ -525,7 +525,7 @@
 }
 
 void
-kq_fleet_step (KqFleet *f)
+kq_fleet_sim_step (KqFleetSim *f)
 {
   KqTime at = kq_store_fake_next_time (f->store);
   int node = -1;
@@ -558,7 +558,7 @@
   else if (node >= 0)
     tick_node (f, node);
   else if (restart >= 0)
-    kq_fleet_start_node (f, restart);
+    kq_fleet_sim_start_node (f, restart);
   else if (kq_store_fake_next_time (f->store) <= f->now)
     {
       if (!kq_store_fake_next (f->store, f->now, &node, &r))
@@ -572,9 +572,9 @@
 }
 
 void
-kq_fleet_run (KqFleet *f, KqTime span)
+kq_fleet_sim_run (KqFleetSim *f, KqTime span)
 {
   KqTime end = f->now + span;
   while (f->now < end && f->violation[0] == '\0')
-    kq_fleet_step (f);
+    kq_fleet_sim_step (f);
 }
--- a/bench/fleet_state.h
+++ b/bench/fleet_state.h
@@ -14,17 +14,17 @@
 {
   KqSeq seq;
   uint64_t number;
-} KqFleetPending;
+} KqFleetSimPending;
 
 /* A node's state of a shard that it owns. */
 typedef struct
 {
   KqJournal *journal;
-  KqFleetSet set;
-  bool checked;            /* recovered, and the state was checked */
-  KqFleetPending *pending; /* not yet acknowledged, oldest first */
+  KqFleetSimSet set;
+  bool checked;               /* recovered, and the state was checked */
+  KqFleetSimPending *pending; /* not yet acknowledged, oldest first */
   size_t first, len, capacity;
-} KqFleetShard;
+} KqFleetSimShard;
 
 typedef struct
 {
@@ -34,35 +34,35 @@
   KqNodeInfo info;
   KqMember *member;
   KqOwner *owner;
-  KqFleetShard shards[KQ_FLEET_SHARDS];
+  KqFleetSimShard shards[KQ_FLEET_SHARDS];
   KqTime next_tick;
   KqTime restart_at;
-} KqFleetNode;
+} KqFleetSimNode;
 
 typedef struct
 {
   KqTime at;
   int from, to;
   KqMsg *msg;
-} KqFleetMsg;
+} KqFleetSimMsg;
 
 /* What the clients know of a shard; owners' states are checked against it. */
 typedef struct
 {
   uint64_t next_number;
-  KqFleetSet acked;
-  KqFleetSet withdrawn;
+  KqFleetSimSet acked;
+  KqFleetSimSet withdrawn;
   uint64_t epoch; /* the highest that was taken */
-} KqFleetExpected;
+} KqFleetSimExpected;
 
-struct KqFleet
+struct KqFleetSim
 {
   KqStoreFake *store;
   KqRand rand;
   KqTime now;
-  KqFleetNode nodes[KQ_FLEET_NODES];
-  KqFleetExpected expected[KQ_FLEET_SHARDS];
-  KqFleetMsg *in_flight;
+  KqFleetSimNode nodes[KQ_FLEET_NODES];
+  KqFleetSimExpected expected[KQ_FLEET_SHARDS];
+  KqFleetSimMsg *in_flight;
   size_t n_in_flight, in_flight_capacity;
   bool cut[KQ_FLEET_NODES][KQ_FLEET_NODES];
   bool any_cut;                             /* any element of `cut` is set */
@@ -79,11 +79,11 @@
   KqFault trigger_fault;
 };
 
-void kq_fleet_add_violation (KqFleet *f, const char *what, uint32_t shard, int node,
-                             uint64_t number);
+void kq_fleet_sim_add_violation (KqFleetSim *f, const char *what, uint32_t shard,
+                                 int node, uint64_t number);
 /* Returns false if the number was in the set already. */
-bool kq_fleet_apply (KqFleetSet *set, const KqRecord *r);
-void kq_fleet_start_node (KqFleet *f, int node);
-void kq_fleet_stop_node (KqFleet *f, int node);
+bool kq_fleet_sim_apply (KqFleetSimSet *set, const KqRecord *r);
+void kq_fleet_sim_start_node (KqFleetSim *f, int node);
+void kq_fleet_sim_stop_node (KqFleetSim *f, int node);
 
 #endif
--- a/bench/guard.c
+++ b/bench/guard.c
@@ -11,7 +11,7 @@
 }
 
 void
-guard_run (KqLoop *loop, double seconds)
+loop_run_with_timeout (KqLoop *loop, double seconds)
 {
   ev_timer timer;
   ev_timer_init (&timer, on_timeout, seconds, 0);
--- a/bench/guard.h
+++ b/bench/guard.h
@@ -6,6 +6,6 @@
 
 #include "base/task.h"
 
-void guard_run (KqLoop *loop, double seconds);
+void loop_run_with_timeout (KqLoop *loop, double seconds);
 
 #endif
--- a/bench/handover_main.c
+++ b/bench/handover_main.c
@@ -35,20 +35,20 @@
 
 /* Runs the fleet and adds to `g` each time span in which a shard had no owner. */
 static void
-watch (KqFleet *f, Gaps *g)
+watch (KqFleetSim *f, Gaps *g)
 {
   KqTime since[KQ_FLEET_SHARDS] = { 0 };
-  KqTime end = kq_fleet_now (f) + WATCH_TIME;
-  while (kq_fleet_now (f) < end)
+  KqTime end = kq_fleet_sim_now (f) + WATCH_TIME;
+  while (kq_fleet_sim_now (f) < end)
     {
-      kq_fleet_step (f);
+      kq_fleet_sim_step (f);
       for (uint32_t s = 0; s < KQ_FLEET_SHARDS; s++)
-        if (kq_fleet_owner (f, s) < 0 && since[s] == 0)
-          since[s] = kq_fleet_now (f);
-        else if (kq_fleet_owner (f, s) >= 0 && since[s] != 0)
+        if (kq_fleet_sim_owner (f, s) < 0 && since[s] == 0)
+          since[s] = kq_fleet_sim_now (f);
+        else if (kq_fleet_sim_owner (f, s) >= 0 && since[s] != 0)
           {
             if (g->n < GAPS_MAX)
-              g->gaps[g->n++] = kq_fleet_now (f) - since[s];
+              g->gaps[g->n++] = kq_fleet_sim_now (f) - since[s];
             since[s] = 0;
           }
     }
@@ -75,16 +75,16 @@
   kq_log_set_level (KQ_LOG_ERROR);
   for (int i = 0; i < RUNS; i++)
     {
-      KqFleet *f = kq_fleet_new (seed * RUNS + (uint64_t)i);
-      kq_fleet_run (f, SETTLE_TIME + i * PHASE_STEP);
-      kq_fleet_drain (f, NODE);
+      KqFleetSim *f = kq_fleet_sim_new (seed * RUNS + (uint64_t)i);
+      kq_fleet_sim_run (f, SETTLE_TIME + i * PHASE_STEP);
+      kq_fleet_sim_drain (f, NODE);
       watch (f, &planned);
-      kq_fleet_free (f);
-      f = kq_fleet_new (seed * RUNS + (uint64_t)i);
-      kq_fleet_run (f, SETTLE_TIME + i * PHASE_STEP);
-      kq_fleet_kill (f, NODE);
+      kq_fleet_sim_free (f);
+      f = kq_fleet_sim_new (seed * RUNS + (uint64_t)i);
+      kq_fleet_sim_run (f, SETTLE_TIME + i * PHASE_STEP);
+      kq_fleet_sim_kill (f, NODE);
       watch (f, &crash);
-      kq_fleet_free (f);
+      kq_fleet_sim_free (f);
     }
   report ("handover_planned", &planned, LIMIT_PLANNED_MS);
   report ("takeover_after_death", &crash, LIMIT_CRASH_MS);
--- a/bench/lives.c
+++ b/bench/lives.c
@@ -161,7 +161,7 @@
   snprintf (options, sizeof options, "--number %d --port %d --clock-ms %lld", i, r->port,
             CLOCK_FIRST_MS - (long long)life * CLOCK_STEP_MS);
   if (r->process >= 0)
-    procs_start_again (&l->procs, r->process, "standin-runner", options);
+    procs_restart (&l->procs, r->process, "standin-runner", options);
   else
     r->process
         = procs_start_program (&l->procs, PROCS_PLATFORM, "standin-runner", options);
@@ -177,14 +177,14 @@
   snprintf (r->id, sizeof r->id, "i-%08x", i + 1);
   r->process = r->relay = -1;
   start_process (l, i);
-  if (r->process < 0 || !procs_await_text (&l->procs, r->process, "out", "runner ", rest))
+  if (r->process < 0 || !procs_wait_text (&l->procs, r->process, "out", "runner ", rest))
     return false;
   r->port = atoi (rest);
   snprintf (r->address, sizeof r->address, "127.0.0.1:%d", r->port);
   if (i % 2 == 1)
     return true;
   r->relay = procs_start_relay (&l->procs, r->address);
-  if (r->relay < 0 || !procs_await_text (&l->procs, r->relay, "out", "control ", rest))
+  if (r->relay < 0 || !procs_wait_text (&l->procs, r->relay, "out", "control ", rest))
     return false;
   r->relay_control = atoi (rest);
   snprintf (r->address, sizeof r->address, "127.0.0.1:%d",
@@ -216,7 +216,7 @@
   if (r->relay < 0)
     return;
   snprintf (url, sizeof url, "http://127.0.0.1:%d/v1/relay", r->relay_control);
-  procs_ask (&l->procs, &q, ignore_answer, NULL);
+  procs_send (&l->procs, &q, ignore_answer, NULL);
 }
 
 /* A process that is stopped before it is killed leaves connections in its listen queue
@@ -338,7 +338,7 @@
 end:
   kq_agent_free (l->agent);
   kq_runner_client_free (calls);
-  procs_end (&l->procs, out->breaches > 0);
+  procs_free (&l->procs, out->breaches > 0);
 out:
   kq_counters_free (counters);
   free (l);
--- a/bench/load_live_main.c
+++ b/bench/load_live_main.c
@@ -92,7 +92,7 @@
   Bench *b = arg;
   ProcsAnswer a;
   bool ok;
-  procs_operator (p, b->nodes[0], "POST", "/v1/table", table, NULL, &a);
+  procs_call_operator (p, b->nodes[0], "POST", "/v1/table", table, NULL, &a);
   ok = a.status == 200;
   kq_buf_free (&a.body);
   return ok;
@@ -108,7 +108,7 @@
       ProcsRequest q = { .method = "GET", .url = url };
       ProcsAnswer a;
       snprintf (url, sizeof url, "http://127.0.0.1:%d/s/%s/ready?ms=1",
-                p->processes[b->nodes[i / 2]].callers, i % 2 == 0 ? "on" : "off");
+                p->processes[b->nodes[i / 2]].callers_port, i % 2 == 0 ? "on" : "off");
       procs_call (p, &q, &a);
       kq_buf_free (&a.body);
       if (a.status != 200)
@@ -148,7 +148,7 @@
   const Arrival *r = arg;
   Phase *ph = r->phase;
   KqTime took = kq_time_now () - r->due;
-  bool whole = a->end == KQ_HTTP_DONE && a->status == 200;
+  bool whole = a->outcome == KQ_HTTP_DONE && a->status == 200;
   bool in_span = kq_time_now () < ph->until;
   ph->open--;
   ph->in_span += whole && took <= DEADLINE && in_span;
@@ -181,13 +181,13 @@
   snprintf (caller, sizeof caller, "c%d", hot ? CALLERS : number);
   h[0].value = kq_str (caller);
   snprintf (url, sizeof url, "http://127.0.0.1:%d/s/%s/recalc?ms=%d",
-            b->procs.processes[b->nodes[ph->n % NODES]].callers, service, ms);
+            b->procs.processes[b->nodes[ph->n % NODES]].callers_port, service, ms);
   *r = (Arrival){ ph, due, hot };
   ph->n++;
   ph->sent += !hot;
   ph->hot_sent += hot;
   ph->open++;
-  procs_ask (&b->procs, &q, on_answer, r);
+  procs_send (&b->procs, &q, on_answer, r);
 }
 
 static bool
@@ -338,10 +338,10 @@
   Figures off;
   print_head ("slow target: 0.6 of the capacity, one runner of 10 takes 600 ms more");
   baseline = run (b, "on, none slow", "on", &p);
-  procs_fault (&b->procs, b->workers[1], SLOW_FAULT);
+  procs_set_fault (&b->procs, b->workers[1], SLOW_FAULT);
   on = run (b, "on", "on", &p);
   off = run (b, "off", "off", &p);
-  procs_fault (&b->procs, b->workers[1], "{\"clear\":true}");
+  procs_set_fault (&b->procs, b->workers[1], "{\"clear\":true}");
   result ("slow_p99_ratio", on.p99 / baseline.p99, "times", "<1.5",
           on.p99 < 1.5 * baseline.p99);
   result ("slow_p99_ratio_off", off.p99 / baseline.p99, "times", "-", true);
@@ -389,6 +389,6 @@
   pattern_slow (&b);
   code = 0;
 out:
-  procs_end (&b.procs, false);
+  procs_free (&b.procs, false);
   return code;
 }
--- a/bench/matrix_shard.c
+++ b/bench/matrix_shard.c
@@ -58,43 +58,45 @@
 }
 
 static bool
-run_until_settled (KqFleet *f)
+run_until_settled (KqFleetSim *f)
 {
-  KqTime end = kq_fleet_now (f) + SETTLE_TIME;
-  while (!kq_fleet_settled (f) && kq_fleet_now (f) < end
-         && kq_fleet_violation (f) == NULL)
-    kq_fleet_run (f, KQ_SEC / 10);
-  return kq_fleet_settled (f) && kq_fleet_violation (f) == NULL;
+  KqTime end = kq_fleet_sim_now (f) + SETTLE_TIME;
+  while (!kq_fleet_sim_settled (f) && kq_fleet_sim_now (f) < end
+         && kq_fleet_sim_violation (f) == NULL)
+    kq_fleet_sim_run (f, KQ_SEC / 10);
+  return kq_fleet_sim_settled (f) && kq_fleet_sim_violation (f) == NULL;
 }
 
 /* Returns NULL, or what was violated. */
 static const char *
-run_cell (KqFleet *f, const Step *step, KqMatrixFault fault)
+run_cell (KqFleetSim *f, const Step *step, KqMatrixFault fault)
 {
   int node = fault == KQ_MATRIX_REGION_CUT ? NODE_REGION_B : NODE;
   if (!run_until_settled (f))
     return "not settled at the start";
-  kq_fleet_on_call (f, step->kind, step->prefix, faults[fault]);
+  kq_fleet_sim_on_call (f, step->kind, step->prefix, faults[fault]);
   if (step->cause == CAUSE_CRASH)
-    kq_fleet_fault (f, KQ_FAULT_DIES, node);
+    kq_fleet_sim_inject_fault (f, KQ_FAULT_DIES, node);
   else if (step->cause == CAUSE_DRAIN)
-    kq_fleet_drain (f, node);
-  KqTime end = kq_fleet_now (f) + STEP_TIMEOUT;
-  while (!kq_fleet_triggered (f) && kq_fleet_now (f) < end)
-    kq_fleet_run (f, KQ_MS);
-  if (!kq_fleet_triggered (f))
+    kq_fleet_sim_drain (f, node);
+  KqTime end = kq_fleet_sim_now (f) + STEP_TIMEOUT;
+  while (!kq_fleet_sim_triggered (f) && kq_fleet_sim_now (f) < end)
+    kq_fleet_sim_run (f, KQ_MS);
+  if (!kq_fleet_sim_triggered (f))
     return "the step was never made";
-  kq_fleet_run (f, FAULT_TIME);
-  kq_fleet_heal (f);
+  kq_fleet_sim_run (f, FAULT_TIME);
+  kq_fleet_sim_heal (f);
   if (!run_until_settled (f))
-    return kq_fleet_violation (f) != NULL ? kq_fleet_violation (f) : "not settled after";
-  uint64_t acked = kq_fleet_acked (f);
-  kq_fleet_run (f, TIME_AFTER);
-  if (kq_fleet_violation (f) == NULL && kq_fleet_acked (f) < acked + ACKS_AFTER_MIN)
+    return kq_fleet_sim_violation (f) != NULL ? kq_fleet_sim_violation (f)
+                                              : "not settled after";
+  uint64_t acked = kq_fleet_sim_acked (f);
+  kq_fleet_sim_run (f, TIME_AFTER);
+  if (kq_fleet_sim_violation (f) == NULL
+      && kq_fleet_sim_acked (f) < acked + ACKS_AFTER_MIN)
     return "hardly anything is acknowledged after";
-  if (kq_fleet_violation (f) == NULL)
-    kq_fleet_compare (f);
-  return kq_fleet_violation (f);
+  if (kq_fleet_sim_violation (f) == NULL)
+    kq_fleet_sim_compare (f);
+  return kq_fleet_sim_violation (f);
 }
 
 static KqMatrixResult
@@ -103,11 +105,11 @@
 {
   if (fault == KQ_MATRIX_OPERATORS_RACE)
     return KQ_MATRIX_NOT_APPLICABLE; /* operators change no ownership */
-  KqFleet *f = kq_fleet_new (seed);
+  KqFleetSim *f = kq_fleet_sim_new (seed);
   const char *wrong = run_cell (f, find_step (step), fault);
   if (wrong != NULL)
     snprintf (why, KQ_MATRIX_WHY_SIZE, "%s", wrong);
-  kq_fleet_free (f);
+  kq_fleet_sim_free (f);
   return wrong == NULL ? KQ_MATRIX_PASSED : KQ_MATRIX_FAILED;
 }
 
--- a/bench/path_main.c
+++ b/bench/path_main.c
@@ -47,10 +47,10 @@
 {
   Round *r = arg;
   r->open--;
-  if (a->end != KQ_HTTP_DONE || a->status != 200)
+  if (a->outcome != KQ_HTTP_DONE || a->status != 200)
     r->failed++;
   else
-    r->took[r->n++] = a->took;
+    r->took[r->n++] = a->duration;
   next_request (r);
 }
 
@@ -62,7 +62,7 @@
     return;
   r->left--;
   r->open++;
-  procs_ask (&r->bench->procs, &q, on_answer, r);
+  procs_send (&r->bench->procs, &q, on_answer, r);
 }
 
 static bool
@@ -157,15 +157,15 @@
   char *bytes = up ? kq_alloc (BODY_BYTES) : NULL;
   bool complete;
   snprintf (url, sizeof url, "http://127.0.0.1:%d/s/s/big?ms=0&bytes=%lld",
-            b->procs.processes[b->nodes[0]].callers, up ? 0LL : BODY_BYTES);
+            b->procs.processes[b->nodes[0]].callers_port, up ? 0LL : BODY_BYTES);
   if (up)
     {
       q.body = kq_str_n (bytes, BODY_BYTES);
       snprintf (url, sizeof url, "http://127.0.0.1:%d/s/s/big?ms=0",
-                b->procs.processes[b->nodes[0]].callers);
+                b->procs.processes[b->nodes[0]].callers_port);
     }
   procs_call (&b->procs, &q, &a);
-  complete = a.end == KQ_HTTP_DONE && a.status == 200;
+  complete = a.outcome == KQ_HTTP_DONE && a.status == 200;
   if (complete && up)
     {
       json_t *o = json_loadb (a.body.ptr, a.body.len, 0, NULL);
@@ -175,7 +175,7 @@
   else if (complete)
     complete = a.body.len == (size_t)BODY_BYTES;
   if (!complete)
-    printf ("body not whole: end=%d status=%d bytes=%zu %.80s\n", a.end, a.status,
+    printf ("body not whole: end=%d status=%d bytes=%zu %.80s\n", a.outcome, a.status,
             a.body.len, a.body.len < 400 ? a.body.ptr : "");
   kq_buf_free (&a.body);
   free (bytes);
@@ -198,7 +198,7 @@
   bool up;
   bool down;
   snprintf (url, sizeof url, "http://127.0.0.1:%d/s/s/x?ms=0",
-            b->procs.processes[b->nodes[1]].callers);
+            b->procs.processes[b->nodes[1]].callers_port);
   /* The two are measured alternately; only the last round counts, after a warm-up. */
   for (int i = 0; i < ROUNDS; i++)
     {
@@ -260,6 +260,6 @@
   run (&b);
   code = 0;
 out:
-  procs_end (&b.procs, false);
+  procs_free (&b.procs, false);
   return code;
 }
--- a/bench/procs.c
+++ b/bench/procs.c
@@ -77,7 +77,7 @@
 }
 
 void
-procs_end (Procs *f, bool keep)
+procs_free (Procs *f, bool keep)
 {
   for (int i = 0; i < f->n; i++)
     {
@@ -137,7 +137,7 @@
 }
 
 void
-procs_start_again (Procs *f, int index, const char *program, const char *options)
+procs_restart (Procs *f, int index, const char *program, const char *options)
 {
   ProcsProcess *p = &f->processes[index];
   char now[128];
@@ -165,8 +165,8 @@
 }
 
 bool
-procs_await_text (Procs *f, int index, const char *suffix, const char *text,
-                  char rest[256])
+procs_wait_text (Procs *f, int index, const char *suffix, const char *text,
+                 char rest[256])
 {
   KqTime until = kq_time_now () + START_TIMEOUT;
   char path[128];
@@ -191,7 +191,7 @@
 await_port (Procs *f, int index)
 {
   char rest[256];
-  if (index < 0 || !procs_await_text (f, index, "out", "listening ", rest))
+  if (index < 0 || !procs_wait_text (f, index, "out", "listening ", rest))
     return -1;
   f->processes[index].port = atoi (rest);
   return index;
@@ -274,7 +274,7 @@
   write_settings (f, f->n, name, region, depot);
   snprintf (options, sizeof options, "--settings %s/%d.toml", f->dir, f->n);
   i = procs_start_program (f, PROCS_NODE, "kumquatd", options);
-  if (i < 0 || !procs_await_text (f, i, "log", "Listening. ", rest))
+  if (i < 0 || !procs_wait_text (f, i, "log", "Listening. ", rest))
     return -1;
   p = &f->processes[i];
   snprintf (p->name, sizeof p->name, "%s", name);
@@ -284,8 +284,8 @@
   char *operators = strstr (rest, "operators=");
   if (callers == NULL || operators == NULL)
     return -1;
-  p->callers = atoi (callers + 8);
-  p->operators = atoi (operators + 10);
+  p->callers_port = atoi (callers + 8);
+  p->operators_port = atoi (operators + 10);
   return i;
 }
 
@@ -335,8 +335,8 @@
 {
   PendingCall *a = arg;
   (void)c;
-  a->answer.end = end;
-  a->answer.took = kq_time_now () - a->answer.started_at;
+  a->answer.outcome = end;
+  a->answer.duration = kq_time_now () - a->answer.started_at;
   if (end == KQ_HTTP_DONE && a->answer.status >= 400)
     read_problem (&a->answer);
   a->done (a->arg, &a->answer);
@@ -345,7 +345,7 @@
 }
 
 void
-procs_ask (Procs *f, const ProcsRequest *r, ProcsDone done, void *arg)
+procs_send (Procs *f, const ProcsRequest *r, ProcsDone done, void *arg)
 {
   PendingCall *a = kq_alloc (sizeof *a);
   KqHttpCallback cb = { a, on_head, on_data, NULL, on_done };
@@ -384,7 +384,7 @@
 {
   SyncCall w = { a, false };
   *a = (ProcsAnswer){ 0 };
-  procs_ask (f, r, copy_answer, &w);
+  procs_send (f, r, copy_answer, &w);
   procs_run (f, 60 * KQ_SEC, &w.done);
 }
 
@@ -423,8 +423,8 @@
 }
 
 void
-procs_operator (Procs *f, int node, const char *method, const char *path,
-                const char *body, const char *match, ProcsAnswer *a)
+procs_call_operator (Procs *f, int node, const char *method, const char *path,
+                     const char *body, const char *match, ProcsAnswer *a)
 {
   char url[512];
   KqHeader h[2] = { { KQ_STR ("Authorization"), KQ_STR ("Bearer " TOKEN) },
@@ -435,7 +435,8 @@
                      .n_headers = match != NULL ? 2 : 1,
                      .body = kq_str (body),
                      .total_ms = 8000 };
-  snprintf (url, sizeof url, "http://127.0.0.1:%d%s", f->processes[node].operators, path);
+  snprintf (url, sizeof url, "http://127.0.0.1:%d%s", f->processes[node].operators_port,
+            path);
   procs_call (f, &r, a);
 }
 
@@ -444,8 +445,8 @@
 {
   ProcsAnswer a;
   json_t *o = NULL;
-  procs_operator (f, node, "GET", path, NULL, NULL, &a);
-  if (a.end == KQ_HTTP_DONE && a.status == 200)
+  procs_call_operator (f, node, "GET", path, NULL, NULL, &a);
+  if (a.outcome == KQ_HTTP_DONE && a.status == 200)
     o = json_loadb (a.body.ptr, a.body.len, 0, NULL);
   kq_buf_free (&a.body);
   return o;
@@ -460,14 +461,14 @@
   json_t *o = NULL;
   snprintf (url, sizeof url, "http://127.0.0.1:%d%s", f->processes[index].port, path);
   procs_call (f, &r, &a);
-  if (a.end == KQ_HTTP_DONE && a.status == 200)
+  if (a.outcome == KQ_HTTP_DONE && a.status == 200)
     o = json_loadb (a.body.ptr, a.body.len, 0, NULL);
   kq_buf_free (&a.body);
   return o;
 }
 
 void
-procs_fault (Procs *f, int index, const char *json)
+procs_set_fault (Procs *f, int index, const char *json)
 {
   char url[256];
   ProcsRequest r = { .method = "POST", .url = url, .body = kq_str (json) };
--- a/bench/procs.h
+++ b/bench/procs.h
@@ -31,10 +31,10 @@
   char name[32];
   char region[32];
   char depot[32];
-  pid_t pid;     /* 0: not running */
-  int port;      /* store, workers, relay */
-  int callers;   /* port for callers, of a node */
-  int operators; /* port for operators, of a node */
+  pid_t pid;          /* 0: not running */
+  int port;           /* store, workers, relay */
+  int callers_port;   /* port for callers, of a node */
+  int operators_port; /* port for operators, of a node */
   int restarts;
 } ProcsProcess;
 
@@ -60,19 +60,19 @@
 /* The answer to a request. */
 typedef struct
 {
-  KqHttpOutcome end;
+  KqHttpOutcome outcome;
   int status;
   KqBuf body;
   char ran[16]; /* field "ran" of a problem answer: "no" or "unknown"; else "" */
   int code;     /* result code of a problem answer, else 0 */
   KqTime started_at;
-  KqTime took;
+  KqTime duration;
 } ProcsAnswer;
 
 /* Creates the directory and the loop. False: the directory couldn't be created. */
 bool procs_init (Procs *f, const char *build);
 /* Kills every process (SIGKILL) and removes the directory unless keep. */
-void procs_end (Procs *f, bool keep);
+void procs_free (Procs *f, bool keep);
 /* Each of these waits until the program listens and returns the index of the process, or
  * -1. A timeout is reported on stderr. extra: more options, separated by single spaces;
  * may be "". */
@@ -88,11 +88,11 @@
                          const char *options);
 /* Starts a program in place of a process that has ended. The earlier output is kept as
  * INDEX.out.N; INDEX.log is appended to. */
-void procs_start_again (Procs *f, int index, const char *program, const char *options);
+void procs_restart (Procs *f, int index, const char *program, const char *options);
 /* Waits for a line with the text in INDEX.suffix and copies what follows the text. False:
  * timeout, reported on stderr. */
-bool procs_await_text (Procs *f, int index, const char *suffix, const char *text,
-                       char rest[256]);
+bool procs_wait_text (Procs *f, int index, const char *suffix, const char *text,
+                      char rest[256]);
 void procs_signal (Procs *f, int index, int signal);
 /* Waits for the process to end. Returns the exit code, 128 + signal, or -1 on timeout. */
 int procs_wait_exit (Procs *f, int index, KqTime limit);
@@ -108,7 +108,7 @@
   KqStr body;
   int total_ms; /* timeout; 0: 15 s */
 } ProcsRequest;
-void procs_ask (Procs *f, const ProcsRequest *r, ProcsDone done, void *arg);
+void procs_send (Procs *f, const ProcsRequest *r, ProcsDone done, void *arg);
 /* The same, but waits for the answer; the caller frees a->body. */
 void procs_call (Procs *f, const ProcsRequest *r, ProcsAnswer *a);
 /* Runs the loop until *flag, at most for `limit`; flag NULL: for the whole time. False:
@@ -116,8 +116,8 @@
 bool procs_run (Procs *f, KqTime limit, const bool *flag);
 /* Calls a path of a node's operator interface, with the token. match: If-Match header, or
  * NULL. The caller frees a->body. */
-void procs_operator (Procs *f, int node, const char *method, const char *path,
-                     const char *body, const char *match, ProcsAnswer *a);
+void procs_call_operator (Procs *f, int node, const char *method, const char *path,
+                          const char *body, const char *match, ProcsAnswer *a);
 /* Calls check every 100 ms until it returns true. False: timeout. */
 bool procs_wait (Procs *f, KqTime limit, bool (*check) (Procs *, void *), void *arg);
 /* Waits until all running nodes answer /readyz with 200 and every shard has an active
@@ -129,16 +129,16 @@
 /* The same from a stand-in. */
 json_t *procs_standin_json (Procs *f, int index, const char *path);
 /* Sets a fault at a stand-in. */
-void procs_fault (Procs *f, int index, const char *json);
+void procs_set_fault (Procs *f, int index, const char *json);
 /* Sends the table changes ({"changes":[...]}) to a node until it accepts them. False:
  * timeout. */
 bool procs_set_table (Procs *f, KqTime limit, int node, const char *changes);
 /* Whether every running node answers a caller's GET of the path with 200. Then the node
  * knows the table, the owners' digests and the runners' slots. */
-bool procs_serve (Procs *f, const char *path);
-/* Waits for procs_serve. False: timeout. */
+bool procs_all_serve (Procs *f, const char *path);
+/* Waits for procs_all_serve. False: timeout. */
 bool procs_wait_serve (Procs *f, KqTime limit, const char *path);
 /* How often the runners of a standin-worker process ran the request with this id. */
-int procs_runs_of (Procs *f, int workers, const char *id);
+int procs_count_runs (Procs *f, int workers, const char *id);
 
 #endif
--- a/bench/procs_ready.c
+++ b/bench/procs_ready.c
@@ -17,7 +17,7 @@
   const TableChange *t = arg;
   ProcsAnswer a;
   bool ok;
-  procs_operator (f, t->node, "POST", "/v1/table", t->changes, NULL, &a);
+  procs_call_operator (f, t->node, "POST", "/v1/table", t->changes, NULL, &a);
   ok = a.status == 200;
   kq_buf_free (&a.body);
   return ok;
@@ -36,14 +36,14 @@
   char url[256];
   ProcsRequest q = { .method = "GET", .url = url };
   ProcsAnswer a;
-  snprintf (url, sizeof url, "http://127.0.0.1:%d%s", f->processes[i].callers, path);
+  snprintf (url, sizeof url, "http://127.0.0.1:%d%s", f->processes[i].callers_port, path);
   procs_call (f, &q, &a);
   kq_buf_free (&a.body);
   return a.status == 200;
 }
 
 bool
-procs_serve (Procs *f, const char *path)
+procs_all_serve (Procs *f, const char *path)
 {
   for (int i = 0; i < f->n; i++)
     {
@@ -57,7 +57,7 @@
 static bool
 all_serve (Procs *f, void *path)
 {
-  return procs_serve (f, path);
+  return procs_all_serve (f, path);
 }
 
 bool
@@ -67,7 +67,7 @@
 }
 
 int
-procs_runs_of (Procs *f, int workers, const char *id)
+procs_count_runs (Procs *f, int workers, const char *id)
 {
   json_t *o = procs_standin_json (f, workers, "/v1/effects");
   int n = (int)json_integer_value (json_object_get (json_object_get (o, "requests"), id));
@@ -80,7 +80,7 @@
 {
   ProcsAnswer a;
   bool ok;
-  procs_operator (f, i, "GET", "/readyz", NULL, NULL, &a);
+  procs_call_operator (f, i, "GET", "/readyz", NULL, NULL, &a);
   ok = a.status == 200;
   kq_buf_free (&a.body);
   return ok;
--- a/bench/sched_load.h
+++ b/bench/sched_load.h
@@ -31,7 +31,7 @@
   uint64_t lists;     /* passed to the scheduler */
   uint64_t passes;    /* calls of kq_sched_run */
   uint64_t starts;    /* ordered */
-  uint64_t looks;     /* candidate runners examined to place tasks */
+  uint64_t examined;  /* candidate runners examined to place tasks */
   uint64_t paces;     /* ordered */
   uint64_t done;      /* tasks ended as done */
   uint64_t jobs;      /* submitted, without lasting ones */
--- a/bench/sched_rig.h
+++ b/bench/sched_rig.h
@@ -29,7 +29,7 @@
   KqTime length;
   bool fails;
   bool lasting;
-  bool stands_still; /* makes no progress and never ends */
+  bool stalled; /* makes no progress and never ends */
 } KqSchedRigRun;
 
 typedef struct
@@ -48,7 +48,7 @@
   KqRoom room;
   bool alive;
   KqTime cut_until;          /* calls and answers are lost */
-  KqTime deaf_until;         /* calls arrive, answers are lost */
+  KqTime replies_lost_until; /* calls arrive, answers are lost */
   double rate;               /* of its clock, relative to the rig's time */
   KqTime process_started_at; /* its clock starts then */
   int64_t started_ms;        /* identifies the process; as in the runner's list */
@@ -91,12 +91,12 @@
   KqTime leader_confirmed_at; /* connected at the leader then, or later */
   KqTime frozen_until;
   KqTime cut_until[KQ_SCHED_RIG_RUNNERS_MAX]; /* calls to this runner are lost */
-  KqTime call_slow; /* added to each call to a runner and to its answer */
+  KqTime call_extra_latency; /* added to each call to a runner and to its answer */
   /* The agent's end of its connection to the leader. */
   KqTime link_cut_until;
-  KqTime up_slow;     /* added to the latency of messages to the leader */
-  KqTime down_slow;   /* added to the latency of messages to the agent */
-  KqTime up_last_due; /* arrival of the last message sent */
+  KqTime up_extra_latency;   /* added to the latency of messages to the leader */
+  KqTime down_extra_latency; /* added to the latency of messages to the agent */
+  KqTime up_last_due;        /* arrival of the last message sent */
   KqTime down_last_due;
   uint64_t conn;           /* number of the present connection; 0: none */
   uint64_t conns_opened;   /* so far */
--- a/bench/sched_rig_agent.c
+++ b/bench/sched_rig_agent.c
@@ -47,7 +47,7 @@
   const KqSchedRigAgentRunner *h = agent_runner (r, c.agent, c.runner);
   KqSchedRigEvent *e;
   KqTime due;
-  c.latency = KQ_SCHED_RIG_LATENCY + r->agents[c.agent].call_slow;
+  c.latency = KQ_SCHED_RIG_LATENCY + r->agents[c.agent].call_extra_latency;
   due = r->now + c.latency;
   c.serial = h->serial;
   c.epoch = h->epoch;
--- a/bench/sched_rig_link.c
+++ b/bench/sched_rig_link.c
@@ -27,7 +27,8 @@
   KqSchedRigAgent *a = &r->agents[agent];
   bool up = kind == KQ_SCHED_RIG_UP;
   KqTime *last = up ? &a->up_last_due : &a->down_last_due;
-  KqTime due = r->now + KQ_SCHED_RIG_LATENCY + (up ? a->up_slow : a->down_slow);
+  KqTime due = r->now + KQ_SCHED_RIG_LATENCY
+               + (up ? a->up_extra_latency : a->down_extra_latency);
   KqSchedRigEvent *e;
   if (due < *last)
     due = *last;
@@ -69,7 +70,8 @@
 {
   KqSchedRigAgent *a = &r->agents[agent];
   a->connect_tried_at = r->now;
-  a->opens_at = r->now + 2 * KQ_SCHED_RIG_LATENCY + a->up_slow + a->down_slow;
+  a->opens_at
+      = r->now + 2 * KQ_SCHED_RIG_LATENCY + a->up_extra_latency + a->down_extra_latency;
 }
 
 static void
--- a/bench/sched_rig_runner.c
+++ b/bench/sched_rig_runner.c
@@ -303,7 +303,7 @@
       rows[k] = (KqRunRow){ .task = kq_str (run->task),
                             .run = run->run,
                             .checkpoint = KQ_STR (""),
-                            .percent = run->stands_still ? 1 : (int)part,
+                            .percent = run->stalled ? 1 : (int)part,
                             .load = -1 };
     }
   for (guint k = 0; k < g->ends->len; k++)
@@ -365,7 +365,8 @@
   KqSchedRigEvent *e;
   if (!c->reply_arrives)
     return;
-  if (cut_off (r, c) || r->now < g->deaf_until || r->now + c->latency > c->timeout_at)
+  if (cut_off (r, c) || r->now < g->replies_lost_until
+      || r->now + c->latency > c->timeout_at)
     {
       kq_sched_rig_no_answer (r, c);
       return;
@@ -434,7 +435,7 @@
   for (guint i = 0; g->alive && i < g->runs->len; i++)
     {
       const KqSchedRigRun *run = g_ptr_array_index (g->runs, i);
-      bool over = r->now - run->started_at >= run->length && !run->stands_still;
+      bool over = r->now - run->started_at >= run->length && !run->stalled;
       if (!over || (run->lasting && !run->fails))
         continue;
       end_run (r, g, i, run->fails ? KQ_END_FAILED : KQ_END_DONE);
--- a/bench/sched_soak.c
+++ b/bench/sched_soak.c
@@ -135,7 +135,7 @@
       g->cut_until = until;
       break;
     case 1:
-      g->deaf_until = until;
+      g->replies_lost_until = until;
       break;
     case 2:
       kq_sched_rig_restart_runner (r, n);
@@ -145,7 +145,7 @@
       break;
     default:
       if (g->runs->len > 0)
-        ((KqSchedRigRun *)g_ptr_array_index (g->runs, 0))->stands_still = true;
+        ((KqSchedRigRun *)g_ptr_array_index (g->runs, 0))->stalled = true;
       break;
     }
 }
@@ -206,9 +206,9 @@
       LinkDelay *w = &s->link_delays[i];
       KqTime step = (KqTime)(50 + below (s, 600)) * KQ_MS;
       bool on = s->rig.now >= w->from && s->rig.now < w->until;
-      move_towards (&a->up_slow, on ? w->up : 0, step);
-      move_towards (&a->down_slow, on ? w->down : 0, step);
-      a->call_slow = on ? w->calls : 0;
+      move_towards (&a->up_extra_latency, on ? w->up : 0, step);
+      move_towards (&a->down_extra_latency, on ? w->down : 0, step);
+      a->call_extra_latency = on ? w->calls : 0;
     }
 }
 
@@ -329,11 +329,11 @@
       KqSchedRigAgent *a = &r->agents[i];
       memset (a->cut_until, 0, sizeof a->cut_until);
       a->link_cut_until = a->frozen_until = a->leader_known_at = 0;
-      a->up_slow = a->down_slow = a->call_slow = 0;
+      a->up_extra_latency = a->down_extra_latency = a->call_extra_latency = 0;
     }
   for (int i = 0; i < r->n_runners; i++)
     {
-      r->runners[i].cut_until = r->runners[i].deaf_until = 0;
+      r->runners[i].cut_until = r->runners[i].replies_lost_until = 0;
       r->runners[i].fails_all = false;
     }
 }
--- a/bench/slopes_live.c
+++ b/bench/slopes_live.c
@@ -128,7 +128,7 @@
   Sample s = { 0 };
   ProcsAnswer a;
   pid_t pid = l->procs.processes[l->nodes[i]].pid;
-  procs_operator (&l->procs, l->nodes[i], "GET", "/metrics", NULL, NULL, &a);
+  procs_call_operator (&l->procs, l->nodes[i], "GET", "/metrics", NULL, NULL, &a);
   if (a.status == 200 && a.body.ptr != NULL)
     {
       s.near = sum_of (a.body.ptr, "kq_mesh_bytes_", "near");
@@ -161,12 +161,13 @@
   char url[128];
   int node = l->nodes[number % l->fleet->nodes];
   ProcsRequest q = { .url = url, .method = job ? "POST" : "GET" };
-  snprintf (url, sizeof url, "http://127.0.0.1:%d/%s", l->procs.processes[node].callers,
+  snprintf (url, sizeof url, "http://127.0.0.1:%d/%s",
+            l->procs.processes[node].callers_port,
             job ? "v1/jobs" : "s/tag-watch/visit?ms=5");
   if (job)
     q.body = KQ_STR ("{\"team\":\"rounds\",\"class\":\"plan\",\"run_ms\":300}");
   l->open++;
-  procs_ask (&l->procs, &q, on_answer, l);
+  procs_send (&l->procs, &q, on_answer, l);
 }
 
 /* Sends a constant load for `span`. */
@@ -273,12 +274,13 @@
   Live *l = arg;
   ProcsAnswer a;
   bool ok;
-  procs_operator (f, l->nodes[0], "POST", "/v1/table",
-                  "{\"changes\":[{\"kind\":\"service\",\"name\":\"tag-watch\",\"fields\":"
-                  "{\"deadline_ms\":8000}},{\"kind\":\"class\",\"name\":\"plan\","
-                  "\"fields\":{\"cpu_milli\":1000,\"memory_mb\":512}},{\"kind\":\"team\","
-                  "\"name\":\"rounds\",\"fields\":{}}]}",
-                  NULL, &a);
+  procs_call_operator (
+      f, l->nodes[0], "POST", "/v1/table",
+      "{\"changes\":[{\"kind\":\"service\",\"name\":\"tag-watch\",\"fields\":"
+      "{\"deadline_ms\":8000}},{\"kind\":\"class\",\"name\":\"plan\","
+      "\"fields\":{\"cpu_milli\":1000,\"memory_mb\":512}},{\"kind\":\"team\","
+      "\"name\":\"rounds\",\"fields\":{}}]}",
+      NULL, &a);
   ok = a.status == 200;
   kq_buf_free (&a.body);
   return ok;
@@ -335,7 +337,7 @@
     measure (&l, &loads[i]);
   for (int i = 0; i < 100 && l.open > 0; i++)
     procs_run (&l.procs, 50 * KQ_MS, NULL);
-  procs_end (&l.procs, false);
+  procs_free (&l.procs, false);
   return ok;
 }
 
--- a/bench/table_main.c
+++ b/bench/table_main.c
@@ -173,10 +173,10 @@
   for (int i = 0; i < SILENT_TRIALS; i++)
     {
       KqTime asked = f->now;
-      f->mute_tables = !pushes;
+      f->drop_table_messages = !pushes;
       uint64_t rev = change_one (f, &r);
       kq_table_sim_run (f, 100 * KQ_MS); /* the pushes are lost */
-      f->mute_tables = false;
+      f->drop_table_messages = false;
       if (rev == 0 || kq_table_sim_wait (f, rev, 100 * KQ_SEC) < 0)
         failed++;
       else if ((double)(f->now - asked) / KQ_SEC > worst)
--- a/bench/table_sim.c
+++ b/bench/table_sim.c
@@ -131,13 +131,13 @@
     return;
   KqTableSimNode *r = &f->nodes[i];
   bool table = (*msg)->kind == KQ_MSG_TABLE || (*msg)->kind == KQ_MSG_TABLE_REQUEST;
-  if (table && f->mute_tables)
+  if (table && f->drop_table_messages)
     return;
   bool far = r->region != n->region;
   kq_msg_pack (*msg, &b);
   *(far ? &n->far_bytes : &n->near_bytes) += b.len;
   kq_buf_free (&b);
-  f->crossed[n->index][i] = f->crossed[n->index][i] || far;
+  f->sent_between_regions[n->index][i] = f->sent_between_regions[n->index][i] || far;
   push (f->state, (InTransit){ .at = f->now + (far ? f->far_delay : f->near_delay),
                                .from = n->index,
                                .to = i,
--- a/bench/table_sim.h
+++ b/bench/table_sim.h
@@ -43,10 +43,10 @@
   KqTime near_delay; /* one way */
   KqTime far_delay;
   bool cut[KQ_TABLE_SIM_MAX][KQ_TABLE_SIM_MAX]; /* from, to: messages are lost */
-  bool crossed[KQ_TABLE_SIM_MAX]
-              [KQ_TABLE_SIM_MAX]; /* from, to: a frame between regions */
-  bool mute_tables; /* messages about the table are lost: nodes learn of changes only by
-                       heartbeats and the store */
+  bool sent_between_regions[KQ_TABLE_SIM_MAX]
+                           [KQ_TABLE_SIM_MAX]; /* from, to: a frame between regions */
+  bool drop_table_messages; /* messages about the table are lost: nodes learn of changes
+                       only by heartbeats and the store */
   KqTableResult results[1024]; /* of changes, by call */
   bool done[1024];
   int n_calls;
--- a/soak/soak.c
+++ b/soak/soak.c
@@ -92,10 +92,10 @@
   s->platform
       = procs_start_program (&s->procs, PROCS_PLATFORM, "standin-platform", options);
   if (s->platform < 0
-      || !procs_await_text (&s->procs, s->platform, "out", "control ", rest))
+      || !procs_wait_text (&s->procs, s->platform, "out", "control ", rest))
     return false;
   s->control_port = atoi (rest);
-  procs_await_text (&s->procs, s->platform, "out", "store ", rest);
+  procs_wait_text (&s->procs, s->platform, "out", "store ", rest);
   s->store_port = atoi (rest);
   return true;
 }
@@ -125,7 +125,7 @@
   char rest[256];
   snprintf (target, sizeof target, "127.0.0.1:%d", s->store_port);
   n->relay = procs_start_relay (&s->procs, target);
-  if (n->relay < 0 || !procs_await_text (&s->procs, n->relay, "out", "control ", rest))
+  if (n->relay < 0 || !procs_wait_text (&s->procs, n->relay, "out", "control ", rest))
     return false;
   n->relay_control_port = atoi (rest);
   return true;
@@ -157,11 +157,11 @@
   write_settings (s, i, path);
   snprintf (options, sizeof options, "--settings %s", path);
   if (n->process >= 0)
-    procs_start_again (&s->procs, n->process, "kumquatd", options);
+    procs_restart (&s->procs, n->process, "kumquatd", options);
   else
     n->process = procs_start_program (&s->procs, PROCS_FLEET_NODE, "kumquatd", options);
   if (n->process < 0
-      || !procs_await_text (&s->procs, n->process, "out", "Started. front=", rest))
+      || !procs_wait_text (&s->procs, n->process, "out", "Started. front=", rest))
     return false;
   n->front_port = atoi (rest);
   n->restart_at = 0;
@@ -186,7 +186,7 @@
   const char *state;
   j->call_open = false;
   j->soak->answers++;
-  if (a->end != KQ_HTTP_DONE)
+  if (a->outcome != KQ_HTTP_DONE)
     return;
   if (a->status == 410 && j->accepted)
     breach (j->soak, "an accepted job is unknown", j->id);
@@ -213,14 +213,14 @@
   Job *j = arg;
   j->call_open = false;
   j->soak->answers++;
-  if (a->end == KQ_HTTP_DONE && a->status == 200)
+  if (a->outcome == KQ_HTTP_DONE && a->status == 200)
     j->accepted = true;
-  else if (a->end == KQ_HTTP_DONE && (a->status == 503 || a->status == 429))
+  else if (a->outcome == KQ_HTTP_DONE && (a->status == 503 || a->status == 429))
     {
       j->rejected = true;
       j->soak->refusals++;
     }
-  else if (a->end != KQ_HTTP_NOT_SENT)
+  else if (a->outcome != KQ_HTTP_NOT_SENT)
     j->uncertain = true;
 }
 
@@ -229,7 +229,7 @@
 {
   Job *j = arg;
   j->call_open = false;
-  if (a->end == KQ_HTTP_DONE && (a->status == 200 || a->status == 410))
+  if (a->outcome == KQ_HTTP_DONE && (a->status == 200 || a->status == 410))
     j->cancelled = true;
 }
 
@@ -251,7 +251,7 @@
     return;
   snprintf (url, sizeof url, "http://127.0.0.1:%d/plans/%s", n->front_port, j->id);
   j->call_open = true;
-  procs_ask (&s->procs, &q, done, j);
+  procs_send (&s->procs, &q, done, j);
 }
 
 static void
@@ -607,7 +607,7 @@
 out:
   if (p->keep || breaches != 0)
     printf ("seed %llu: output in %s\n", (unsigned long long)p->seed, s->procs.dir);
-  procs_end (&s->procs, p->keep || breaches != 0);
+  procs_free (&s->procs, p->keep || breaches != 0);
   free (s);
   return breaches;
 }
--- a/src/base/task_test.c
+++ b/src/base/task_test.c
@@ -61,7 +61,7 @@
 static void
 run (Pair *p)
 {
-  guard_run (p->loop, 20);
+  loop_run_with_timeout (p->loop, 20);
 }
 
 static void
--- a/src/fleet/link_test.c
+++ b/src/fleet/link_test.c
@@ -152,14 +152,14 @@
   t->until_pings = 1;
   for (int i = 0; i < 100 && t->acknowledged_at == 0; i++)
     {
-      guard_run (t->node_loop, 0.02);
-      guard_run (t->leader_loop, 0.02);
+      loop_run_with_timeout (t->node_loop, 0.02);
+      loop_run_with_timeout (t->leader_loop, 0.02);
     }
   assert_true (t->acknowledged_at > 0);
   hung_at = kq_time_now ();
-  guard_run (t->leader_loop, 0.7); /* pings go out */
+  loop_run_with_timeout (t->leader_loop, 0.7); /* pings go out */
   t->until_pings = t->pings + 1;
-  guard_run (t->node_loop, 20);
+  loop_run_with_timeout (t->node_loop, 20);
   assert_true (t->pings >= t->until_pings);
   assert_true (t->acknowledged_at < hung_at);
 }
@@ -170,8 +170,8 @@
   t->until_pings = pings;
   for (int i = 0; i < 400 && t->pings < pings; i++)
     {
-      guard_run (t->node_loop, 0.02);
-      guard_run (t->leader_loop, 0.02);
+      loop_run_with_timeout (t->node_loop, 0.02);
+      loop_run_with_timeout (t->leader_loop, 0.02);
     }
   assert_true (t->pings >= pings);
 }
@@ -212,8 +212,8 @@
 {
   for (int i = 0; i < 400 && *n < wanted; i++)
     {
-      guard_run (t->node_loop, 0.01);
-      guard_run (t->leader_loop, 0.01);
+      loop_run_with_timeout (t->node_loop, 0.01);
+      loop_run_with_timeout (t->leader_loop, 0.01);
     }
   assert_true (*n >= wanted);
 }
@@ -272,8 +272,8 @@
   assert_false (kq_link_connected (t->node));
   run_until (t, &t->left, 1);
   assert_int_equal (t->left_planned, 1);
-  guard_run (t->node_loop, 0.3);
-  guard_run (t->leader_loop, 0.1);
+  loop_run_with_timeout (t->node_loop, 0.3);
+  loop_run_with_timeout (t->leader_loop, 0.1);
   assert_int_equal (t->left, 1);
   assert_int_equal (t->joined, 1);
 }
@@ -290,7 +290,7 @@
   kq_link_send (t->node, EPOCH, &i);
   kq_link_send (t->node, EPOCH, &i);
   run_until (t, &t->cancels, 1);
-  guard_run (t->leader_loop, 0.1);
+  loop_run_with_timeout (t->leader_loop, 0.1);
   assert_int_equal (t->cancels, 1);
 }
 
--- a/src/http/http_test.c
+++ b/src/http/http_test.c
@@ -177,7 +177,7 @@
 static void
 run (Fixture *p)
 {
-  guard_run (p->loop, 20);
+  loop_run_with_timeout (p->loop, 20);
 }
 
 static KqHttpCall *
--- a/src/member/member_test.c
+++ b/src/member/member_test.c
@@ -352,7 +352,7 @@
       bytes[k] = 0;
       assert_true (wait_until_all_see_live (f, 5 * KQ_SEC) >= 0);
       kq_table_sim_run (f, 10 * KQ_SEC);
-      memset (f->crossed, 0, sizeof f->crossed);
+      memset (f->sent_between_regions, 0, sizeof f->sent_between_regions);
       for (int i = 0; i < f->n; i++)
         f->nodes[i].far_bytes = 0;
       kq_table_sim_run (f, 60 * KQ_SEC);
@@ -361,7 +361,8 @@
           bytes[k] += (double)f->nodes[i].far_bytes;
           bool to[4] = { false };
           for (int j = 0; j < f->n; j++)
-            to[f->nodes[j].region] = to[f->nodes[j].region] || f->crossed[i][j];
+            to[f->nodes[j].region]
+                = to[f->nodes[j].region] || f->sent_between_regions[i][j];
           pairs += to[0] + to[1] + to[2] + to[3];
         }
       assert_int_equal (pairs, 4 * 3);
--- a/src/port/worker_http_test.c
+++ b/src/port/worker_http_test.c
@@ -188,7 +188,7 @@
 {
   r->wanted = n;
   if (r->n_replies < n)
-    guard_run (r->loop, 20);
+    loop_run_with_timeout (r->loop, 20);
   assert_int_equal (r->n_replies, n);
 }
 
--- a/src/sched/ended_repeat_race_test.c
+++ b/src/sched/ended_repeat_race_test.c
@@ -29,7 +29,7 @@
   kq_sched_rig_add_agent (r);
   kq_sched_rig_run (r, REBALANCED_AFTER + phase);
   for (int i = 0; i < RUNNERS; i++)
-    r->runners[i].deaf_until = r->now + 950 * KQ_MS;
+    r->runners[i].replies_lost_until = r->now + 950 * KQ_MS;
   kq_sched_rig_submit (r, "aa", &s, 1, 3, length, 0);
   begun = r->now;
   kq_sched_rig_run (r, 500 * KQ_MS);
@@ -37,11 +37,11 @@
     continue;
   kq_sched_rig_run (r, 420 * KQ_MS);
   a = &r->agents[r->agents[0].held[at].held ? 0 : 1];
-  a->down_slow = slow;
+  a->down_extra_latency = slow;
   kq_sched_rig_run (r, begun + length + restart - r->now);
   kq_sched_rig_restart_runner (r, at);
   kq_sched_rig_run (r, slow + 500 * KQ_MS);
-  a->down_slow = 0;
+  a->down_extra_latency = 0;
   kq_sched_rig_run (r, 20 * KQ_SEC);
   return kq_sched_rig_free (r);
 }
--- a/src/sched/last_word_test.c
+++ b/src/sched/last_word_test.c
@@ -22,11 +22,11 @@
   kq_sched_rig_run (r, 14 * KQ_SEC + phase);
   for (int i = 0; i < RUNNERS; i++)
     r->agents[i < RUNNERS / 2 ? other : 0].cut_until[i] = r->now + 60 * KQ_SEC;
-  r->agents[0].down_slow = slow / 2;
+  r->agents[0].down_extra_latency = slow / 2;
   kq_sched_rig_run (r, KQ_SEC);
-  r->agents[0].down_slow = slow;
+  r->agents[0].down_extra_latency = slow;
   kq_sched_rig_run (r, 2 * KQ_SEC);
-  r->agents[0].up_slow = 60 * KQ_SEC;
+  r->agents[0].up_extra_latency = 60 * KQ_SEC;
   kq_sched_rig_run (r, 30 * KQ_SEC);
   return kq_sched_rig_free (r);
 }
--- a/src/sched/lease_race_test.c
+++ b/src/sched/lease_race_test.c
@@ -23,10 +23,10 @@
   at = r->runners[0].runs->len > 0 ? 0 : 1;
   a->cut_until[at] = r->now + cut;
   kq_sched_rig_run (r, cut - slow_before);
-  a->up_slow = 1100 * KQ_MS;
-  a->call_slow = 420 * KQ_MS;
+  a->up_extra_latency = 1100 * KQ_MS;
+  a->call_extra_latency = 420 * KQ_MS;
   kq_sched_rig_run (r, 3 * KQ_SEC);
-  a->up_slow = a->call_slow = 0;
+  a->up_extra_latency = a->call_extra_latency = 0;
   kq_sched_rig_run (r, 12 * KQ_SEC);
   assert_int_equal (kq_sched_rig_running (r, "aa"), 1);
   return kq_sched_rig_free (r);
--- a/src/sched/sched_test.c
+++ b/src/sched/sched_test.c
@@ -229,7 +229,7 @@
   kq_sched_rig_submit (r, "aa", &s, 1, 2, KQ_SEC, -1);
   kq_sched_rig_run (r, 100 * KQ_MS);
   at = r->runners[0].runs->len > 0 ? 0 : 1;
-  ((KqSchedRigRun *)g_ptr_array_index (r->runners[at].runs, 0))->stands_still = true;
+  ((KqSchedRigRun *)g_ptr_array_index (r->runners[at].runs, 0))->stalled = true;
   kq_sched_rig_run (r, 8 * KQ_SEC);
   assert_int_equal (kq_sched_rig_state (r, "aa"), KQ_JOB_COMPLETED);
   drop_rig (r);
--- a/src/table/dist_test.c
+++ b/src/table/dist_test.c
@@ -64,7 +64,7 @@
   /* A node that starts reads the base and the tail. */
   kq_table_sim_kill (f, 3);
   kq_table_sim_start (f, 3);
-  f->mute_tables = true;
+  f->drop_table_messages = true;
   assert_true (kq_table_sim_wait (f, rev, IN_FORCE_LIMIT) >= 0);
   assert_int_equal (weight_at (f, 3, "a"), 600);
   assert_false (kq_table_dist_from_peer (f->nodes[3].dist));
@@ -84,10 +84,10 @@
   kq_store_fake_faults (f->store)->watches_silent = true;
   for (int i = 0; i < 10; i++)
     {
-      f->mute_tables = true;
+      f->drop_table_messages = true;
       assert_int_equal (set_weight (f, i, "a", 1 + i, UINT64_MAX, &rev), KQ_OK);
       kq_table_sim_run (f, 100 * KQ_MS);
-      f->mute_tables = false;
+      f->drop_table_messages = false;
       assert_in_range (kq_table_sim_wait (f, rev, IN_FORCE_LIMIT), 0, IN_FORCE_LIMIT);
       kq_table_sim_run (f, 7 * KQ_SEC);
     }
@@ -192,7 +192,7 @@
   (void)state;
   kq_table_sim_run (f, KQ_SEC);
   kq_store_fake_faults (f->store)->watches_silent = true;
-  f->mute_tables = true;
+  f->drop_table_messages = true;
   assert_int_equal (set_weight (f, 0, "a", 1, 0, &rev), KQ_OK);
   assert_int_equal (kq_table_dist_revision (f->nodes[1].dist), 0);
   assert_int_equal (set_weight (f, 1, "a", 2, rev, &rev), KQ_OK);
@@ -310,7 +310,7 @@
   assert_int_equal (rev, 3);
   kq_table_sim_kill (f, 0);
   kq_table_sim_start (f, 0);
-  f->mute_tables = true;
+  f->drop_table_messages = true;
   assert_true (kq_table_sim_wait (f, 3, IN_FORCE_LIMIT) >= 0);
   assert_int_equal (weight_at (f, 0, "a"), 2);
   kq_buf_free (&keep);
@@ -452,7 +452,7 @@
           int node = (int)kq_rand_below (&r, 6);
           s->down = kq_rand_below (&r, 10) == 0;
           s->watches_silent = kq_rand_below (&r, 3) == 0;
-          f->mute_tables = kq_rand_below (&r, 3) == 0;
+          f->drop_table_messages = kq_rand_below (&r, 3) == 0;
           if (kq_rand_below (&r, 8) == 0)
             {
               kq_table_sim_kill (f, node);
@@ -468,7 +468,7 @@
             known[i % 4] = false;
         }
       memset (s->p, 0, sizeof s->p);
-      s->down = s->watches_silent = f->mute_tables = false;
+      s->down = s->watches_silent = f->drop_table_messages = false;
       kq_table_sim_run (f, 30 * KQ_SEC);
       for (int k = 0; k < 4; k++)
         {
--- a/src/wire/mesh_test.c
+++ b/src/wire/mesh_test.c
@@ -91,7 +91,7 @@
 {
   a->stop_at = &events;
   b->stop_at = &events;
-  guard_run (loop, 10);
+  loop_run_with_timeout (loop, 10);
   a->stop_at = b->stop_at = NULL;
 }
 
@@ -294,7 +294,7 @@
       run (loop, &a, &b, far ? 3 : 1);
       for (int i = 0; i < 200 && bytes (&a, "in", labels[far]) == 0; i++)
         {
-          guard_run (loop, 0.05);
+          loop_run_with_timeout (loop, 0.05);
         }
       assert_int_equal (a.downs + b.downs, 0);
       assert_true (bytes (&a, "in", labels[far]) > 0);
--- a/tests/ctl_live_test.c
+++ b/tests/ctl_live_test.c
@@ -86,7 +86,7 @@
       rig.nodes[i] = procs_start_node (p, i == 0 ? "n0" : "n1", "r", "d");
       assert_true (rig.nodes[i] >= 0);
       snprintf (rig.urls[i], sizeof rig.urls[i], "http://127.0.0.1:%d",
-                p->processes[rig.nodes[i]].operators);
+                p->processes[rig.nodes[i]].operators_port);
       *c = (KqCtl){ .server = rig.urls[i], .token = (char *)PROCS_TOKEN };
       c->timeout_s = 20;
       c->shard = -1;
@@ -101,7 +101,7 @@
 tear_down (void **state)
 {
   (void)state;
-  procs_end (&rig.procs, false);
+  procs_free (&rig.procs, false);
   return 0;
 }
 
@@ -203,11 +203,12 @@
   ProcsAnswer a;
   ProcsRequest q = { .method = "GET", .url = url };
   snprintf (url, sizeof url, "http://127.0.0.1:%d/s/service-with-name-%d/x",
-            rig.procs.processes[rig.nodes[node]].callers, service);
+            rig.procs.processes[rig.nodes[node]].callers_port, service);
   procs_call (&rig.procs, &q, &a);
   if (a.status != 200)
-    print_message ("node %d service %d: end %d status %d: %.*s\n", node, service, a.end,
-                   a.status, a.body.len < 200 ? (int)a.body.len : 200, a.body.ptr);
+    print_message ("node %d service %d: end %d status %d: %.*s\n", node, service,
+                   a.outcome, a.status, a.body.len < 200 ? (int)a.body.len : 200,
+                   a.body.ptr);
   kq_buf_free (&a.body);
   return a.status;
 }
--- a/tests/live_test.c
+++ b/tests/live_test.c
@@ -48,7 +48,7 @@
   ProcsRequest q
       = { .method = method, .url = url, .headers = h, .n_headers = n, .body = body };
   snprintf (url, sizeof url, "http://127.0.0.1:%d%s",
-            r->procs.processes[r->nodes[node]].callers, path);
+            r->procs.processes[r->nodes[node]].callers_port, path);
   procs_call (&r->procs, &q, a);
 }
 
@@ -80,7 +80,7 @@
 tear_down (void **state)
 {
   Rig *r = *state;
-  procs_end (&r->procs, false);
+  procs_free (&r->procs, false);
   return 0;
 }
 
@@ -116,13 +116,13 @@
   assert_int_equal (a.status, 200);
   assert_int_equal (b.status, 200);
   assert_true (kq_str_eq (kq_buf_str (&a.body), kq_buf_str (&b.body)));
-  assert_int_equal (procs_runs_of (&r->procs, r->workers, "cert-1"), 1);
+  assert_int_equal (procs_count_runs (&r->procs, r->workers, "cert-1"), 1);
   kq_buf_free (&b.body);
   ask (r, 1, "POST", "/s/seal/cert", h, 2, KQ_STR ("two"), &b);
   assert_int_equal (b.status, 422);
   assert_int_equal (b.code, KQ_ERR_CLAIM_MISMATCH);
   assert_string_equal (b.ran, "no");
-  assert_int_equal (procs_runs_of (&r->procs, r->workers, "cert-1"), 1);
+  assert_int_equal (procs_count_runs (&r->procs, r->workers, "cert-1"), 1);
   kq_buf_free (&a.body);
   kq_buf_free (&b.body);
 }
@@ -164,9 +164,9 @@
       assert_int_equal (a.code, cases[i].code);
       kq_buf_free (&a.body);
     }
-  assert_true (procs_serve (&r->procs, READY));
+  assert_true (procs_all_serve (&r->procs, READY));
   /* Every refusal is counted by its reason. */
-  procs_operator (&r->procs, r->nodes[0], "GET", "/metrics", "", NULL, &metrics);
+  procs_call_operator (&r->procs, r->nodes[0], "GET", "/metrics", "", NULL, &metrics);
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
     {
       char line[64];
@@ -221,13 +221,13 @@
   };
   for (size_t i = 0; i < sizeof malformed / sizeof malformed[0]; i++)
     {
-      send_raw (p->callers, malformed[i], true);
-      send_raw (p->operators, malformed[i], true);
+      send_raw (p->callers_port, malformed[i], true);
+      send_raw (p->operators_port, malformed[i], true);
     }
   for (size_t i = 0; i < sizeof incomplete / sizeof incomplete[0]; i++)
     {
-      send_raw (p->callers, incomplete[i], false);
-      send_raw (p->operators, incomplete[i], false);
+      send_raw (p->callers_port, incomplete[i], false);
+      send_raw (p->operators_port, incomplete[i], false);
     }
   assert_true (procs_wait_serve (&r->procs, LIMIT, "/s/seal/ready"));
   assert_int_equal (kill (p->pid, 0), 0);
@@ -250,17 +250,17 @@
                 (int)json_integer_value (json_object_get (row, "revision")));
   }
   json_decref (t);
-  procs_operator (&r->procs, r->nodes[0], "PUT", "/v1/table/service/seal",
-                  "{\"weight\":2}", match, &a);
+  procs_call_operator (&r->procs, r->nodes[0], "PUT", "/v1/table/service/seal",
+                       "{\"weight\":2}", match, &a);
   assert_int_equal (a.status, 200);
   kq_buf_free (&a.body);
-  procs_operator (&r->procs, r->nodes[1], "PUT", "/v1/table/service/seal",
-                  "{\"weight\":3}", match, &a);
+  procs_call_operator (&r->procs, r->nodes[1], "PUT", "/v1/table/service/seal",
+                       "{\"weight\":3}", match, &a);
   assert_int_equal (a.status, 412);
   assert_int_equal (a.code, KQ_ERR_TABLE_CONFLICT);
   kq_buf_free (&a.body);
-  procs_operator (&r->procs, r->nodes[1], "PUT", "/v1/table/service/seal",
-                  "{\"weight\":0}", "*", &a);
+  procs_call_operator (&r->procs, r->nodes[1], "PUT", "/v1/table/service/seal",
+                       "{\"weight\":0}", "*", &a);
   assert_int_equal (a.status, 400);
   assert_int_equal (a.code, KQ_ERR_TABLE_RANGE);
   kq_buf_free (&a.body);
@@ -279,12 +279,12 @@
 {
   Count *c = arg;
   c->open--;
-  if (a->end == KQ_HTTP_DONE && a->status == 200)
+  if (a->outcome == KQ_HTTP_DONE && a->status == 200)
     c->answered++;
-  else if (a->end == KQ_HTTP_BROKEN || strcmp (a->ran, "unknown") == 0)
+  else if (a->outcome == KQ_HTTP_BROKEN || strcmp (a->ran, "unknown") == 0)
     c->interrupted++;
   if (a->status != 200)
-    snprintf (c->other, sizeof c->other, "end %d status %d ran %s: %.*s", a->end,
+    snprintf (c->other, sizeof c->other, "end %d status %d ran %s: %.*s", a->outcome,
               a->status, a->ran, a->body.len < 90 ? (int)a->body.len : 90, a->body.ptr);
 }
 
@@ -324,12 +324,12 @@
   char url[128];
   ProcsRequest q = { .method = "GET", .url = url };
   snprintf (url, sizeof url, "http://127.0.0.1:%d/s/seal/slow?ms=3000",
-            r->procs.processes[r->nodes[1]].callers);
+            r->procs.processes[r->nodes[1]].callers_port);
   r->taken_before = taken (r);
   for (int i = 0; i < 8; i++)
     {
       c.open++;
-      procs_ask (&r->procs, &q, on_answer, &c);
+      procs_send (&r->procs, &q, on_answer, &c);
     }
   assert_true (procs_wait (&r->procs, LIMIT, eight_taken, r));
   procs_signal (&r->procs, r->nodes[1], SIGTERM);
--- a/tests/loss_points_test.c
+++ b/tests/loss_points_test.c
@@ -40,7 +40,7 @@
   Rig *r = arg;
   ProcsAnswer a;
   bool ok;
-  procs_operator (p, r->nodes[0], "POST", "/v1/table", table, NULL, &a);
+  procs_call_operator (p, r->nodes[0], "POST", "/v1/table", table, NULL, &a);
   ok = a.status == 200;
   kq_buf_free (&a.body);
   return ok;
@@ -61,9 +61,9 @@
                      .n_headers = keyed ? 2 : 1,
                      .total_ms = 25000 };
   snprintf (url, sizeof url, "http://127.0.0.1:%d/s/seal/x?%s",
-            r->procs.processes[r->nodes[node]].callers, query);
+            r->procs.processes[r->nodes[node]].callers_port, query);
   if (done != NULL)
-    procs_ask (&r->procs, &q, done, r);
+    procs_send (&r->procs, &q, done, r);
   else
     procs_call (&r->procs, &q, a);
 }
@@ -152,7 +152,7 @@
 tear_down (void **state)
 {
   Rig *r = *state;
-  procs_end (&r->procs, false);
+  procs_free (&r->procs, false);
   return 0;
 }
 
@@ -174,10 +174,10 @@
                    bool keyed, const char *ran)
 {
   ProcsAnswer a;
-  procs_fault (&r->procs, r->workers, fault);
+  procs_set_fault (&r->procs, r->workers, fault);
   ask (r, 0, "POST", query, id, keyed, NULL, &a);
-  procs_fault (&r->procs, r->workers, "{\"clear\":true}");
-  assert_int_equal (a.end, KQ_HTTP_DONE);
+  procs_set_fault (&r->procs, r->workers, "{\"clear\":true}");
+  assert_int_equal (a.outcome, KQ_HTTP_DONE);
   assert_int_not_equal (a.status, 200);
   if (strcmp (a.ran, ran) != 0)
     print_message ("%s: code %d\n", id, a.code);
@@ -229,10 +229,10 @@
 {
   Rig *r = *state;
   ProcsAnswer a;
-  procs_fault (&r->procs, r->workers, "{\"path\":\"/w/\",\"partial_answer\":-1}");
+  procs_set_fault (&r->procs, r->workers, "{\"path\":\"/w/\",\"partial_answer\":-1}");
   ask (r, 0, "POST", "bytes=300000", "half", false, NULL, &a);
-  procs_fault (&r->procs, r->workers, "{\"clear\":true}");
-  assert_true (a.end == KQ_HTTP_BROKEN || strcmp (a.ran, "unknown") == 0);
+  procs_set_fault (&r->procs, r->workers, "{\"clear\":true}");
+  assert_true (a.outcome == KQ_HTTP_BROKEN || strcmp (a.ran, "unknown") == 0);
   assert_int_equal (runs_of (r, "half"), 1);
   kq_buf_free (&a.body);
 }
@@ -273,13 +273,13 @@
 {
   Rig *r = *state;
   ProcsAnswer a;
-  procs_fault (&r->procs, r->store, "{\"outage\":\"refuse\"}");
+  procs_set_fault (&r->procs, r->store, "{\"outage\":\"refuse\"}");
   ask (r, 0, "POST", "ms=1", "storeless", true, NULL, &a);
   assert_int_not_equal (a.status, 200);
   assert_string_equal (a.ran, "no");
   assert_int_equal (runs_of (r, "storeless"), 0);
   kq_buf_free (&a.body);
-  procs_fault (&r->procs, r->store, "{\"clear\":true}");
+  procs_set_fault (&r->procs, r->store, "{\"clear\":true}");
   assert_true (procs_wait_ready (&r->procs, LIMIT));
   assert_true (procs_wait (&r->procs, LIMIT, key_served, r));
   assert_int_equal (runs_of (r, "storeless"), 1);
@@ -318,7 +318,7 @@
       char id[24];
       snprintf (id, sizeof id, "refused-%d", i);
       ask (r, i % NODES, "POST", "ms=1", id, false, NULL, &a);
-      assert_int_equal (a.end, KQ_HTTP_DONE);
+      assert_int_equal (a.outcome, KQ_HTTP_DONE);
       if (a.status != 200)
         assert_string_equal (a.ran, "no");
       assert_int_equal (runs_at_workers2 (r, id), a.status == 200);
@@ -329,7 +329,7 @@
   procs_signal (p, r->workers2, SIGKILL);
   assert_int_equal (procs_wait_exit (p, r->workers2, LIMIT), 128 + SIGKILL);
   ask (r, 0, "POST", "ms=1", "nowhere", false, NULL, &a);
-  assert_int_equal (a.end, KQ_HTTP_DONE);
+  assert_int_equal (a.outcome, KQ_HTTP_DONE);
   assert_string_equal (a.ran, "no");
   kq_buf_free (&a.body);
 }
@@ -381,7 +381,7 @@
 {
   Rig *r = *state;
   kill_owner_during (r, "POST");
-  assert_int_equal (r->answer.end, KQ_HTTP_DONE);
+  assert_int_equal (r->answer.outcome, KQ_HTTP_DONE);
   assert_string_equal (r->answer.ran, "unknown");
   assert_true (procs_wait (&r->procs, LIMIT, serves, r));
   assert_int_equal (runs_of (r, "cut"), 1);
@@ -394,7 +394,7 @@
 {
   Rig *r = *state;
   kill_owner_during (r, "GET");
-  assert_int_equal (r->answer.end, KQ_HTTP_DONE);
+  assert_int_equal (r->answer.outcome, KQ_HTTP_DONE);
   if (r->answer.status != 200)
     assert_true (r->answer.ran[0] != '\0');
   else
--- a/tests/pause_live_test.c
+++ b/tests/pause_live_test.c
@@ -109,7 +109,7 @@
   assert_true (procs_wait (p, LIMIT, resumed_left_old_epochs, &r));
   assert_true (procs_wait (p, LIMIT, both_own_some, &r));
   assert_true (resumed_left_old_epochs (p, &r));
-  procs_end (p, false);
+  procs_free (p, false);
 }
 
 int
--- a/tests/platform_live_test.c
+++ b/tests/platform_live_test.c
@@ -52,7 +52,7 @@
 static void
 run (Rig *g)
 {
-  guard_run (g->loop, WAIT_MAX_S);
+  loop_run_with_timeout (g->loop, WAIT_MAX_S);
 }
 
 static void
--- a/tests/request_live_test.c
+++ b/tests/request_live_test.c
@@ -34,8 +34,8 @@
   ProcsRequest q = { .method = "GET", .url = url, .headers = h, .n_headers = 2 };
   h[0].value = kq_str (id);
   h[1].value = kq_str (deadline_ms);
-  snprintf (url, sizeof url, "http://127.0.0.1:%d%s", r->procs.processes[r->node].callers,
-            path);
+  snprintf (url, sizeof url, "http://127.0.0.1:%d%s",
+            r->procs.processes[r->node].callers_port, path);
   procs_call (&r->procs, &q, a);
 }
 
@@ -61,7 +61,7 @@
 tear_down (void **state)
 {
   Rig *r = *state;
-  procs_end (&r->procs, false);
+  procs_free (&r->procs, false);
   return 0;
 }
 
@@ -73,13 +73,13 @@
 {
   Rig *r = *state;
   ProcsAnswer a;
-  procs_fault (&r->procs, r->workers, "{\"method\":\"GET\",\"lose_answer\":1}");
+  procs_set_fault (&r->procs, r->workers, "{\"method\":\"GET\",\"lose_answer\":1}");
   ask (r, "/s/seal/lost", "lost", "20000", &a);
   assert_int_equal (a.status, 200);
-  assert_int_equal (procs_runs_of (&r->procs, r->workers, "lost"), 2);
+  assert_int_equal (procs_count_runs (&r->procs, r->workers, "lost"), 2);
   kq_buf_free (&a.body);
-  procs_fault (&r->procs, r->workers, "{\"clear\":true}");
-  procs_operator (&r->procs, r->node, "GET", "/metrics", NULL, NULL, &a);
+  procs_set_fault (&r->procs, r->workers, "{\"clear\":true}");
+  procs_call_operator (&r->procs, r->node, "GET", "/metrics", NULL, NULL, &a);
   assert_non_null (strstr (a.body.ptr, "{code=\"641\",name=\"RETRY_IDEMPOTENT\"} 1\n"));
   kq_buf_free (&a.body);
 }
@@ -102,14 +102,14 @@
   for (int i = 0; i < 10; i++)
     {
       ProcsAnswer a;
-      int before = procs_runs_of (&r->procs, r->workers, "short");
-      procs_fault (&r->procs, r->workers, "{\"method\":\"GET\",\"lose_answer\":-1}");
+      int before = procs_count_runs (&r->procs, r->workers, "short");
+      procs_set_fault (&r->procs, r->workers, "{\"method\":\"GET\",\"lose_answer\":-1}");
       ask (r, "/s/seal/short?ms=50", "short", "85", &a);
-      procs_fault (&r->procs, r->workers, "{\"clear\":true}");
+      procs_set_fault (&r->procs, r->workers, "{\"clear\":true}");
       assert_int_not_equal (a.status, 200);
-      assert_string_equal (a.ran, procs_runs_of (&r->procs, r->workers, "short") > before
-                                      ? "unknown"
-                                      : "no");
+      assert_string_equal (
+          a.ran,
+          procs_count_runs (&r->procs, r->workers, "short") > before ? "unknown" : "no");
       kq_buf_free (&a.body);
     }
 }
--- a/tests/rollout_live_test.c
+++ b/tests/rollout_live_test.c
@@ -56,9 +56,9 @@
 {
   Rig *r = arg;
   r->open--;
-  if (a->end == KQ_HTTP_NOT_SENT || strcmp (a->ran, "no") == 0)
+  if (a->outcome == KQ_HTTP_NOT_SENT || strcmp (a->ran, "no") == 0)
     r->refused++;
-  else if (a->end != KQ_HTTP_DONE)
+  else if (a->outcome != KQ_HTTP_DONE)
     r->interrupted++;
   else if (strcmp (a->ran, "unknown") == 0)
     r->unknown++;
@@ -102,9 +102,9 @@
   snprintf (id, sizeof id, post ? "post-%d" : "get-%d", post ? r->n_posts++ : r->sent);
   h[0].value = h[1].value = kq_str (id);
   snprintf (url, sizeof url, "http://127.0.0.1:%d/s/seal/x?ms=30",
-            r->procs.processes[next_node (r)].callers);
+            r->procs.processes[next_node (r)].callers_port);
   r->open++;
-  procs_ask (&r->procs, &q, on_answer, r);
+  procs_send (&r->procs, &q, on_answer, r);
 }
 
 static void
@@ -114,9 +114,9 @@
   ProcsRequest q = { .method = "POST", .url = url };
   q.body = KQ_STR ("{\"team\":\"rounds\",\"class\":\"plan\",\"run_ms\":300}");
   snprintf (url, sizeof url, "http://127.0.0.1:%d/v1/jobs",
-            r->procs.processes[next_node (r)].callers);
+            r->procs.processes[next_node (r)].callers_port);
   r->open++;
-  procs_ask (&r->procs, &q, on_job, r);
+  procs_send (&r->procs, &q, on_job, r);
 }
 
 static void
@@ -163,8 +163,8 @@
   json_int_t revision;
   json_t *o;
   snprintf (body, sizeof body, "{\"weight\":%d}", weight);
-  procs_operator (&r->procs, r->nodes[node], "PUT", "/v1/table/service/seal", body, "*",
-                  &a);
+  procs_call_operator (&r->procs, r->nodes[node], "PUT", "/v1/table/service/seal", body,
+                       "*", &a);
   assert_int_equal (a.status, 200);
   o = json_loadb (a.body.ptr, a.body.len, 0, NULL);
   revision = json_integer_value (json_object_get (o, "revision"));
@@ -286,7 +286,7 @@
   assert_int_equal (most_runs (&r), 1);
   assert_true (procs_wait (&r.procs, LIMIT, jobs_finished, &r));
   check_tables (&r, revision);
-  procs_end (&r.procs, false);
+  procs_free (&r.procs, false);
 }
 
 int
--- a/tests/settings_live_test.c
+++ b/tests/settings_live_test.c
@@ -42,14 +42,14 @@
   snprintf (options, sizeof options, "--settings %s", path);
   node = procs_start_program (&p, PROCS_FLEET_NODE, "kumquatd", options);
   assert_true (node >= 0);
-  assert_true (procs_await_text (&p, node, "out", "Started. front=", rest));
+  assert_true (procs_wait_text (&p, node, "out", "Started. front=", rest));
   write_settings (path, "loud");
-  assert_true (procs_await_text (&p, node, "out", "Settings not reloaded", rest));
+  assert_true (procs_wait_text (&p, node, "out", "Settings not reloaded", rest));
   write_settings (path, "debug");
-  assert_true (procs_await_text (
+  assert_true (procs_wait_text (
       &p, node, "out", "Settings reloaded. cause=file changed log_level=3", rest));
   remove (path);
-  procs_end (&p, false);
+  procs_free (&p, false);
 }
 
 int
--- a/tests/soak_test.c
+++ b/tests/soak_test.c
@@ -45,26 +45,26 @@
 static void
 test_outage_keeps_owners (void **state)
 {
-  KqFleet *f = kq_fleet_new (3);
+  KqFleetSim *f = kq_fleet_sim_new (3);
   int before[KQ_FLEET_SHARDS];
   (void)state;
-  kq_fleet_run (f, 20 * KQ_SEC);
-  assert_true (kq_fleet_settled (f));
+  kq_fleet_sim_run (f, 20 * KQ_SEC);
+  assert_true (kq_fleet_sim_settled (f));
   for (uint32_t s = 0; s < KQ_FLEET_SHARDS; s++)
-    before[s] = kq_fleet_owner (f, s);
-  kq_fleet_fault (f, KQ_FAULT_STORE_DOWN, 0);
+    before[s] = kq_fleet_sim_owner (f, s);
+  kq_fleet_sim_inject_fault (f, KQ_FAULT_STORE_DOWN, 0);
   for (int i = 0; i < 40; i++)
     {
-      kq_fleet_run (f, KQ_SEC);
+      kq_fleet_sim_run (f, KQ_SEC);
       for (uint32_t s = 0; s < KQ_FLEET_SHARDS; s++)
-        assert_int_equal (kq_fleet_owner (f, s), before[s]);
+        assert_int_equal (kq_fleet_sim_owner (f, s), before[s]);
     }
-  kq_fleet_heal (f);
-  kq_fleet_run (f, 40 * KQ_SEC);
-  assert_true (kq_fleet_settled (f));
-  kq_fleet_compare (f);
-  assert_null (kq_fleet_violation (f));
-  kq_fleet_free (f);
+  kq_fleet_sim_heal (f);
+  kq_fleet_sim_run (f, 40 * KQ_SEC);
+  assert_true (kq_fleet_sim_settled (f));
+  kq_fleet_sim_compare (f);
+  assert_null (kq_fleet_sim_violation (f));
+  kq_fleet_sim_free (f);
 }
 
 /* One node can't reach the store but hears its peers, which can. It must give up its
@@ -72,19 +72,19 @@
 static void
 test_cut_off_node_stops (void **state)
 {
-  KqFleet *f = kq_fleet_new (4);
+  KqFleetSim *f = kq_fleet_sim_new (4);
   (void)state;
-  kq_fleet_run (f, 20 * KQ_SEC);
-  int node = kq_fleet_owner (f, 0);
-  kq_fleet_fault (f, KQ_FAULT_STORE_CUT, node);
-  kq_fleet_run (f, 20 * KQ_SEC);
+  kq_fleet_sim_run (f, 20 * KQ_SEC);
+  int node = kq_fleet_sim_owner (f, 0);
+  kq_fleet_sim_inject_fault (f, KQ_FAULT_STORE_CUT, node);
+  kq_fleet_sim_run (f, 20 * KQ_SEC);
   for (uint32_t s = 0; s < KQ_FLEET_SHARDS; s++)
     {
-      assert_int_not_equal (kq_fleet_owner (f, s), node);
-      assert_true (kq_fleet_owner (f, s) >= 0);
+      assert_int_not_equal (kq_fleet_sim_owner (f, s), node);
+      assert_true (kq_fleet_sim_owner (f, s) >= 0);
     }
-  assert_null (kq_fleet_violation (f));
-  kq_fleet_free (f);
+  assert_null (kq_fleet_sim_violation (f));
+  kq_fleet_sim_free (f);
 }
 
 int
