--- a/src/sched/agents.h
+++ b/src/sched/agents.h
@@ -1,13 +1,13 @@
 #ifndef KQ_SCHED_AGENTS_H
 #define KQ_SCHED_AGENTS_H
 
-/* agents: assigns runners to agents. An agent is the part of an entry host that sends the
+/* agents: assigns runners to agents. An agent is the part of a node that sends the
  * leader's orders to runners, reads their lists and renews their leases.
  *
- * Calls to runners cost an entry host more processor time than scheduling decisions, so
- * runners are spread over the entry hosts in proportion to their processor shares. The
- * leader's own host gets runners only when no other agent is up: it needs its processor
- * for decisions, and its loss then doesn't cut off runners as well. */
+ * Calls to runners cost a node more processor time than scheduling decisions, so runners
+ * are spread over the nodes in proportion to their processor shares. The leader's own
+ * node gets runners only when no other agent is up: it needs its processor for decisions,
+ * and its loss then doesn't cut off runners as well. */
 
 #include "base/str.h"
 #include "base/time.h"
@@ -17,7 +17,7 @@
   KqName name;
   KqName failure_domain;
   int share_milli; /* of a processor, in thousandths */
-  bool leader;     /* the leader's own host */
+  bool leader;     /* the leader's own node */
 } KqAgentInfo;
 
 typedef struct
@@ -46,7 +46,7 @@
 /* The best agent for one more runner in a failure domain; -1: none is up, or all are at
  * the bound on runners whose first list hasn't arrived.
  *
- * The bound is for the recovery after all hosts were lost, when they come back one by
+ * The bound is for the recovery after all nodes were lost, when they come back one by
  * one. Without it the first agent would be assigned the whole fleet, and the lists of
  * hundreds of runners at once would fill a slow link and delay the renewal of the
  * leader's own lease. */
--- a/src/sched/disturb_test.c
+++ b/src/sched/disturb_test.c
@@ -91,20 +91,20 @@
 }
 
 static KqAgentInfo
-host (const char *name, const char *domain, int share, bool leader)
+agent_info (const char *name, const char *domain, int share, bool leader)
 {
   return (KqAgentInfo){ kq_name (kq_str (name)), kq_name (kq_str (domain)), share,
                         leader };
 }
 
-/* Runners are spread over the hosts by their share of a processor, and the leader's host
- * takes none while there is another. */
+/* Runners are spread over the agents by the processor shares of their nodes, and the
+ * leader's own agent gets none while there is another. */
 static void
-test_runners_go_to_hosts_by_share (void **state)
+test_runners_go_to_agents_by_share (void **state)
 {
   static KqAgents a;
-  KqAgentInfo h[] = { host ("a", "n", 100, true), host ("b", "n", 100, false),
-                      host ("c", "s", 300, false) };
+  KqAgentInfo h[] = { agent_info ("a", "n", 100, true), agent_info ("b", "n", 100, false),
+                      agent_info ("c", "s", 300, false) };
   (void)state;
   for (int i = 0; i < 3; i++)
     assert_int_equal (kq_agents_up (&a, &h[i]), i);
@@ -127,6 +127,6 @@
   const struct CMUnitTest tests[]
       = { cmocka_unit_test (test_harmful_pairs_are_found),
           cmocka_unit_test (test_unknown_images_count_as_harmless),
-          cmocka_unit_test (test_runners_go_to_hosts_by_share) };
+          cmocka_unit_test (test_runners_go_to_agents_by_share) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/sched/harm.c
+++ b/src/sched/harm.c
@@ -79,9 +79,10 @@
   return since != 0 && now - since >= OVER_TARGET_MAX;
 }
 
-/* Counts either by each of the last reports or by their mean. Reports are noisy: with a
- * tail just over the target every other one is below it by chance, so that the first
- * condition alone never held, and the tail stayed over its target for 4 s. */
+/* A task is over its target for too long if each of its last reports was over, or if
+ * their mean was. Reports are noisy: with a tail just over the target every other one is
+ * below it by chance. By the first condition alone such a task was never found, and its
+ * tail stayed over the target for 4 s. */
 bool
 kq_harm_over_too_long (const KqRun *run, KqTime now)
 {
--- a/src/sched/lists.c
+++ b/src/sched/lists.c
@@ -217,7 +217,7 @@
 
 /* Lets the agent renew the runner's lease again. An agent that has just been assigned the
  * runner, or has failed to reach it, doesn't renew until the leader has processed a list:
- * a lease renewed earlier would outlast the end that the leader was told. */
+ * a lease renewed earlier would outlast the end that the leader knows of. */
 static void
 send_renew_order (KqSched *s, const KqRunnerState *r, uint64_t halt)
 {
--- a/src/sched/maintenance.c
+++ b/src/sched/maintenance.c
@@ -4,8 +4,8 @@
  * A host is drained first: it gets no new tasks, its tasks are moved or save their
  * progress, and only then it goes down. Lasting tasks reserve most of the capacity, and
  * each host that is down reduces what they can move to. So only as many hosts are down at
- * once as are needed to finish in time, those with the fewest runs first. For 20 of 48
- * hosts in 20 s these are 7 at a time, where 12 were allowed. */
+ * once as are needed to finish in time, those with the fewest runs first. A wave of 20
+ * out of 48 hosts in 20 s takes down 7 at a time, even if 12 are allowed. */
 
 #include "sched/state.h"
 
@@ -14,8 +14,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Time for one host, from the first stop to the new runner's entry. It takes 4.1 s with
- * 48 hosts, 2 s of which are the maintenance itself. */
+/* Time for which one host is unavailable, from the first stop of its runs to its new
+ * runner's entry in the store: 4.1 s in a fleet of 48 hosts, of which the maintenance
+ * takes 2 s; rounded up. */
 #define HOST_DURATION (5 * KQ_SEC)
 /* The wave should be completed this long before its time is over. */
 #define WAVE_RESERVE (2 * KQ_SEC)
@@ -289,11 +290,12 @@
   s->pass_needed = true;
 }
 
-/* Whether the host can be used again. A new runner doesn't prove it before the duration
- * of a maintenance has passed: it may come from an earlier maintenance and have
- * registered just before this one began. A runner that still answers does: the call also
- * succeeds if an earlier leader had the maintenance done already, and then the drained
- * runner goes on (5 of 66 runners stayed unused, while lasting tasks waited for room). */
+/* Whether the host can be used again. During the time that a maintenance takes, a new
+ * runner proves nothing: it may belong to an earlier maintenance and have registered just
+ * before this one began. After that time either a new runner proves it, or the old one if
+ * it still answers: the call also succeeds if an earlier leader has had the maintenance
+ * done, and then this runner isn't ended. Otherwise such runners stay unused while
+ * lasting tasks wait for room (5 of 66 runners). */
 static bool
 is_back (const KqSched *s, const KqWaveHost *h, const KqRunnerState *r, KqTime now)
 {
--- a/src/sched/pace.c
+++ b/src/sched/pace.c
@@ -52,16 +52,16 @@
 {
   for (const KqRun *run = r->runs; run != NULL; run = run->next)
     {
-      ServingTask b = { .run = run };
+      ServingTask t = { .run = run };
       if (!kq_harm_has_report (run))
         continue;
       if (kq_harm_over_too_long (run, now))
         return false;
-      b.image = kq_run_image (run);
-      b.left = kq_harm_headroom (run, now + KQ_HARM_AHEAD);
-      b.over = run->load > UNEXPLAINED_RATIO * kq_run_step (run)->target_ms
-               && b.left >= kq_harm_loss_by_runner (s, r, b.image);
-      g_array_append_val (list, b);
+      t.image = kq_run_image (run);
+      t.left = kq_harm_headroom (run, now + KQ_HARM_AHEAD);
+      t.over = run->load > UNEXPLAINED_RATIO * kq_run_step (run)->target_ms
+               && t.left >= kq_harm_loss_by_runner (s, r, t.image);
+      g_array_append_val (list, t);
     }
   return true;
 }
@@ -82,19 +82,19 @@
   double pace = 1;
   for (guint i = 0; i < serving_tasks->len; i++)
     {
-      const ServingTask *b = &g_array_index (serving_tasks, ServingTask, i);
-      double loss = kq_harm_loss_by_run (s, filling, b->image);
+      const ServingTask *t = &g_array_index (serving_tasks, ServingTask, i);
+      double loss = kq_harm_loss_by_run (s, filling, t->image);
       if (loss > KQ_HARM_LOSS_MIN)
-        pace = fmin (pace, fmax (b->left, 0) / loss);
-      else if (b->over)
+        pace = fmin (pace, fmax (t->left, 0) / loss);
+      else if (t->over)
         pace = fmin (pace, UNEXPLAINED_PACE_PERCENT / 100.0);
     }
   if (pace * 100 < PACE_MIN_PERCENT)
     pace = 0;
   for (guint i = 0; i < serving_tasks->len; i++)
     {
-      ServingTask *b = &g_array_index (serving_tasks, ServingTask, i);
-      b->left -= pace * kq_harm_loss_by_run (s, filling, b->image);
+      ServingTask *t = &g_array_index (serving_tasks, ServingTask, i);
+      t->left -= pace * kq_harm_loss_by_run (s, filling, t->image);
     }
   return (int)(pace * 100);
 }
--- a/src/sched/pass.c
+++ b/src/sched/pass.c
@@ -49,7 +49,7 @@
   FOR_FILLING,
   FOR_RESERVED,
   FOR_LASTING, /* as FOR_RESERVED, less what is kept free of lasting tasks */
-  FOR_ANY /* any room, also what is kept free; a failure says nothing about the others */
+  FOR_ANY      /* any room, also what is kept free of lasting tasks */
 } RoomKind;
 
 /* The size of a step that found no room in this pass: steps of the same kind that are at
@@ -100,8 +100,9 @@
   const KqSpec *spec = &t->occurrence->job->spec;
   const KqStep *p = &spec->steps[t->step];
   RoomKind kind = room_kind (t, now);
-  /* A step with limits of its own says nothing about other steps, and one that waits for
-   * a ticket says nothing about room. */
+  /* Not recorded: a step with further limits, which other steps don't have; one that
+   * waits for a ticket rather than for room; one that may use any room, as both filling
+   * and lasting steps have that kind. */
   if (m->n == NO_ROOM_MAX || p->label.len > 0 || p->per_runner_max > 0 || p->gpus > 0
       || p->gang || spec->advised || kind == FOR_ANY)
     return;
--- a/src/sched/place.c
+++ b/src/sched/place.c
@@ -14,8 +14,8 @@
 /* A filling task needs this share of its cpu to be unused. With less it would run slowly,
  * slow down the other filling tasks there, and hold memory all that time. */
 #define FILLING_UNUSED_MIN_PERCENT 60
-/* Share of their reserved cpu that serving tasks are taken to use. Reports show 42% on
- * average, and the load varies by half of that. */
+/* Share of their reserved cpu that serving tasks are taken to use, which is about their
+ * peak: reports show 42% on average, and the load varies by half of that. */
 #define SERVING_USE_PERCENT 60
 /* Weights of a runner's score. A score is in units of the runner's whole cpu. */
 #define W_OTHER_RACK 1.0 /* the step's data is on another rack */
--- a/src/sched/placing.c
+++ b/src/sched/placing.c
@@ -99,16 +99,17 @@
 add_if_suitable (const KqPlacing *p, KqRunnerState *r)
 {
   KqPlacingCandidate n = { .runner = r };
-  ++*p->sched->looks;
+  ++*p->sched->runners_examined;
   if (!may_take (p, r))
     return;
   n.score = kq_place_score (p->sched, r, p->occurrence, p->step);
   g_array_append_val (p->heap, n);
 }
 
-/* Whether changed runners aren't enough. Gangs and one-rack steps need several runners at
- * once, changed or not; for advised steps, tickets come without a change of the runner.
- * In a small fleet a full search costs nothing. */
+/* Whether all runners must be searched, rather than only those that have changed. Gangs
+ * and one-rack steps need several runners at once, changed or not; for advised steps,
+ * tickets come without a change of the runner. In a small fleet a full search costs
+ * nothing. */
 static bool
 needs_full_search (const KqPlacing *p)
 {
--- a/src/sched/placing_test.c
+++ b/src/sched/placing_test.c
@@ -11,7 +11,7 @@
 #include <cmocka.h>
 
 static double
-looks_per_start (int runners, double load)
+examined_per_start (int runners, double load)
 {
   KqSchedLoadConfig c
       = { .runners = runners, .load = load, .span = 3 * KQ_SEC, .seed = 7 };
@@ -26,7 +26,7 @@
 test_a_task_searches_a_small_part_of_a_large_fleet (void **state)
 {
   (void)state;
-  assert_true (looks_per_start (1600, 1.3) < 1600.0 / 8);
+  assert_true (examined_per_start (1600, 1.3) < 1600.0 / 8);
 }
 
 /* A waiting task must be placed when its room becomes free, not only at the next search
--- a/src/sched/pools.c
+++ b/src/sched/pools.c
@@ -62,7 +62,7 @@
   for (guint i = 0; i < s->pools->len; i++)
     {
       KqPool *p = g_ptr_array_index (s->pools, i);
-      p->room_milli = p->used_milli = p->no_lasting_milli = p->demand_milli = 0;
+      p->usable_milli = p->used_milli = p->no_lasting_milli = p->demand_milli = 0;
     }
   for (guint i = 0; i < s->runner_list->len; i++)
     {
@@ -73,7 +73,7 @@
         p->demand_milli += r->filling;
       if (!r->in_store || r->draining || r->host_leaving || r->silent)
         continue;
-      p->room_milli += r->room.cpu_milli;
+      p->usable_milli += r->room.cpu_milli;
       p->used_milli += r->used.cpu_milli;
       if (r->n_lasting == 0)
         p->no_lasting_milli += r->room.cpu_milli;
@@ -99,8 +99,8 @@
           = p->demand_peak_milli * exp (-(double)(now - p->updated_at) / PEAK_DECAY);
       p->demand_peak_milli = fmax (decayed, (double)p->demand_milli);
       p->kept_free_milli = fmin (
-          fmax (p->demand_peak_milli, (double)p->room_milli * initial_percent / 100),
-          (double)p->room_milli * KEEP_MAX_PERCENT / 100);
+          fmax (p->demand_peak_milli, (double)p->usable_milli * initial_percent / 100),
+          (double)p->usable_milli * KEEP_MAX_PERCENT / 100);
       p->updated_at = now;
     }
 }
@@ -127,5 +127,5 @@
 bool
 kq_pools_half_free (const KqPool *p)
 {
-  return p->used_milli * 100 < p->room_milli * HALF_RESERVED_PERCENT;
+  return p->used_milli * 100 < p->usable_milli * HALF_RESERVED_PERCENT;
 }
--- a/src/sched/runners.c
+++ b/src/sched/runners.c
@@ -180,7 +180,7 @@
   set_string (&r->host, KQ_STR (""));
   r->agent = -1;
   r->slowness = 1;
-  r->score_at = r->heard_at = now;
+  r->counts_at = r->heard_at = now;
   r->lease_ends = s->loaded ? now : latest_unseen_lease_end (s, now);
   r->lease_from = s->loaded ? "entry" : "earlier leader";
   g_hash_table_insert (s->runners, r->id, r);
@@ -225,7 +225,7 @@
     r->drain_ends = now + e->remaining_ms * KQ_MS;
   r->draining = e->draining;
   if (!r->in_stored_list)
-    s->known_dirty = true;
+    s->used_runners_dirty = true;
   if (moved && r->agent >= 0)
     drop_agent (s, r, now);
   kq_runners_changed (s, r);
@@ -433,7 +433,7 @@
   r->gone = true;
   r->lease_ends = now;
   r->lease_from = "host taken down";
-  s->known_dirty = true;
+  s->used_runners_dirty = true;
 }
 
 void
@@ -496,7 +496,7 @@
   unlink_changed (s, r);
   g_ptr_array_remove (s->runner_list, r);
   g_hash_table_remove (s->runners, r->id);
-  s->known_dirty = true;
+  s->used_runners_dirty = true;
 }
 
 /* Clears the pointers to a runner that is about to be freed: where tasks failed last, and
@@ -536,12 +536,12 @@
       /* An agent that hasn't reported yet may be renewing the lease. */
       bool unreachable = r->agent < 0 || r->silent;
       if (r->in_sent_list != kq_runners_may_run (r))
-        s->known_dirty = true;
+        s->used_runners_dirty = true;
       if (!unreachable || now < r->lease_ends + LEASE_MARGIN || now >= s->lead_until)
         continue;
       if (r->n_runs > 0)
         {
-          ++*s->lapses;
+          ++*s->leases_expired;
           end_lost_runs (s, r, "lease over", now);
         }
       if (!r->in_store && r->n_runs == 0)
--- a/src/sched/runs.c
+++ b/src/sched/runs.c
@@ -127,7 +127,8 @@
     v->next->serving->prev = v->prev;
 }
 
-/* Adds the time that the run was slowed to its job's accounts when its pace changes. */
+/* Adds the time for which the run has been slowed to its job's totals; called before each
+ * change of its pace. */
 static void
 account_slowed_time (KqRun *run, int percent, KqTime now)
 {
--- a/src/sched/sched.c
+++ b/src/sched/sched.c
@@ -54,7 +54,7 @@
                                   "Orders to runners, by how they ended.");
     }
   s->starts = kq_counter (c, "kq_run_starts_total", "", "Start orders given.");
-  s->looks
+  s->runners_examined
       = kq_counter (c, "kq_place_looks_total", "", "Runners looked at to place tasks.");
   s->first_start = kq_histogram (c, "kq_job_first_start_ms", "",
                                  "From a job's acceptance to its first start.");
@@ -63,10 +63,10 @@
                                   "From a start order to the runner's word.");
   s->runs_lost
       = kq_counter (c, "kq_runs_lost_total", "", "Runs that ended without a word.");
-  s->stops_hang = stop_counter (c, "stands_still");
+  s->stops_stalled = stop_counter (c, "stands_still");
   s->stops_drain = stop_counter (c, "runner_leaves");
-  s->lapses = kq_counter (c, "kq_runner_lapses_total", "",
-                          "Runners whose lease ended while they were silent.");
+  s->leases_expired = kq_counter (c, "kq_runner_lapses_total", "",
+                                  "Runners whose lease ended while they were silent.");
   s->no_room
       = kq_counter (c, "kq_run_no_room_total", "", "Starts refused for want of room.");
   s->paces = kq_counter (c, "kq_run_paces_total", "", "Changes of a task's pace.");
@@ -270,7 +270,7 @@
         }
     }
   good = !r.bad;
-  s->known_dirty = false;
+  s->used_runners_dirty = false;
   kq_unpacked_close (&u);
   return good;
 }
--- a/src/sched/sched.h
+++ b/src/sched/sched.h
@@ -41,9 +41,9 @@
   KQ_ORDER_START, /* start a run */
   KQ_ORDER_STOP,
   KQ_ORDER_PACE,
-  KQ_ORDER_SEEN,   /* the ends of runs up to a number are stored */
+  KQ_ORDER_SEEN,   /* acknowledges the ends of runs up to a number: they are stored */
   KQ_ORDER_ADVISE, /* ask the advice service about a step; runner is "" */
-  KQ_ORDER_RENEW   /* the list with that halt was processed: grant leases again */
+  KQ_ORDER_RENEW   /* the list with that halt number was processed: grant leases again */
 } KqOrderKind;
 
 /* The kind's name, for logs. */
@@ -165,60 +165,69 @@
  * False: it can't be read. */
 bool kq_sched_learned (KqSched *s, KqStr stored);
 void kq_sched_learned_pack (const KqSched *s, KqBuf *out);
-/* Everything stored has been passed in: scheduling may begin. */
+/* To be called once everything stored has been passed in; scheduling begins. */
 void kq_sched_loaded (KqSched *s, KqTime now);
 
-/* No other leader is possible before `until`; KQ_TIME_NEVER at first. After that another
- * leader may have renewed leases whose end is known here, so none counts as ended. */
+/* Sets the time until which no other node can be leader; KQ_TIME_NEVER at first. Once it
+ * has passed another leader may have renewed leases, so no lease counts as expired. */
 void kq_sched_lead_until (KqSched *s, KqTime until);
 
+/* Adds a runner, or updates it, by its entry in the store. */
 void kq_sched_entry (KqSched *s, const KqRunnerEntry *e, KqTime now);
+/* Notes that the runner's entry has been removed from the store: it gets no more tasks.
+ */
 void kq_sched_entry_gone (KqSched *s, KqStr id, KqTime now);
 
-/* An agent, which carries out orders, is up; returns its number. */
+/* Adds an agent that has connected; returns its number, -1: there are too many. */
 int kq_sched_agent_up (KqSched *s, const KqAgentInfo *info, KqTime now);
 /* The agent's share of its host's processor, in thousandths. */
 int kq_sched_agent_share (const KqSched *s, int agent);
 /* The agent of that name that is up; -1: none. */
 int kq_sched_agent_find (const KqSched *s, KqStr name);
-/* planned: it has stopped after announcing it, and doesn't count as lost. */
+/* Takes out an agent that has disconnected. planned: its node has announced that it
+ * stops, so the agent doesn't count as lost. */
 void kq_sched_agent_down (KqSched *s, int agent, bool planned, KqTime now);
 /* Whether an agent has gone down unplanned under this leader and isn't up again. */
 bool kq_sched_agents_lost (const KqSched *s);
 
-/* Messages of an agent on a runner carry the number of the runner's assignment
+/* These take an agent's messages on a runner: its list, the result of an order. They
+ * carry the number of the runner's assignment
  * (`assignment`). Those of an earlier assignment may arrive late and are ignored. */
 void kq_sched_list (KqSched *s, int agent, KqStr runner, const KqRunnerList *l,
                     KqTime now);
 void kq_sched_outcome (KqSched *s, int agent, KqStr runner, const KqOrderOutcome *o,
                        KqTime now);
-/* The agent gets no answer from the runner; the lease that it granted ends in
- * lease_left_ms. */
+/* Takes a report that the agent gets no answer from the runner; the lease that it granted
+ * ends in lease_left_ms. */
 void kq_sched_unreached (KqSched *s, int agent, KqStr runner, uint64_t assignment,
                          int64_t lease_left_ms, KqTime now);
 
-/* The answer to an order KQ_ORDER_ADVISE. */
+/* Takes the answer to an order KQ_ORDER_ADVISE. */
 void kq_sched_advice (KqSched *s, int agent, const KqStepAdvice *a, KqTime now);
 
-/* Another runner answers at this one's address: its process is gone, and all its runs
- * with it. */
+/* Takes a report that another runner answers at this one's address: its process is gone,
+ * and all its runs with it. */
 void kq_sched_runner_replaced (KqSched *s, int agent, KqStr runner, uint64_t assignment,
                                KqTime now);
 
-/* A maintenance wave that operators request; one that is known is left alone. */
+/* Adds a maintenance wave that operators have requested; one that is known is left alone.
+ */
 void kq_sched_wave (KqSched *s, const KqWaveInfo *info, KqTime now);
+/* Takes the result of a call that was made through KqSchedConfig.maintenance. */
 void kq_sched_maintenance_ended (KqSched *s, int64_t wave, KqStr host,
                                  KqMaintenanceResult result, KqTime now);
-/* The progress of the waves, for the next leader, and what operators are told of each.
- * _pending: something has changed since the last _pack; _failed: that one was not stored.
- */
+/* Whether the progress of the waves has changed since it was last packed. */
 bool kq_sched_waves_pending (const KqSched *s);
+/* Appends the progress of the waves in its stored form, for the next leader. */
 void kq_sched_waves_pack (KqSched *s, KqBuf *out);
+/* Notes that what was packed last could not be stored: it counts as changed again. */
 void kq_sched_waves_failed (KqSched *s);
+/* Calls `take` for each requested wave, for the status that operators see. */
 void kq_sched_waves_each (const KqSched *s,
                           void (*take) (void *arg, int64_t number, bool completed),
                           void *arg);
-/* As packed by an earlier leader; before any wave. False: it can't be read. */
+/* Reads what an earlier leader has packed; to be called before any wave is added. False:
+ * it can't be read. */
 bool kq_sched_waves_stored (KqSched *s, KqStr stored);
 
 /* Makes all decisions that are due; to be called after inputs, and at the time that it
@@ -251,10 +260,14 @@
 KqJobState kq_sched_stored_state (KqStr stored);
 /* When the next batch is due; KQ_TIME_NEVER: nothing to store. */
 KqTime kq_sched_store_due (const KqSched *s);
-/* The runners in use, which are stored before a new one gets its first order. _pending:
- * they have changed since the last _stored. */
+/* The used runners: those on which runs of this leader may exist. A runner gets its first
+ * order only when it is in the stored list of them. */
+
+/* Whether the list has changed since it was last packed. */
 bool kq_sched_used_runners_pending (const KqSched *s);
+/* Appends the list in its stored form. False: it hasn't changed, nothing is appended. */
 bool kq_sched_used_runners_pack (KqSched *s, KqBuf *out);
+/* Notes that the list packed last has been stored: orders to its runners may be given. */
 void kq_sched_used_runners_stored (KqSched *s);
 
 #endif
--- a/src/sched/spent.h
+++ b/src/sched/spent.h
@@ -21,6 +21,6 @@
 } KqSpent;
 
 /* Appends "waited_ms=1 slowed_ms=2 runs=3 failed=4 stopped=5". */
-void kq_spent_print (const KqSpent *a, KqBuf *out);
+void kq_spent_print (const KqSpent *s, KqBuf *out);
 
 #endif
--- a/src/sched/state.h
+++ b/src/sched/state.h
@@ -162,12 +162,12 @@
   uint64_t confirmed; /* agent's count of results when the runner last reported the run;
                          0: never */
   KqTime placed_at;
-  KqTime running_at;
-  KqTime moved_at; /* last change of progress */
+  KqTime running_at; /* when its runner first confirmed it; 0: not yet */
+  KqTime moved_at;   /* last change of its progress or pace */
   KqTime retry_at;
-  double share; /* share of the runner's cpu that it asks for */
-  int percent;
-  int load;
+  double share;       /* share of the runner's cpu that it asks for */
+  int percent;        /* progress, as in KqRunRow */
+  int load;           /* as in KqRunRow; -1: not reported yet */
   int pace;           /* last ordered pace, in percent */
   bool pace_unknown;  /* an earlier leader may have ordered another pace */
   KqTime slowed_at;   /* since when its pace is below 100; 0: it isn't */
@@ -185,8 +185,8 @@
 struct KqPool
 {
   char *service;
-  int64_t room_milli;       /* cpu of all that may be used, in thousandths */
-  int64_t used_milli;       /* reserved of it */
+  int64_t usable_milli; /* total cpu of the runners that may be used, in thousandths */
+  int64_t used_milli;   /* reserved of it */
   int64_t no_lasting_milli; /* cpu of those that hold no lasting task */
   int64_t demand_milli; /* cpu that tasks other than lasting ones need: running ones that
                            reserve cpu, filling ones on runners without lasting tasks, and
@@ -226,16 +226,16 @@
   const char *lease_from; /* where that time comes from, for logs */
   bool stale_logged;      /* a message of an earlier assignment was ignored and logged */
   KqTime heard_at;
-  int agent;           /* -1: none */
-  uint64_t assignment; /* number of its assignment to the agent (order TAKE) */
-  uint64_t ends_seen;
-  uint64_t ends_batch;
-  uint64_t ends_stored;
-  bool watched; /* its agent has been told to report often */
+  int agent;            /* -1: none */
+  uint64_t assignment;  /* number of its assignment to the agent (order TAKE) */
+  uint64_t ends_seen;   /* the highest KqEndRow.number in its lists */
+  uint64_t ends_batch;  /* the highest whose effects are stored or in the open batch */
+  uint64_t ends_stored; /* the highest whose effects are stored */
+  bool watched;         /* its agent has been told to report often */
   /* Health. */
-  double failed_count; /* decaying counts of failed tasks; `done_count`: of done ones */
-  double done_count;
-  KqTime score_at;
+  double failed_count; /* failed tasks, decaying with time */
+  double done_count;   /* done tasks, decaying alike */
+  KqTime counts_at;    /* the time for which both counts hold */
   double slowness; /* actual divided by estimated run time of tasks; 1: like the others */
   KqTime suspect_until;
   int suspect_times;
@@ -310,8 +310,9 @@
   uint64_t changes;            /* count of changes of runners */
   KqRunnerState *changed_last; /* all runners, the last changed first */
   guint scan_from;             /* index of the runner at which the next search begins */
-  bool known_dirty;
-  bool assign_soon; /* an agent may be able to take a runner that has none */
+  bool used_runners_dirty;     /* the list of used runners has changed since it was last
+                                  packed */
+  bool assign_soon;            /* an agent may be able to take a runner that has none */
   int64_t wall_minus_now_ms;
   KqTime started_at;
   KqTime lead_until;  /* no other leader before this time */
@@ -332,13 +333,13 @@
   GPtrArray *batch;        /* KqJob */
   /* Counters. */
   uint64_t *starts;
-  uint64_t *looks;
+  uint64_t *runners_examined; /* runners examined by searches for a task's runner */
   uint64_t *ends[6];
   uint64_t *results[10];
   uint64_t *runs_lost;
-  uint64_t *stops_hang;
+  uint64_t *stops_stalled;
   uint64_t *stops_drain;
-  uint64_t *lapses;
+  uint64_t *leases_expired;
   uint64_t *no_room;
   uint64_t *paces;
   uint64_t *advices[3]; /* answers, by KqAdviceResult */
@@ -349,7 +350,7 @@
 
 /* book.c */
 KqJob *kq_book_find (const KqSched *s, KqStr id);
-/* The task of that name; false: no such job, or the occurrence is over. */
+/* A task found by its name. */
 typedef struct
 {
   KqJob *job;
@@ -358,6 +359,7 @@
   int32_t step;
   int32_t index;
 } KqTaskRef;
+/* Finds a task by its name. False: there is no such job, step or index. */
 bool kq_book_find_task (const KqSched *s, KqStr name, KqTaskRef *out);
 void kq_book_task_name (const KqRun *r, char out[96]);
 KqTaskState *kq_book_task_state (const KqRun *r);
@@ -369,8 +371,8 @@
                         KqTime now);
 void kq_book_task_failed (KqSched *s, KqOccurrence *o, int32_t step, int32_t index,
                           uint32_t run, KqRunnerState *where, KqTime now);
-/* A task of a lasting step runs for the first time. Stored, since a later leader must
- * know which waiting tasks have lost their runner. */
+/* Notes that a task of a lasting step runs for the first time. This is stored, since a
+ * later leader must know which waiting tasks have lost their runner. */
 void kq_book_mark_has_run (KqSched *s, KqJob *j, KqTaskState *t, KqTime now);
 /* Whether a lasting task that has run before is waiting. */
 bool kq_book_has_lost_waiting (const KqStepState *st, const KqStep *p);
@@ -384,13 +386,14 @@
 /* runs.c */
 KqRun *kq_run_new (KqSched *s, KqJob *j, KqOccurrence *o, int32_t step, int32_t index,
                    KqRunnerState *r, uint32_t number, KqTime now);
-/* The run has ended or was never begun: its room is free, and its task waits again if it
- * was the task's current run. */
+/* Removes a run that has ended or was never begun, and frees its room. Its task waits
+ * again if this was the task's current run. */
 void kq_run_end (KqSched *s, KqRun *run, KqTime now);
 void kq_run_send_start (KqSched *s, KqRun *run, KqTime now);
-/* The last order won't be answered: it may or may not be carried out. */
+/* Notes that an unanswered order of the run won't be answered: it may or may not be
+ * carried out. */
 void kq_run_orders_lost (KqSched *s, KqRun *run);
-/* The start order has been answered, or won't be. */
+/* Removes the run's start order from the window, as it has been answered or won't be. */
 void kq_run_close_start (KqSched *s, KqRun *run);
 void kq_run_stop (KqSched *s, KqRun *run, const char *why, KqTime now);
 void kq_run_send_stop (KqSched *s, KqRun *run, KqTime now);
@@ -409,24 +412,27 @@
 void kq_runners_changed (KqSched *s, KqRunnerState *r);
 KqRunnerState *kq_runners_find (const KqSched *s, KqStr id);
 bool kq_runners_may_run (const KqRunnerState *r);
-/* The runner's host has been taken down, and no run of its present process can go on. */
+/* Notes that the runner's host has been taken down. Once the runner is unreachable as
+ * well, its runs are ended without waiting for its lease. */
 void kq_runners_taken_down (KqSched *s, KqStr id, KqTime now);
-/* A run may exist there until `ends`; `from` says where that time comes from, for logs,
- * and must stay valid. */
+/* Notes that a run may exist there until `ends`, unless a later time is known. `from`
+ * says where that time comes from, for logs, and must stay valid. */
 void kq_runners_extend_lease (KqRunnerState *r, KqTime ends, const char *from);
 /* Whether a message on the runner belongs to its present assignment to the agent. The
  * first one of an earlier assignment is logged; they may arrive late, and are ignored. */
 bool kq_runners_is_current_agent (const KqSched *s, KqRunnerState *r, int agent,
                                   uint64_t assignment, const char *what);
-/* The runner has restarted, according to a list that its agent sent after `order`
- * results. */
+/* Ends or stops the runs from before a restart of the runner, which was noticed by a list
+ * that its agent requested after sending `order` results. */
 void kq_runners_restarted (KqSched *s, KqRunnerState *r, uint64_t order, KqTime now);
 /* Tells the runner's agent which ends are stored, and whether to report often. */
 void kq_runners_acknowledge (const KqSched *s, const KqRunnerState *r);
 void kq_runners_check_leases (KqSched *s, KqTime now);
 void kq_runners_assign (KqSched *s, KqTime now);
 void kq_runners_check_settled (KqSched *s, KqTime now);
-/* suspects.c: records that a task has ended there. */
+/* suspects.c */
+/* Counts a task that has ended there, done or failed; after too many failures the runner
+ * isn't used for a while. */
 void kq_runners_record_end (KqRunnerState *r, bool done, KqTime now);
 
 void kq_runners_free (KqRunnerState *r);
@@ -466,7 +472,7 @@
 bool kq_pools_may_place_lasting (const KqRunnerState *r);
 /* Whether no more than about half of the service's cpu is reserved. */
 bool kq_pools_half_free (const KqPool *p);
-/* A lasting task with that cpu has been placed on the runner. */
+/* Counts a lasting task with that cpu that has been placed on the runner. */
 void kq_pools_lasting_placed (const KqRunnerState *r, int32_t cpu_milli);
 
 /* tickets.c: tickets of the advice service for steps of advised queues. */
@@ -477,11 +483,11 @@
 /* Asks for tickets for the step, as a task found no runner with one. Does nothing while
  * an answer is outstanding. */
 void kq_tickets_request (KqSched *s, KqOccurrence *o, int32_t step, KqTime now);
-/* The runner has refused the ticket: it is dropped. */
+/* Drops the step's ticket for the runner, which has refused it. */
 void kq_tickets_refused (KqOccurrence *o, int32_t step, const KqRunnerState *r);
-/* The runner is removed: its rows are dropped. */
+/* Drops the step's rows of a runner that is about to be freed. */
 void kq_tickets_forget_runner (KqStepState *st, const KqRunnerState *r);
-/* The agent is gone: its questions won't be answered. */
+/* Ends all questions outstanding at an agent that is down. */
 void kq_tickets_agent_down (KqSched *s, int agent);
 void kq_tickets_free (KqTickets *a);
 
@@ -524,9 +530,11 @@
 void kq_placing_end (KqPlacing *p);
 
 /* pass.c */
+/* Makes one placing pass. */
 void kq_pass (KqSched *s, KqTime now);
 
 /* watch.c */
+/* Checks all runs: repeats orders, stops stalled tasks and those whose runner leaves. */
 void kq_watch_progress (KqSched *s, KqTime now);
 /* pace.c */
 /* Call after each list of its runs: learns from the reports (harm.h) and sets the paces
--- a/src/sched/store.c
+++ b/src/sched/store.c
@@ -126,7 +126,7 @@
 bool
 kq_sched_used_runners_pending (const KqSched *s)
 {
-  return s->known_dirty && s->loaded;
+  return s->used_runners_dirty && s->loaded;
 }
 
 bool
@@ -155,7 +155,7 @@
       kq_pack_str (&p, kq_str (r->address));
       kq_pack_str (&p, kq_str (r->domain));
     }
-  s->known_dirty = false;
+  s->used_runners_dirty = false;
   return true;
 }
 
--- a/src/sched/suspects.c
+++ b/src/sched/suspects.c
@@ -9,7 +9,7 @@
 
 /* Half-life of the counts of done and failed tasks: a runner that has been repaired is
  * used again within seconds. */
-#define SCORE_HALF_LIFE (3.0 * KQ_SEC)
+#define COUNTS_HALF_LIFE (3.0 * KQ_SEC)
 /* A runner is suspect with at least this count of failures, if they are at least this
  * share of its ended tasks. */
 #define SUSPECT_FAILS 1.6
@@ -22,10 +22,10 @@
 static void
 decay (KqRunnerState *r, KqTime now)
 {
-  double factor = exp2 (-(double)(now - r->score_at) / SCORE_HALF_LIFE);
+  double factor = exp2 (-(double)(now - r->counts_at) / COUNTS_HALF_LIFE);
   r->failed_count *= factor;
   r->done_count *= factor;
-  r->score_at = now;
+  r->counts_at = now;
 }
 
 void
--- a/src/sched/watch.c
+++ b/src/sched/watch.c
@@ -109,7 +109,7 @@
       KqTaskState *t = kq_book_task_state (run);
       if (t != NULL)
         t->avoid = r;
-      ++*s->stops_hang;
+      ++*s->stops_stalled;
       kq_runners_record_end (r, false, now);
       kq_run_stop (s, run, "stands still", now);
     }
--- a/src/sched/window.c
+++ b/src/sched/window.c
@@ -3,7 +3,8 @@
 #include <assert.h>
 
 /* An answer sooner than ANSWER_SOON makes the window larger, one later than ANSWER_LATE
- * smaller. A leader's lease lasts three times ANSWER_LATE without a renewal. */
+ * smaller. ANSWER_LATE is a third of the leader's lease: renewals of the lease wait
+ * behind the start orders on the link, and must still arrive in time. */
 #define ANSWER_SOON (250 * KQ_MS)
 #define ANSWER_LATE (500 * KQ_MS)
 #define WINDOW_INITIAL 128
