--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -9,23 +9,23 @@
 static void
 assign_runner (KqAgent *a, uint64_t epoch, const KqOrder *o)
 {
-  KqAgentRunner *h = kq_alloc (sizeof *h);
+  KqAgentRunner *runner = kq_alloc (sizeof *runner);
   KqAgentRunner *previous;
-  h->agent = a;
-  h->id = kq_str_dup (o->runner);
-  h->address = kq_str_dup (o->u.take.address);
-  h->epoch = epoch;
-  h->serial = h->halt = ++a->serial;
-  h->assignment = o->u.take.assignment;
-  kq_lease_init (&h->lease);
-  h->run_delta = kq_run_delta_state_new ();
-  ev_timer_init (&h->poll_timer, kq_agent_runner_on_poll_timer, 0, 0);
-  h->poll_timer.data = h;
-  previous = g_hash_table_lookup (a->runners, h->id);
-  if (previous != NULL && strcmp (previous->address, h->address) == 0)
-    h->lease = previous->lease;
-  g_hash_table_replace (a->runners, h->id, h);
-  kq_agent_runner_poll_in (h, 0);
+  runner->agent = a;
+  runner->id = kq_str_dup (o->runner);
+  runner->address = kq_str_dup (o->u.take.address);
+  runner->epoch = epoch;
+  runner->serial = runner->halt = ++a->serial;
+  runner->assignment = o->u.take.assignment;
+  kq_lease_init (&runner->lease);
+  runner->run_delta = kq_run_delta_state_new ();
+  ev_timer_init (&runner->poll_timer, kq_agent_runner_on_poll_timer, 0, 0);
+  runner->poll_timer.data = runner;
+  previous = g_hash_table_lookup (a->runners, runner->id);
+  if (previous != NULL && strcmp (previous->address, runner->address) == 0)
+    runner->lease = previous->lease;
+  g_hash_table_replace (a->runners, runner->id, runner);
+  kq_agent_runner_poll_in (runner, 0);
 }
 
 void
@@ -33,7 +33,7 @@
 {
   char id[KQ_NAME_MAX + 1];
   KqRunnerDest to;
-  KqAgentRunner *h;
+  KqAgentRunner *runner;
   if (epoch < a->epoch || !kq_str_copy (o->runner, id, sizeof id))
     return;
   kq_agent_leader_heard (a, epoch, now);
@@ -42,15 +42,15 @@
       kq_agent_ask_advice (a, epoch, o);
       return;
     }
-  h = g_hash_table_lookup (a->runners, id);
+  runner = g_hash_table_lookup (a->runners, id);
   if (o->kind == KQ_ORDER_TAKE)
     {
       assign_runner (a, epoch, o);
       return;
     }
-  if (h == NULL || h->epoch != epoch)
+  if (runner == NULL || runner->epoch != epoch)
     return; /* the leader notices by its next TAKE, or as no list of the runner arrives */
-  to = kq_agent_runner_aim (h, KQ_AGENT_CALL_MS);
+  to = kq_agent_runner_dest (runner, KQ_AGENT_CALL_MS);
   switch (o->kind)
     {
     case KQ_ORDER_TAKE:
@@ -60,37 +60,39 @@
       g_hash_table_remove (a->runners, id);
       break;
     case KQ_ORDER_START:
-      kq_starts_add (h, o, now);
+      kq_starts_add (runner, o, now);
       break;
     case KQ_ORDER_STOP:
-      kq_runner_stop (a->config.calls, &to, o->u.stop.task, o->u.stop.run,
-                      (KqRunnerCallback){ kq_agent_runner_on_outcome,
-                                          kq_agent_call_new (h, o->kind, o->u.stop.task,
-                                                             o->u.stop.run) });
+      kq_runner_stop (
+          a->config.calls, &to, o->u.stop.task, o->u.stop.run,
+          (KqRunnerCallback){
+              kq_agent_runner_on_outcome,
+              kq_agent_call_new (runner, o->kind, o->u.stop.task, o->u.stop.run) });
       break;
     case KQ_ORDER_PACE:
-      kq_runner_pace (a->config.calls, &to, o->u.pace.task, o->u.pace.run,
-                      o->u.pace.percent,
-                      (KqRunnerCallback){ kq_agent_runner_on_outcome,
-                                          kq_agent_call_new (h, o->kind, o->u.pace.task,
-                                                             o->u.pace.run) });
+      kq_runner_pace (
+          a->config.calls, &to, o->u.pace.task, o->u.pace.run, o->u.pace.percent,
+          (KqRunnerCallback){
+              kq_agent_runner_on_outcome,
+              kq_agent_call_new (runner, o->kind, o->u.pace.task, o->u.pace.run) });
       break;
     case KQ_ORDER_SEEN:
-      if (o->u.seen.ends > h->ends_acked && o->u.seen.started_ms == h->lease.started_ms)
-        h->ends_acked = o->u.seen.ends;
-      h->watched = o->u.seen.watched;
-      if (!h->polling && h->ends_listed <= h->ends_acked)
-        kq_agent_runner_poll_in (h, 0);
+      if (o->u.seen.ends > runner->ends_acked
+          && o->u.seen.started_ms == runner->lease.started_ms)
+        runner->ends_acked = o->u.seen.ends;
+      runner->watched = o->u.seen.watched;
+      if (!runner->polling && runner->ends_listed <= runner->ends_acked)
+        kq_agent_runner_poll_in (runner, 0);
       break;
     case KQ_ORDER_RENEW:
-      if (o->u.renew.halt != h->halt)
+      if (o->u.renew.halt != runner->halt)
         break; /* the runner was reported unreachable again since */
-      h->halt = 0;
-      kq_agent_runner_poll (h, now);
+      runner->halt = 0;
+      kq_agent_runner_poll (runner, now);
       /* The poll occupies one connection; starts need another one. */
-      h = g_hash_table_lookup (a->runners, id);
-      if (h != NULL && !h->verifying)
-        kq_starts_verify_connection (h);
+      runner = g_hash_table_lookup (a->runners, id);
+      if (runner != NULL && !runner->verifying)
+        kq_starts_verify_connection (runner);
       break;
     }
 }
@@ -114,9 +116,10 @@
     kq_agent_leader_heard (a, epoch, at);
 }
 
-/* Without this the agent kept renewing the lease of a runner that the leader had assigned
- * to another agent and whose lease it took for expired: nine tasks ran twice (a node's
- * connections were reset, and 13 s later the runner's next agent couldn't reach it). */
+/* An agent that kept its runners would renew the lease of one that the leader has since
+ * assigned to another agent and whose lease the leader takes for expired. Nine tasks ran
+ * twice that way: a node's connections were reset, and 13 s later the runner's next agent
+ * couldn't reach the runner. */
 void
 kq_agent_release_all (KqAgent *a)
 {
--- a/src/agent/agent_runner.c
+++ b/src/agent/agent_runner.c
@@ -20,25 +20,25 @@
 void
 kq_agent_runner_free (gpointer p)
 {
-  KqAgentRunner *h = p;
-  ev_timer_stop (kq_loop_ev (h->agent->config.loop), &h->poll_timer);
-  g_queue_clear_full (&h->starts, kq_start_free);
-  kq_run_delta_state_free (h->run_delta);
-  free (h->id);
-  free (h->address);
-  free (h);
+  KqAgentRunner *runner = p;
+  ev_timer_stop (kq_loop_ev (runner->agent->config.loop), &runner->poll_timer);
+  g_queue_clear_full (&runner->starts, kq_start_free);
+  kq_run_delta_state_free (runner->run_delta);
+  free (runner->id);
+  free (runner->address);
+  free (runner);
 }
 
 KqAgentCall *
-kq_agent_call_new (KqAgentRunner *h, KqOrderKind kind, KqStr task, uint32_t run)
+kq_agent_call_new (KqAgentRunner *runner, KqOrderKind kind, KqStr task, uint32_t run)
 {
   KqAgentCall *c = kq_alloc (sizeof *c);
-  c->agent = h->agent;
-  c->serial = h->serial;
-  c->outcomes_sent = h->outcomes_sent;
-  c->in_use = kq_conns_call_began (&h->conns);
+  c->agent = runner->agent;
+  c->serial = runner->serial;
+  c->outcomes_sent = runner->outcomes_sent;
+  c->in_use = kq_conns_call_began (&runner->conns);
   c->kind = kind;
-  c->runner = kq_str_dup (kq_str (h->id));
+  c->runner = kq_str_dup (kq_str (runner->id));
   c->task = kq_str_dup (task);
   c->run = run;
   return c;
@@ -56,47 +56,47 @@
 KqAgentRunner *
 kq_agent_call_runner (const KqAgentCall *c)
 {
-  KqAgentRunner *h = g_hash_table_lookup (c->agent->runners, c->runner);
-  return h != NULL && h->serial == c->serial ? h : NULL;
+  KqAgentRunner *runner = g_hash_table_lookup (c->agent->runners, c->runner);
+  return runner != NULL && runner->serial == c->serial ? runner : NULL;
 }
 
 KqAgentRunner *
 kq_agent_call_ended (const KqAgentCall *c, const KqRunnerReply *r)
 {
-  KqAgentRunner *h = kq_agent_call_runner (c);
-  if (h == NULL)
+  KqAgentRunner *runner = kq_agent_call_runner (c);
+  if (runner == NULL)
     return NULL;
-  kq_conns_call_ended (&h->conns, r->unsent                       ? KQ_CONN_UNSENT
-                                  : r->result == KQ_ORDER_UNKNOWN ? KQ_CONN_CLOSED
-                                                                  : KQ_CONN_KEPT);
-  return h;
+  kq_conns_call_ended (&runner->conns, r->unsent                       ? KQ_CONN_UNSENT
+                                       : r->result == KQ_ORDER_UNKNOWN ? KQ_CONN_CLOSED
+                                                                       : KQ_CONN_KEPT);
+  return runner;
 }
 
 void
-kq_agent_runner_notify (KqAgentRunner *h, KqAgentItem *i)
+kq_agent_runner_notify (KqAgentRunner *runner, KqAgentItem *i)
 {
-  i->runner = kq_str (h->id);
-  h->agent->config.notice (h->agent->config.arg, h->epoch, i);
+  i->runner = kq_str (runner->id);
+  runner->agent->config.notice (runner->agent->config.arg, runner->epoch, i);
 }
 
 void
-kq_agent_runner_update_lease (KqAgentRunner *h, const KqRunnerReply *r, KqTime now)
+kq_agent_runner_update_lease (KqAgentRunner *runner, const KqRunnerReply *r, KqTime now)
 {
   KqLeaseReply n = { r->clock_ms, r->started_ms, r->called_at };
   /* The runner has restarted and numbers its ends from 1 again. An acknowledgement of the
    * earlier numbers would make it drop ends that nobody has read. */
-  if (!kq_lease_update (&h->lease, &n, h->agent->config.lease_ms, now))
+  if (!kq_lease_update (&runner->lease, &n, runner->agent->config.lease_ms, now))
     return;
-  h->ends_acked = h->ends_reported = 0;
-  kq_conns_runner_restarted (&h->conns);
+  runner->ends_acked = runner->ends_reported = 0;
+  kq_conns_runner_restarted (&runner->conns);
 }
 
 KqRunnerDest
-kq_agent_runner_aim (const KqAgentRunner *h, int timeout_ms)
+kq_agent_runner_dest (const KqAgentRunner *runner, int timeout_ms)
 {
-  return (KqRunnerDest){ .address = kq_str (h->address),
-                         .id = kq_str (h->id),
-                         .epoch = h->epoch,
+  return (KqRunnerDest){ .address = kq_str (runner->address),
+                         .id = kq_str (runner->id),
+                         .epoch = runner->epoch,
                          .timeout_ms = timeout_ms };
 }
 
@@ -114,21 +114,22 @@
  * Nor before the leader has acknowledged a runner that was just assigned or unreachable:
  * the leader may take its lease for expired. */
 int64_t
-kq_agent_runner_grant_lease (KqAgentRunner *h, KqTime now)
+kq_agent_runner_grant_lease (KqAgentRunner *runner, KqTime now)
 {
-  if (h->lease.clock_ms < 0 || h->failures > 0 || h->halt != 0
-      || !leader_honours_leases (h->agent, now))
+  if (runner->lease.clock_ms < 0 || runner->failures > 0 || runner->halt != 0
+      || !leader_honours_leases (runner->agent, now))
     return -1;
-  return kq_lease_grant (&h->lease, h->agent->config.lease_ms, now);
+  return kq_lease_grant (&runner->lease, runner->agent->config.lease_ms, now);
 }
 
 void
-kq_agent_runner_report_outcome (KqAgentRunner *h, const KqOrderOutcome *o, KqTime now)
+kq_agent_runner_report_outcome (KqAgentRunner *runner, const KqOrderOutcome *o,
+                                KqTime now)
 {
   KqAgentItem i = { .kind = KQ_AGENT_ITEM_OUTCOME };
   i.u.outcome = *o;
-  i.u.outcome.order = ++h->outcomes_sent;
-  i.u.outcome.assignment = h->assignment;
-  i.u.outcome.lease_left_ms = kq_lease_left_ms (&h->lease, now);
-  kq_agent_runner_notify (h, &i);
+  i.u.outcome.order = ++runner->outcomes_sent;
+  i.u.outcome.assignment = runner->assignment;
+  i.u.outcome.lease_left_ms = kq_lease_left_ms (&runner->lease, now);
+  kq_agent_runner_notify (runner, &i);
 }
--- a/src/agent/agent_test.c
+++ b/src/agent/agent_test.c
@@ -13,7 +13,7 @@
 
 #define EPOCH 7
 #define LEASE_MS 5000
-#define BLIND_MS 4000
+#define RENEW_WITHOUT_LEADER_MS 4000
 
 /* An agent. The test stands in for its runner and its leader. */
 static struct
@@ -240,7 +240,7 @@
 set_up (void **state)
 {
   KqAgentConfig c = { .lease_ms = LEASE_MS,
-                      .renew_without_leader_ms = BLIND_MS,
+                      .renew_without_leader_ms = RENEW_WITHOUT_LEADER_MS,
                       .notice = on_notice };
   (void)state;
   kq_log_set_level (KQ_LOG_ERROR);
@@ -266,8 +266,8 @@
   return 0;
 }
 
-/* A task runs twice: a node that reconnects keeps renewing the leases of runners that
- * were assigned to other agents meanwhile. */
+/* Guards against a task that runs twice: a node that reconnects keeps renewing the leases
+ * of runners that were assigned to other agents meanwhile. */
 static void
 test_new_connection_ends_renewals (void **state)
 {
@@ -288,9 +288,9 @@
   assert_int_equal (t.renewals, before + 1);
 }
 
-/* A task runs twice: the agent reports an unreachable runner and the time left of its
- * lease, then extends the lease before the leader has acknowledged that the runner is
- * back. */
+/* Guards against a task that runs twice: the agent reports an unreachable runner and the
+ * time left of its lease, then extends the lease before the leader has acknowledged that
+ * the runner is back. */
 static void
 test_reported_lease_end_stands (void **state)
 {
@@ -319,8 +319,9 @@
   assert_true (t.lease_end_ms > reported);
 }
 
-/* A task runs twice: an agent that a runner was just assigned to extends its lease before
- * the leader has received a list, while the leader may take the lease for expired. */
+/* Guards against a task that runs twice: an agent that a runner was just assigned to
+ * extends its lease before the leader has received a list, while the leader may take the
+ * lease for expired. */
 static void
 test_assigned_runner_waits_for_the_leader (void **state)
 {
@@ -337,8 +338,9 @@
   assert_true (t.lease_end_ms > 0);
 }
 
-/* A task runs twice: the leader takes a report of an earlier assignment of a runner for
- * one of the current assignment. Each report must carry the assignment's number. */
+/* Guards against a task that runs twice: the leader takes a report of an earlier
+ * assignment of a runner for one of the current assignment. Each report must carry the
+ * assignment's number. */
 static void
 test_reports_name_their_assignment (void **state)
 {
@@ -358,8 +360,8 @@
   assert_int_equal (t.assignment, 9);
 }
 
-/* A task runs twice: a lease's end is computed from the clock of a runner's process
- * before its restart. */
+/* Guards against a task that runs twice: a lease's end is computed from the clock of a
+ * runner's process before its restart. */
 static void
 test_clock_after_a_restart (void **state)
 {
@@ -393,8 +395,8 @@
   answer_start (100, later, later);
 }
 
-/* A task runs twice: a start reaches a restarted runner, and the leader doesn't learn of
- * the lease that the task has there. */
+/* Guards against a task that runs twice: a start reaches a restarted runner, and the
+ * leader doesn't learn of the lease that the task has there. */
 static void
 test_start_after_a_restart_reports_its_lease (void **state)
 {
@@ -409,13 +411,13 @@
   assert_int_equal (t.lease_left_ms, LEASE_MS * 100 / 98 + 1);
 }
 
-/* A task runs twice: a delayed message of a leader extends the time for which leases are
- * granted, though the leader no longer waits for them. */
+/* Guards against a task that runs twice: a delayed message of a leader extends the time
+ * for which leases are granted, though the leader no longer waits for them. */
 static void
 test_delayed_messages_grant_nothing (void **state)
 {
   KqTime now = kq_time_now ();
-  KqTime later = now + (BLIND_MS + 200) * KQ_MS;
+  KqTime later = now + (RENEW_WITHOUT_LEADER_MS + 200) * KQ_MS;
   int64_t granted;
   (void)state;
   assign_runner (1);
@@ -426,7 +428,7 @@
   answer_start (-1, later, later);
   kq_agent_leader_confirmed (t.agent, EPOCH, later - KQ_SEC);
   assert_int_equal (grant_by_start (later),
-                    1000 + (BLIND_MS + 200) * 98 / 100 + LEASE_MS);
+                    1000 + (RENEW_WITHOUT_LEADER_MS + 200) * 98 / 100 + LEASE_MS);
   answer_start (-1, later, later);
 }
 
@@ -441,8 +443,8 @@
   t.starting = false;
 }
 
-/* A task runs twice: a start is sent on a new connection and reaches the runner's process
- * after a restart. */
+/* Guards against a task that runs twice: a start is sent on a new connection and reaches
+ * the runner's process after a restart. */
 static void
 test_start_reaches_only_the_listed_process (void **state)
 {
@@ -458,7 +460,8 @@
   answer_start (1050, now + 30 * KQ_MS, now + 50 * KQ_MS);
 }
 
-/* A task runs twice: as above, where every verified connection is in use. */
+/* Guards against a task that runs twice: as above, where every verified connection is in
+ * use. */
 static void
 test_start_waits_for_a_verified_connection (void **state)
 {
@@ -484,7 +487,8 @@
   answer_start (1006, now, now + 6 * KQ_MS);
 }
 
-/* A job makes no progress: its start waits for a connection to a runner that is gone. */
+/* Guards against a job that makes no progress: its start waits for a connection to a
+ * runner that is gone. */
 static void
 test_start_that_cannot_be_sent_is_refused (void **state)
 {
--- a/src/agent/conns.c
+++ b/src/agent/conns.c
@@ -3,49 +3,49 @@
 #include <assert.h>
 
 int
-kq_conns_call_began (KqConns *g)
+kq_conns_call_began (KqConns *c)
 {
-  return ++g->in_use;
+  return ++c->in_use;
 }
 
 void
-kq_conns_call_ended (KqConns *g, KqConnEnd end)
+kq_conns_call_ended (KqConns *c, KqConnEnd end)
 {
-  assert (g->in_use > 0);
-  g->in_use--;
+  assert (c->in_use > 0);
+  c->in_use--;
   switch (end)
     {
     case KQ_CONN_KEPT:
       break;
     case KQ_CONN_CLOSED:
-      if (g->verified > 0)
-        g->verified--;
+      if (c->verified > 0)
+        c->verified--;
       break;
     case KQ_CONN_UNSENT:
-      if (g->verified > g->in_use)
-        g->verified = g->in_use;
+      if (c->verified > c->in_use)
+        c->verified = c->in_use;
       break;
     }
 }
 
 void
-kq_conns_verified (KqConns *g, int in_use, KqTime sent_at)
+kq_conns_verified (KqConns *c, int in_use, KqTime sent_at)
 {
-  if (in_use > g->verified)
-    g->verified = in_use;
-  if (sent_at > g->verified_at)
-    g->verified_at = sent_at;
+  if (in_use > c->verified)
+    c->verified = in_use;
+  if (sent_at > c->verified_at)
+    c->verified_at = sent_at;
 }
 
 void
-kq_conns_runner_restarted (KqConns *g)
+kq_conns_runner_restarted (KqConns *c)
 {
-  g->verified = 0;
-  g->verified_at = 0;
+  c->verified = 0;
+  c->verified_at = 0;
 }
 
 bool
-kq_conns_start_allowed (const KqConns *g)
+kq_conns_start_allowed (const KqConns *c)
 {
-  return g->verified_at != 0 && g->in_use < g->verified;
+  return c->verified_at != 0 && c->in_use < c->verified;
 }
--- a/src/agent/conns.h
+++ b/src/agent/conns.h
@@ -24,7 +24,7 @@
 } KqConns;
 
 /* A call is made; returns the number of calls in flight, this one included. */
-int kq_conns_call_began (KqConns *g);
+int kq_conns_call_began (KqConns *c);
 
 typedef enum
 {
@@ -33,13 +33,13 @@
   KQ_CONN_UNSENT  /* the call wasn't sent: no connection was usable */
 } KqConnEnd;
 
-void kq_conns_call_ended (KqConns *g, KqConnEnd end);
+void kq_conns_call_ended (KqConns *c, KqConnEnd end);
 /* The runner has answered a call that was sent at sent_at, while in_use calls were in
  * flight. */
-void kq_conns_verified (KqConns *g, int in_use, KqTime sent_at);
+void kq_conns_verified (KqConns *c, int in_use, KqTime sent_at);
 /* The runner's process has restarted: no connection is verified. */
-void kq_conns_runner_restarted (KqConns *g);
+void kq_conns_runner_restarted (KqConns *c);
 /* Whether a start may be sent now. */
-bool kq_conns_start_allowed (const KqConns *g);
+bool kq_conns_start_allowed (const KqConns *c);
 
 #endif
--- a/src/agent/frame.h
+++ b/src/agent/frame.h
@@ -26,14 +26,14 @@
   KQ_AGENT_ITEM_HELLO,
   KQ_AGENT_ITEM_HEARTBEAT, /* heartbeat of the node, and how long ago the store last
                               answered it */
-  KQ_AGENT_ITEM_LIST,
-  KQ_AGENT_ITEM_OUTCOME,
-  KQ_AGENT_ITEM_UNREACHED,
-  KQ_AGENT_ITEM_FENCED, /* a runner has seen a higher epoch */
-  KQ_AGENT_ITEM_ASK,
-  KQ_AGENT_ITEM_JOB,    /* a job was accepted and is in the store */
-  KQ_AGENT_ITEM_CANCEL, /* a cancellation was accepted and is in the store */
-  KQ_AGENT_ITEM_ADVICE, /* the answer to an order ADVISE */
+  KQ_AGENT_ITEM_LIST,      /* a runner's list of runs and ends */
+  KQ_AGENT_ITEM_OUTCOME,   /* the result of an order to a runner */
+  KQ_AGENT_ITEM_UNREACHED, /* a runner doesn't answer */
+  KQ_AGENT_ITEM_FENCED,    /* a runner has seen a higher epoch: there is a newer leader */
+  KQ_AGENT_ITEM_ASK,       /* a query: see KqAskKind */
+  KQ_AGENT_ITEM_JOB,       /* a job was accepted and is in the store */
+  KQ_AGENT_ITEM_CANCEL,    /* a cancellation was accepted and is in the store */
+  KQ_AGENT_ITEM_ADVICE,    /* the answer to an order ADVISE */
   /* from version 2 on */
   KQ_AGENT_ITEM_WELCOME, /* leader to node: the answer to HELLO */
   KQ_AGENT_ITEM_CHANGES, /* node to leader: the difference from the last list */
@@ -42,11 +42,11 @@
 
 typedef enum
 {
-  KQ_ASK_STATE,
-  KQ_ASK_WAITING,
-  KQ_ASK_EXPLAIN,
-  KQ_ASK_ACCEPT /* write this job to the store; a leader of version 2 answers that
-                    it hasn't */
+  KQ_ASK_STATE,   /* the state of a job */
+  KQ_ASK_WAITING, /* the number of waiting jobs of a queue */
+  KQ_ASK_EXPLAIN, /* text for operators on what a job waits for */
+  KQ_ASK_ACCEPT   /* write this job to the store; a leader that doesn't know this
+                      kind answers -1: it hasn't written the job */
 } KqAskKind;
 
 typedef struct
@@ -82,7 +82,7 @@
     } heartbeat;
     struct
     {
-      KqTime heartbeat_sent_at; /* sent_at of the node's last BEAT received */
+      KqTime heartbeat_sent_at; /* sent_at of the node's last HEARTBEAT received */
       int64_t
           store_age_ms; /* since the store's last answer to the leader; -1: not given */
     } ping;
@@ -121,8 +121,7 @@
 void kq_agent_item_pack (const KqAgentItem *i, KqBuf *out);
 /* Removes the next item from the front of *rest. Its strings point into *rest; its rows
  * are allocated, and freed by kq_agent_item_clear. False: no item is left, or it is
- * damaged
- * (*rest then isn't empty). An item of an unknown kind is returned as
+ * damaged (*rest then isn't empty). An item of an unknown kind is returned as
  * KQ_AGENT_ITEM_UNKNOWN. */
 bool kq_agent_item_unpack (KqStr *rest, KqAgentItem *out);
 void kq_agent_item_clear (KqAgentItem *i);
--- a/src/agent/frame_rows.c
+++ b/src/agent/frame_rows.c
@@ -105,15 +105,15 @@
   for (size_t i = 0; i < n; i++)
     {
       KqReader row;
-      int64_t how;
+      int64_t reason;
       kq_read_array (&rows, &row);
       list[i].number = kq_read_u64 (&row);
       list[i].task = kq_read_str (&row);
       list[i].run = (uint32_t)kq_read_u64 (&row);
-      how = kq_read_i64 (&row);
-      if (how < KQ_END_DONE || how > KQ_END_GANG_INCOMPLETE)
+      reason = kq_read_i64 (&row);
+      if (reason < KQ_END_DONE || reason > KQ_END_GANG_INCOMPLETE)
         row.bad = true;
-      list[i].reason = (KqEndReason)how;
+      list[i].reason = (KqEndReason)reason;
       list[i].checkpoint = kq_read_str (&row);
       kq_read_array_end (&rows, &row);
     }
--- a/src/agent/frame_test.c
+++ b/src/agent/frame_test.c
@@ -184,7 +184,8 @@
   kq_buf_free (&b);
 }
 
-/* A node crashes on a message with damaged bytes instead of refusing it. */
+/* Guards against a node that crashes on a message with damaged bytes instead of refusing
+ * it. */
 static void
 test_damaged_bytes_are_refused (void **state)
 {
@@ -209,8 +210,8 @@
     }
 }
 
-/* The leader crashes on an outcome of unknown kind, as the kind is an index into the
- * names for the log. */
+/* Guards against a leader that crashes on an outcome of unknown kind, as the kind is an
+ * index into the names for the log. */
 static void
 test_outcome_of_unknown_kind_is_refused (void **state)
 {
--- a/src/agent/run_delta_test.c
+++ b/src/agent/run_delta_test.c
@@ -67,8 +67,8 @@
   free (rows);
 }
 
-/* A run is lost, or runs twice: the leader's copy differs from the list that the runner
- * sent. */
+/* Guards against a run that is lost, or runs twice: the leader's copy differs from the
+ * list that the runner sent. */
 static void
 test_leader_has_each_list_as_sent (void **state)
 {
@@ -90,7 +90,7 @@
   kq_run_delta_state_free (leader);
 }
 
-/* Unchanged rows fill the leader's link. */
+/* Guards against a leader's link that is full of unchanged rows. */
 static void
 test_unchanged_rows_arent_sent_again (void **state)
 {
--- a/src/agent/starts.c
+++ b/src/agent/starts.c
@@ -1,4 +1,4 @@
-/* starts: sends the starts that a leader has ordered, and reports how orders end. gate.c
+/* starts: sends the starts that a leader has ordered, and reports how orders end. conns.c
  * decides when a start may be sent. */
 
 #include "agent/state.h"
@@ -12,11 +12,11 @@
 
 /* Queues a start again that found no verified connection. */
 static bool
-requeue_start (KqAgentRunner *h, KqAgentCall *c, const KqRunnerReply *r, KqTime now)
+requeue_start (KqAgentRunner *runner, KqAgentCall *c, const KqRunnerReply *r, KqTime now)
 {
   if (c->start == NULL || !r->unsent || now - c->start->ordered_at > START_TIMEOUT)
     return false;
-  g_queue_push_head (&h->starts, c->start);
+  g_queue_push_head (&runner->starts, c->start);
   c->start = NULL;
   return true;
 }
@@ -25,42 +25,42 @@
 kq_agent_runner_on_outcome (void *arg, const KqRunnerReply *r, KqTime now)
 {
   KqAgentCall *c = arg;
-  KqAgentRunner *h = kq_agent_call_ended (c, r);
+  KqAgentRunner *runner = kq_agent_call_ended (c, r);
   KqOrderOutcome o;
-  if (h == NULL)
+  if (runner == NULL)
     goto out;
-  kq_agent_runner_update_lease (h, r, now);
-  if (!requeue_start (h, c, r, now))
+  kq_agent_runner_update_lease (runner, r, now);
+  if (!requeue_start (runner, c, r, now))
     {
       if (r->result == KQ_ORDER_UNHEALTHY)
         kq_log (KQ_LOG_INFO, PART,
                 "Order came to nothing. task=%s run=%u runner=%s order=%s unsent=%d "
                 "took_ms=%lld",
-                c->task, c->run, h->id, kq_order_kind_name (c->kind), r->unsent,
+                c->task, c->run, runner->id, kq_order_kind_name (c->kind), r->unsent,
                 (long long)((now - r->called_at) / KQ_MS));
       o = (KqOrderOutcome){
         .kind = c->kind, .task = kq_str (c->task), .run = c->run, .result = r->result
       };
-      kq_agent_runner_report_outcome (h, &o, now);
+      kq_agent_runner_report_outcome (runner, &o, now);
     }
-  h = kq_agent_call_runner (c);
-  if (h != NULL)
-    kq_starts_send (h, now);
+  runner = kq_agent_call_runner (c);
+  if (runner != NULL)
+    kq_starts_send (runner, now);
 out:
   kq_agent_call_free (c);
 }
 
 static void
-send_start (KqAgentRunner *h, KqStart *st, KqTime now)
+send_start (KqAgentRunner *runner, KqStart *st, KqTime now)
 {
-  KqRunnerDest to = kq_agent_runner_aim (h, KQ_AGENT_CALL_MS);
-  KqAgentCall *c = kq_agent_call_new (h, KQ_ORDER_START, kq_str (st->task), st->run);
-  int64_t end = kq_agent_runner_grant_lease (h, now);
+  KqRunnerDest to = kq_agent_runner_dest (runner, KQ_AGENT_CALL_MS);
+  KqAgentCall *c = kq_agent_call_new (runner, KQ_ORDER_START, kq_str (st->task), st->run);
+  int64_t end = kq_agent_runner_grant_lease (runner, now);
   c->start = st;
-  to.opened_before = h->conns.verified_at;
-  kq_runner_start (h->agent->config.calls, &to, kq_str (st->task), st->run,
+  to.opened_before = runner->conns.verified_at;
+  kq_runner_start (runner->agent->config.calls, &to, kq_str (st->task), st->run,
                    kq_str (st->text), kq_str (st->checkpoint), kq_str (st->ticket),
-                   end >= 0 ? end : h->lease.end_ms,
+                   end >= 0 ? end : runner->lease.end_ms,
                    (KqRunnerCallback){ kq_agent_runner_on_outcome, c });
 }
 
@@ -69,19 +69,19 @@
 static void
 refuse_starts (KqAgentCall *c, KqTime now)
 {
-  KqAgentRunner *h = kq_agent_call_runner (c);
-  while (h != NULL && !g_queue_is_empty (&h->starts))
+  KqAgentRunner *runner = kq_agent_call_runner (c);
+  while (runner != NULL && !g_queue_is_empty (&runner->starts))
     {
-      KqStart *st = g_queue_pop_head (&h->starts);
+      KqStart *st = g_queue_pop_head (&runner->starts);
       KqOrderOutcome o = { .kind = KQ_ORDER_START,
                            .task = kq_str (st->task),
                            .run = st->run,
                            .result = KQ_ORDER_UNHEALTHY };
       kq_log (KQ_LOG_INFO, PART, "Start has not left. task=%s run=%u runner=%s", st->task,
-              st->run, h->id);
-      kq_agent_runner_report_outcome (h, &o, now);
+              st->run, runner->id);
+      kq_agent_runner_report_outcome (runner, &o, now);
       kq_start_free (st);
-      h = kq_agent_call_runner (c);
+      runner = kq_agent_call_runner (c);
     }
 }
 
@@ -91,15 +91,15 @@
 on_verification (void *arg, const KqRunnerReply *r, KqTime now)
 {
   KqAgentCall *c = arg;
-  KqAgentRunner *h = kq_agent_call_ended (c, r);
-  if (h == NULL)
+  KqAgentRunner *runner = kq_agent_call_ended (c, r);
+  if (runner == NULL)
     goto out;
-  h->verifying = false;
+  runner->verifying = false;
   if (r->result == KQ_ORDER_OK)
     {
-      kq_agent_runner_update_lease (h, r, now);
-      kq_conns_verified (&h->conns, c->in_use, r->send_started_at);
-      kq_starts_send (h, now);
+      kq_agent_runner_update_lease (runner, r, now);
+      kq_conns_verified (&runner->conns, c->in_use, r->send_started_at);
+      kq_starts_send (runner, now);
     }
   else
     refuse_starts (c, now);
@@ -108,27 +108,27 @@
 }
 
 void
-kq_starts_verify_connection (KqAgentRunner *h)
+kq_starts_verify_connection (KqAgentRunner *runner)
 {
-  KqRunnerDest to = kq_agent_runner_aim (h, KQ_AGENT_CALL_MS);
-  KqAgentCall *c = kq_agent_call_new (h, KQ_ORDER_RENEW, KQ_STR (""), 0);
-  h->verifying = true;
-  ++*h->agent->verifications;
-  kq_runner_renew (h->agent->config.calls, &to, -1, 0, 0,
+  KqRunnerDest to = kq_agent_runner_dest (runner, KQ_AGENT_CALL_MS);
+  KqAgentCall *c = kq_agent_call_new (runner, KQ_ORDER_RENEW, KQ_STR (""), 0);
+  runner->verifying = true;
+  ++*runner->agent->verifications;
+  kq_runner_renew (runner->agent->config.calls, &to, -1, 0, 0,
                    (KqRunnerCallback){ on_verification, c });
 }
 
 void
-kq_starts_send (KqAgentRunner *h, KqTime now)
+kq_starts_send (KqAgentRunner *runner, KqTime now)
 {
-  while (!g_queue_is_empty (&h->starts) && kq_conns_start_allowed (&h->conns))
-    send_start (h, g_queue_pop_head (&h->starts), now);
-  if (!g_queue_is_empty (&h->starts) && !h->verifying)
-    kq_starts_verify_connection (h);
+  while (!g_queue_is_empty (&runner->starts) && kq_conns_start_allowed (&runner->conns))
+    send_start (runner, g_queue_pop_head (&runner->starts), now);
+  if (!g_queue_is_empty (&runner->starts) && !runner->verifying)
+    kq_starts_verify_connection (runner);
 }
 
 void
-kq_starts_add (KqAgentRunner *h, const KqOrder *o, KqTime now)
+kq_starts_add (KqAgentRunner *runner, const KqOrder *o, KqTime now)
 {
   KqStart *st = kq_alloc (sizeof *st);
   st->task = kq_str_dup (o->u.start.task);
@@ -137,6 +137,6 @@
   st->checkpoint = kq_str_dup (o->u.start.checkpoint);
   st->ticket = kq_str_dup (o->u.start.ticket);
   st->ordered_at = now;
-  g_queue_push_tail (&h->starts, st);
-  kq_starts_send (h, now);
+  g_queue_push_tail (&runner->starts, st);
+  kq_starts_send (runner, now);
 }
--- a/src/agent/state.h
+++ b/src/agent/state.h
@@ -11,7 +11,7 @@
 #include <glib.h>
 
 #define PART "agent"
-/* Longer than one round trip between regions with a queue on the link. */
+/* Timeout of a call; a round trip between regions with a queue on the link is shorter. */
 #define KQ_AGENT_CALL_MS 900
 
 /* A start that the leader has ordered. */
@@ -32,7 +32,8 @@
   char *id;
   char *address;
   uint64_t epoch;
-  uint64_t serial; /* of this assignment; replies to earlier ones' calls are dropped */
+  uint64_t serial; /* of this assignment, unique in this agent; replies to earlier ones'
+                      calls are dropped */
   uint64_t assignment; /* the leader's number of it */
   ev_timer poll_timer;
   bool polling;         /* a poll is in flight */
@@ -56,7 +57,7 @@
   KqAgentConfig config;
   GHashTable *runners; /* id -> KqAgentRunner */
   uint64_t epoch;
-  uint64_t serial;
+  uint64_t serial;            /* the last number given as KqAgentRunner.serial or halt */
   KqTime heard_at;            /* last message of a leader */
   KqTime leader_confirmed_at; /* the leader knows this node as alive then, or later */
   bool sends_changes;         /* the leader understands KQ_AGENT_ITEM_CHANGES */
@@ -79,39 +80,45 @@
   KqStart *start; /* of a start */
 } KqAgentCall;
 
-/* held.c */
+/* agent_runner.c */
 void kq_start_free (gpointer start);
-void kq_agent_runner_free (gpointer held);
+void kq_agent_runner_free (gpointer runner);
 /* A new call to the runner; counted as in flight from now on. */
-KqAgentCall *kq_agent_call_new (KqAgentRunner *h, KqOrderKind kind, KqStr task,
+KqAgentCall *kq_agent_call_new (KqAgentRunner *runner, KqOrderKind kind, KqStr task,
                                 uint32_t run);
 void kq_agent_call_free (KqAgentCall *c);
 /* The runner that a call was made to; NULL: that assignment has ended. */
 KqAgentRunner *kq_agent_call_runner (const KqAgentCall *c);
-/* The same as the call ends: it no longer counts as in flight. */
+/* Ends the call's time in flight; returns the same as kq_agent_call_runner. */
 KqAgentRunner *kq_agent_call_ended (const KqAgentCall *c, const KqRunnerReply *r);
-void kq_agent_runner_update_lease (KqAgentRunner *h, const KqRunnerReply *r, KqTime now);
-KqRunnerDest kq_agent_runner_aim (const KqAgentRunner *h, int timeout_ms);
+/* Takes in the runner's clock and start time from a reply. */
+void kq_agent_runner_update_lease (KqAgentRunner *runner, const KqRunnerReply *r,
+                                   KqTime now);
+/* The destination of a call to the runner. */
+KqRunnerDest kq_agent_runner_dest (const KqAgentRunner *runner, int timeout_ms);
 /* Grants a whole lease; returns its end on the runner's clock. -1: nothing may be granted
  * now. */
-int64_t kq_agent_runner_grant_lease (KqAgentRunner *h, KqTime now);
-void kq_agent_runner_notify (KqAgentRunner *h, KqAgentItem *i);
-void kq_agent_runner_report_outcome (KqAgentRunner *h, const KqOrderOutcome *o,
+int64_t kq_agent_runner_grant_lease (KqAgentRunner *runner, KqTime now);
+/* Sends an item on the runner to the leader. */
+void kq_agent_runner_notify (KqAgentRunner *runner, KqAgentItem *i);
+/* Reports the outcome of an order to the leader. */
+void kq_agent_runner_report_outcome (KqAgentRunner *runner, const KqOrderOutcome *o,
                                      KqTime now);
 
 /* renew.c */
 /* Polls the runner, unless a poll is in flight. Releases the runner instead if no leader
  * has sent anything for renew_without_leader_ms. */
-void kq_agent_runner_poll (KqAgentRunner *h, KqTime now);
-void kq_agent_runner_poll_in (KqAgentRunner *h, KqTime wait);
+void kq_agent_runner_poll (KqAgentRunner *runner, KqTime now);
+void kq_agent_runner_poll_in (KqAgentRunner *runner, KqTime wait);
 void kq_agent_runner_on_poll_timer (struct ev_loop *ev, ev_timer *w, int events);
 
 /* starts.c */
-void kq_starts_add (KqAgentRunner *h, const KqOrder *o, KqTime now);
+/* Queues a start that the leader has ordered, and sends it if that is possible now. */
+void kq_starts_add (KqAgentRunner *runner, const KqOrder *o, KqTime now);
 /* Sends queued starts as far as verified connections are free. */
-void kq_starts_send (KqAgentRunner *h, KqTime now);
+void kq_starts_send (KqAgentRunner *runner, KqTime now);
 /* Fetches a list on a connection that isn't in use, which verifies it for starts. */
-void kq_starts_verify_connection (KqAgentRunner *h);
+void kq_starts_verify_connection (KqAgentRunner *runner);
 void kq_agent_runner_on_outcome (void *arg, const KqRunnerReply *r, KqTime now);
 
 /* advise.c */
--- a/src/agent/versions_test.c
+++ b/src/agent/versions_test.c
@@ -84,7 +84,8 @@
   return i;
 }
 
-/* Nodes can't be upgraded one by one: items of version 1 aren't understood. */
+/* Guards against nodes that can't be upgraded one by one, as items of version 1 aren't
+ * understood. */
 static void
 test_items_of_version_1 (void **state)
 {
@@ -137,7 +138,7 @@
   kq_buf_free (&b);
 }
 
-/* An item of a later version that isn't understood also loses the items after it. */
+/* Guards against losing the items that follow one of a later version. */
 static void
 test_unknown_kinds_and_fields_are_skipped (void **state)
 {
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -62,19 +62,19 @@
 
 typedef struct
 {
-  KqElection *lead;
+  KqElection *election;
   uint64_t serial;
 } Call;
 
-static void start_election (KqElection *l);
-static void renew (KqElection *l);
+static void start_election (KqElection *e);
+static void renew (KqElection *e);
 
 static KqKvCallback
-callback (KqElection *l, void (*done) (void *, const KqKvReply *, KqTime))
+callback (KqElection *e, void (*done) (void *, const KqKvReply *, KqTime))
 {
   Call *c = kq_alloc (sizeof *c);
-  c->lead = l;
-  c->serial = l->serial;
+  c->election = e;
+  c->serial = e->serial;
   return (KqKvCallback){ done, c };
 }
 
@@ -83,42 +83,42 @@
 finish_call (void *arg, const KqKvReply *r, KqTime now)
 {
   Call *c = arg;
-  KqElection *l = c->serial == c->lead->serial ? c->lead : NULL;
+  KqElection *e = c->serial == c->election->serial ? c->election : NULL;
   if (r->result != KQ_KV_UNKNOWN && r->result != KQ_KV_REFUSED)
-    c->lead->config.answered (c->lead->config.arg, r->called_at, now);
+    c->election->config.answered (c->election->config.arg, r->called_at, now);
   free (c);
-  return l;
+  return e;
 }
 
 static void
-set_timer (KqElection *l, int ms)
+set_timer (KqElection *e, int ms)
 {
-  struct ev_loop *ev = kq_loop_ev (l->config.loop);
-  ev_timer_stop (ev, &l->timer);
-  ev_timer_set (&l->timer, ms / 1000.0, 0);
-  ev_timer_start (ev, &l->timer);
+  struct ev_loop *ev = kq_loop_ev (e->config.loop);
+  ev_timer_stop (ev, &e->timer);
+  ev_timer_set (&e->timer, ms / 1000.0, 0);
+  ev_timer_start (ev, &e->timer);
 }
 
 static void
 on_timer (struct ev_loop *ev, ev_timer *w, int events)
 {
-  KqElection *l = w->data;
+  KqElection *e = w->data;
   (void)ev;
   (void)events;
-  if (l->phase == LEADING)
-    renew (l);
-  else if (l->record.epoch == 0 && l->candidate && l->synced)
-    start_election (l);
+  if (e->phase == LEADING)
+    renew (e);
+  else if (e->record.epoch == 0 && e->candidate && e->synced)
+    start_election (e);
 }
 
 static void
-schedule_election (KqElection *l, int ms)
+schedule_election (KqElection *e, int ms)
 {
-  l->phase = FOLLOWING;
-  l->serial++;
-  if (l->candidate)
-    set_timer (l, ms + l->config.rank_ms
-                      + (int)kq_rand_below (&l->rand, ELECTION_JITTER_MS));
+  e->phase = FOLLOWING;
+  e->serial++;
+  if (e->candidate)
+    set_timer (e, ms + e->config.rank_ms
+                      + (int)kq_rand_below (&e->rand, ELECTION_JITTER_MS));
 }
 
 static void
@@ -128,78 +128,78 @@
 }
 
 static void
-stop_leading (KqElection *l, const char *why, KqTime now)
+stop_leading (KqElection *e, const char *why, KqTime now)
 {
-  bool was_leader = l->phase == LEADING;
-  l->valid_until = 0;
-  l->phase = FOLLOWING;
-  l->serial++;
+  bool was_leader = e->phase == LEADING;
+  e->valid_until = 0;
+  e->phase = FOLLOWING;
+  e->serial++;
   if (!was_leader)
     return;
-  ++*l->losses;
+  ++*e->losses;
   kq_log (KQ_LOG_WARN, PART, "No longer leading. epoch=%llu why=%s",
-          (unsigned long long)l->record.epoch, why);
-  l->record = (KqLeaderRecord){ 0 };
-  l->config.lost (l->config.arg, why, now);
+          (unsigned long long)e->record.epoch, why);
+  e->record = (KqLeaderRecord){ 0 };
+  e->config.lost (e->config.arg, why, now);
 }
 
 static void
 on_renewed (void *arg, const KqKvReply *r, KqTime now)
 {
-  KqElection *l = finish_call (arg, r, now);
-  if (l == NULL)
+  KqElection *e = finish_call (arg, r, now);
+  if (e == NULL)
     return;
   switch (r->result)
     {
     case KQ_KV_OK:
-      if (r->called_at + l->config.ttl_ms * KQ_MS > l->valid_until)
-        l->valid_until = r->called_at + l->config.ttl_ms * KQ_MS;
+      if (r->called_at + e->config.ttl_ms * KQ_MS > e->valid_until)
+        e->valid_until = r->called_at + e->config.ttl_ms * KQ_MS;
       break;
     case KQ_KV_NOT_FOUND:
-      stop_leading (l, "the lease has ended", now);
-      schedule_election (l, ELECTION_RETRY_MS);
+      stop_leading (e, "the lease has ended", now);
+      schedule_election (e, ELECTION_RETRY_MS);
       break;
     case KQ_KV_UNKNOWN:
       break; /* later renewals are in flight */
     default:
-      set_timer (l, RENEWAL_RETRY_MS);
+      set_timer (e, RENEWAL_RETRY_MS);
     }
 }
 
 static void
-renew (KqElection *l)
+renew (KqElection *e)
 {
-  set_timer (l, (int)(l->config.ttl_ms / RENEWALS_PER_LEASE));
-  kq_kv_lease_renew (l->config.kv, l->lease, (int)l->config.ttl_ms,
-                     callback (l, on_renewed));
+  set_timer (e, (int)(e->config.ttl_ms / RENEWALS_PER_LEASE));
+  kq_kv_lease_renew (e->config.kv, e->lease, (int)e->config.ttl_ms,
+                     callback (e, on_renewed));
 }
 
 static void
-become_leader (KqElection *l, uint64_t epoch, KqTime now)
-{
-  l->phase = LEADING;
-  l->record.node = l->config.node;
-  l->record.address = l->config.address;
-  l->record.epoch = epoch;
-  l->valid_until = l->leased_at + l->config.ttl_ms * KQ_MS;
-  ++*l->elections;
+become_leader (KqElection *e, uint64_t epoch, KqTime now)
+{
+  e->phase = LEADING;
+  e->record.node = e->config.node;
+  e->record.address = e->config.address;
+  e->record.epoch = epoch;
+  e->valid_until = e->leased_at + e->config.ttl_ms * KQ_MS;
+  ++*e->elections;
   kq_log (KQ_LOG_INFO, PART, "Leading. epoch=%llu term=%u lease=%llu",
-          (unsigned long long)epoch, l->term, (unsigned long long)l->lease);
-  set_timer (l, (int)(l->config.ttl_ms / RENEWALS_PER_LEASE));
-  l->config.elected (l->config.arg, epoch, l->term, now);
+          (unsigned long long)epoch, e->term, (unsigned long long)e->lease);
+  set_timer (e, (int)(e->config.ttl_ms / RENEWALS_PER_LEASE));
+  e->config.elected (e->config.arg, epoch, e->term, now);
 }
 
 static KqBuf
-pack_record (const KqElection *l)
+pack_record (const KqElection *e)
 {
   KqBuf b = { 0 };
   KqPacker p;
   kq_packer_init (&p, &b);
   kq_pack_array (&p, 4);
-  kq_pack_name (&p, &l->config.node);
-  kq_pack_name (&p, &l->config.address);
-  kq_pack_u64 (&p, l->lease);
-  kq_pack_u64 (&p, l->term);
+  kq_pack_name (&p, &e->config.node);
+  kq_pack_name (&p, &e->config.address);
+  kq_pack_u64 (&p, e->lease);
+  kq_pack_u64 (&p, e->term);
   return b;
 }
 
@@ -231,134 +231,134 @@
 static void
 on_checked (void *arg, const KqKvReply *r, KqTime now)
 {
-  KqElection *l = finish_call (arg, r, now);
+  KqElection *e = finish_call (arg, r, now);
   KqLeaderRecord record = { 0 };
   RecordExtra extra = { 0 };
-  if (l == NULL)
+  if (e == NULL)
     return;
   if (r->result == KQ_KV_OK && r->n_items == 1
-      && read_record (r->items[0].value, &record, &extra) && extra.lease == l->lease)
-    become_leader (l, r->items[0].revision, now);
+      && read_record (r->items[0].value, &record, &extra) && extra.lease == e->lease)
+    become_leader (e, r->items[0].revision, now);
   else
-    schedule_election (l, ELECTION_RETRY_MS);
+    schedule_election (e, ELECTION_RETRY_MS);
 }
 
 static void
 on_written (void *arg, const KqKvReply *r, KqTime now)
 {
-  KqElection *l = finish_call (arg, r, now);
-  if (l == NULL)
+  KqElection *e = finish_call (arg, r, now);
+  if (e == NULL)
     return;
   if (r->result == KQ_KV_OK)
-    become_leader (l, r->revision, now);
+    become_leader (e, r->revision, now);
   else if (r->result == KQ_KV_UNKNOWN)
     {
-      l->phase = CHECKING;
-      kq_kv_get (l->config.kv, kq_leader_key, STORE_TIMEOUT_MS, callback (l, on_checked));
+      e->phase = CHECKING;
+      kq_kv_get (e->config.kv, kq_leader_key, STORE_TIMEOUT_MS, callback (e, on_checked));
     }
   else
     {
-      l->known_term_at = 0; /* the known term may be outdated */
-      schedule_election (l, ELECTION_RETRY_MS);
+      e->known_term_at = 0; /* the known term may be outdated */
+      schedule_election (e, ELECTION_RETRY_MS);
     }
 }
 
 static void
 on_leased (void *arg, const KqKvReply *r, KqTime now)
 {
-  KqElection *l = finish_call (arg, r, now);
+  KqElection *e = finish_call (arg, r, now);
   KqBuf record;
   char term[16];
   KqKvCheck checks[2];
   KqKvPut puts[2];
   KqKvTxn t = { checks, 2, puts, 2, NULL, 0 };
-  if (l == NULL)
+  if (e == NULL)
     return;
   if (r->result != KQ_KV_OK || r->lease == 0)
     {
-      schedule_election (l, ELECTION_RETRY_MS);
+      schedule_election (e, ELECTION_RETRY_MS);
       return;
     }
-  l->lease = r->lease;
-  l->leased_at = r->called_at;
+  e->lease = r->lease;
+  e->leased_at = r->called_at;
   if (r->ttl_ms > 0)
-    l->config.ttl_ms = r->ttl_ms;
-  l->term++;
-  record = pack_record (l);
-  snprintf (term, sizeof term, "%u", l->term);
+    e->config.ttl_ms = r->ttl_ms;
+  e->term++;
+  record = pack_record (e);
+  snprintf (term, sizeof term, "%u", e->term);
   checks[0] = (KqKvCheck){ kq_leader_key, 0 };
-  checks[1] = (KqKvCheck){ term_key, l->term_revision };
-  puts[0] = (KqKvPut){ kq_leader_key, kq_buf_str (&record), l->lease };
+  checks[1] = (KqKvCheck){ term_key, e->term_revision };
+  puts[0] = (KqKvPut){ kq_leader_key, kq_buf_str (&record), e->lease };
   puts[1] = (KqKvPut){ term_key, kq_str (term), 0 };
-  l->phase = WRITING;
-  kq_kv_txn (l->config.kv, &t, STORE_TIMEOUT_MS, callback (l, on_written));
+  e->phase = WRITING;
+  kq_kv_txn (e->config.kv, &t, STORE_TIMEOUT_MS, callback (e, on_written));
   kq_buf_free (&record);
 }
 
 static void
-request_lease (KqElection *l)
+request_lease (KqElection *e)
 {
-  l->phase = LEASING;
-  kq_kv_lease_grant (l->config.kv, l->config.ttl_ms, STORE_TIMEOUT_MS,
-                     callback (l, on_leased));
+  e->phase = LEASING;
+  kq_kv_lease_grant (e->config.kv, e->config.ttl_ms, STORE_TIMEOUT_MS,
+                     callback (e, on_leased));
 }
 
 static void
 on_term (void *arg, const KqKvReply *r, KqTime now)
 {
-  KqElection *l = finish_call (arg, r, now);
+  KqElection *e = finish_call (arg, r, now);
   int64_t n = 0;
-  if (l == NULL)
+  if (e == NULL)
     return;
   if (r->result == KQ_KV_OK && r->n_items == 1 && kq_str_to_i64 (r->items[0].value, &n))
-    l->term_revision = r->items[0].revision;
+    e->term_revision = r->items[0].revision;
   else if (r->result == KQ_KV_NOT_FOUND)
-    l->term_revision = 0;
+    e->term_revision = 0;
   else
     {
-      schedule_election (l, ELECTION_RETRY_MS);
+      schedule_election (e, ELECTION_RETRY_MS);
       return;
     }
-  l->term = (uint32_t)n;
-  request_lease (l);
+  e->term = (uint32_t)n;
+  request_lease (e);
 }
 
 static void
-start_election (KqElection *l)
+start_election (KqElection *e)
 {
-  l->serial++;
-  if (l->known_term_at != 0)
+  e->serial++;
+  if (e->known_term_at != 0)
     {
-      l->term = l->known_term;
-      l->term_revision = l->known_term_at;
-      request_lease (l);
+      e->term = e->known_term;
+      e->term_revision = e->known_term_at;
+      request_lease (e);
       return;
     }
-  l->phase = READING_TERM;
-  kq_kv_get (l->config.kv, term_key, STORE_TIMEOUT_MS, callback (l, on_term));
+  e->phase = READING_TERM;
+  kq_kv_get (e->config.kv, term_key, STORE_TIMEOUT_MS, callback (e, on_term));
 }
 
 /* No other process uses this node's address: such a record is of an earlier process. */
 static bool
-written_by_earlier_process (const KqElection *l, const KqLeaderRecord *record,
+written_by_earlier_process (const KqElection *e, const KqLeaderRecord *record,
                             uint64_t lease)
 {
-  return lease != l->lease && kq_name_eq (&record->node, &l->config.node)
-         && kq_name_eq (&record->address, &l->config.address);
+  return lease != e->lease && kq_name_eq (&record->node, &e->config.node)
+         && kq_name_eq (&record->address, &e->config.address);
 }
 
 static void
-revoke_earlier_lease (KqElection *l, uint64_t lease)
+revoke_earlier_lease (KqElection *e, uint64_t lease)
 {
   kq_log (KQ_LOG_INFO, PART, "Ending the lease of an earlier process. epoch=%llu",
-          (unsigned long long)l->record.epoch);
-  kq_kv_lease_revoke (l->config.kv, lease, STORE_TIMEOUT_MS, callback (l, ignore_reply));
+          (unsigned long long)e->record.epoch);
+  kq_kv_lease_revoke (e->config.kv, lease, STORE_TIMEOUT_MS, callback (e, ignore_reply));
 }
 
 static void
 on_item (void *arg, const KqKvItem *i, KqTime now)
 {
-  KqElection *l = arg;
+  KqElection *e = arg;
   KqLeaderRecord record = { 0 };
   RecordExtra extra = { 0 };
   if (!kq_str_eq (i->key, kq_leader_key))
@@ -370,129 +370,129 @@
       return;
     }
   record.epoch = i->revision;
-  l->known_term = extra.term;
-  l->known_term_at = extra.term > 0 ? i->revision : 0;
-  if (l->phase == WRITING && extra.lease == l->lease)
+  e->known_term = extra.term;
+  e->known_term_at = extra.term > 0 ? i->revision : 0;
+  if (e->phase == WRITING && extra.lease == e->lease)
     return; /* the answer to our own write is still to come */
-  if (l->phase == LEADING && i->revision <= l->record.epoch)
+  if (e->phase == LEADING && i->revision <= e->record.epoch)
     return;
-  stop_leading (l, "another node leads", now);
-  l->record = record;
-  if (written_by_earlier_process (l, &record, extra.lease))
+  stop_leading (e, "another node leads", now);
+  e->record = record;
+  if (written_by_earlier_process (e, &record, extra.lease))
     {
-      revoke_earlier_lease (l, extra.lease);
+      revoke_earlier_lease (e, extra.lease);
       return;
     }
   kq_log (KQ_LOG_INFO, PART, "Leader. node=%.*s address=%.*s epoch=%llu",
           KQ_STR_ARG (kq_name_str (&record.node)),
           KQ_STR_ARG (kq_name_str (&record.address)), (unsigned long long)record.epoch);
-  l->config.changed (l->config.arg, &l->record, now);
+  e->config.changed (e->config.arg, &e->record, now);
 }
 
 static void
 on_deleted (void *arg, KqStr key, uint64_t revision, KqTime now)
 {
-  KqElection *l = arg;
+  KqElection *e = arg;
   if (!kq_str_eq (key, kq_leader_key))
     return;
-  if (revision <= l->record.epoch)
+  if (revision <= e->record.epoch)
     {
       /* The watch reports late that the record before our own write was deleted. */
       kq_log (KQ_LOG_INFO, PART, "An earlier lead has ended. revision=%llu epoch=%llu",
-              (unsigned long long)revision, (unsigned long long)l->record.epoch);
+              (unsigned long long)revision, (unsigned long long)e->record.epoch);
       return;
     }
   kq_log (KQ_LOG_INFO, PART, "The lead is vacant. last_epoch=%llu",
-          (unsigned long long)l->record.epoch);
+          (unsigned long long)e->record.epoch);
   /* The store may have deleted our key although our lease is still good. */
-  if (l->phase == LEADING)
-    stop_leading (l, "the key is gone", now);
-  l->record = (KqLeaderRecord){ 0 };
-  l->config.changed (l->config.arg, &l->record, now);
-  if (l->phase == FOLLOWING)
-    schedule_election (l, 0);
+  if (e->phase == LEADING)
+    stop_leading (e, "the key is gone", now);
+  e->record = (KqLeaderRecord){ 0 };
+  e->config.changed (e->config.arg, &e->record, now);
+  if (e->phase == FOLLOWING)
+    schedule_election (e, 0);
 }
 
 static void
 on_synced (void *arg, KqTime now)
 {
-  KqElection *l = arg;
+  KqElection *e = arg;
   (void)now;
-  l->synced = true;
-  if (l->record.epoch == 0 && l->phase == FOLLOWING)
-    schedule_election (l, 0);
+  e->synced = true;
+  if (e->record.epoch == 0 && e->phase == FOLLOWING)
+    schedule_election (e, 0);
 }
 
 static void
 on_answered (void *arg, KqTime sent_at, KqTime now)
 {
-  KqElection *l = arg;
-  l->config.answered (l->config.arg, sent_at, now);
+  KqElection *e = arg;
+  e->config.answered (e->config.arg, sent_at, now);
 }
 
 KqElection *
 kq_election_new (const KqElectionConfig *c)
 {
-  KqElection *l = kq_alloc (sizeof *l);
-  KqFollowOwner owner = { l, on_item, on_deleted, on_synced, on_answered, NULL };
-  l->config = *c;
-  l->candidate = true;
-  l->rand = kq_rand (kq_rand_system ());
-  l->elections = kq_counter (c->counters, "kq_lead_elected_total", "",
+  KqElection *e = kq_alloc (sizeof *e);
+  KqFollowOwner owner = { e, on_item, on_deleted, on_synced, on_answered, NULL };
+  e->config = *c;
+  e->candidate = true;
+  e->rand = kq_rand (kq_rand_system ());
+  e->elections = kq_counter (c->counters, "kq_lead_elected_total", "",
                              "Times that this node became leader.");
-  l->losses = kq_counter (c->counters, "kq_lead_lost_total", "",
+  e->losses = kq_counter (c->counters, "kq_lead_lost_total", "",
                           "Times that this node stopped leading.");
-  ev_timer_init (&l->timer, on_timer, 0, 0);
-  l->timer.data = l;
-  l->follow = kq_follow_new (c->loop, c->kv, kq_leader_key, WATCH_WAIT_MS, 0, &owner);
-  return l;
+  ev_timer_init (&e->timer, on_timer, 0, 0);
+  e->timer.data = e;
+  e->follow = kq_follow_new (c->loop, c->kv, kq_leader_key, WATCH_WAIT_MS, 0, &owner);
+  return e;
 }
 
 void
-kq_election_free (KqElection *l)
+kq_election_free (KqElection *e)
 {
-  if (l == NULL)
+  if (e == NULL)
     return;
-  ev_timer_stop (kq_loop_ev (l->config.loop), &l->timer);
-  kq_follow_free (l->follow);
-  free (l);
+  ev_timer_stop (kq_loop_ev (e->config.loop), &e->timer);
+  kq_follow_free (e->follow);
+  free (e);
 }
 
 KqTime
-kq_election_valid_until (const KqElection *l)
+kq_election_valid_until (const KqElection *e)
 {
-  return l->phase == LEADING ? l->valid_until : 0;
+  return e->phase == LEADING ? e->valid_until : 0;
 }
 
 bool
-kq_election_is_leader (const KqElection *l)
+kq_election_is_leader (const KqElection *e)
 {
-  return l->phase == LEADING;
+  return e->phase == LEADING;
 }
 
 const KqLeaderRecord *
-kq_election_record (const KqElection *l)
+kq_election_record (const KqElection *e)
 {
-  return &l->record;
+  return &e->record;
 }
 
 void
-kq_election_renew (KqElection *l)
+kq_election_renew (KqElection *e)
 {
-  if (l->phase == LEADING)
-    renew (l);
+  if (e->phase == LEADING)
+    renew (e);
 }
 
 void
-kq_election_resign (KqElection *l, const char *why, bool retry, KqTime now)
+kq_election_resign (KqElection *e, const char *why, bool retry, KqTime now)
 {
-  uint64_t lease = l->lease;
-  bool was_leader = l->phase == LEADING;
-  l->candidate = retry;
-  stop_leading (l, why, now);
+  uint64_t lease = e->lease;
+  bool was_leader = e->phase == LEADING;
+  e->candidate = retry;
+  stop_leading (e, why, now);
   if (was_leader)
-    kq_kv_lease_revoke (l->config.kv, lease, STORE_TIMEOUT_MS,
-                        callback (l, ignore_reply));
+    kq_kv_lease_revoke (e->config.kv, lease, STORE_TIMEOUT_MS,
+                        callback (e, ignore_reply));
   if (was_leader && retry)
-    schedule_election (l, ELECTION_RETRY_MS);
+    schedule_election (e, ELECTION_RETRY_MS);
 }
--- a/src/election/election.h
+++ b/src/election/election.h
@@ -46,15 +46,15 @@
 extern const KqStr kq_leader_key;
 
 KqElection *kq_election_new (const KqElectionConfig *c);
-void kq_election_free (KqElection *l);
+void kq_election_free (KqElection *e);
 /* Until when this node's lease is certainly good; 0: this node isn't the leader. */
-KqTime kq_election_valid_until (const KqElection *l);
-bool kq_election_is_leader (const KqElection *l);
-const KqLeaderRecord *kq_election_record (const KqElection *l);
+KqTime kq_election_valid_until (const KqElection *e);
+bool kq_election_is_leader (const KqElection *e);
+const KqLeaderRecord *kq_election_record (const KqElection *e);
 /* Renews the lease now; does nothing unless this node leads. */
-void kq_election_renew (KqElection *l);
+void kq_election_renew (KqElection *e);
 /* Resigns at once, for the reason `why`. retry: whether this node may stand for election
  * again later. */
-void kq_election_resign (KqElection *l, const char *why, bool retry, KqTime now);
+void kq_election_resign (KqElection *e, const char *why, bool retry, KqTime now);
 
 #endif
--- a/src/election/election_test.c
+++ b/src/election/election_test.c
@@ -44,9 +44,9 @@
   KqLoop *loop;
   GPtrArray *calls;
   uint64_t revision;
-  uint64_t lead_revision; /* 0: no leader */
-  KqBuf lead;
-  uint64_t changed_at; /* revision of the last change of the leader's key */
+  uint64_t leader_revision; /* 0: no leader */
+  KqBuf record;             /* the leader's record */
+  uint64_t changed_at;      /* revision of the last change of the leader's key */
   uint64_t term_revision;
   char term[24];
   uint64_t next_lease;
@@ -105,14 +105,14 @@
   Pending *p = add (TXN, cb, KQ_MS);
   (void)kv;
   (void)timeout_ms;
-  p->conditions_hold = t->checks[0].revision == fake.lead_revision
+  p->conditions_hold = t->checks[0].revision == fake.leader_revision
                        && t->checks[1].revision == fake.term_revision;
   if (!p->conditions_hold)
     return;
   fake.revision++;
-  fake.lead_revision = fake.term_revision = fake.changed_at = fake.revision;
-  kq_buf_clear (&fake.lead);
-  kq_buf_add_str (&fake.lead, t->puts[0].value);
+  fake.leader_revision = fake.term_revision = fake.changed_at = fake.revision;
+  kq_buf_clear (&fake.record);
+  kq_buf_add_str (&fake.record, t->puts[0].value);
   snprintf (fake.term, sizeof fake.term, "%.*s", KQ_STR_ARG (t->puts[1].value));
 }
 
@@ -141,7 +141,7 @@
   (void)timeout_ms;
   add (END, cb, KQ_MS);
   fake.revoked_lease = lease;
-  fake.lead_revision = 0;
+  fake.leader_revision = 0;
   fake.changed_at = ++fake.revision;
   if (fake.hold_watch)
     fake.held_back_deletion = fake.revision;
@@ -150,8 +150,8 @@
 static void
 answer (Pending *p)
 {
-  KqKvItem lead
-      = { kq_leader_key, kq_buf_str (&fake.lead), fake.lead_revision, 1, false };
+  KqKvItem leader
+      = { kq_leader_key, kq_buf_str (&fake.record), fake.leader_revision, 1, false };
   KqKvItem gone = { kq_leader_key, KQ_STR (""), fake.changed_at, 0, true };
   KqKvItem both[2];
   KqKvItem term
@@ -163,22 +163,22 @@
       if (strcmp (p->key, "kq/term") == 0)
         r.items = &term;
       else
-        r.items = &lead;
+        r.items = &leader;
       r.n_items = r.items->revision > 0;
       r.result = r.n_items > 0 ? KQ_KV_OK : KQ_KV_NOT_FOUND;
       break;
     case RANGE:
-      r.items = &lead;
-      r.n_items = fake.lead_revision > 0;
+      r.items = &leader;
+      r.n_items = fake.leader_revision > 0;
       break;
     case WATCH:
-      r.items = fake.lead_revision > 0 ? &lead : &gone;
+      r.items = fake.leader_revision > 0 ? &leader : &gone;
       r.n_items = fake.changed_at > p->after;
       if (fake.held_back_deletion > p->after)
         {
           both[0] = gone;
           both[0].revision = fake.held_back_deletion;
-          both[1] = lead;
+          both[1] = leader;
           r.items = both;
           r.n_items = 2;
           fake.held_back_deletion = 0;
@@ -233,7 +233,7 @@
 
 typedef struct
 {
-  KqElection *lead;
+  KqElection *election;
   KqCounters *counters;
   ev_timer tick;
   uint64_t epoch;
@@ -317,11 +317,11 @@
   fake.loop = c.loop = kq_loop_new ();
   fake.calls = g_ptr_array_new ();
   fake.revision = 5;
-  kq_buf_reserve (&fake.lead, 64);
+  kq_buf_reserve (&fake.record, 64);
   r->counters = c.counters = kq_counters_new ();
   ev_timer_init (&r->tick, on_tick, 0.002, 0.002);
   ev_timer_start (kq_loop_ev (fake.loop), &r->tick);
-  r->lead = kq_election_new (&c);
+  r->election = kq_election_new (&c);
   *state = r;
   return 0;
 }
@@ -330,7 +330,7 @@
 tear_down (void **state)
 {
   Rig *r = *state;
-  kq_election_free (r->lead);
+  kq_election_free (r->election);
   ev_timer_stop (kq_loop_ev (fake.loop), &r->tick);
   for (guint i = 0; i < fake.calls->len; i++)
     {
@@ -344,7 +344,7 @@
       free (p);
     }
   g_ptr_array_free (fake.calls, TRUE);
-  kq_buf_free (&fake.lead);
+  kq_buf_free (&fake.record);
   kq_counters_free (r->counters);
   kq_loop_free (fake.loop);
   free (r);
@@ -356,21 +356,21 @@
 {
   Rig *r = *state;
   assert_true (run_until (&r->elected, 1));
-  assert_int_equal (r->epoch, fake.lead_revision);
+  assert_int_equal (r->epoch, fake.leader_revision);
   assert_int_equal (r->term, 1);
-  assert_true (kq_election_valid_until (r->lead) > kq_time_now ());
+  assert_true (kq_election_valid_until (r->election) > kq_time_now ());
 }
 
-/* The write that makes a node leader is carried out, but its answer is lost. The node
- * doesn't learn that it leads, and there is no working leader. It must read the record
- * back. */
+/* Guards against a time without a working leader: the write that makes a node leader is
+ * carried out, but its answer is lost, and the node doesn't learn that it leads. It must
+ * read the record back. */
 static void
 test_lost_answer_to_the_write (void **state)
 {
   Rig *r = *state;
   fake.lose_txn_answer = true;
   assert_true (run_until (&r->elected, 1));
-  assert_int_equal (r->epoch, fake.lead_revision);
+  assert_int_equal (r->epoch, fake.leader_revision);
 }
 
 static void
@@ -380,24 +380,25 @@
   assert_true (run_until (&r->elected, 1));
   fake.lease_ended = true;
   assert_true (run_until (&r->lost, 1));
-  assert_int_equal (kq_election_valid_until (r->lead), 0);
+  assert_int_equal (kq_election_valid_until (r->election), 0);
 }
 
-/* Two leaders: the store deletes the leader's key although its lease is still ok, and
- * only the watch shows it. */
+/* Guards against two leaders: the store deletes the leader's key although its lease is
+ * still ok, and only the watch shows it. */
 static void
 test_deleted_key_ends_leadership (void **state)
 {
   Rig *r = *state;
   assert_true (run_until (&r->elected, 1));
-  fake.lead_revision = 0;
+  fake.leader_revision = 0;
   fake.changed_at = ++fake.revision;
   assert_true (run_until (&r->lost, 1));
   assert_true (run_until (&r->elected, 2));
   assert_int_equal (r->term, 2);
 }
 
-/* A leader on a busy link loses its lease: its renewals wait for each other's answers. */
+/* Guards against a leader on a busy link that loses its lease: its renewals wait for each
+ * other's answers. */
 static void
 test_renewals_dont_wait_for_answers (void **state)
 {
@@ -408,8 +409,8 @@
   assert_true (run_until (&fake.renewals, 3));
 }
 
-/* The leader changes whenever the store is unavailable. Whether to resign then depends on
- * what other nodes report (fleet/fleet.c). */
+/* Guards against a change of leader whenever the store is unavailable. Whether to resign
+ * then depends on what other nodes report (fleet/fleet.c). */
 static void
 test_unavailable_store_keeps_the_leader (void **state)
 {
@@ -417,13 +418,13 @@
   assert_true (run_until (&r->elected, 1));
   fake.unavailable = true;
   assert_false (run_until (&r->lost, 1));
-  assert_true (kq_election_is_leader (r->lead));
-  assert_true (kq_election_valid_until (r->lead) < kq_time_now ());
+  assert_true (kq_election_is_leader (r->election));
+  assert_true (kq_election_valid_until (r->election) < kq_time_now ());
 }
 
-/* There is no leader for the length of a lease: a leader is elected again, its watch
- * reports late that its earlier record was deleted, and it takes that for the current
- * one. */
+/* Guards against a time without a leader, for the length of a lease: a leader is elected
+ * again, its watch reports late that its earlier record was deleted, and it takes that
+ * for the current one. */
 static void
 test_late_deletion_of_an_earlier_record (void **state)
 {
@@ -431,12 +432,12 @@
   assert_true (run_until (&r->elected, 1));
   assert_false (run_until (&r->lost, 1)); /* the watch has reported it */
   fake.hold_watch = true;
-  kq_election_resign (r->lead, "in doubt", true, kq_time_now ());
+  kq_election_resign (r->election, "in doubt", true, kq_time_now ());
   assert_true (run_until (&r->elected, 2));
   assert_int_equal (r->lost, 1);
   fake.hold_watch = false;
   assert_false (run_until (&r->lost, 2));
-  assert_true (kq_election_is_leader (r->lead));
+  assert_true (kq_election_is_leader (r->election));
 }
 
 /* Records a leader at that address with lease 77, which doesn't expire. term 0: a record
@@ -445,35 +446,35 @@
 set_leader (const char *address, uint64_t term)
 {
   KqPacker p;
-  kq_buf_clear (&fake.lead);
-  kq_packer_init (&p, &fake.lead);
+  kq_buf_clear (&fake.record);
+  kq_packer_init (&p, &fake.record);
   kq_pack_array (&p, term > 0 ? 4 : 3);
   kq_pack_str (&p, KQ_STR ("n1"));
   kq_pack_str (&p, kq_str (address));
   kq_pack_u64 (&p, 77);
   if (term > 0)
     kq_pack_u64 (&p, term);
-  fake.lead_revision = fake.term_revision = fake.changed_at = ++fake.revision;
+  fake.leader_revision = fake.term_revision = fake.changed_at = ++fake.revision;
   snprintf (fake.term, sizeof fake.term, "%llu",
             (unsigned long long)(term > 0 ? term : 6));
 }
 
 static void
-delete_lead (void)
+delete_leader (void)
 {
-  fake.lead_revision = 0;
+  fake.leader_revision = 0;
   fake.changed_at = ++fake.revision;
 }
 
-/* An election takes one call more than it needs, as the term is read although the
- * leader's record has it: with 0.2 s a call an election takes 0.6 s. */
+/* Guards against an election that takes one call more than it needs, as the term is read
+ * although the leader's record has it: with 0.2 s a call an election takes 0.6 s. */
 static void
 test_term_is_known_by_the_record (void **state)
 {
   Rig *r = *state;
   set_leader ("127.0.0.1:2", 4);
   assert_false (run_until (&r->elected, 1));
-  delete_lead ();
+  delete_leader ();
   assert_true (run_until (&r->elected, 1));
   assert_int_equal (r->term, 5);
   assert_int_equal (fake.term_reads, 0);
@@ -485,7 +486,7 @@
   Rig *r = *state;
   set_leader ("127.0.0.1:2", 0);
   assert_false (run_until (&r->elected, 1));
-  delete_lead ();
+  delete_leader ();
   assert_true (run_until (&r->elected, 1));
   assert_int_equal (r->term, 7);
   assert_int_equal (fake.term_reads, 1);
@@ -499,7 +500,7 @@
   Rig *r = *state;
   set_leader ("127.0.0.1:2", 4);
   assert_false (run_until (&r->elected, 1));
-  delete_lead ();
+  delete_leader ();
   fake.term_revision = ++fake.revision;
   snprintf (fake.term, sizeof fake.term, "9");
   assert_true (run_until (&r->elected, 1));
@@ -507,7 +508,8 @@
   assert_int_equal (fake.term_reads, 1);
 }
 
-/* There is no leader until the lease of a restarted leader's earlier process expires. */
+/* Guards against a time without a leader, until the lease of a restarted leader's earlier
+ * process expires. */
 static void
 test_restarted_leader_revokes_its_earlier_lease (void **state)
 {
@@ -517,8 +519,8 @@
   assert_int_equal (fake.revoked_lease, 77);
 }
 
-/* Two leaders: a node revokes the lease of a live node of its own name at another
- * address. */
+/* Guards against two leaders: a node revokes the lease of a live node of its own name at
+ * another address. */
 static void
 test_lease_of_another_address_stands (void **state)
 {
--- a/src/election/handover.c
+++ b/src/election/handover.c
@@ -10,12 +10,12 @@
 #define MIN_INTERVAL (20 * KQ_SEC)
 
 bool
-kq_handover_due (const KqHandover *y, KqTime now)
+kq_handover_due (const KqHandover *h, KqTime now)
 {
-  if (y->other_milli < MIN_CPU_RATIO * y->own_milli)
+  if (h->other_milli < MIN_CPU_RATIO * h->own_milli)
     return false;
-  if (y->other_reached_store_at == 0
-      || now - y->other_reached_store_at > STORE_REACHED_WITHIN)
+  if (h->other_reached_store_at == 0
+      || now - h->other_reached_store_at > STORE_REACHED_WITHIN)
     return false;
-  return y->handed_over_at == 0 || now - y->handed_over_at > MIN_INTERVAL;
+  return h->handed_over_at == 0 || now - h->handed_over_at > MIN_INTERVAL;
 }
--- a/src/election/handover.h
+++ b/src/election/handover.h
@@ -22,6 +22,6 @@
 } KqHandover;
 
 /* Whether to hand leadership over to the other node now. */
-bool kq_handover_due (const KqHandover *y, KqTime now);
+bool kq_handover_due (const KqHandover *h, KqTime now);
 
 #endif
--- a/src/election/handover_test.c
+++ b/src/election/handover_test.c
@@ -9,50 +9,51 @@
 
 static const KqTime now = 100 * KQ_SEC;
 
-/* After a power failure no task starts for seconds, and running tasks lose their leases:
- * the first node to reach the store is a weak one and stays leader although a strong node
- * that reaches the store has joined. */
+/* Guards against a fleet in which no task starts for seconds after a power failure, and
+ * running tasks lose their leases: the first node to reach the store is a weak one and
+ * stays leader although a strong node that reaches the store has joined. */
 static void
 test_weak_leader_hands_over (void **state)
 {
-  KqHandover y = { .own_milli = 120,
+  KqHandover h = { .own_milli = 120,
                    .other_milli = 500,
                    .other_reached_store_at = now - 100 * KQ_MS };
   (void)state;
-  assert_true (kq_handover_due (&y, now));
+  assert_true (kq_handover_due (&h, now));
 }
 
 static void
 test_equal_nodes_keep_their_leader (void **state)
 {
-  KqHandover y = { .own_milli = 250, .other_milli = 250, .other_reached_store_at = now };
+  KqHandover h = { .own_milli = 250, .other_milli = 250, .other_reached_store_at = now };
   (void)state;
-  assert_false (kq_handover_due (&y, now));
-  y.other_milli = 120;
-  assert_false (kq_handover_due (&y, now));
+  assert_false (kq_handover_due (&h, now));
+  h.other_milli = 120;
+  assert_false (kq_handover_due (&h, now));
 }
 
-/* A leader hands over to a strong node that is cut off from the store and can't be
- * elected, so that there is no leader for a while. */
+/* Guards against a leader that hands over to a strong node that is cut off from the store
+ * and can't be elected, so that there is no leader for a while. */
 static void
 test_stronger_node_without_the_store (void **state)
 {
-  KqHandover y = { .own_milli = 120, .other_milli = 500 };
+  KqHandover h = { .own_milli = 120, .other_milli = 500 };
   (void)state;
-  assert_false (kq_handover_due (&y, now));
-  y.other_reached_store_at = now - 3 * KQ_SEC;
-  assert_false (kq_handover_due (&y, now));
+  assert_false (kq_handover_due (&h, now));
+  h.other_reached_store_at = now - 3 * KQ_SEC;
+  assert_false (kq_handover_due (&h, now));
 }
 
-/* A weak leader resigns again and again for a strong node that isn't elected. */
+/* Guards against a weak leader that resigns again and again for a strong node that isn't
+ * elected. */
 static void
 test_not_twice_in_a_row (void **state)
 {
-  KqHandover y = { 120, 500, now, now - 2 * KQ_SEC };
+  KqHandover h = { 120, 500, now, now - 2 * KQ_SEC };
   (void)state;
-  assert_false (kq_handover_due (&y, now));
-  y.handed_over_at = now - 60 * KQ_SEC;
-  assert_true (kq_handover_due (&y, now));
+  assert_false (kq_handover_due (&h, now));
+  h.handed_over_at = now - 60 * KQ_SEC;
+  assert_true (kq_handover_due (&h, now));
 }
 
 int
--- a/src/election/lease_expiry.h
+++ b/src/election/lease_expiry.h
@@ -20,8 +20,8 @@
   KqTime
       peer_reached_store_at; /* when the store last answered another node; 0: not known */
   int peers;                 /* other nodes that are connected */
-  KqTime renewal_sent_at; /* when a renewal was requested as a peer has reached the store;
-                      0: none since the lease was good */
+  KqTime renewal_sent_at; /* when a renewal was requested because a peer had reached the
+                      store; 0: none since the lease was last good */
 } KqLeaseExpiry;
 
 typedef enum
@@ -34,7 +34,7 @@
 
 /* To be called often; changes renewal_sent_at. *why: set to the reason with
  * KQ_LEASE_EXPIRY_RESIGN, a constant string. */
-KqLeaseExpiryAction kq_lease_expiry_action (KqLeaseExpiry *d, KqTime now,
+KqLeaseExpiryAction kq_lease_expiry_action (KqLeaseExpiry *e, KqTime now,
                                             const char **why);
 
 #endif
--- a/src/election/lease_expiry_test.c
+++ b/src/election/lease_expiry_test.c
@@ -9,60 +9,62 @@
 #include <cmocka.h>
 
 #define LENGTH (1500 * KQ_MS)
-#define LAPSED_AT (100 * KQ_SEC)
+#define EXPIRED_AT (100 * KQ_SEC)
 
 static KqLeaseExpiry
-lapsed (void)
+expired (void)
 {
-  return (KqLeaseExpiry){ .valid_until = LAPSED_AT, .length = LENGTH, .peers = 5 };
+  return (KqLeaseExpiry){ .valid_until = EXPIRED_AT, .length = LENGTH, .peers = 5 };
 }
 
 static KqLeaseExpiryAction
-next (KqLeaseExpiry *d, KqTime after)
+next (KqLeaseExpiry *e, KqTime after)
 {
   const char *why = NULL;
-  return kq_lease_expiry_action (d, LAPSED_AT + after, &why);
+  return kq_lease_expiry_action (e, EXPIRED_AT + after, &why);
 }
 
-/* Scheduling stops during an outage of the store, though no other node can be elected. */
+/* Guards against scheduling that stops during an outage of the store, though no other
+ * node can be elected. */
 static void
 test_work_goes_on_while_nobody_reaches_the_store (void **state)
 {
-  KqLeaseExpiry d = lapsed ();
+  KqLeaseExpiry e = expired ();
   (void)state;
-  assert_int_equal (next (&d, -KQ_MS), KQ_LEASE_EXPIRY_NONE);
-  assert_int_equal (next (&d, KQ_MS), KQ_LEASE_EXPIRY_CONTINUE);
-  assert_int_equal (next (&d, 8 * KQ_SEC), KQ_LEASE_EXPIRY_CONTINUE);
-  assert_int_equal (next (&d, 10 * KQ_SEC), KQ_LEASE_EXPIRY_RESIGN);
+  assert_int_equal (next (&e, -KQ_MS), KQ_LEASE_EXPIRY_NONE);
+  assert_int_equal (next (&e, KQ_MS), KQ_LEASE_EXPIRY_CONTINUE);
+  assert_int_equal (next (&e, 8 * KQ_SEC), KQ_LEASE_EXPIRY_CONTINUE);
+  assert_int_equal (next (&e, 10 * KQ_SEC), KQ_LEASE_EXPIRY_RESIGN);
 }
 
-/* The leader changes with each outage of the store: another node gets an answer before
- * the leader's next renewal. */
+/* Guards against a change of leader with each outage of the store: another node gets an
+ * answer before the leader's next renewal. */
 static void
 test_leader_renews_before_it_resigns (void **state)
 {
-  KqLeaseExpiry d = lapsed ();
+  KqLeaseExpiry e = expired ();
   (void)state;
-  assert_int_equal (next (&d, 2 * KQ_SEC), KQ_LEASE_EXPIRY_CONTINUE);
-  d.peer_reached_store_at = LAPSED_AT + 2100 * KQ_MS;
-  assert_int_equal (next (&d, 2200 * KQ_MS), KQ_LEASE_EXPIRY_RENEW);
-  assert_int_equal (next (&d, 2400 * KQ_MS), KQ_LEASE_EXPIRY_CONTINUE);
-  d.valid_until = LAPSED_AT + 2210 * KQ_MS + LENGTH; /* renewed */
-  assert_int_equal (next (&d, 2600 * KQ_MS), KQ_LEASE_EXPIRY_NONE);
-  assert_int_equal (next (&d, 4 * KQ_SEC), KQ_LEASE_EXPIRY_CONTINUE);
+  assert_int_equal (next (&e, 2 * KQ_SEC), KQ_LEASE_EXPIRY_CONTINUE);
+  e.peer_reached_store_at = EXPIRED_AT + 2100 * KQ_MS;
+  assert_int_equal (next (&e, 2200 * KQ_MS), KQ_LEASE_EXPIRY_RENEW);
+  assert_int_equal (next (&e, 2400 * KQ_MS), KQ_LEASE_EXPIRY_CONTINUE);
+  e.valid_until = EXPIRED_AT + 2210 * KQ_MS + LENGTH; /* renewed */
+  assert_int_equal (next (&e, 2600 * KQ_MS), KQ_LEASE_EXPIRY_NONE);
+  assert_int_equal (next (&e, 4 * KQ_SEC), KQ_LEASE_EXPIRY_CONTINUE);
 }
 
-/* Two leaders: only the leader is cut off from the store, and doesn't resign. */
+/* Guards against two leaders: only the leader is cut off from the store, and doesn't
+ * resign. */
 static void
 test_leader_without_an_answer_resigns (void **state)
 {
-  KqLeaseExpiry d = lapsed ();
+  KqLeaseExpiry e = expired ();
   const char *why = NULL;
   (void)state;
-  d.peer_reached_store_at = LAPSED_AT;
-  assert_int_equal (next (&d, KQ_MS), KQ_LEASE_EXPIRY_RENEW);
-  d.peer_reached_store_at = LAPSED_AT + 300 * KQ_MS;
-  assert_int_equal (kq_lease_expiry_action (&d, LAPSED_AT + 302 * KQ_MS, &why),
+  e.peer_reached_store_at = EXPIRED_AT;
+  assert_int_equal (next (&e, KQ_MS), KQ_LEASE_EXPIRY_RENEW);
+  e.peer_reached_store_at = EXPIRED_AT + 300 * KQ_MS;
+  assert_int_equal (kq_lease_expiry_action (&e, EXPIRED_AT + 302 * KQ_MS, &why),
                     KQ_LEASE_EXPIRY_RESIGN);
   assert_string_equal (why, "not renewed while other nodes reach the store");
 }
@@ -70,22 +72,23 @@
 static void
 test_leader_without_peers_resigns (void **state)
 {
-  KqLeaseExpiry d = lapsed ();
+  KqLeaseExpiry e = expired ();
   (void)state;
-  d.peers = 0;
-  assert_int_equal (next (&d, KQ_MS), KQ_LEASE_EXPIRY_RESIGN);
+  e.peers = 0;
+  assert_int_equal (next (&e, KQ_MS), KQ_LEASE_EXPIRY_RESIGN);
 }
 
-/* A leader resigns by an outdated report of another node that it reaches the store. */
+/* Guards against a leader that resigns by an outdated report of another node that it
+ * reaches the store. */
 static void
 test_outdated_reports_dont_count (void **state)
 {
-  KqLeaseExpiry d = lapsed ();
+  KqLeaseExpiry e = expired ();
   (void)state;
-  d.peer_reached_store_at = LAPSED_AT - LENGTH;
-  assert_int_equal (next (&d, KQ_MS), KQ_LEASE_EXPIRY_CONTINUE);
-  d.peer_reached_store_at = LAPSED_AT;
-  assert_int_equal (next (&d, 3 * KQ_SEC), KQ_LEASE_EXPIRY_CONTINUE);
+  e.peer_reached_store_at = EXPIRED_AT - LENGTH;
+  assert_int_equal (next (&e, KQ_MS), KQ_LEASE_EXPIRY_CONTINUE);
+  e.peer_reached_store_at = EXPIRED_AT;
+  assert_int_equal (next (&e, 3 * KQ_SEC), KQ_LEASE_EXPIRY_CONTINUE);
 }
 
 int
