--- a/src/fleet/fleet.c
+++ b/src/fleet/fleet.c
@@ -50,7 +50,7 @@
   KqMaintenanceClient *maintenance; /* NULL: no control plane in the settings */
   KqAgent *agent;
   KqLink *link;
-  KqElection *lead;
+  KqElection *election;
   KqLeader *leader; /* NULL: this node isn't leader */
   KqAccepts *accepts;
   KqFrontHandler *handler;
@@ -59,9 +59,9 @@
   KqQueueKeys *queues;
   KqAgentInfo self;
   KqReach store;
-  KqLeaseExpiry doubt;
-  KqHandover yield; /* the strongest node seen since the election */
-  bool store_down;  /* an outage has been logged */
+  KqLeaseExpiry lease_expiry; /* while this node leads */
+  KqHandover handover; /* its other_ fields: the strongest node since the election */
+  bool store_down;     /* an outage has been logged */
   bool stopping;
   bool stopped;
   KqTime stopping_at;
@@ -134,7 +134,7 @@
 on_deposed (void *arg, const char *why, KqTime now)
 {
   KqFleet *f = arg;
-  kq_election_resign (f->lead, why, !f->stopping, now);
+  kq_election_resign (f->election, why, !f->stopping, now);
 }
 
 static void
@@ -160,10 +160,11 @@
   kq_link_set_own_epoch (f->link, epoch, now);
   kq_agent_release_all (f->agent);
   kq_agent_leader_confirmed (f->agent, epoch, now);
-  f->doubt = (KqLeaseExpiry){ .length = leader_lease_ms (f) * KQ_MS };
-  f->yield.other_milli = 0;
+  f->lease_expiry = (KqLeaseExpiry){ .length = leader_lease_ms (f) * KQ_MS };
+  f->handover.other_milli = 0;
   f->leader = kq_leader_new (&c, now);
-  kq_sched_lead_until (kq_leader_sched (f->leader), kq_election_valid_until (f->lead));
+  kq_sched_lead_until (kq_leader_sched (f->leader),
+                       kq_election_valid_until (f->election));
 }
 
 static void
@@ -217,18 +218,18 @@
 }
 
 static void
-handle_beat (KqFleet *f, const KqPeer *p, int64_t store_age_ms, KqTime now)
+handle_heartbeat (KqFleet *f, const KqPeer *p, int64_t store_age_ms, KqTime now)
 {
   KqTime answered_at = now - store_age_ms * KQ_MS;
   int share = kq_leader_node_share (f->leader, p);
   if (store_age_ms < 0)
     return;
-  if (answered_at > f->doubt.peer_reached_store_at)
-    f->doubt.peer_reached_store_at = answered_at;
-  if (share >= f->yield.other_milli)
+  if (answered_at > f->lease_expiry.peer_reached_store_at)
+    f->lease_expiry.peer_reached_store_at = answered_at;
+  if (share >= f->handover.other_milli)
     {
-      f->yield.other_milli = share;
-      f->yield.other_reached_store_at = answered_at;
+      f->handover.other_milli = share;
+      f->handover.other_reached_store_at = answered_at;
     }
 }
 
@@ -239,13 +240,13 @@
   if (f->leader == NULL)
     return;
   if (i->kind == KQ_AGENT_ITEM_HEARTBEAT)
-    handle_beat (f, p, i->u.heartbeat.store_age_ms, now);
+    handle_heartbeat (f, p, i->u.heartbeat.store_age_ms, now);
   else if (i->kind == KQ_AGENT_ITEM_ASK && i->u.ask.what == KQ_ASK_ACCEPT)
     kq_accepts_write (f->accepts, p, i->u.ask.call, i->u.ask.about, now);
   else if (i->kind == KQ_AGENT_ITEM_ASK)
     answer_query (f, p, i, now);
   else if (i->kind == KQ_AGENT_ITEM_JOB || i->kind == KQ_AGENT_ITEM_CANCEL
-           || epoch == kq_election_record (f->lead)->epoch)
+           || epoch == kq_election_record (f->election)->epoch)
     kq_leader_handle_item (f->leader, p, i, now);
 }
 
@@ -254,7 +255,7 @@
 {
   KqFleet *f = arg;
   kq_agent_release_all (f->agent);
-  kq_agent_leader_confirmed (f->agent, kq_election_record (f->lead)->epoch, now);
+  kq_agent_leader_confirmed (f->agent, kq_election_record (f->election)->epoch, now);
 }
 
 static void
@@ -293,7 +294,7 @@
   KqFleet *f = arg;
   if (f->leader == NULL)
     kq_link_send (f->link, epoch, i);
-  else if (epoch == kq_election_record (f->lead)->epoch)
+  else if (epoch == kq_election_record (f->election)->epoch)
     kq_leader_handle_item (f->leader, NULL, i, kq_loop_now (f->config.loop));
 }
 
@@ -313,7 +314,7 @@
     }
   if (!kq_link_connected (f->link))
     return false;
-  kq_link_send (f->link, kq_election_record (f->lead)->epoch, query);
+  kq_link_send (f->link, kq_election_record (f->election)->epoch, query);
   return true;
 }
 
@@ -324,7 +325,7 @@
   if (f->leader != NULL)
     kq_leader_handle_item (f->leader, NULL, i, now);
   else
-    kq_link_send (f->link, kq_election_record (f->lead)->epoch, i);
+    kq_link_send (f->link, kq_election_record (f->election)->epoch, i);
 }
 
 static void
@@ -339,10 +340,10 @@
 /* Callbacks of the front end for client accounts. */
 
 static void
-on_request (void *arg, KqFrontExchange *a, const KqFrontRequest *r, KqTime now)
+on_request (void *arg, KqFrontExchange *x, const KqFrontRequest *r, KqTime now)
 {
   KqFleet *f = arg;
-  kq_front_handler_request (f->handler, a, r, now);
+  kq_front_handler_request (f->handler, x, r, now);
 }
 
 static bool
@@ -371,30 +372,30 @@
 static void
 check_stronger_node (KqFleet *f, KqTime now)
 {
-  if (!kq_handover_due (&f->yield, now))
+  if (!kq_handover_due (&f->handover, now))
     return;
   kq_log (KQ_LOG_INFO, PART,
           "Handing leadership over to a stronger node. own_milli=%d its_milli=%d",
-          f->yield.own_milli, f->yield.other_milli);
-  f->yield.handed_over_at = now;
-  kq_election_resign (f->lead, "a stronger node can lead", !f->stopping, now);
+          f->handover.own_milli, f->handover.other_milli);
+  f->handover.handed_over_at = now;
+  kq_election_resign (f->election, "a stronger node can lead", !f->stopping, now);
 }
 
 static void
 check_leadership (KqFleet *f, KqTime now)
 {
-  KqTime until = kq_election_valid_until (f->lead);
+  KqTime until = kq_election_valid_until (f->election);
   const char *why;
   if (f->leader == NULL)
     return;
   kq_sched_lead_until (kq_leader_sched (f->leader), until);
   kq_link_set_exclusive_until (f->link, until,
                                kq_sched_agents_lost (kq_leader_sched (f->leader)));
-  kq_agent_leader_confirmed (f->agent, kq_election_record (f->lead)->epoch,
+  kq_agent_leader_confirmed (f->agent, kq_election_record (f->election)->epoch,
                              MIN (now, until));
-  f->doubt.valid_until = until;
-  f->doubt.peers = kq_link_peer_count (f->link);
-  switch (kq_lease_expiry_action (&f->doubt, now, &why))
+  f->lease_expiry.valid_until = until;
+  f->lease_expiry.peers = kq_link_peer_count (f->link);
+  switch (kq_lease_expiry_action (&f->lease_expiry, now, &why))
     {
     case KQ_LEASE_EXPIRY_NONE:
       check_stronger_node (f, now);
@@ -405,10 +406,10 @@
       kq_log (KQ_LOG_INFO, PART,
               "Another node reaches the store; renewing the leader lease. late_ms=%lld",
               (long long)((now - until) / KQ_MS));
-      kq_election_renew (f->lead);
+      kq_election_renew (f->election);
       break;
     case KQ_LEASE_EXPIRY_RESIGN:
-      kq_election_resign (f->lead, why, !f->stopping, now);
+      kq_election_resign (f->election, why, !f->stopping, now);
       break;
     }
 }
@@ -511,7 +512,7 @@
   c.address = kq_name (kq_str (address));
   c.rank_ms = (int)(CANDIDACY_DELAY_MS * 100
                     / (100 + (s->cpu_share_milli < 1000 ? s->cpu_share_milli : 1000)));
-  f->lead = kq_election_new (&c);
+  f->election = kq_election_new (&c);
 }
 
 KqFleet *
@@ -521,7 +522,7 @@
   KqQueueKeysOwner queues = { f, on_answered, on_store_failed };
   KqStoreOwner store = { f, on_store_alive };
   f->config = *c;
-  f->yield.own_milli = (int)c->settings->cpu_share_milli;
+  f->handover.own_milli = (int)c->settings->cpu_share_milli;
   f->self = (KqAgentInfo){ .name = c->settings->node,
                            .failure_domain = c->settings->failure_domain,
                            .share_milli = (int)c->settings->cpu_share_milli };
@@ -560,7 +561,7 @@
   ev_timer_stop (kq_loop_ev (f->config.loop), &f->check_timer);
   kq_leader_free (f->leader);
   f->leader = NULL;
-  kq_election_free (f->lead);
+  kq_election_free (f->election);
   kq_queue_keys_free (f->queues);
   kq_link_free (f->link);
   kq_agent_free (f->agent);
@@ -585,7 +586,7 @@
           kq_agent_n_runners (f->agent));
   f->stopping = true;
   f->stopping_at = now;
-  kq_election_resign (f->lead, "planned stop", false, now);
+  kq_election_resign (f->election, "planned stop", false, now);
   /* On the LEAVE of kq_link_leave the leader assigns our runners to other nodes. */
   kq_agent_release_all (f->agent);
   kq_link_leave (f->link);
--- a/src/fleet/follow.c
+++ b/src/fleet/follow.c
@@ -13,8 +13,8 @@
  * overloaded. */
 #define RETRY_DELAY_MS 100
 #define RETRY_DELAY_MAX_MS 400
-/* The bound after an answer that was cut off: it has used link capacity for nothing, so
- * retries leave more room to others. */
+/* The bound if the answer was cut off. Such an answer uses link capacity for nothing, so
+ * longer delays leave more of it to other calls. */
 #define CUT_RETRY_DELAY_MAX_MS 3200
 
 struct KqFollow
--- a/src/fleet/front.c
+++ b/src/fleet/front.c
@@ -54,7 +54,7 @@
 typedef struct
 {
   KqFrontHandler *handler;
-  KqFrontExchange *ask;
+  KqFrontExchange *exchange;
   Step step;
   uint64_t call; /* of the outstanding query to the leader; 0: none */
   KqStr id;      /* owned */
@@ -103,7 +103,7 @@
             KQ_STR_ARG (q->id), step_names[q->step], kq_reply_kind_name (r->kind),
             (long long)((now - q->received_at) / KQ_MS), q->write_unknown,
             r->why != NULL ? r->why : "-");
-  kq_front_exchange_reply (q->ask, r);
+  kq_front_exchange_reply (q->exchange, r);
   if (q->call != 0)
     g_hash_table_remove (h->queries, &q->call);
   free ((char *)q->id.ptr);
@@ -479,12 +479,12 @@
 }
 
 static Request *
-new_request (KqFrontHandler *h, KqFrontExchange *a, const KqFrontRequest *r, KqStr id,
+new_request (KqFrontHandler *h, KqFrontExchange *x, const KqFrontRequest *r, KqStr id,
              KqTime now)
 {
   Request *q = kq_alloc (sizeof *q);
   q->handler = h;
-  q->ask = a;
+  q->exchange = x;
   q->id = kq_str_own (id);
   q->received_at = now;
   q->deadline = now + r->deadline_ms * KQ_MS;
@@ -492,7 +492,7 @@
 }
 
 void
-kq_front_handler_request (KqFrontHandler *h, KqFrontExchange *a, const KqFrontRequest *r,
+kq_front_handler_request (KqFrontHandler *h, KqFrontExchange *x, const KqFrontRequest *r,
                           KqTime now)
 {
   const KqQueueTable *t = h->config.table (h->config.arg);
@@ -501,7 +501,7 @@
   Request *q;
   if (queue != NULL)
     id = kq_str_n (r->path.ptr + queue->prefix.len, r->path.len - queue->prefix.len);
-  q = new_request (h, a, r, id, now);
+  q = new_request (h, x, r, id, now);
   if (t == NULL)
     refuse (q, "no configuration yet", RETRY_START_MS, h->counts.refused_start, now);
   else if (queue == NULL)
--- a/src/fleet/front.h
+++ b/src/fleet/front.h
@@ -24,7 +24,7 @@
   KqCounters *counters;
   void *arg;
   const KqQueueTable *(*table) (void *arg); /* NULL: none yet */
-  /* Whether this node reaches the store: no calls are made while it is down. */
+  /* The store's state as seen by this node; no calls are made while KQ_REACH_DOWN. */
   KqReachState (*store_state) (void *arg, KqTime now);
   /* Whether the leader reaches the store. */
   bool (*store_via_leader) (void *arg, KqTime now);
@@ -42,7 +42,7 @@
 KqFrontHandler *kq_front_handler_new (const KqFrontHandlerConfig *c);
 void kq_front_handler_free (KqFrontHandler *h);
 /* Handles one request; replies by kq_front_exchange_reply exactly once. */
-void kq_front_handler_request (KqFrontHandler *h, KqFrontExchange *a,
+void kq_front_handler_request (KqFrontHandler *h, KqFrontExchange *x,
                                const KqFrontRequest *r, KqTime now);
 /* The leader's reply to query `call`: a KqJobState, a KqAcceptResult or a number of jobs;
  * below 0: unknown. Ignored when the request has already been replied to. */
--- a/src/fleet/front_test.c
+++ b/src/fleet/front_test.c
@@ -54,9 +54,9 @@
 }
 
 void
-kq_front_exchange_reply (KqFrontExchange *a, const KqFrontReply *r)
+kq_front_exchange_reply (KqFrontExchange *x, const KqFrontReply *r)
 {
-  (void)a;
+  (void)x;
   fake.replies++;
   fake.reply = *r;
 }
--- a/src/fleet/keys.h
+++ b/src/fleet/keys.h
@@ -8,7 +8,7 @@
  *   kq/in/j/ID   a job as accepted; never changed
  *   kq/in/x/ID   the job's cancellation
  *   kq/p/ID      the job's progress, written by the leader
- *   kq/runners   all runners that were ever used
+ *   kq/runners   runners on which runs may exist, for the next leader
  *   kq/learned   which tasks disturb which, for the next leader
  *   kq/waves     state of maintenance waves
  *   kq/seq       written with every transaction of progress, so that one that is carried
--- a/src/fleet/leader.c
+++ b/src/fleet/leader.c
@@ -15,8 +15,9 @@
 
 #define PART "leader"
 #define CALL_TIMEOUT_MS 1500
-/* Longest wait of a watch, and pauses between watches, so that changes are collected. The
- * pause for jobs is longer: nodes send accepted jobs, the watch only finds lost ones. */
+/* Longest wait of a watch, and pauses after an answer so that changes are collected. The
+ * pause for jobs is longer: nodes report accepted jobs, the watch finds unreported ones.
+ */
 #define WATCH_MS 2000
 #define JOBS_PAUSE_MS 250
 #define RUNNERS_PAUSE_MS 50
@@ -25,7 +26,7 @@
 {
   LOAD_WAVES,   /* state of maintenance waves */
   LOAD_LEARNED, /* which tasks disturb which, learned by earlier leaders */
-  LOAD_RUNNERS, /* all runners that were ever used */
+  LOAD_RUNNERS, /* runners on which runs of earlier leaders may exist */
   LOAD_JOBS,    /* accepted jobs and cancellations */
   LOAD_PROGRESS,
   LOAD_ENTRIES, /* the runners' own entries in the store */
@@ -440,8 +441,7 @@
     destroy (l);
 }
 
-/* A node that connects again has released its runners, so its earlier connection counts
- * as closed even if that hasn't been detected yet. */
+/* A node that reconnects has released its runners: any older connection has ended. */
 static void
 end_earlier_connection (KqLeader *l, const KqAgentInfo *info, KqTime now)
 {
--- a/src/fleet/link.c
+++ b/src/fleet/link.c
@@ -16,8 +16,8 @@
 /* Interval of heartbeats in both directions. A host that hangs for a second soon loses
  * its tasks, so this has to be well below. */
 #define HEARTBEAT_S 0.3
-/* A connection that has been silent for this long is closed. Several beats may be late:
- * hosts are slow at times, and links between regions queue. */
+/* A connection that has been silent for this long is closed. Several heartbeats may be
+ * late: hosts are slow at times, and links between regions queue. */
 #define PEER_TIMEOUT (1400 * KQ_MS)
 /* Time within which the leader surely notices that it has lost nodes: more than
  * PEER_TIMEOUT, a heartbeat and the period of its checks. */
@@ -32,11 +32,12 @@
   bool joined;
   bool damaged; /* has sent invalid data: it has to reconnect */
   bool unknown_logged;
-  bool in_message;          /* one of its messages is being handled */
-  bool closed;              /* closed meanwhile: freed after the message */
-  GHashTable *reports;      /* runner -> RunnerReport */
-  KqTime heartbeat_sent_at; /* time of its last heartbeat, by its clock */
-  KqTime exclusive_beat_at; /* the same for beats received before exclusive_until */
+  bool in_message;               /* one of its messages is being handled */
+  bool closed;                   /* closed meanwhile: freed after the message */
+  GHashTable *reports;           /* runner -> RunnerReport */
+  KqTime heartbeat_sent_at;      /* time of its last heartbeat, by its clock */
+  KqTime exclusive_heartbeat_at; /* the same for heartbeats received before
+                                    exclusive_until */
   KqBuf out;
 };
 
@@ -54,7 +55,7 @@
   int port;
   int fd;
   ev_io acceptable;
-  ev_timer beat_timer;
+  ev_timer heartbeat_timer;
   ev_prepare before_poll;
   GPtrArray *peers;
   uint64_t own_epoch;     /* of this node's leadership; 0: it isn't leader */
@@ -176,7 +177,7 @@
   if (i->kind == KQ_AGENT_ITEM_HEARTBEAT)
     p->heartbeat_sent_at = i->u.heartbeat.sent_at;
   if (now < l->exclusive_until)
-    p->exclusive_beat_at = p->heartbeat_sent_at;
+    p->exclusive_heartbeat_at = p->heartbeat_sent_at;
   if (i->kind == KQ_AGENT_ITEM_HELLO)
     handle_hello (p, i, now);
   else if (i->kind == KQ_AGENT_ITEM_UNKNOWN)
@@ -403,7 +404,7 @@
 }
 
 static void
-beat_leader (KqLink *l, KqTime now)
+send_heartbeat (KqLink *l, KqTime now)
 {
   KqAgentItem i = { .kind = KQ_AGENT_ITEM_HEARTBEAT };
   if (l->leader_conn != NULL && now - kq_conn_heard_at (l->leader_conn) > PEER_TIMEOUT)
@@ -420,14 +421,14 @@
 /* Returns which heartbeat the next ping acknowledges. A node renews runner leases for a
  * while after the heartbeat that is acknowledged, so a leader that may have been replaced
  * must not acknowledge newer ones. A leader that still hears all nodes can have been
- * replaced only through nodes that were cut off a moment ago, so it acknowledges beats
- * from before. */
+ * replaced only through nodes that were cut off a moment ago, so it acknowledges
+ * heartbeats from before. */
 static KqTime
 acknowledged_heartbeat (const KqPeer *p, KqTime now)
 {
   if (now < p->link->exclusive_until)
     return p->heartbeat_sent_at;
-  return p->link->nodes_lost ? p->exclusive_beat_at
+  return p->link->nodes_lost ? p->exclusive_heartbeat_at
                              : p->heartbeat_sent_at - LOSS_DETECTION;
 }
 
@@ -453,13 +454,13 @@
 }
 
 static void
-on_beat (struct ev_loop *ev, ev_timer *w, int events)
+on_heartbeat_timer (struct ev_loop *ev, ev_timer *w, int events)
 {
   KqLink *l = w->data;
   KqTime now = kq_loop_now (l->config.loop);
   (void)ev;
   (void)events;
-  beat_leader (l, now);
+  send_heartbeat (l, now);
   ping_peers (l, now);
 }
 
@@ -514,11 +515,11 @@
   l->port = port;
   l->peers = g_ptr_array_new ();
   ev_io_init (&l->acceptable, on_acceptable, fd, EV_READ);
-  ev_timer_init (&l->beat_timer, on_beat, HEARTBEAT_S, HEARTBEAT_S);
+  ev_timer_init (&l->heartbeat_timer, on_heartbeat_timer, HEARTBEAT_S, HEARTBEAT_S);
   ev_prepare_init (&l->before_poll, on_before_poll);
-  l->acceptable.data = l->beat_timer.data = l->before_poll.data = l;
+  l->acceptable.data = l->heartbeat_timer.data = l->before_poll.data = l;
   ev_io_start (ev, &l->acceptable);
-  ev_timer_start (ev, &l->beat_timer);
+  ev_timer_start (ev, &l->heartbeat_timer);
   ev_prepare_start (ev, &l->before_poll);
   return l;
 }
@@ -540,7 +541,7 @@
   g_ptr_array_free (l->peers, TRUE);
   kq_buf_free (&l->out);
   ev_io_stop (ev, &l->acceptable);
-  ev_timer_stop (ev, &l->beat_timer);
+  ev_timer_stop (ev, &l->heartbeat_timer);
   ev_prepare_stop (ev, &l->before_poll);
   close (l->fd);
   free (l);
--- a/src/fleet/link.h
+++ b/src/fleet/link.h
@@ -56,9 +56,9 @@
  * connections first. */
 void kq_link_set_own_epoch (KqLink *l, uint64_t epoch, KqTime now);
 /* Sets the time until which no other node can be leader; 0 at first. Pings sent later may
- * come from a replaced leader and must not extend leases: they acknowledge only beats
- * that are older than the time it takes to detect lost nodes; with nodes_lost, only beats
- * received before that time. */
+ * come from a replaced leader and must not extend leases: they acknowledge only
+ * heartbeats that are older than the time it takes to detect lost nodes; with nodes_lost,
+ * only heartbeats received before that time. */
 void kq_link_set_exclusive_until (KqLink *l, KqTime until, bool nodes_lost);
 void kq_link_send_peer (KqPeer *p, const KqAgentItem *i);
 void kq_peer_set_agent (KqPeer *p, int agent);
--- a/src/fleet/link_test.c
+++ b/src/fleet/link_test.c
@@ -24,7 +24,7 @@
   KqLink *leader;
   KqLink *node;
   int pings;              /* seen by the node */
-  KqTime acknowledged_at; /* latest beat that a ping acknowledged */
+  KqTime acknowledged_at; /* latest heartbeat that a ping acknowledged */
   int until_pings;
   int joined;
   int left;
@@ -145,7 +145,7 @@
 /* Guards against a task that runs twice: a node that has hung must not count old pings as
  * current and go on renewing leases. */
 static void
-test_pings_acknowledge_the_last_beat (void **state)
+test_pings_acknowledge_the_last_heartbeat (void **state)
 {
   Fixture *t = *state;
   KqTime hung_at;
@@ -298,7 +298,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test_setup_teardown (test_pings_acknowledge_the_last_beat, set_up,
+    cmocka_unit_test_setup_teardown (test_pings_acknowledge_the_last_heartbeat, set_up,
                                      tear_down),
     cmocka_unit_test_setup_teardown (test_pings_of_a_leader_that_has_lost_nodes, set_up,
                                      tear_down),
--- a/src/fleet/waves.c
+++ b/src/fleet/waves.c
@@ -9,11 +9,12 @@
 #include <stdlib.h>
 
 #define PART "waves"
-/* Requests for maintenance are rare, and may wait for tens of seconds. */
-#define WATCH_MS 2000
+/* No call is urgent: requests for maintenance are rare, and may wait for tens of seconds.
+ */
+#define WATCH_MS 2000 /* longest wait of one watch for requests */
 #define WRITE_TIMEOUT_MS 1200
-#define MAINTENANCE_TIMEOUT_MS 1500
-#define RETRY_DELAY (300 * KQ_MS)
+#define MAINTENANCE_TIMEOUT_MS 1500 /* of a call to the control plane */
+#define RETRY_DELAY (300 * KQ_MS)   /* after a failed write of the waves' state */
 /* Waves whose status one transaction can write besides our record and the check. */
 #define STATUS_MAX (KQ_KV_TXN_MAX - 2)
 
--- a/src/sched/sched.h
+++ b/src/sched/sched.h
@@ -174,8 +174,7 @@
 
 /* Adds a runner, or updates it, by its entry in the store. */
 void kq_sched_entry (KqSched *s, const KqRunnerEntry *e, KqTime now);
-/* Notes that the runner's entry has been removed from the store: it gets no more tasks.
- */
+/* Notes that the runner's entry is gone from the store: it gets no more tasks. */
 void kq_sched_entry_gone (KqSched *s, KqStr id, KqTime now);
 
 /* Adds an agent that has connected; returns its number, -1: there are too many. */
@@ -190,9 +189,9 @@
 /* Whether an agent has gone down unplanned under this leader and isn't up again. */
 bool kq_sched_agents_lost (const KqSched *s);
 
-/* These take an agent's messages on a runner: its list, the result of an order. They
- * carry the number of the runner's assignment
- * (`assignment`). Those of an earlier assignment may arrive late and are ignored. */
+/* These two take an agent's messages on a runner: the runner's list, the result of an
+ * order. Both carry the number of the runner's assignment to the agent; those of an
+ * earlier assignment may arrive late and are ignored. */
 void kq_sched_list (KqSched *s, int agent, KqStr runner, const KqRunnerList *l,
                     KqTime now);
 void kq_sched_outcome (KqSched *s, int agent, KqStr runner, const KqOrderOutcome *o,
@@ -210,8 +209,7 @@
 void kq_sched_runner_replaced (KqSched *s, int agent, KqStr runner, uint64_t assignment,
                                KqTime now);
 
-/* Adds a maintenance wave that operators have requested; one that is known is left alone.
- */
+/* Adds a maintenance wave that operators have requested; does nothing if it is known. */
 void kq_sched_wave (KqSched *s, const KqWaveInfo *info, KqTime now);
 /* Takes the result of a call that was made through KqSchedConfig.maintenance. */
 void kq_sched_maintenance_ended (KqSched *s, int64_t wave, KqStr host,
