--- a/src/fleet/leader.c
+++ b/src/fleet/leader.c
@@ -16,8 +16,7 @@
 #define PART "leader"
 #define CALL_TIMEOUT_MS 1500
 /* Longest wait of a watch, and pauses after an answer so that changes are collected. The
- * pause for jobs is longer: nodes report accepted jobs, the watch finds unreported ones.
- */
+ * pause for jobs is longer: nodes report accepted jobs, the watch finds missed ones. */
 #define WATCH_MS 2000
 #define JOBS_PAUSE_MS 250
 #define RUNNERS_PAUSE_MS 50
