--- a/src/fleet/fleet.c
+++ b/src/fleet/fleet.c
@@ -163,8 +163,8 @@
   f->lease_expiry = (KqLeaseExpiry){ .length = leader_lease_ms (f) * KQ_MS };
   f->handover.other_milli = 0;
   f->leader = kq_leader_new (&c, now);
-  kq_sched_lead_until (kq_leader_sched (f->leader),
-                       kq_election_valid_until (f->election));
+  kq_sched_set_exclusive_until (kq_leader_sched (f->leader),
+                                kq_election_valid_until (f->election));
 }
 
 static void
@@ -388,7 +388,7 @@
   const char *why;
   if (f->leader == NULL)
     return;
-  kq_sched_lead_until (kq_leader_sched (f->leader), until);
+  kq_sched_set_exclusive_until (kq_leader_sched (f->leader), until);
   kq_link_set_exclusive_until (f->link, until,
                                kq_sched_agents_lost (kq_leader_sched (f->leader)));
   kq_agent_leader_confirmed (f->agent, kq_election_record (f->election)->epoch,
--- a/src/sched/orders_test.c
+++ b/src/sched/orders_test.c
@@ -445,11 +445,11 @@
 {
   KqSchedDesk *d = *state;
   start_on_r0 (d);
-  kq_sched_lead_until (d->sched, d->now + KQ_SEC);
+  kq_sched_set_exclusive_until (d->sched, d->now + KQ_SEC);
   kq_sched_desk_unreached (d, d->agent, "r0", 2000);
   kq_sched_desk_run (d, 20 * KQ_SEC);
   assert_int_equal (d->starts, 1);
-  kq_sched_lead_until (d->sched, d->now + KQ_SEC);
+  kq_sched_set_exclusive_until (d->sched, d->now + KQ_SEC);
   kq_sched_desk_run (d, 500 * KQ_MS);
   assert_int_equal (d->starts, 2);
 }
@@ -510,11 +510,11 @@
 test_job_waits_while_lead_is_uncertain (void **state)
 {
   KqSchedDesk *d = *state;
-  kq_sched_lead_until (d->sched, d->now);
+  kq_sched_set_exclusive_until (d->sched, d->now);
   kq_sched_desk_submit (d, "aa", kq_sched_desk_step (), false);
   kq_sched_desk_run (d, KQ_SEC);
   assert_int_equal (d->starts, 0);
-  kq_sched_lead_until (d->sched, d->now + KQ_SEC);
+  kq_sched_set_exclusive_until (d->sched, d->now + KQ_SEC);
   kq_sched_desk_run (d, 50 * KQ_MS);
   assert_int_equal (d->starts, 1);
 }
--- a/src/sched/pass.c
+++ b/src/sched/pass.c
@@ -140,7 +140,7 @@
 static bool
 start_forbidden (KqSched *s, const KqJob *j)
 {
-  bool leader_uncertain = j->learned_at >= s->lead_until;
+  bool leader_uncertain = j->learned_at >= s->exclusive_until;
   s->job_held_back = s->job_held_back || leader_uncertain;
   return leader_uncertain || (!s->settled && j->revision < s->config.epoch);
 }
--- a/src/sched/runners.c
+++ b/src/sched/runners.c
@@ -537,7 +537,7 @@
       bool unreachable = r->agent < 0 || r->silent;
       if (r->in_sent_list != kq_runners_may_run (r))
         s->used_runners_dirty = true;
-      if (!unreachable || now < r->lease_ends + LEASE_MARGIN || now >= s->lead_until)
+      if (!unreachable || now < r->lease_ends + LEASE_MARGIN || now >= s->exclusive_until)
         continue;
       if (r->n_runs > 0)
         {
@@ -579,7 +579,7 @@
 void
 kq_runners_check_settled (KqSched *s, KqTime now)
 {
-  if (s->settled || !s->loaded || now >= s->lead_until)
+  if (s->settled || !s->loaded || now >= s->exclusive_until)
     return;
   for (guint i = 0; i < s->runner_list->len; i++)
     {
--- a/src/sched/sched.c
+++ b/src/sched/sched.c
@@ -98,7 +98,7 @@
   s->batch = g_ptr_array_new ();
   s->waves = kq_maintenance_new_waves ();
   s->started_at = s->next_check_at = s->stored_at = now;
-  s->store_due = s->lead_until = KQ_TIME_NEVER;
+  s->store_due = s->exclusive_until = KQ_TIME_NEVER;
   s->slowness_mean = 1;
   s->disturb = kq_disturb_new ();
   kq_window_init (&s->window);
@@ -122,9 +122,9 @@
 }
 
 void
-kq_sched_lead_until (KqSched *s, KqTime until)
+kq_sched_set_exclusive_until (KqSched *s, KqTime until)
 {
-  s->lead_until = until;
+  s->exclusive_until = until;
   s->pass_needed = s->pass_needed || s->job_held_back;
   s->job_held_back = false;
 }
--- a/src/sched/sched.h
+++ b/src/sched/sched.h
@@ -170,7 +170,7 @@
 
 /* Sets the time until which no other node can be leader; KQ_TIME_NEVER at first. Once it
  * has passed another leader may have renewed leases, so no lease counts as expired. */
-void kq_sched_lead_until (KqSched *s, KqTime until);
+void kq_sched_set_exclusive_until (KqSched *s, KqTime until);
 
 /* Adds a runner, or updates it, by its entry in the store. */
 void kq_sched_entry (KqSched *s, const KqRunnerEntry *e, KqTime now);
--- a/src/sched/state.h
+++ b/src/sched/state.h
@@ -53,7 +53,7 @@
   KqRunnerState *runner;
   int64_t started_ms; /* the runner process it is for */
   char *ticket;       /* NULL: refused, or no answer yet */
-  KqTime valid_until;
+  KqTime valid_until; /* without a ticket: 0 until the answer, then not 0: refused */
 } KqTicket;
 
 typedef struct
@@ -101,7 +101,7 @@
   KqBuf stored;      /* packed spec, which holds the strings of `spec` */
   uint64_t revision; /* store revision of its key */
   KqPool *pool;      /* of its service */
-  KqTime learned_at;
+  KqTime learned_at; /* when this leader learned of it */
   KqJobState state;
   KqJobState stored_state; /* the last state that has been stored */
   bool begun;              /* some task has been started */
@@ -110,9 +110,9 @@
   KqTime accepted_at;
   KqTime ended_at;
   KqSpent spent;
-  int *images;     /* per step: its image's place in the disturbance model; -1: none */
-  int32_t created; /* number of occurrences created */
-  int32_t finished;
+  int *images;      /* per step: its image's place in the disturbance model; -1: none */
+  int32_t created;  /* number of occurrences created */
+  int32_t finished; /* number of occurrences completed */
   KqOccurrence *occurrences; /* open ones */
   int runs;                  /* number of runs that may exist on runners */
   KqRun *run_list;           /* those runs, the latest first */
@@ -159,8 +159,8 @@
   bool start_in_window; /* its start order is counted in the window */
   bool resent;  /* its start order was sent more than once: one may still arrive */
   bool stopped; /* its runner has answered a stop order, and not listed the run since */
-  uint64_t confirmed; /* agent's count of results when the runner last reported the run;
-                         0: never */
+  uint64_t confirmed; /* agent's count of results when the runner last reported the run,
+                         plus 1; 0: never */
   KqTime placed_at;
   KqTime running_at; /* when its runner first confirmed it; 0: not yet */
   KqTime moved_at;   /* last change of its progress or pace */
@@ -207,9 +207,9 @@
   char *kind;
   char *host;        /* its target host; "": not known */
   bool host_leaving; /* its host will be taken down for maintenance soon */
-  KqRoom room;
-  KqRoom used;     /* reserved by all runs that may exist there */
-  int64_t filling; /* cpu that its filling runs ask for */
+  KqRoom room;       /* its whole capacity */
+  KqRoom used;       /* reserved by all runs that may exist there */
+  int64_t filling;   /* cpu that its filling runs ask for */
   int64_t started_ms;
   bool in_store;               /* it has an entry in the store now */
   bool in_stored_list;         /* it is in the stored list of runners in use */
@@ -273,9 +273,9 @@
 {
   char *host;
   KqHostPhase phase;
-  KqTime since;    /* start of the phase */
-  KqTime again_at; /* earliest time of the next attempt */
-  char *old_runner;
+  KqTime since;     /* start of the phase */
+  KqTime again_at;  /* earliest time of the next attempt */
+  char *old_runner; /* on the host when the call was made; NULL: none */
 } KqWaveHost;
 
 typedef struct
@@ -299,14 +299,14 @@
   GPtrArray *runner_list;
   GPtrArray *pools; /* KqPool */
   KqAgents agents;
-  uint64_t assignments; /* number of assignments of runners to agents so far */
-  uint64_t runners_made;
-  KqJob *open; /* jobs that have not ended, and ended ones that still have runs */
-  bool loaded;
+  uint64_t assignments;  /* number of assignments of runners to agents so far */
+  uint64_t runners_made; /* number of runners added so far */
+  KqJob *open;      /* jobs that have not ended, and ended ones that still have runs */
+  bool loaded;      /* everything stored has been passed in */
   bool settled;     /* all runs of earlier leaders are known */
   bool pass_needed; /* something has changed that calls for a placing pass */
   bool in_pass; /* a placing pass is under way; values cached for one pass may be used */
-  uint64_t passes;
+  uint64_t passes;             /* number of placing passes so far */
   uint64_t changes;            /* count of changes of runners */
   KqRunnerState *changed_last; /* all runners, the last changed first */
   guint scan_from;             /* index of the runner at which the next search begins */
@@ -315,16 +315,16 @@
   bool assign_soon;            /* an agent may be able to take a runner that has none */
   int64_t wall_minus_now_ms;
   KqTime started_at;
-  KqTime lead_until;  /* no other leader before this time */
-  bool job_held_back; /* a job waits until no other leader is possible again */
+  KqTime exclusive_until; /* no other leader before this time */
+  bool job_held_back;     /* a job waits until no other leader is possible again */
   KqTime
       next_pass_at; /* the next placing pass is due then at the latest; 0: none is due */
   KqTime next_check_at; /* next check of progress, leases and paces */
-  KqTime store_due;
-  KqTime stored_at;
+  KqTime store_due; /* when changed progress is due to be stored; KQ_TIME_NEVER: none */
+  KqTime stored_at; /* when the last batch was begun */
   bool batch_open;
-  bool ends_dirty;
-  double slowness_mean;
+  bool ends_dirty;      /* some received ends aren't covered by a batch yet */
+  double slowness_mean; /* as KqRunnerState.slowness, over all runners */
   KqDisturb *disturb;
   KqWindow window;
   KqTime window_logged_at; /* last log line on a closed window */
