--- a/bench/sched_desk.c
+++ b/bench/sched_fixture.c
@@ -1,4 +1,4 @@
-#include "sched_desk.h"
+#include "sched_fixture.h"
 
 #include "base/log.h"
 
@@ -6,15 +6,15 @@
 #include <string.h>
 
 static uint64_t *
-assignment (KqSchedDesk *d, KqStr runner)
+assignment (KqSchedFixture *d, KqStr runner)
 {
   return &d->assignment[(size_t)(runner.ptr[1] - '0') % 3];
 }
 
 static void
-record_start (KqSchedDesk *d)
+record_start (KqSchedFixture *d)
 {
-  KqSchedDeskStart start = { .run = d->run };
+  KqSchedFixtureStart start = { .run = d->run };
   memcpy (start.runner, d->runner, sizeof start.runner);
   memcpy (start.task, d->task, sizeof start.task);
   g_array_append_val (d->starts_pending, start);
@@ -23,35 +23,35 @@
 static void
 on_order (void *arg, int agent, const KqOrder *o)
 {
-  KqSchedDesk *d = arg;
+  KqSchedFixture *d = arg;
   (void)agent;
   if (o->kind == KQ_ORDER_STOP)
-    d->stops++;
+    d->stop_orders++;
   if (o->kind == KQ_ORDER_DROP)
-    d->drops++;
+    d->drop_orders++;
   if (o->kind == KQ_ORDER_TAKE)
     *assignment (d, o->runner) = o->u.take.assignment;
   if (o->kind == KQ_ORDER_PACE)
     {
-      d->paces++;
-      d->slowed += o->u.pace.percent < 100;
+      d->pace_orders++;
+      d->slow_pace_orders += o->u.pace.percent < 100;
     }
   if (o->kind == KQ_ORDER_RENEW)
     {
-      d->renewals++;
+      d->renew_orders++;
       d->halt = o->u.renew.halt;
     }
   if (o->kind == KQ_ORDER_SEEN)
-    d->seen = o->u.seen.ends;
+    d->ends_acked = o->u.seen.ends;
   if (o->kind == KQ_ORDER_ADVISE)
     {
-      d->questions++;
-      d->questions_about = (int)o->u.advise.n_runners;
-      kq_str_copy (o->u.advise.step, d->question, sizeof d->question);
+      d->advise_orders++;
+      d->advise_runners = (int)o->u.advise.n_runners;
+      kq_str_copy (o->u.advise.step, d->advise_step, sizeof d->advise_step);
     }
   if (o->kind != KQ_ORDER_START)
     return;
-  d->starts++;
+  d->start_orders++;
   kq_str_copy (o->runner, d->runner, sizeof d->runner);
   kq_str_copy (o->u.start.task, d->task, sizeof d->task);
   kq_str_copy (o->u.start.ticket, d->ticket, sizeof d->ticket);
@@ -62,98 +62,98 @@
 static void
 on_maintenance (void *arg, KqStr host, int64_t wave)
 {
-  KqSchedDesk *d = arg;
+  KqSchedFixture *d = arg;
   (void)wave;
-  d->went_down++;
-  kq_str_copy (host, d->last_down, sizeof d->last_down);
+  d->hosts_down++;
+  kq_str_copy (host, d->last_host_down, sizeof d->last_host_down);
 }
 
 void
-kq_sched_desk_run (KqSchedDesk *d, KqTime span)
+kq_sched_fixture_run (KqSchedFixture *d, KqTime span)
 {
   for (KqTime end = d->now + span; d->now < end; d->now += 10 * KQ_MS)
     kq_sched_run (d->sched, d->now, d->now / KQ_MS);
 }
 
 static void
-list (KqSchedDesk *d, const char *runner, KqRunnerList l)
+list (KqSchedFixture *d, const char *runner, KqRunnerList l)
 {
   l.started_ms = d->started_ms;
   l.lease_left_ms = 5000;
-  l.order = d->results;
+  l.order = d->outcomes_sent;
   l.assignment = *assignment (d, kq_str (runner));
   kq_sched_list (d->sched, d->agent, kq_str (runner), &l, d->now);
 }
 
 void
-kq_sched_desk_list (KqSchedDesk *d, const char *runner, const KqEndRow *ends,
-                    size_t n_ends)
+kq_sched_fixture_list (KqSchedFixture *d, const char *runner, const KqEndRow *ends,
+                       size_t n_ends)
 {
   list (d, runner, (KqRunnerList){ .ended = ends, .n_ended = n_ends });
 }
 
 void
-kq_sched_desk_list_cut (KqSchedDesk *d, const char *runner, const KqEndRow *end)
+kq_sched_fixture_list_partial (KqSchedFixture *d, const char *runner, const KqEndRow *end)
 {
   list (d, runner, (KqRunnerList){ .ended = end, .n_ended = 1, .more_ended = true });
 }
 
 void
-kq_sched_desk_list_runs (KqSchedDesk *d, const char *runner, const KqRunRow *rows,
-                         size_t n)
+kq_sched_fixture_list_runs (KqSchedFixture *d, const char *runner, const KqRunRow *rows,
+                            size_t n)
 {
   list (d, runner, (KqRunnerList){ .running = rows, .n_running = n });
 }
 
 void
-kq_sched_desk_list_serving (KqSchedDesk *d, const char *runner, const char *task,
-                            uint32_t run, int tail_ms)
+kq_sched_fixture_list_serving (KqSchedFixture *d, const char *runner, const char *task,
+                               uint32_t run, int tail_ms)
 {
   KqRunRow row = { .task = kq_str (task),
                    .run = run,
                    .checkpoint = KQ_STR (""),
                    .percent = 100,
                    .load = tail_ms };
-  kq_sched_desk_list_runs (d, runner, &row, 1);
+  kq_sched_fixture_list_runs (d, runner, &row, 1);
 }
 
 void
-kq_sched_desk_outcome (KqSchedDesk *d, KqOrderKind kind, const char *runner,
-                       const char *task, uint32_t n, KqOrderResult result)
+kq_sched_fixture_outcome (KqSchedFixture *d, KqOrderKind kind, const char *runner,
+                          const char *task, uint32_t n, KqOrderResult result)
 {
   KqOrderOutcome o = { .kind = kind,
                        .task = kq_str (task),
                        .run = n,
                        .result = result,
-                       .order = ++d->results,
+                       .order = ++d->outcomes_sent,
                        .lease_left_ms = -1,
                        .assignment = *assignment (d, kq_str (runner)) };
   kq_sched_outcome (d->sched, d->agent, kq_str (runner), &o, d->now);
 }
 
 void
-kq_sched_desk_carry_out (KqSchedDesk *d)
+kq_sched_fixture_accept_starts (KqSchedFixture *d)
 {
   guint n = d->starts_pending->len; /* outcomes may cause further starts */
   for (guint i = 0; i < n; i++)
     {
-      KqSchedDeskStart s = g_array_index (d->starts_pending, KqSchedDeskStart, i);
-      kq_sched_desk_outcome (d, KQ_ORDER_START, s.runner, s.task, s.run, KQ_ORDER_OK);
+      KqSchedFixtureStart s = g_array_index (d->starts_pending, KqSchedFixtureStart, i);
+      kq_sched_fixture_outcome (d, KQ_ORDER_START, s.runner, s.task, s.run, KQ_ORDER_OK);
     }
   g_array_remove_range (d->starts_pending, 0, n);
 }
 
 void
-kq_sched_desk_unreached (KqSchedDesk *d, int agent, const char *runner,
-                         int64_t lease_left_ms)
+kq_sched_fixture_unreached (KqSchedFixture *d, int agent, const char *runner,
+                            int64_t lease_left_ms)
 {
   kq_sched_unreached (d->sched, agent, kq_str (runner), *assignment (d, kq_str (runner)),
                       lease_left_ms, d->now);
 }
 
 void
-kq_sched_desk_advise (KqSchedDesk *d, const char *step, KqAdviceResult result,
-                      const char *runner, const char *ticket, int64_t valid_ms)
+kq_sched_fixture_advise (KqSchedFixture *d, const char *step, KqAdviceResult result,
+                         const char *runner, const char *ticket, int64_t valid_ms)
 {
   KqAdviceRow row = { kq_str (runner), kq_str (ticket) };
   KqStepAdvice a = { .step = kq_str (step) };
@@ -162,7 +162,7 @@
 }
 
 KqStep
-kq_sched_desk_step (void)
+kq_sched_fixture_step (void)
 {
   return (KqStep){
     .width = 1, .cpu_milli = 500, .mem_mb = 100, .estimate_ms = 300, .max_unavailable = -1
@@ -170,7 +170,7 @@
 }
 
 void
-kq_sched_desk_submit (KqSchedDesk *d, const char *id, KqStep step, bool advised)
+kq_sched_fixture_submit (KqSchedFixture *d, const char *id, KqStep step, bool advised)
 {
   KqSpec spec = { .id = kq_str (id),
                   .queue = KQ_STR ("q"),
@@ -189,7 +189,7 @@
 }
 
 static void
-new_sched (KqSchedDesk *d, uint64_t epoch)
+new_sched (KqSchedFixture *d, uint64_t epoch)
 {
   KqSchedConfig c = { .epoch = epoch,
                       .term = 1,
@@ -208,7 +208,7 @@
 }
 
 static void
-add_entries (KqSchedDesk *d)
+add_entries (KqSchedFixture *d)
 {
   for (int i = 0; i < 2; i++)
     {
@@ -222,7 +222,7 @@
 }
 
 void
-kq_sched_desk_store_known (KqSchedDesk *d)
+kq_sched_fixture_store_used_runners (KqSchedFixture *d)
 {
   kq_buf_clear (&d->used_runners);
   kq_sched_used_runners_pack (d->sched, &d->used_runners);
@@ -230,39 +230,39 @@
 }
 
 void
-kq_sched_desk_next_leader (KqSchedDesk *d)
+kq_sched_fixture_new_leader (KqSchedFixture *d)
 {
   kq_sched_free (d->sched);
-  d->results = 0;
+  d->outcomes_sent = 0;
   new_sched (d, 20);
   kq_sched_used_runners (d->sched, kq_buf_str (&d->used_runners), d->now);
   add_entries (d);
 }
 
 int
-kq_sched_desk_set_up (void **state)
+kq_sched_fixture_set_up (void **state)
 {
-  KqSchedDesk *d = calloc (1, sizeof *d);
+  KqSchedFixture *d = calloc (1, sizeof *d);
   kq_log_set_level (KQ_LOG_ERROR);
   d->now = 100 * KQ_SEC;
   d->started_ms = 1;
-  d->starts_pending = g_array_new (FALSE, FALSE, sizeof (KqSchedDeskStart));
+  d->starts_pending = g_array_new (FALSE, FALSE, sizeof (KqSchedFixtureStart));
   d->counters = kq_counters_new ();
   new_sched (d, 5);
   kq_sched_loaded (d->sched, d->now);
   add_entries (d);
-  kq_sched_desk_store_known (d);
-  kq_sched_desk_run (d, 100 * KQ_MS);
-  kq_sched_desk_list (d, "r0", NULL, 0);
-  kq_sched_desk_list (d, "r1", NULL, 0);
+  kq_sched_fixture_store_used_runners (d);
+  kq_sched_fixture_run (d, 100 * KQ_MS);
+  kq_sched_fixture_list (d, "r0", NULL, 0);
+  kq_sched_fixture_list (d, "r1", NULL, 0);
   *state = d;
   return 0;
 }
 
 int
-kq_sched_desk_tear_down (void **state)
+kq_sched_fixture_tear_down (void **state)
 {
-  KqSchedDesk *d = *state;
+  KqSchedFixture *d = *state;
   kq_sched_free (d->sched);
   kq_counters_free (d->counters);
   kq_buf_free (&d->used_runners);
--- /dev/null
+++ b/bench/sched_fixture.h
@@ -0,0 +1,88 @@
+#ifndef KQ_BENCH_SCHED_FIXTURE_H
+#define KQ_BENCH_SCHED_FIXTURE_H
+
+/* sched_fixture: a test fixture of a scheduler with two runners and one agent. The test
+ * supplies each list and outcome itself, in orders that runs of the rig (sched_rig.h)
+ * hardly produce. */
+
+#include "sched/sched.h"
+
+#include <glib.h>
+
+typedef struct
+{
+  char runner[16];
+  char task[96];
+  uint32_t run;
+} KqSchedFixtureStart;
+
+typedef struct
+{
+  KqSched *sched;
+  KqCounters *counters;
+  KqTime now;
+  int agent;
+  int start_orders; /* START orders so far */
+  int stop_orders;  /* STOP orders so far */
+  char runner[16];  /* this and the next three: of the last START order */
+  char task[96];
+  uint32_t run;
+  char ticket[32];
+  int pace_orders;         /* PACE orders so far */
+  int slow_pace_orders;    /* those with less than 100 percent */
+  int advise_orders;       /* ADVISE orders so far */
+  char advise_step[96];    /* the step of the last one */
+  int advise_runners;      /* number of runners in it */
+  int hosts_down;          /* hosts taken down for maintenance so far */
+  char last_host_down[16]; /* the last such host */
+  int renew_orders;        /* RENEW orders so far */
+  uint64_t halt;           /* in the last RENEW order */
+  uint64_t ends_acked;     /* highest end acknowledged by the last SEEN order */
+  GArray *starts_pending;  /* KqSchedFixtureStart: START orders without an outcome */
+  uint64_t outcomes_sent;  /* outcomes passed in so far */
+  uint64_t assignment[3];  /* number in the last TAKE order of r0 to r2 */
+  KqBuf used_runners;      /* the stored list of runners in use, packed */
+  int64_t started_ms;      /* start of the runner process in lists; 1 at first */
+  int drop_orders;         /* DROP orders so far */
+} KqSchedFixture;
+
+/* cmocka's set-up and tear-down; *state is a KqSchedFixture. */
+int kq_sched_fixture_set_up (void **state);
+int kq_sched_fixture_tear_down (void **state);
+/* Stores the scheduler's list of runners in use. */
+void kq_sched_fixture_store_used_runners (KqSchedFixture *d);
+/* Replaces the scheduler by that of a new leader, which gets the stored list and the
+ * runners' entries. The caller passes the jobs in and calls kq_sched_loaded. */
+void kq_sched_fixture_new_leader (KqSchedFixture *d);
+/* Runs the scheduler every 10 ms for the span. */
+void kq_sched_fixture_run (KqSchedFixture *d, KqTime span);
+/* Passes in a list of the runner with these ends and no runs. */
+void kq_sched_fixture_list (KqSchedFixture *d, const char *runner, const KqEndRow *ends,
+                            size_t n_ends);
+/* Passes in a list with this end, of which more are to follow (more_ended). */
+void kq_sched_fixture_list_partial (KqSchedFixture *d, const char *runner,
+                                    const KqEndRow *end);
+/* Passes in a list with one run, a serving task with this tail latency. */
+void kq_sched_fixture_list_serving (KqSchedFixture *d, const char *runner,
+                                    const char *task, uint32_t run, int tail_ms);
+/* Passes in a list with these runs and no ends. */
+void kq_sched_fixture_list_runs (KqSchedFixture *d, const char *runner,
+                                 const KqRunRow *rows, size_t n);
+/* Passes in the outcome OK for every START order that has no outcome yet. */
+void kq_sched_fixture_accept_starts (KqSchedFixture *d);
+/* Passes in the outcome of an order. */
+void kq_sched_fixture_outcome (KqSchedFixture *d, KqOrderKind kind, const char *runner,
+                               const char *task, uint32_t run, KqOrderResult result);
+/* The agent reports the runner as unreachable. */
+void kq_sched_fixture_unreached (KqSchedFixture *d, int agent, const char *runner,
+                                 int64_t lease_left_ms);
+/* Passes in the advice service's answer, which names one runner; ticket NULL: none. */
+void kq_sched_fixture_advise (KqSchedFixture *d, const char *step, KqAdviceResult result,
+                              const char *runner, const char *ticket, int64_t valid_ms);
+/* A step of one task with 0.5 cores and 100 MB. */
+KqStep kq_sched_fixture_step (void);
+/* Passes in a job of this step; advised: the advice service is asked about it. */
+void kq_sched_fixture_submit (KqSchedFixture *d, const char *id, KqStep step,
+                              bool advised);
+
+#endif
--- a/bench/sched_rig.c
+++ b/bench/sched_rig.c
@@ -365,7 +365,7 @@
 int
 kq_sched_rig_free (KqSchedRig *r)
 {
-  int broken = r->broken;
+  int broken = r->breaches;
   if (broken > 0)
     fprintf (stderr, "%s\n", r->first_breach);
   kq_sched_rig_clear (r);
--- a/bench/sched_rig.h
+++ b/bench/sched_rig.h
@@ -177,7 +177,7 @@
   int late_percent;   /* reach the runner 1 to 6 s late; no answer */
   int unsent_percent; /* starts and stops that aren't sent and fail as UNHEALTHY */
   /* State of the invariant checks. */
-  int broken; /* number of breaches */
+  int breaches; /* number of breaches */
   char first_breach[200];
   GHashTable *done;          /* "TASK": its end as done was acknowledged within the lease;
                                 "ever TASK": a run of it has ended as done */
--- a/bench/sched_rig_runner.c
+++ b/bench/sched_rig_runner.c
@@ -10,7 +10,7 @@
 void
 kq_sched_rig_breach (KqSchedRig *r, const char *rule, const char *what)
 {
-  if (r->broken++ == 0)
+  if (r->breaches++ == 0)
     snprintf (r->first_breach, sizeof r->first_breach, "%s: %s at %lld ms", rule, what,
               (long long)(r->now / KQ_MS));
 }
--- a/bench/sched_soak.c
+++ b/bench/sched_soak.c
@@ -460,7 +460,7 @@
       snprintf (id, sizeof id, "j%d", i);
       if (job_ended (r, id))
         continue;
-      if (r->broken++ == 0)
+      if (r->breaches++ == 0)
         snprintf (r->first_breach, sizeof r->first_breach,
                   "never ended: %s is %s, %d running", id,
                   kq_job_state_name (kq_sched_rig_state (r, id)),
@@ -503,7 +503,7 @@
     }
   settle (s);
   check_end (s);
-  broken = s->rig.broken;
+  broken = s->rig.breaches;
   snprintf (why, (size_t)why_size, "%s", s->rig.first_breach);
   kq_sched_rig_clear (&s->rig);
   free (s);
--- a/src/sched/acknowledge_test.c
+++ b/src/sched/acknowledge_test.c
@@ -1,4 +1,4 @@
-#include "bench/sched_desk.h"
+#include "bench/sched_fixture.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -9,7 +9,7 @@
 #include <cmocka.h>
 
 static void
-store_progress (KqSchedDesk *d)
+store_progress (KqSchedFixture *d)
 {
   KqProgress rows[4];
   kq_sched_store_begin (d->sched, rows, 4, d->now);
@@ -22,18 +22,18 @@
 static void
 test_next_agent_is_told_of_stored_ends (void **state)
 {
-  KqSchedDesk *d = *state;
+  KqSchedFixture *d = *state;
   KqAgentInfo next = { .name = kq_name (KQ_STR ("b")), .share_milli = 1000 };
   KqEndRow end = { 1, KQ_STR ("zz.0.0.0"), 1, KQ_END_DONE, KQ_STR ("") };
-  kq_sched_desk_list_cut (d, "r0", &end);
+  kq_sched_fixture_list_partial (d, "r0", &end);
   store_progress (d);
-  assert_int_equal (d->seen, 1);
+  assert_int_equal (d->ends_acked, 1);
   kq_sched_agent_down (d->sched, d->agent, false, d->now);
   d->agent = kq_sched_agent_up (d->sched, &next, d->now);
-  kq_sched_desk_run (d, 300 * KQ_MS);
-  d->seen = 0;
-  kq_sched_desk_list_cut (d, "r0", &end);
-  assert_int_equal (d->seen, 1);
+  kq_sched_fixture_run (d, 300 * KQ_MS);
+  d->ends_acked = 0;
+  kq_sched_fixture_list_partial (d, "r0", &end);
+  assert_int_equal (d->ends_acked, 1);
 }
 
 /* Guards against an acknowledgement before the end is stored: the runner would forget an
@@ -41,17 +41,17 @@
 static void
 test_next_agent_is_not_told_of_ends_before_they_are_stored (void **state)
 {
-  KqSchedDesk *d = *state;
+  KqSchedFixture *d = *state;
   KqAgentInfo next = { .name = kq_name (KQ_STR ("b")), .share_milli = 1000 };
   KqEndRow end = { 1, KQ_STR ("zz.0.0.0"), 1, KQ_END_DONE, KQ_STR ("") };
-  kq_sched_desk_list_cut (d, "r0", &end);
+  kq_sched_fixture_list_partial (d, "r0", &end);
   kq_sched_agent_down (d->sched, d->agent, false, d->now);
   d->agent = kq_sched_agent_up (d->sched, &next, d->now);
-  kq_sched_desk_run (d, 300 * KQ_MS);
-  kq_sched_desk_list_cut (d, "r0", &end);
-  assert_int_equal (d->seen, 0);
+  kq_sched_fixture_run (d, 300 * KQ_MS);
+  kq_sched_fixture_list_partial (d, "r0", &end);
+  assert_int_equal (d->ends_acked, 0);
   store_progress (d);
-  assert_int_equal (d->seen, 1);
+  assert_int_equal (d->ends_acked, 1);
 }
 
 int
@@ -59,10 +59,10 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test_setup_teardown (test_next_agent_is_told_of_stored_ends,
-                                     kq_sched_desk_set_up, kq_sched_desk_tear_down),
+                                     kq_sched_fixture_set_up, kq_sched_fixture_tear_down),
     cmocka_unit_test_setup_teardown (
-        test_next_agent_is_not_told_of_ends_before_they_are_stored, kq_sched_desk_set_up,
-        kq_sched_desk_tear_down),
+        test_next_agent_is_not_told_of_ends_before_they_are_stored,
+        kq_sched_fixture_set_up, kq_sched_fixture_tear_down),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/sched/harm_test.c
+++ b/src/sched/harm_test.c
@@ -1,5 +1,5 @@
 #include "base/log.h"
-#include "bench/sched_desk.h"
+#include "bench/sched_fixture.h"
 
 #include <math.h>
 #include <setjmp.h>
@@ -32,50 +32,50 @@
 } Setup;
 
 static void
-take_last_start (KqSchedDesk *d, ListedRun *out)
+take_last_start (KqSchedFixture *d, ListedRun *out)
 {
   memcpy (out->runner, d->runner, sizeof out->runner);
   memcpy (out->task, d->task, sizeof out->task);
   out->run = d->run;
-  kq_sched_desk_outcome (d, KQ_ORDER_START, out->runner, out->task, out->run,
-                         KQ_ORDER_OK);
+  kq_sched_fixture_outcome (d, KQ_ORDER_START, out->runner, out->task, out->run,
+                            KQ_ORDER_OK);
 }
 
 static void
-set_up_serving (KqSchedDesk *d, Setup *s)
+set_up_serving (KqSchedFixture *d, Setup *s)
 {
-  KqStep serves = kq_sched_desk_step ();
+  KqStep serves = kq_sched_fixture_step ();
   ListedRun last;
   serves.lasting = true;
   serves.width = 2;
   serves.cpu_milli = 2500;
   serves.target_ms = TARGET_MS;
   serves.image = KQ_STR ("serves");
-  kq_sched_desk_submit (d, "aa", serves, false);
+  kq_sched_fixture_submit (d, "aa", serves, false);
   /* One of the two runners is kept free of lasting tasks at first. */
-  kq_sched_desk_run (d, 5 * KQ_SEC);
-  assert_int_equal (d->starts, 2);
+  kq_sched_fixture_run (d, 5 * KQ_SEC);
+  assert_int_equal (d->start_orders, 2);
   take_last_start (d, &last);
   /* Both tasks of the step started as run 1; the last start was that of its second task.
    */
   s->beside = s->alone = last;
   s->beside.task[strlen (last.task) - 1] = '0';
   s->beside.runner[1] = last.runner[1] == '0' ? '1' : '0'; /* r0 or r1 */
-  kq_sched_desk_outcome (d, KQ_ORDER_START, s->beside.runner, s->beside.task, 1,
-                         KQ_ORDER_OK);
+  kq_sched_fixture_outcome (d, KQ_ORDER_START, s->beside.runner, s->beside.task, 1,
+                            KQ_ORDER_OK);
 }
 
 static void
-start_filling (KqSchedDesk *d, Setup *s)
+start_filling (KqSchedFixture *d, Setup *s)
 {
-  KqStep fills = kq_sched_desk_step ();
+  KqStep fills = kq_sched_fixture_step ();
   fills.filling = true;
   fills.cpu_milli = 1500;
   fills.estimate_ms = 600000;
   fills.image = KQ_STR ("fills");
-  kq_sched_desk_submit (d, "bb", fills, false);
-  kq_sched_desk_run (d, 50 * KQ_MS);
-  assert_int_equal (d->starts, 3);
+  kq_sched_fixture_submit (d, "bb", fills, false);
+  kq_sched_fixture_run (d, 50 * KQ_MS);
+  assert_int_equal (d->start_orders, 3);
   take_last_start (d, &s->filling);
   if (strcmp (s->filling.runner, s->beside.runner) != 0)
     {
@@ -97,25 +97,25 @@
 
 /* Reports the tails of the two serving tasks for half a second. */
 static void
-report (KqSchedDesk *d, const Setup *s, int n, double tail_beside, double tail_alone)
+report (KqSchedFixture *d, const Setup *s, int n, double tail_beside, double tail_alone)
 {
   KqRunRow first[2] = { row_of (&s->beside, 100, (int)tail_beside),
                         row_of (&s->filling, 1 + n % 90, 1500) };
   KqRunRow second = row_of (&s->alone, 100, (int)tail_alone);
-  kq_sched_desk_list_runs (d, s->beside.runner, first, 2);
-  kq_sched_desk_list_runs (d, s->alone.runner, &second, 1);
-  kq_sched_desk_run (d, 500 * KQ_MS);
+  kq_sched_fixture_list_runs (d, s->beside.runner, first, 2);
+  kq_sched_fixture_list_runs (d, s->alone.runner, &second, 1);
+  kq_sched_fixture_run (d, 500 * KQ_MS);
 }
 
 /* The same without the filling task, both tails alike. */
 static void
-report_alone (KqSchedDesk *d, const Setup *s, double tail)
+report_alone (KqSchedFixture *d, const Setup *s, double tail)
 {
   KqRunRow first = row_of (&s->beside, 100, (int)tail);
   KqRunRow second = row_of (&s->alone, 100, (int)tail);
-  kq_sched_desk_list_runs (d, s->beside.runner, &first, 1);
-  kq_sched_desk_list_runs (d, s->alone.runner, &second, 1);
-  kq_sched_desk_run (d, 500 * KQ_MS);
+  kq_sched_fixture_list_runs (d, s->beside.runner, &first, 1);
+  kq_sched_fixture_list_runs (d, s->alone.runner, &second, 1);
+  kq_sched_fixture_run (d, 500 * KQ_MS);
 }
 
 /* A filling task must not be slowed for a rise of the load. The load of the serving step
@@ -124,7 +124,7 @@
 static void
 test_common_load_is_not_attributed_to_filling_tasks (void **state)
 {
-  KqSchedDesk *d = *state;
+  KqSchedFixture *d = *state;
   Setup s;
   set_up_serving (d, &s);
   for (int n = 0; n < 20; n++)
@@ -135,8 +135,8 @@
       double tail = TARGET_MS * (n < 14 ? 0.3 + n * 0.5 / 14 : 0.8);
       report (d, &s, n, tail, tail);
     }
-  assert_int_equal (d->slowed, 0);
-  assert_int_equal (d->stops, 0);
+  assert_int_equal (d->slow_pace_orders, 0);
+  assert_int_equal (d->stop_orders, 0);
 }
 
 /* A filling task that takes slack from a serving task must be slowed. The serving task
@@ -145,18 +145,18 @@
 static void
 test_disturbing_filling_task_is_slowed (void **state)
 {
-  KqSchedDesk *d = *state;
+  KqSchedFixture *d = *state;
   Setup s;
   set_up_serving (d, &s);
   start_filling (d, &s);
-  for (int n = 0; n < 56 && d->slowed == 0; n++)
+  for (int n = 0; n < 56 && d->slow_pace_orders == 0; n++)
     {
       double wave = sin (2 * M_PI * n * 0.5 / PERIOD_S);
       double alone = TARGET_MS * (0.45 + 0.2 * wave);
       double slack = TARGET_MS / alone - 0.7;
       report (d, &s, n, TARGET_MS / slack, alone);
     }
-  assert_true (d->slowed > 0);
+  assert_true (d->slow_pace_orders > 0);
 }
 
 int
@@ -164,9 +164,9 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test_setup_teardown (test_common_load_is_not_attributed_to_filling_tasks,
-                                     kq_sched_desk_set_up, kq_sched_desk_tear_down),
+                                     kq_sched_fixture_set_up, kq_sched_fixture_tear_down),
     cmocka_unit_test_setup_teardown (test_disturbing_filling_task_is_slowed,
-                                     kq_sched_desk_set_up, kq_sched_desk_tear_down),
+                                     kq_sched_fixture_set_up, kq_sched_fixture_tear_down),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/sched/maintenance_test.c
+++ b/src/sched/maintenance_test.c
@@ -1,4 +1,4 @@
-#include "bench/sched_desk.h"
+#include "bench/sched_fixture.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -14,7 +14,7 @@
 #define SETTLE (700 * KQ_MS)
 
 static void
-request_wave (KqSchedDesk *d, size_t n_hosts, int32_t cap)
+request_wave (KqSchedFixture *d, size_t n_hosts, int32_t cap)
 {
   KqStr hosts[] = { KQ_STR ("h0"), KQ_STR ("h1") };
   KqWaveInfo w = {
@@ -24,15 +24,15 @@
 }
 
 static void
-answer_call (KqSchedDesk *d, const char *host, KqMaintenanceResult r)
+answer_call (KqSchedFixture *d, const char *host, KqMaintenanceResult r)
 {
   kq_sched_maintenance_ended (d->sched, 4, kq_str (host), r, d->now);
-  kq_sched_desk_run (d, SETTLE);
+  kq_sched_fixture_run (d, SETTLE);
 }
 
 /* Replaces the host's runner by a new one, as a maintenance does. */
 static void
-replace_runner (KqSchedDesk *d, const char *old, const char *id, const char *host)
+replace_runner (KqSchedFixture *d, const char *old, const char *id, const char *host)
 {
   KqRunnerEntry e = { .id = kq_str (id),
                       .service = KQ_STR ("desk"),
@@ -41,7 +41,7 @@
                       .room = { 4000, 16000, 0 } };
   kq_sched_entry_gone (d->sched, kq_str (old), d->now);
   kq_sched_entry (d->sched, &e, d->now);
-  kq_sched_desk_run (d, 2 * KQ_SEC + SETTLE);
+  kq_sched_fixture_run (d, 2 * KQ_SEC + SETTLE);
 }
 
 static bool completed;
@@ -55,7 +55,7 @@
 }
 
 static bool
-is_completed (const KqSchedDesk *d)
+is_completed (const KqSchedFixture *d)
 {
   completed = false;
   kq_sched_waves_each (d->sched, take_state, NULL);
@@ -67,28 +67,28 @@
 static void
 test_host_is_drained_first (void **state)
 {
-  KqSchedDesk *d = *state;
-  KqStep serving = kq_sched_desk_step ();
+  KqSchedFixture *d = *state;
+  KqStep serving = kq_sched_fixture_step ();
   KqEndRow end = { .number = 1, .reason = KQ_END_STOPPED };
   char runner[16];
   char task[96];
   size_t n_hosts;
   serving.lasting = true;
-  kq_sched_desk_submit (d, "aa", serving, false);
-  kq_sched_desk_run (d, FIRST_CALL);
+  kq_sched_fixture_submit (d, "aa", serving, false);
+  kq_sched_fixture_run (d, FIRST_CALL);
   memcpy (runner, d->runner, sizeof runner);
   memcpy (task, d->task, sizeof task);
   n_hosts = strcmp (runner, "r0") == 0 ? 1 : 2;
-  kq_sched_desk_outcome (d, KQ_ORDER_START, runner, task, d->run, KQ_ORDER_OK);
+  kq_sched_fixture_outcome (d, KQ_ORDER_START, runner, task, d->run, KQ_ORDER_OK);
   request_wave (d, n_hosts, 2);
-  kq_sched_desk_run (d, SETTLE);
-  assert_int_equal (d->stops, 1);
-  assert_int_equal (d->went_down, (int)n_hosts - 1); /* the host without runs */
+  kq_sched_fixture_run (d, SETTLE);
+  assert_int_equal (d->stop_orders, 1);
+  assert_int_equal (d->hosts_down, (int)n_hosts - 1); /* the host without runs */
   end.task = kq_str (task);
   end.run = d->run;
-  kq_sched_desk_list (d, runner, &end, 1);
-  kq_sched_desk_run (d, SETTLE);
-  assert_int_equal (d->went_down, (int)n_hosts);
+  kq_sched_fixture_list (d, runner, &end, 1);
+  kq_sched_fixture_run (d, SETTLE);
+  assert_int_equal (d->hosts_down, (int)n_hosts);
 }
 
 /* Guards against more hosts down than the wave allows: with a cap of one the second waits
@@ -96,17 +96,17 @@
 static void
 test_no_more_hosts_than_allowed (void **state)
 {
-  KqSchedDesk *d = *state;
-  kq_sched_desk_run (d, FIRST_CALL);
+  KqSchedFixture *d = *state;
+  kq_sched_fixture_run (d, FIRST_CALL);
   request_wave (d, 2, 1);
-  kq_sched_desk_run (d, SETTLE);
-  assert_int_equal (d->went_down, 1);
-  assert_string_equal (d->last_down, "h0");
+  kq_sched_fixture_run (d, SETTLE);
+  assert_int_equal (d->hosts_down, 1);
+  assert_string_equal (d->last_host_down, "h0");
   answer_call (d, "h0", KQ_MAINTENANCE_OK);
-  assert_int_equal (d->went_down, 1);
+  assert_int_equal (d->hosts_down, 1);
   replace_runner (d, "r0", "r2", "h0");
-  assert_int_equal (d->went_down, 2);
-  assert_string_equal (d->last_down, "h1");
+  assert_int_equal (d->hosts_down, 2);
+  assert_string_equal (d->last_host_down, "h1");
   assert_false (is_completed (d));
   answer_call (d, "h1", KQ_MAINTENANCE_OK);
   assert_true (is_completed (d));
@@ -118,23 +118,23 @@
 static void
 test_earlier_new_runner_is_not_taken_for_the_next (void **state)
 {
-  KqSchedDesk *d = *state;
+  KqSchedFixture *d = *state;
   KqStr hosts[] = { KQ_STR ("h0"), KQ_STR ("h1") };
   KqWaveInfo next
       = { .number = 5, .hosts = hosts, .n_hosts = 2, .duration_ms = 9000, .cap = 1 };
-  kq_sched_desk_run (d, FIRST_CALL);
+  kq_sched_fixture_run (d, FIRST_CALL);
   request_wave (d, 1, 1);
-  kq_sched_desk_run (d, SETTLE);
+  kq_sched_fixture_run (d, SETTLE);
   answer_call (d, "h0", KQ_MAINTENANCE_OK);
   kq_sched_wave (d->sched, &next, d->now);
-  kq_sched_desk_run (d, SETTLE);
-  assert_int_equal (d->went_down, 1); /* h0 is down, and h1 would exceed the cap */
+  kq_sched_fixture_run (d, SETTLE);
+  assert_int_equal (d->hosts_down, 1); /* h0 is down, and h1 would exceed the cap */
   replace_runner (d, "r0", "r2", "h0");
-  assert_int_equal (d->went_down, 2);
-  kq_sched_maintenance_ended (d->sched, 5, kq_str (d->last_down), KQ_MAINTENANCE_OK,
+  assert_int_equal (d->hosts_down, 2);
+  kq_sched_maintenance_ended (d->sched, 5, kq_str (d->last_host_down), KQ_MAINTENANCE_OK,
                               d->now);
   replace_runner (d, "r2", "r3", "h0");
-  assert_int_equal (d->went_down, strcmp (d->last_down, "h0") == 0 ? 2 : 3);
+  assert_int_equal (d->hosts_down, strcmp (d->last_host_down, "h0") == 0 ? 2 : 3);
 }
 
 /* Guards against a second host taken down when the answer to a call is lost: the first
@@ -142,15 +142,15 @@
 static void
 test_unanswered_call_is_repeated (void **state)
 {
-  KqSchedDesk *d = *state;
-  kq_sched_desk_run (d, FIRST_CALL);
+  KqSchedFixture *d = *state;
+  kq_sched_fixture_run (d, FIRST_CALL);
   request_wave (d, 2, 1);
-  kq_sched_desk_run (d, SETTLE);
+  kq_sched_fixture_run (d, SETTLE);
   answer_call (d, "h0", KQ_MAINTENANCE_UNKNOWN);
-  assert_int_equal (d->went_down, 1);
-  kq_sched_desk_run (d, KQ_SEC);
-  assert_int_equal (d->went_down, 2);
-  assert_string_equal (d->last_down, "h0");
+  assert_int_equal (d->hosts_down, 1);
+  kq_sched_fixture_run (d, KQ_SEC);
+  assert_int_equal (d->hosts_down, 2);
+  assert_string_equal (d->last_host_down, "h0");
 }
 
 /* Guards against more tasks of a step stopped by the scheduler than its spec allows: if
@@ -158,21 +158,21 @@
 static void
 test_tasks_that_may_not_be_away (void **state)
 {
-  KqSchedDesk *d = *state;
-  KqStep serving = kq_sched_desk_step ();
+  KqSchedFixture *d = *state;
+  KqStep serving = kq_sched_fixture_step ();
   serving.lasting = true;
   serving.max_unavailable = 0;
-  kq_sched_desk_submit (d, "aa", serving, false);
-  kq_sched_desk_run (d, FIRST_CALL);
-  kq_sched_desk_outcome (d, KQ_ORDER_START, d->runner, d->task, d->run, KQ_ORDER_OK);
+  kq_sched_fixture_submit (d, "aa", serving, false);
+  kq_sched_fixture_run (d, FIRST_CALL);
+  kq_sched_fixture_outcome (d, KQ_ORDER_START, d->runner, d->task, d->run, KQ_ORDER_OK);
   request_wave (d, 2, 2);
   for (int i = 0; i < 20; i++)
     {
-      kq_sched_desk_list_serving (d, d->runner, d->task, d->run, 5);
-      kq_sched_desk_run (d, 500 * KQ_MS);
+      kq_sched_fixture_list_serving (d, d->runner, d->task, d->run, 5);
+      kq_sched_fixture_run (d, 500 * KQ_MS);
     }
-  assert_int_equal (d->stops, 0);
-  assert_int_equal (d->went_down, 1); /* the other host */
+  assert_int_equal (d->stop_orders, 0);
+  assert_int_equal (d->hosts_down, 1); /* the other host */
 }
 
 /* Guards against hosts taken down twice after the loss of all nodes during a wave: the
@@ -180,27 +180,27 @@
 static void
 test_next_leader_continues_wave (void **state)
 {
-  KqSchedDesk *d = *state;
+  KqSchedFixture *d = *state;
   KqBuf record = { 0 };
   void *next;
-  KqSchedDesk *e;
-  kq_sched_desk_run (d, FIRST_CALL);
+  KqSchedFixture *e;
+  kq_sched_fixture_run (d, FIRST_CALL);
   request_wave (d, 2, 2);
-  kq_sched_desk_run (d, SETTLE);
+  kq_sched_fixture_run (d, SETTLE);
   answer_call (d, "h0", KQ_MAINTENANCE_OK);
   assert_true (kq_sched_waves_pending (d->sched));
   kq_sched_waves_pack (d->sched, &record);
   assert_false (kq_sched_waves_pending (d->sched));
-  kq_sched_desk_set_up (&next);
+  kq_sched_fixture_set_up (&next);
   e = next;
   assert_true (kq_sched_waves_stored (e->sched, kq_buf_str (&record)));
   request_wave (e, 2, 2);
-  kq_sched_desk_run (e, FIRST_CALL);
-  assert_int_equal (e->went_down, 1);
-  assert_string_equal (e->last_down, "h1");
+  kq_sched_fixture_run (e, FIRST_CALL);
+  assert_int_equal (e->hosts_down, 1);
+  assert_string_equal (e->last_host_down, "h1");
   assert_false (kq_sched_waves_stored (e->sched, KQ_STR ("x")));
   kq_buf_free (&record);
-  kq_sched_desk_tear_down (&next);
+  kq_sched_fixture_tear_down (&next);
 }
 
 /* Guards against a runner that stays unused while tasks wait for room. An earlier leader
@@ -210,26 +210,26 @@
 static void
 test_host_that_was_done_before_is_used_again (void **state)
 {
-  KqSchedDesk *d = *state;
-  kq_sched_desk_run (d, FIRST_CALL);
+  KqSchedFixture *d = *state;
+  kq_sched_fixture_run (d, FIRST_CALL);
   request_wave (d, 1, 1);
-  kq_sched_desk_run (d, SETTLE);
-  assert_int_equal (d->went_down, 1);
+  kq_sched_fixture_run (d, SETTLE);
+  assert_int_equal (d->hosts_down, 1);
   answer_call (d, "h0", KQ_MAINTENANCE_OK);
   kq_sched_entry_gone (d->sched, KQ_STR ("r1"), d->now);
   for (int i = 0; i < 8; i++)
     {
-      kq_sched_desk_list (d, "r0", NULL, 0);
-      kq_sched_desk_run (d, 500 * KQ_MS);
+      kq_sched_fixture_list (d, "r0", NULL, 0);
+      kq_sched_fixture_run (d, 500 * KQ_MS);
     }
-  kq_sched_desk_submit (d, "aa", kq_sched_desk_step (), false);
-  kq_sched_desk_run (d, SETTLE);
-  assert_int_equal (d->starts, 1);
+  kq_sched_fixture_submit (d, "aa", kq_sched_fixture_step (), false);
+  kq_sched_fixture_run (d, SETTLE);
+  assert_int_equal (d->start_orders, 1);
   assert_string_equal (d->runner, "r0");
 }
 
 static bool
-is_in_stored_list (KqSchedDesk *d, const char *id)
+is_in_stored_list (KqSchedFixture *d, const char *id)
 {
   KqBuf list = { 0 };
   bool found;
@@ -247,29 +247,29 @@
 static void
 test_runner_taken_down_is_not_waited_for (void **state)
 {
-  KqSchedDesk *d = *state;
-  KqStep serving = kq_sched_desk_step ();
+  KqSchedFixture *d = *state;
+  KqStep serving = kq_sched_fixture_step ();
   char runner[16];
   serving.lasting = true;
-  kq_sched_desk_submit (d, "aa", serving, false);
-  kq_sched_desk_run (d, FIRST_CALL);
+  kq_sched_fixture_submit (d, "aa", serving, false);
+  kq_sched_fixture_run (d, FIRST_CALL);
   memcpy (runner, d->runner, sizeof runner);
-  kq_sched_desk_outcome (d, KQ_ORDER_START, runner, d->task, d->run, KQ_ORDER_OK);
-  kq_sched_desk_list_serving (d, runner, d->task, d->run, 5);
+  kq_sched_fixture_outcome (d, KQ_ORDER_START, runner, d->task, d->run, KQ_ORDER_OK);
+  kq_sched_fixture_list_serving (d, runner, d->task, d->run, 5);
   request_wave (d, 2, 1);
-  kq_sched_desk_run (d, SETTLE);
-  answer_call (d, d->last_down, KQ_MAINTENANCE_OK); /* the host without runs */
-  replace_runner (d, strcmp (runner, "r0") == 0 ? "r1" : "r0", "r2", d->last_down);
+  kq_sched_fixture_run (d, SETTLE);
+  answer_call (d, d->last_host_down, KQ_MAINTENANCE_OK); /* the host without runs */
+  replace_runner (d, strcmp (runner, "r0") == 0 ? "r1" : "r0", "r2", d->last_host_down);
   assert_true (is_in_stored_list (d, "r2"));
-  kq_sched_desk_run (d, 3 * KQ_SEC);
-  kq_sched_desk_list (d, "r2", NULL, 0);
-  assert_int_equal (d->went_down, 2);
-  assert_int_equal (d->starts, 1);
-  answer_call (d, d->last_down, KQ_MAINTENANCE_OK);
-  assert_int_equal (d->starts, 1); /* the maintenance may have been done before */
-  kq_sched_desk_unreached (d, d->agent, runner, 4500);
-  kq_sched_desk_run (d, 100 * KQ_MS);
-  assert_int_equal (d->starts, 2);
+  kq_sched_fixture_run (d, 3 * KQ_SEC);
+  kq_sched_fixture_list (d, "r2", NULL, 0);
+  assert_int_equal (d->hosts_down, 2);
+  assert_int_equal (d->start_orders, 1);
+  answer_call (d, d->last_host_down, KQ_MAINTENANCE_OK);
+  assert_int_equal (d->start_orders, 1); /* the maintenance may have been done before */
+  kq_sched_fixture_unreached (d, d->agent, runner, 4500);
+  kq_sched_fixture_run (d, 100 * KQ_MS);
+  assert_int_equal (d->start_orders, 2);
   assert_string_equal (d->runner, "r2");
   assert_false (is_in_stored_list (d, runner));
 }
@@ -291,10 +291,10 @@
 static void
 test_drained_runner_is_not_waited_for (void **state)
 {
-  KqSchedDesk *d = *state;
+  KqSchedFixture *d = *state;
   KqRunnerEntry e = draining_entry ();
   kq_sched_entry (d->sched, &e, d->now);
-  kq_sched_desk_run (d, SETTLE);
+  kq_sched_fixture_run (d, SETTLE);
   assert_true (kq_sched_used_runners_pending (d->sched));
   assert_false (is_in_stored_list (d, "r0"));
   e.draining = false; /* it stays: it must be in the list again before any start */
@@ -309,18 +309,19 @@
 static void
 test_drained_runner_with_an_end_is_waited_for (void **state)
 {
-  KqSchedDesk *d = *state;
+  KqSchedFixture *d = *state;
   KqRunnerEntry e = draining_entry ();
   KqEndRow end
       = { .number = 1, .task = KQ_STR ("zz.0.0.0"), .run = 1, .reason = KQ_END_DONE };
-  kq_sched_desk_list (d, "r0", &end, 1);
+  kq_sched_fixture_list (d, "r0", &end, 1);
   kq_sched_entry (d->sched, &e, d->now);
-  kq_sched_desk_run (d, SETTLE);
+  kq_sched_fixture_run (d, SETTLE);
   assert_false (kq_sched_used_runners_pending (d->sched)); /* it is in the list */
 }
 
 #define DESK(test)                                                                       \
-  cmocka_unit_test_setup_teardown (test, kq_sched_desk_set_up, kq_sched_desk_tear_down)
+  cmocka_unit_test_setup_teardown (test, kq_sched_fixture_set_up,                        \
+                                   kq_sched_fixture_tear_down)
 
 int
 main (void)
--- a/src/sched/placing_test.c
+++ b/src/sched/placing_test.c
@@ -1,5 +1,5 @@
 #include "base/log.h"
-#include "bench/sched_desk.h"
+#include "bench/sched_fixture.h"
 #include "bench/sched_load.h"
 
 #include <setjmp.h>
@@ -34,29 +34,29 @@
 static void
 test_freed_room_is_used_at_once (void **state)
 {
-  KqSchedDesk *d = *state;
-  KqStep step = kq_sched_desk_step ();
+  KqSchedFixture *d = *state;
+  KqStep step = kq_sched_fixture_step ();
   KqEndRow end = { .number = 1, .reason = KQ_END_DONE, .checkpoint = KQ_STR ("") };
   char runner[16];
   char task[96];
   step.cpu_milli = 3000;
-  kq_sched_desk_submit (d, "aa", step, false);
-  kq_sched_desk_run (d, 20 * KQ_MS);
+  kq_sched_fixture_submit (d, "aa", step, false);
+  kq_sched_fixture_run (d, 20 * KQ_MS);
   memcpy (runner, d->runner, sizeof runner);
   memcpy (task, d->task, sizeof task);
   end.run = d->run;
   end.task = kq_str (task);
-  kq_sched_desk_outcome (d, KQ_ORDER_START, runner, task, d->run, KQ_ORDER_OK);
+  kq_sched_fixture_outcome (d, KQ_ORDER_START, runner, task, d->run, KQ_ORDER_OK);
   for (int i = 0; i < 3; i++)
     {
       char id[] = { 'b', (char)('a' + i), '\0' };
-      kq_sched_desk_submit (d, id, step, false);
-      kq_sched_desk_run (d, 10 * KQ_MS);
+      kq_sched_fixture_submit (d, id, step, false);
+      kq_sched_fixture_run (d, 10 * KQ_MS);
     }
-  assert_int_equal (d->starts, 2);
-  kq_sched_desk_list (d, runner, &end, 1);
-  kq_sched_desk_run (d, 10 * KQ_MS);
-  assert_int_equal (d->starts, 3);
+  assert_int_equal (d->start_orders, 2);
+  kq_sched_fixture_list (d, runner, &end, 1);
+  kq_sched_fixture_run (d, 10 * KQ_MS);
+  assert_int_equal (d->start_orders, 3);
   assert_string_equal (d->runner, runner);
 }
 
@@ -66,8 +66,8 @@
   const struct CMUnitTest tests[]
       = { cmocka_unit_test (test_a_task_searches_a_small_part_of_a_large_fleet),
           cmocka_unit_test_setup_teardown (test_freed_room_is_used_at_once,
-                                           kq_sched_desk_set_up,
-                                           kq_sched_desk_tear_down) };
+                                           kq_sched_fixture_set_up,
+                                           kq_sched_fixture_tear_down) };
   kq_log_set_level (KQ_LOG_ERROR);
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/sched/sched_test.c
+++ b/src/sched/sched_test.c
@@ -279,7 +279,7 @@
   r->runners[at].cut_until = r->now + 4 * KQ_SEC;
   kq_sched_rig_run (r, 3800 * KQ_MS);
   assert_int_equal (kq_sched_rig_running (r, "aa"), 1 + 1);
-  r->broken = 0; /* two runs at once are intended here */
+  r->breaches = 0; /* two runs at once are intended here */
   kq_sched_rig_run (r, 8 * KQ_SEC);
   assert_int_equal (kq_sched_rig_state (r, "aa"), KQ_JOB_COMPLETED);
   assert_int_equal (kq_sched_rig_running (r, "aa"), 0);
--- a/src/sched/spent_test.c
+++ b/src/sched/spent_test.c
@@ -1,5 +1,5 @@
 #include "base/log.h"
-#include "bench/sched_desk.h"
+#include "bench/sched_fixture.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -14,7 +14,7 @@
 #define WIDE 100
 
 static void
-assert_explained (KqSchedDesk *d, const char *wanted)
+assert_explained (KqSchedFixture *d, const char *wanted)
 {
   KqBuf text = { 0 };
   kq_sched_explain (d->sched, KQ_STR ("aa"), d->now, &text);
@@ -28,37 +28,37 @@
 static void
 test_failed_runs_and_waits_are_explained (void **state)
 {
-  KqSchedDesk *d = *state;
+  KqSchedFixture *d = *state;
   KqEndRow end = { .number = 1, .reason = KQ_END_FAILED, .checkpoint = KQ_STR ("") };
-  KqStep step = kq_sched_desk_step ();
+  KqStep step = kq_sched_fixture_step ();
   step.cpu_milli = 4000;
   step.width = 3;
-  kq_sched_desk_submit (d, "aa", step, false);
-  kq_sched_desk_run (d, 100 * KQ_MS); /* two tasks are placed, one waits */
+  kq_sched_fixture_submit (d, "aa", step, false);
+  kq_sched_fixture_run (d, 100 * KQ_MS); /* two tasks are placed, one waits */
   end.task = kq_str (d->task);
   end.run = d->run;
-  kq_sched_desk_carry_out (d);
-  kq_sched_desk_run (d, 900 * KQ_MS);
-  kq_sched_desk_list (d, d->runner, &end, 1);
-  kq_sched_desk_run (d, 50 * KQ_MS);
+  kq_sched_fixture_accept_starts (d);
+  kq_sched_fixture_run (d, 900 * KQ_MS);
+  kq_sched_fixture_list (d, d->runner, &end, 1);
+  kq_sched_fixture_run (d, 50 * KQ_MS);
   assert_explained (d, " failed=1 ");
   assert_explained (d, " runs=3 ");
 }
 
 /* Starts a serving task and removes the other runner. */
 static KqRunRow
-serve (KqSchedDesk *d, char task[96])
+serve (KqSchedFixture *d, char task[96])
 {
-  KqStep step = kq_sched_desk_step ();
+  KqStep step = kq_sched_fixture_step ();
   step.lasting = true;
   step.target_ms = 10;
   step.image = KQ_STR ("serves");
-  kq_sched_desk_submit (d, "zz", step, false);
-  kq_sched_desk_run (d, 50 * KQ_MS);
+  kq_sched_fixture_submit (d, "zz", step, false);
+  kq_sched_fixture_run (d, 50 * KQ_MS);
   memcpy (task, d->task, sizeof d->task);
   kq_sched_entry_gone (d->sched, kq_str (strcmp (d->runner, "r0") == 0 ? "r1" : "r0"),
                        d->now);
-  kq_sched_desk_carry_out (d);
+  kq_sched_fixture_accept_starts (d);
   return (KqRunRow){
     .task = kq_str (task), .run = d->run, .checkpoint = KQ_STR (""), .load = 5
   };
@@ -67,29 +67,29 @@
 static void
 test_time_below_full_speed_is_explained (void **state)
 {
-  KqSchedDesk *d = *state;
+  KqSchedFixture *d = *state;
   char serving[96];
   KqRunRow rows[2] = { serve (d, serving) };
   KqEndRow end = { .number = 1, .reason = KQ_END_FAILED, .checkpoint = KQ_STR ("") };
-  KqStep step = kq_sched_desk_step ();
+  KqStep step = kq_sched_fixture_step ();
   step.filling = true;
   step.image = KQ_STR ("f");
-  kq_sched_desk_list_runs (d, d->runner, rows, 1);
-  kq_sched_desk_submit (d, "aa", step, false);
-  kq_sched_desk_run (d, 50 * KQ_MS);
-  assert_int_equal (d->starts, 2);
+  kq_sched_fixture_list_runs (d, d->runner, rows, 1);
+  kq_sched_fixture_submit (d, "aa", step, false);
+  kq_sched_fixture_run (d, 50 * KQ_MS);
+  assert_int_equal (d->start_orders, 2);
   rows[1] = (KqRunRow){
     .task = kq_str (d->task), .run = d->run, .checkpoint = KQ_STR (""), .load = 400
   };
-  kq_sched_desk_carry_out (d);
+  kq_sched_fixture_accept_starts (d);
   rows[0].load = 40;
-  kq_sched_desk_run (d, 500 * KQ_MS);
-  kq_sched_desk_list_runs (d, d->runner, rows, 2);
-  assert_int_equal (d->slowed, 1);
-  kq_sched_desk_run (d, 300 * KQ_MS);
+  kq_sched_fixture_run (d, 500 * KQ_MS);
+  kq_sched_fixture_list_runs (d, d->runner, rows, 2);
+  assert_int_equal (d->slow_pace_orders, 1);
+  kq_sched_fixture_run (d, 300 * KQ_MS);
   end.task = rows[1].task;
   end.run = rows[1].run;
-  kq_sched_desk_list (d, d->runner, &end, 1);
+  kq_sched_fixture_list (d, d->runner, &end, 1);
   assert_explained (d, " slowed_ms=300 ");
 }
 
@@ -98,10 +98,10 @@
 static void
 test_starts_of_a_step_share_lines (void **state)
 {
-  KqSchedDesk *d = *state;
+  KqSchedFixture *d = *state;
   FILE *log = tmpfile ();
   int saved_stderr = dup (STDERR_FILENO);
-  KqStep step = kq_sched_desk_step ();
+  KqStep step = kq_sched_fixture_step ();
   char line[4096];
   int lines = 0;
   int runs = 0;
@@ -111,8 +111,8 @@
   assert_non_null (log);
   kq_log_set_level (KQ_LOG_DEBUG);
   dup2 (fileno (log), STDERR_FILENO);
-  kq_sched_desk_submit (d, "aa", step, false);
-  kq_sched_desk_run (d, 50 * KQ_MS);
+  kq_sched_fixture_submit (d, "aa", step, false);
+  kq_sched_fixture_run (d, 50 * KQ_MS);
   dup2 (saved_stderr, STDERR_FILENO);
   close (saved_stderr);
   kq_log_set_level (KQ_LOG_ERROR);
@@ -133,13 +133,13 @@
 int
 main (void)
 {
-  const struct CMUnitTest tests[]
-      = { cmocka_unit_test_setup_teardown (test_failed_runs_and_waits_are_explained,
-                                           kq_sched_desk_set_up, kq_sched_desk_tear_down),
-          cmocka_unit_test_setup_teardown (test_time_below_full_speed_is_explained,
-                                           kq_sched_desk_set_up, kq_sched_desk_tear_down),
-          cmocka_unit_test_setup_teardown (test_starts_of_a_step_share_lines,
-                                           kq_sched_desk_set_up,
-                                           kq_sched_desk_tear_down) };
+  const struct CMUnitTest tests[] = {
+    cmocka_unit_test_setup_teardown (test_failed_runs_and_waits_are_explained,
+                                     kq_sched_fixture_set_up, kq_sched_fixture_tear_down),
+    cmocka_unit_test_setup_teardown (test_time_below_full_speed_is_explained,
+                                     kq_sched_fixture_set_up, kq_sched_fixture_tear_down),
+    cmocka_unit_test_setup_teardown (test_starts_of_a_step_share_lines,
+                                     kq_sched_fixture_set_up, kq_sched_fixture_tear_down)
+  };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/sched/tickets_test.c
+++ b/src/sched/tickets_test.c
@@ -1,4 +1,4 @@
-#include "bench/sched_desk.h"
+#include "bench/sched_fixture.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -11,16 +11,16 @@
 #define PASS_TIME (50 * KQ_MS)
 
 /* Submits a job of an advised queue, which leads to a question. */
-static KqSchedDesk *
+static KqSchedFixture *
 asked (void **state)
 {
-  KqSchedDesk *d = *state;
-  kq_sched_desk_submit (d, "aa", kq_sched_desk_step (), true);
-  kq_sched_desk_run (d, PASS_TIME);
-  assert_int_equal (d->starts, 0);
-  assert_int_equal (d->questions, 1);
-  assert_int_equal (d->questions_about, 2);
-  assert_string_equal (d->question, "aa.0.0");
+  KqSchedFixture *d = *state;
+  kq_sched_fixture_submit (d, "aa", kq_sched_fixture_step (), true);
+  kq_sched_fixture_run (d, PASS_TIME);
+  assert_int_equal (d->start_orders, 0);
+  assert_int_equal (d->advise_orders, 1);
+  assert_int_equal (d->advise_runners, 2);
+  assert_string_equal (d->advise_step, "aa.0.0");
   return d;
 }
 
@@ -29,13 +29,13 @@
 static void
 test_start_goes_where_the_ticket_is (void **state)
 {
-  KqSchedDesk *d = asked (state);
-  kq_sched_desk_advise (d, "aa.0.0", KQ_ADVICE_OK, "r1", "t-1", 3000);
-  kq_sched_desk_run (d, PASS_TIME);
-  assert_int_equal (d->starts, 1);
+  KqSchedFixture *d = asked (state);
+  kq_sched_fixture_advise (d, "aa.0.0", KQ_ADVICE_OK, "r1", "t-1", 3000);
+  kq_sched_fixture_run (d, PASS_TIME);
+  assert_int_equal (d->start_orders, 1);
   assert_string_equal (d->runner, "r1");
   assert_string_equal (d->ticket, "t-1");
-  assert_int_equal (d->questions, 1);
+  assert_int_equal (d->advise_orders, 1);
 }
 
 /* If no runner is allowed, the step waits, and refused runners aren't asked about again.
@@ -43,28 +43,28 @@
 static void
 test_no_runner_is_allowed (void **state)
 {
-  KqSchedDesk *d = asked (state);
-  kq_sched_desk_advise (d, "aa.0.0", KQ_ADVICE_OK, "", NULL, 3000);
-  kq_sched_desk_run (d, 2 * KQ_SEC);
-  assert_int_equal (d->starts, 0);
-  assert_int_equal (d->questions, 1);
-  kq_sched_desk_submit (d, "bb", kq_sched_desk_step (), false);
-  kq_sched_desk_run (d, PASS_TIME);
-  assert_int_equal (d->starts, 1);
+  KqSchedFixture *d = asked (state);
+  kq_sched_fixture_advise (d, "aa.0.0", KQ_ADVICE_OK, "", NULL, 3000);
+  kq_sched_fixture_run (d, 2 * KQ_SEC);
+  assert_int_equal (d->start_orders, 0);
+  assert_int_equal (d->advise_orders, 1);
+  kq_sched_fixture_submit (d, "bb", kq_sched_fixture_step (), false);
+  kq_sched_fixture_run (d, PASS_TIME);
+  assert_int_equal (d->start_orders, 1);
 }
 
 /* The service is busy, or doesn't answer: the question is repeated after a delay. */
 static void
 test_busy_service_is_asked_again (void **state)
 {
-  KqSchedDesk *d = asked (state);
-  kq_sched_desk_advise (d, "aa.0.0", KQ_ADVICE_BUSY, "", NULL, 0);
-  kq_sched_desk_run (d, PASS_TIME);
-  assert_int_equal (d->questions, 1);
-  kq_sched_desk_run (d, 300 * KQ_MS);
-  assert_int_equal (d->questions, 2);
-  kq_sched_desk_run (d, 4 * KQ_SEC);
-  assert_int_equal (d->questions, 3);
+  KqSchedFixture *d = asked (state);
+  kq_sched_fixture_advise (d, "aa.0.0", KQ_ADVICE_BUSY, "", NULL, 0);
+  kq_sched_fixture_run (d, PASS_TIME);
+  assert_int_equal (d->advise_orders, 1);
+  kq_sched_fixture_run (d, 300 * KQ_MS);
+  assert_int_equal (d->advise_orders, 2);
+  kq_sched_fixture_run (d, 4 * KQ_SEC);
+  assert_int_equal (d->advise_orders, 3);
 }
 
 /* A runner refuses a ticket that has expired on the way, or that was for its process
@@ -72,16 +72,16 @@
 static void
 test_refused_ticket_is_replaced (void **state)
 {
-  KqSchedDesk *d = asked (state);
-  kq_sched_desk_advise (d, "aa.0.0", KQ_ADVICE_OK, "r1", "t-1", 3000);
-  kq_sched_desk_run (d, PASS_TIME);
-  kq_sched_desk_outcome (d, KQ_ORDER_START, "r1", d->task, d->run, KQ_ORDER_NO_TICKET);
-  kq_sched_desk_run (d, PASS_TIME);
-  assert_int_equal (d->questions, 2);
-  assert_int_equal (d->questions_about, 1); /* the other runner's refusal stays known */
-  kq_sched_desk_advise (d, "aa.0.0", KQ_ADVICE_OK, "r1", "t-2", 3000);
-  kq_sched_desk_run (d, PASS_TIME);
-  assert_int_equal (d->starts, 2);
+  KqSchedFixture *d = asked (state);
+  kq_sched_fixture_advise (d, "aa.0.0", KQ_ADVICE_OK, "r1", "t-1", 3000);
+  kq_sched_fixture_run (d, PASS_TIME);
+  kq_sched_fixture_outcome (d, KQ_ORDER_START, "r1", d->task, d->run, KQ_ORDER_NO_TICKET);
+  kq_sched_fixture_run (d, PASS_TIME);
+  assert_int_equal (d->advise_orders, 2);
+  assert_int_equal (d->advise_runners, 1); /* the other runner's refusal stays known */
+  kq_sched_fixture_advise (d, "aa.0.0", KQ_ADVICE_OK, "r1", "t-2", 3000);
+  kq_sched_fixture_run (d, PASS_TIME);
+  assert_int_equal (d->start_orders, 2);
   assert_string_equal (d->ticket, "t-2");
 }
 
@@ -90,15 +90,15 @@
 static void
 test_queue_that_becomes_advised (void **state)
 {
-  KqSchedDesk *d = *state;
-  kq_sched_desk_submit (d, "aa", kq_sched_desk_step (), false);
-  kq_sched_desk_run (d, PASS_TIME);
-  assert_int_equal (d->starts, 1);
-  kq_sched_desk_outcome (d, KQ_ORDER_START, d->runner, d->task, d->run,
-                         KQ_ORDER_NO_TICKET);
-  kq_sched_desk_run (d, PASS_TIME);
-  assert_int_equal (d->starts, 1);
-  assert_int_equal (d->questions, 1);
+  KqSchedFixture *d = *state;
+  kq_sched_fixture_submit (d, "aa", kq_sched_fixture_step (), false);
+  kq_sched_fixture_run (d, PASS_TIME);
+  assert_int_equal (d->start_orders, 1);
+  kq_sched_fixture_outcome (d, KQ_ORDER_START, d->runner, d->task, d->run,
+                            KQ_ORDER_NO_TICKET);
+  kq_sched_fixture_run (d, PASS_TIME);
+  assert_int_equal (d->start_orders, 1);
+  assert_int_equal (d->advise_orders, 1);
 }
 
 /* Ten steps wait and one host can ask: only two questions are outstanding, and each
@@ -107,18 +107,18 @@
 static void
 test_few_questions_are_outstanding_at_a_time (void **state)
 {
-  KqSchedDesk *d = *state;
+  KqSchedFixture *d = *state;
   for (int i = 0; i < 10; i++)
     {
       char id[2] = { (char)('a' + i), 0 };
-      kq_sched_desk_submit (d, id, kq_sched_desk_step (), true);
+      kq_sched_fixture_submit (d, id, kq_sched_fixture_step (), true);
     }
-  kq_sched_desk_run (d, PASS_TIME);
-  assert_int_equal (d->questions, 2);
-  kq_sched_desk_advise (d, d->question, KQ_ADVICE_OK, "r0", "t", 3000);
-  kq_sched_desk_run (d, PASS_TIME);
-  assert_int_equal (d->questions, 3);
-  assert_int_equal (d->starts, 1);
+  kq_sched_fixture_run (d, PASS_TIME);
+  assert_int_equal (d->advise_orders, 2);
+  kq_sched_fixture_advise (d, d->advise_step, KQ_ADVICE_OK, "r0", "t", 3000);
+  kq_sched_fixture_run (d, PASS_TIME);
+  assert_int_equal (d->advise_orders, 3);
+  assert_int_equal (d->start_orders, 1);
 }
 
 /* The cached headroom must be computed anew in each pass: with that of an earlier pass
@@ -127,9 +127,9 @@
 static void
 test_headroom_is_computed_in_each_pass (void **state)
 {
-  KqSchedDesk *d = *state;
-  KqStep serving = kq_sched_desk_step ();
-  KqStep filling = kq_sched_desk_step ();
+  KqSchedFixture *d = *state;
+  KqStep serving = kq_sched_fixture_step ();
+  KqStep filling = kq_sched_fixture_step ();
   char runner[16];
   char task[96];
   serving.lasting = true;
@@ -137,31 +137,32 @@
   serving.image = KQ_STR ("serves");
   filling.filling = true;
   filling.image = KQ_STR ("fills");
-  kq_sched_desk_submit (d, "aa", serving, false);
-  kq_sched_desk_run (d, PASS_TIME);
+  kq_sched_fixture_submit (d, "aa", serving, false);
+  kq_sched_fixture_run (d, PASS_TIME);
   memcpy (runner, d->runner, sizeof runner);
   memcpy (task, d->task, sizeof task);
-  kq_sched_desk_outcome (d, KQ_ORDER_START, runner, task, d->run, KQ_ORDER_OK);
-  kq_sched_desk_list_serving (d, runner, task, d->run, 5);
-  kq_sched_desk_submit (d, "bb", filling, true);
-  kq_sched_desk_run (d, PASS_TIME);
-  assert_int_equal (d->questions_about, 2);
-  kq_sched_desk_advise (d, "bb.0.0", KQ_ADVICE_OK, runner, "t-1", 3000);
-  kq_sched_desk_run (d, PASS_TIME);
-  assert_int_equal (d->starts, 2);
+  kq_sched_fixture_outcome (d, KQ_ORDER_START, runner, task, d->run, KQ_ORDER_OK);
+  kq_sched_fixture_list_serving (d, runner, task, d->run, 5);
+  kq_sched_fixture_submit (d, "bb", filling, true);
+  kq_sched_fixture_run (d, PASS_TIME);
+  assert_int_equal (d->advise_runners, 2);
+  kq_sched_fixture_advise (d, "bb.0.0", KQ_ADVICE_OK, runner, "t-1", 3000);
+  kq_sched_fixture_run (d, PASS_TIME);
+  assert_int_equal (d->start_orders, 2);
   for (int i = 0; i < 5; i++)
     {
-      kq_sched_desk_list_serving (d, runner, task, 1, 12);
-      kq_sched_desk_run (d, 500 * KQ_MS);
+      kq_sched_fixture_list_serving (d, runner, task, 1, 12);
+      kq_sched_fixture_run (d, 500 * KQ_MS);
     }
-  kq_sched_desk_submit (d, "cc", filling, true);
-  kq_sched_desk_run (d, PASS_TIME);
-  assert_string_equal (d->question, "cc.0.0");
-  assert_int_equal (d->questions_about, 1);
+  kq_sched_fixture_submit (d, "cc", filling, true);
+  kq_sched_fixture_run (d, PASS_TIME);
+  assert_string_equal (d->advise_step, "cc.0.0");
+  assert_int_equal (d->advise_runners, 1);
 }
 
 #define DESK(test)                                                                       \
-  cmocka_unit_test_setup_teardown (test, kq_sched_desk_set_up, kq_sched_desk_tear_down)
+  cmocka_unit_test_setup_teardown (test, kq_sched_fixture_set_up,                        \
+                                   kq_sched_fixture_tear_down)
 
 int
 main (void)
--- a/src/sched/window_test.c
+++ b/src/sched/window_test.c
@@ -1,4 +1,4 @@
-#include "bench/sched_desk.h"
+#include "bench/sched_fixture.h"
 #include "sched/window.h"
 
 #include <setjmp.h>
@@ -84,14 +84,14 @@
 }
 
 static void
-submit_wide_job (KqSchedDesk *d)
+submit_wide_job (KqSchedFixture *d)
 {
-  KqStep step = kq_sched_desk_step ();
+  KqStep step = kq_sched_fixture_step ();
   step.width = TASKS;
   step.cpu_milli = 10;
   step.mem_mb = 10;
-  kq_sched_desk_submit (d, "aa", step, false);
-  kq_sched_desk_run (d, 10 * KQ_MS);
+  kq_sched_fixture_submit (d, "aa", step, false);
+  kq_sched_fixture_run (d, 10 * KQ_MS);
 }
 
 /* A leader that sends all starts at once loses its lease again and again, as renewals
@@ -100,19 +100,19 @@
 static void
 test_starts_are_sent_as_fast_as_they_are_answered (void **state)
 {
-  KqSchedDesk *d = *state;
+  KqSchedFixture *d = *state;
   int before;
   submit_wide_job (d);
-  assert_in_range (d->starts, 64, 256);
-  before = d->starts;
-  kq_sched_desk_run (d, KQ_SEC);
-  assert_in_range (d->starts, before, TASKS / 2);
+  assert_in_range (d->start_orders, 64, 256);
+  before = d->start_orders;
+  kq_sched_fixture_run (d, KQ_SEC);
+  assert_in_range (d->start_orders, before, TASKS / 2);
   for (int i = 0; i < 4; i++)
     {
-      kq_sched_desk_carry_out (d);
-      kq_sched_desk_run (d, 50 * KQ_MS);
+      kq_sched_fixture_accept_starts (d);
+      kq_sched_fixture_run (d, 50 * KQ_MS);
     }
-  assert_true (d->starts >= TASKS);
+  assert_true (d->start_orders >= TASKS);
 }
 
 /* Starts under way at a node that is lost are never answered, and must not count in the
@@ -120,21 +120,21 @@
 static void
 test_starts_of_a_lost_node_are_not_waited_for (void **state)
 {
-  KqSchedDesk *d = *state;
+  KqSchedFixture *d = *state;
   KqAgentInfo info = { .name = kq_name (KQ_STR ("b")), .share_milli = 1000 };
   int before;
   submit_wide_job (d);
   kq_sched_agent_down (d->sched, d->agent, true, d->now);
   d->agent = kq_sched_agent_up (d->sched, &info, d->now);
-  kq_sched_desk_run (d, 100 * KQ_MS);
-  before = d->starts;
+  kq_sched_fixture_run (d, 100 * KQ_MS);
+  before = d->start_orders;
   for (int i = 0; i < 3; i++)
     {
-      kq_sched_desk_list (d, "r0", NULL, 0);
-      kq_sched_desk_list (d, "r1", NULL, 0);
-      kq_sched_desk_run (d, 100 * KQ_MS);
+      kq_sched_fixture_list (d, "r0", NULL, 0);
+      kq_sched_fixture_list (d, "r1", NULL, 0);
+      kq_sched_fixture_run (d, 100 * KQ_MS);
     }
-  assert_true (d->starts > 2 * before); /* the lost ones again, and others */
+  assert_true (d->start_orders > 2 * before); /* the lost ones again, and others */
 }
 
 int
@@ -145,9 +145,9 @@
     cmocka_unit_test (test_late_answers_narrow_the_window),
     cmocka_unit_test (test_few_late_answers_do_not_narrow_the_window),
     cmocka_unit_test_setup_teardown (test_starts_are_sent_as_fast_as_they_are_answered,
-                                     kq_sched_desk_set_up, kq_sched_desk_tear_down),
+                                     kq_sched_fixture_set_up, kq_sched_fixture_tear_down),
     cmocka_unit_test_setup_teardown (test_starts_of_a_lost_node_are_not_waited_for,
-                                     kq_sched_desk_set_up, kq_sched_desk_tear_down)
+                                     kq_sched_fixture_set_up, kq_sched_fixture_tear_down)
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/live_test.c
+++ b/tests/live_test.c
@@ -85,7 +85,7 @@
 }
 
 static void
-test_answers_pass_whole (void **state)
+test_large_answers_are_complete (void **state)
 {
   Rig *r = *state;
   ProcsAnswer a;
@@ -317,7 +317,7 @@
 /* A node gets SIGTERM while requests of 3 seconds are running through it: all get their
  * complete answers, the process exits with 0, and the other node continues to serve. */
 static void
-test_planned_stop_cuts_nothing (void **state)
+test_sigterm_completes_open_requests (void **state)
 {
   Rig *r = *state;
   Count c = { 0 };
@@ -393,13 +393,13 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_answers_pass_whole),
+    cmocka_unit_test (test_large_answers_are_complete),
     cmocka_unit_test (test_key_runs_once_through_two_nodes),
     cmocka_unit_test (test_bad_input_is_told),
     cmocka_unit_test (test_malformed_http),
     cmocka_unit_test (test_operators_race),
     cmocka_unit_test (test_job_runs_once),
-    cmocka_unit_test (test_planned_stop_cuts_nothing),
+    cmocka_unit_test (test_sigterm_completes_open_requests),
   };
   return cmocka_run_group_tests (tests, set_up, tear_down);
 }
--- a/tests/request_live_test.c
+++ b/tests/request_live_test.c
@@ -89,7 +89,7 @@
  * of the deadline is too short. Only the second attempt was "not run", so the caller must
  * be told "unknown". */
 static void
-test_refused_retry_is_not_not_run (void **state)
+test_refused_retry_reports_unknown (void **state)
 {
   Rig *r = *state;
   for (int i = 0; i < 30; i++)
@@ -119,7 +119,7 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_retry_at_the_only_owner),
-    cmocka_unit_test (test_refused_retry_is_not_not_run),
+    cmocka_unit_test (test_refused_retry_reports_unknown),
   };
   return cmocka_run_group_tests (tests, set_up, tear_down);
 }
