--- a/src/request/account.c
+++ b/src/request/account.c
@@ -9,7 +9,7 @@
 {
   struct ServiceCounts *next;
   KqName service;
-  uint64_t taken;
+  uint64_t accepted;
   uint64_t ended[KQ_END_KINDS];
   uint64_t in_flight;
 } ServiceCounts;
@@ -61,7 +61,7 @@
   uint64_t sum = c->in_flight;
   for (int i = 0; i < KQ_END_KINDS; i++)
     sum += c->ended[i];
-  assert (sum == c->taken);
+  assert (sum == c->accepted);
   (void)sum;
 }
 
@@ -69,7 +69,7 @@
 kq_account_accepted (KqAccount *a, KqStr service)
 {
   ServiceCounts *c = get_counts (a, service);
-  c->taken++;
+  c->accepted++;
   c->in_flight++;
 }
 
@@ -89,7 +89,7 @@
   json_t *o = json_object ();
   for (const ServiceCounts *c = a->first; c != NULL; c = c->next)
     {
-      json_t *s = json_pack ("{s:I, s:I}", "taken", (json_int_t)c->taken, "in_flight",
+      json_t *s = json_pack ("{s:I, s:I}", "taken", (json_int_t)c->accepted, "in_flight",
                              (json_int_t)c->in_flight);
       for (int i = 0; i < KQ_END_KINDS; i++)
         json_object_set_new (s, end_names[i], json_integer ((json_int_t)c->ended[i]));
--- a/src/request/claim_set.h
+++ b/src/request/claim_set.h
@@ -2,8 +2,8 @@
 #define KQ_REQUEST_CLAIM_SET_H
 
 /* claim_set: the claims of one shard in memory, indexed by key, flight, number and
- * expiry, with the repeats that wait for them and the memory they use. When a claim
- * changes its state is decided in claims.c. */
+ * expiry, with the repeats (later requests with the same key) that wait for them and the
+ * memory they use. claims.c decides when the state of a claim changes. */
 
 #include "request/claim_records.h"
 #include "request/heap.h"
@@ -32,7 +32,7 @@
   KqMapNode by_key;
   KqMapNode by_flight;
   KqMapNode by_number;
-  KqHeapNode by_expiry; /* when an open claim becomes unknown, an ended one is removed */
+  KqHeapNode by_expiry; /* when it becomes unknown (open) or is removed (ended) */
   KqClaim *prev;        /* in order of numbers */
   KqClaim *next;
   uint64_t number;
@@ -72,9 +72,9 @@
 KqClaim *kq_claim_set_add (KqClaimSet *c, const KqClaimFields *f, KqTime now);
 /* Removes and frees a claim, which must not have waiters. */
 void kq_claim_set_remove (KqClaimSet *c, KqClaim *claim);
-/* Sets the time of by_expiry. */
+/* Sets when the claim expires. */
 void kq_claim_set_expire_at (KqClaimSet *c, KqClaim *claim, KqTime at);
-/* Sets the state of an ended claim, which expires after ttl. */
+/* Sets the end of an open claim, or corrects an unknown one; it expires after ttl. */
 void kq_claim_set_end (KqClaimSet *c, KqClaim *claim, KqClaimState state, KqTime ttl,
                        KqTime now);
 /* Stores a copy of the body of the ANSWERED record. */
--- a/src/request/claims.h
+++ b/src/request/claims.h
@@ -40,7 +40,7 @@
 KqClaims *kq_claims_new (uint32_t shard, KqLogPort log);
 void kq_claims_free (KqClaims *c);
 /* Applies a record of types 100-199 during recovery, in journal order. On an error (the
- * record can't be read) the shard's host must not continue: a key could run twice. */
+ * record can't be read) the shard must not be opened: a request could run twice. */
 KqResult kq_claims_apply (KqClaims *c, const KqRecord *r, KqTime now);
 /* Ends recovery. Open claims become unknown unless the process of the entry node that
  * opened them reports their end within a grace time. */
--- a/src/request/flight.h
+++ b/src/request/flight.h
@@ -23,7 +23,7 @@
 #define KQ_KEYED_BODY_MAX_BYTES (1024 * 1024)
 /* Flow control: bytes of a request's body (or of an answer) that may be sent before the
  * receiver grants credit for more. This bounds the memory of a flight on each side. With
- * 20 ms between the regions, 256 KB are three times what fills a 30 Mbit/s link. */
+ * 20 ms between two regions, 256 KB are three times what fills a 30 Mbit/s link. */
 #define KQ_CREDIT_WINDOW_BYTES (256 * 1024)
 /* An answer up to this length is stored with its claim. */
 #define KQ_CLAIM_ANSWER_MAX_BYTES (64 * 1024)
@@ -72,7 +72,7 @@
   bool body_end_sent;
   /* The owner of the current or last try. */
   KqNodeId owner;
-  bool far; /* the owner is in the other region */
+  bool far; /* the owner is in another region */
   int tries;
   bool may_have_run; /* in an earlier try: later refusals must not report "not run" */
   /* The claim of its idempotency key. */
--- a/src/request/gateway.h
+++ b/src/request/gateway.h
@@ -11,8 +11,9 @@
  *       Idempotency-Key        for POST, PATCH and services that are not idempotent
  *   /v1/jobs...           see api/jobs_http.h
  *
- * Takes: KQ_MAIL_MSG with RESP_*, REQ_CREDIT, CLAIM_REPLY, JOB_REPLY, ANSWER and
- * HEARTBEAT (for the owners' digests); KQ_MAIL_PEER, _NODE, _TABLE, _DRAIN. */
+ * Takes: KQ_MAIL_MSG with RESP_*, REQ_CREDIT, CLAIM_REPLY, JOB_REPLY, ANSWER,
+ * HEARTBEAT (for the owners' digests) and QUERY ("requests", "explain"); KQ_MAIL_PEER,
+ * _NODE, _TABLE, _DRAIN. */
 
 #include "base/counter.h"
 #include "base/task.h"
--- a/src/request/link.h
+++ b/src/request/link.h
@@ -1,12 +1,12 @@
 #ifndef KQ_REQUEST_LINK_H
 #define KQ_REQUEST_LINK_H
 
-/* link: this node's byte budget for requests over the link between the regions.
+/* link: this node's byte budget for requests over the links to other regions.
  *
- * When the own region is full and the other one has room, requests go over a link of
+ * When the own region is full and another one has room, requests go over a link of
  * 30 Mbit/s, which is paid by the byte and shared with control traffic, jobs and all
  * other nodes. Without a budget they fill the link: requests to the other region take
- * seconds, and heartbeats between the regions are late.
+ * seconds, and heartbeats between the two regions are late.
  *
  * The budget is a token bucket that holds one second's bytes, which limits a burst. The
  * bytes of a request are known only afterwards, so that the bucket may become negative;
--- a/src/request/outlier.h
+++ b/src/request/outlier.h
@@ -5,8 +5,8 @@
  * slots, then only probes (it is ejected), and returns in steps.
  *
  * If one target in fifty takes ten times as long, or has gone silent, the service's p99
- * is that target's latency. If one fails every request at once, it looks idle, attracts
- * more requests, and fails a large part of all.
+ * is that target's latency. If one fails every request immediately, it looks idle,
+ * attracts more requests, and fails a large part of all.
  *
  * A runner is compared with the mean of the other runners of its group. Each of them
  * counts once, however many requests it got, so that no runner is ejected if every answer
--- a/src/request/pool.c
+++ b/src/request/pool.c
@@ -296,8 +296,8 @@
 
 /* Estimated time until the runner would answer the request, in microseconds: the expected
  * run time plus the work under way per slot, times the runner's latency ratio, over the
- * share of requests that succeed there. Without this divisor a runner that fails at once
- * would look idle and attract most requests. */
+ * share of requests that succeed there. Without this divisor a runner that fails
+ * immediately would look idle and attract most requests. */
 static double
 completion_time (const KqRunner *r, int64_t cost)
 {
@@ -365,7 +365,7 @@
   r->outlier.probing = r->outlier.state == KQ_OUTLIER_EJECTED;
   p->n_running++;
   update_free_lists (r);
-  /* Only one probe at a time. */
+  /* A runner gets only one probe at a time. */
   if (r->by_probe.index > 0)
     kq_heap_remove (&r->group->probes, &r->by_probe);
 }
--- a/src/request/pool.h
+++ b/src/request/pool.h
@@ -96,9 +96,9 @@
  * NULL: no free slot. */
 KqRunner *kq_pool_choose (KqGroup *const *groups, size_t n, int checks, bool two_choices,
                           int64_t cost, KqRand *rand);
-/* An ejected runner whose probe is due; NULL: none. Unless the request may be lost
- * (may_lose), only a runner that refused its last connection, which would
- * provably not run the request. */
+/* An ejected runner whose probe is due; NULL: none. may_lose: the request may be lost by
+ * the probe. Otherwise only a runner that refused its last connection is returned: if it
+ * refuses again, the request has provably not run. */
 KqRunner *kq_pool_due_probe (KqGroup *const *groups, size_t n, bool may_lose, KqTime now);
 
 /* Takes a slot for a flight, and returns it when the flight is done. cost: expected work,
--- a/src/request/route.c
+++ b/src/request/route.c
@@ -8,12 +8,12 @@
 #include <string.h>
 
 /* Extra network time of a request and its answer if the owner is in another depot of the
- * region, or in the other region. */
+ * region, or in another region. */
 #define OTHER_DEPOT_RTT (2 * KQ_MS)
 #define OTHER_REGION_RTT (40 * KQ_MS)
 /* A request goes to the far region only if that saves this much wait for each 64 KB it
  * moves. The idle link carries 64 KB in 17 ms, but it is paid by the byte and shared with
- * all other traffic between the regions. */
+ * all other traffic between regions. */
 #define FAR_CHUNK_BYTES 65536
 #define FAR_SAVING_PER_CHUNK (50 * KQ_MS)
 /* Assumed size of an answer, which is unknown when the owner is chosen. */
@@ -31,7 +31,7 @@
 {
   TIER_DEPOT,  /* in the own depot */
   TIER_REGION, /* in another depot of the own region */
-  TIER_FAR,    /* in the other region */
+  TIER_FAR,    /* in another region */
   TIERS
 } Tier;
 
@@ -76,12 +76,12 @@
 };
 
 KqRoute *
-kq_route_new (const KqRouteNode *self, int64_t link_bytes, uint64_t seed)
+kq_route_new (const KqRouteNode *self, int64_t link_bytes_per_s, uint64_t seed)
 {
   KqRoute *r = kq_alloc (sizeof *r);
   r->self = *self;
   r->rand = kq_rand (seed);
-  kq_link_init (&r->link, link_bytes);
+  kq_link_init (&r->link, link_bytes_per_s);
   return r;
 }
 
--- a/src/request/route.h
+++ b/src/request/route.h
@@ -6,8 +6,8 @@
  *
  * Heartbeats carry a load digest of each service at each owner. Owners are drawn at
  * random, weighted by what they can serve: slots over run time, less with a queue.
- * The own depot is preferred, then the own region. The other ("far") region is used only
- * if the saved wait justifies the bytes sent over the link, for which there is a budget.
+ * The own depot is preferred, then the own region. Another ("far") region is used only if
+ * the saved wait justifies the bytes sent over the link, for which there is a budget.
  * Only the part of the requests that evens out the waits goes to the next tier.
  *
  * Always choosing the less loaded of two owners was worse than drawing at random
@@ -37,8 +37,8 @@
   KqTime retry_after;
 } KqRouteChoice;
 
-/* link_bytes: bytes per second this node may send over the region link. */
-KqRoute *kq_route_new (const KqRouteNode *self, int64_t link_bytes, uint64_t seed);
+/* link_bytes_per_s: what this node may send to and receive from other regions. */
+KqRoute *kq_route_new (const KqRouteNode *self, int64_t link_bytes_per_s, uint64_t seed);
 void kq_route_free (KqRoute *r);
 void kq_route_set_table (KqRoute *r, KqTable *t);
 /* Replaces what is known of an owner and the digests of its services. */
--- a/src/request/runner_task.c
+++ b/src/request/runner_task.c
@@ -11,8 +11,8 @@
 /* Between digests to the node's task: a fifth of the heartbeat's period, so that the
  * lines in a heartbeat are hardly older than the heartbeat. */
 #define DIGEST_INTERVAL (100 * KQ_MS)
-/* The wire format allows as many. Entry nodes don't see an owner of the services that are
- * left out. */
+/* The most that the wire format allows. Entry nodes don't see an owner of the services
+ * that are left out. */
 #define DIGEST_SERVICES_MAX 4096
 /* A pooled connection that was idle for longer isn't reused: a device on the path may
  * have dropped its state. */
--- a/src/request/service_queue.c
+++ b/src/request/service_queue.c
@@ -5,7 +5,7 @@
 /* Time constant of the mean demand. */
 #define DEMAND_TIME KQ_SEC
 #define DEMAND_MARGIN 1.15
-/* Of the slots, that are kept free of long requests. */
+/* Largest share of the slots that is kept free of long requests. */
 #define KEPT_MAX_SHARE 0.75
 
 void
