--- a/src/job/evict.c
+++ b/src/job/evict.c
@@ -1,6 +1,6 @@
 #include "job/evict.h"
 
-/* Loading the image, starting and warming up. */
+/* Time to load the image, start and warm up. */
 #define RESTART_S 5.0
 
 double
--- a/src/job/evict.h
+++ b/src/job/evict.h
@@ -22,8 +22,7 @@
   KqPriority priority_below; /* victims have a lower priority */
   int64_t evictions_max;     /* victims have been evicted fewer times */
   const KqQuota *quota;      /* not NULL: victims only of teams that have borrowed */
-  uint16_t
-      team; /* of the job that needs the room; its tasks are no victims with `quota` */
+  uint16_t team; /* that needs the room; with `quota`, its own tasks are no victims */
 } KqEvictRule;
 
 typedef struct
--- a/src/job/health.h
+++ b/src/job/health.h
@@ -3,9 +3,9 @@
 
 /* health: tells workers that fail their tasks from jobs that fail everywhere.
  *
- * A worker with a broken disk fails every task at once, so it is always the emptiest one
- * and is given task after task of the queue; jobs use up their attempts there and fail.
- * A job that fails wherever it runs, on the other hand, must not count against the
+ * A worker with a broken disk fails every task immediately, so it is always the emptiest
+ * one and is given task after task of the queue; jobs use up their attempts there and
+ * fail. A job that fails wherever it runs, on the other hand, must not count against the
  * workers.
  *
  * Wald's sequential probability ratio test decides: each outcome adds the log of its
--- a/src/job/interference.h
+++ b/src/job/interference.h
@@ -57,8 +57,8 @@
 
 /* Adds n tasks; n below 0 removes. A class beyond KQ_MIX_MAX is left out. */
 void kq_mix_add (KqMix *m, uint16_t class_index, double n);
-/* 0: less than half of the processors allocated, 1: less than four fifths,
- * 2: four fifths or more. */
+/* Returns 0 if less than half of the processors are allocated, 1 if less than four fifths
+ * are, otherwise 2. */
 int kq_load_band (int64_t used, int64_t whole);
 /* Learns from a report: `slowdown` (1.0: undisturbed) of a task of class `victim` beside
  * `others`. */
@@ -67,7 +67,7 @@
 /* The slowdown that one task of `other` adds to one of `victim`. */
 double kq_interference_pair (const KqInterference *f, uint16_t victim, uint16_t other,
                              int band);
-/* The sum over a mix. */
+/* The slowdown that all tasks of `others` together add to one of `victim`. */
 double kq_interference_sum (const KqInterference *f, uint16_t victim, const KqMix *others,
                             int band);
 
--- a/src/job/job.h
+++ b/src/job/job.h
@@ -183,8 +183,8 @@
 
 /* Packs the event as a record; its body points into `b`. */
 KqRecord kq_job_event_pack (const KqJobEvent *e, KqBuf *b);
-/* KQ_OK, KQ_ERR_JOURNAL_VERSION (unknown type or version, as of a newer program) or
- * KQ_ERR_JOURNAL_DAMAGED. */
+/* KQ_OK, KQ_ERR_JOURNAL_VERSION (unknown type or version, as a newer program may write)
+ * or KQ_ERR_JOURNAL_DAMAGED. */
 KqResult kq_job_event_unpack (const KqRecord *r, KqJobEvent *e);
 
 bool kq_size_fits (const KqSize *need, const KqSize *room);
--- a/src/job/jobs_change.c
+++ b/src/job/jobs_change.c
@@ -252,9 +252,9 @@
 void
 kq_jobs_set_blocked (KqJobs *j, KqJob *job, KqResult why, KqTime now)
 {
-  bool park = why == KQ_ERR_JOB_UNPLACEABLE;
-  bool parked = job->blocked_reason == KQ_ERR_JOB_UNPLACEABLE;
-  if (park == parked || !job->in_queue)
+  bool unplaceable = why == KQ_ERR_JOB_UNPLACEABLE;
+  bool was_unplaceable = job->blocked_reason == KQ_ERR_JOB_UNPLACEABLE;
+  if (unplaceable == was_unplaceable || !job->in_queue)
     {
       job->blocked_reason = why;
       return;
--- a/src/job/jobs_impl.h
+++ b/src/job/jobs_impl.h
@@ -37,7 +37,7 @@
   const KqPolicyRow *policy; /* points into the table; NULL: defaults */
   bool open;                 /* recovery has ended */
   bool store_ok;
-  bool renewing; /* false: the store is unreachable for longer than limits.blind_ms */
+  bool renewing;        /* false: the store has been unreachable for limits.blind_ms */
   KqTime store_lost_at; /* last time at which the store was known to be reachable */
   bool dirty;           /* something changed that may let a queued job start */
   uint64_t epoch;
@@ -96,8 +96,8 @@
  * cancellation was requested. */
 void kq_jobs_attempt_stopped (KqJobs *j, KqJob *job, KqResult why,
                               const KqName *checkpoint, KqTime now);
-/* Sets the reason why the queued job isn't started. KQ_ERR_JOB_UNPLACEABLE parks the job,
- * any other value puts an unplaceable one back into its list. */
+/* Sets the reason why the queued job isn't started. KQ_ERR_JOB_UNPLACEABLE moves it to
+ * the list of unplaceable jobs, any other value moves it back. */
 void kq_jobs_set_blocked (KqJobs *j, KqJob *job, KqResult why, KqTime now);
 /* Has this call's items wait for the commit of record `seq`. */
 void kq_jobs_send_after (KqJobs *j, KqSeq seq);
@@ -149,7 +149,8 @@
 void kq_jobs_evict (KqJobs *j, KqJob *job, KqTime now, KqOutbox *out);
 /* Starts queued jobs where there is room, at most `max`; returns how many. */
 int kq_jobs_schedule (KqJobs *j, int max, KqTime now, KqOutbox *out);
-/* Parks the job if no worker can ever hold it; returns whether it did. */
+/* Marks the job as unplaceable if no worker can ever hold it, otherwise as placeable.
+ * Returns whether it is unplaceable. */
 bool kq_jobs_check_possible (KqJobs *j, KqJob *job, KqTime now);
 /* The learned size of the job's class, or the declared one. */
 KqSize kq_jobs_required_size (const KqJobs *j, const KqJob *job);
--- a/src/job/jobs_move.c
+++ b/src/job/jobs_move.c
@@ -20,7 +20,7 @@
  * last digests. */
 #define MOVE_BATCH 16
 /* Unplaceable jobs tried in one period. */
-#define MOVE_PARKED_BATCH 128
+#define MOVE_UNPLACEABLE_BATCH 128
 /* Wait for room after which a job moves: the time of several digests, and longer than it
  * takes under normal load until ending tasks free enough room. */
 #define MOVE_WAIT (5 * KQ_SEC)
@@ -128,7 +128,7 @@
 {
   KqJob *next;
   int n = 0;
-  int tries_left = MOVE_PARKED_BATCH;
+  int tries_left = MOVE_UNPLACEABLE_BATCH;
   for (KqJob *job = j->queue.unplaceable.first;
        job != NULL && n < count_max && tries_left > 0; job = next)
     {
--- a/src/job/jobs_tick.c
+++ b/src/job/jobs_tick.c
@@ -13,10 +13,10 @@
 #define TRY_BATCH 4096
 /* Period of scan_workers. */
 #define SCAN_PERIOD (250 * KQ_MS)
-/* Sizes that found no room, remembered during one scheduling round. */
+/* Sizes for which no worker had room, remembered during one scheduling round. */
 #define FAILED_SIZES_MAX 8
 /* Unplaceable jobs checked in one scan. */
-#define PARKED_BATCH 64
+#define UNPLACEABLE_BATCH 64
 
 void
 kq_jobs_refresh_worker (KqJobs *j, KqWorker *w, KqTime now)
@@ -157,7 +157,7 @@
 static void
 check_unplaceable (KqJobs *j, KqTime now)
 {
-  int left = PARKED_BATCH;
+  int left = UNPLACEABLE_BATCH;
   for (KqJob *job = j->queue.unplaceable.first, *next; job != NULL && left-- > 0;
        job = next)
     {
--- a/src/job/learn_size.c
+++ b/src/job/learn_size.c
@@ -66,8 +66,10 @@
   l->reports++;
 }
 
+/* Rounds the estimate up. It is capped at `largest` if the declared size is within that,
+ * so that an estimate alone never makes a job too large for every worker. */
 static int64_t
-bounded (double estimate, int64_t declared, int64_t largest)
+capped_estimate (double estimate, int64_t declared, int64_t largest)
 {
   int64_t v = (int64_t)ceil (estimate);
   return v > largest && declared <= largest ? largest : v;
@@ -79,7 +81,9 @@
   const KqLearnedSize *l = &s->classes[class_index];
   if (l->reports < REPORTS_MIN)
     return declared;
-  return (KqSize){ bounded (l->cpu.estimate, declared.cpu_milli, largest.cpu_milli),
-                   bounded (l->memory.estimate, declared.memory_mb, largest.memory_mb),
-                   declared.accelerators };
+  return (KqSize){
+    capped_estimate (l->cpu.estimate, declared.cpu_milli, largest.cpu_milli),
+    capped_estimate (l->memory.estimate, declared.memory_mb, largest.memory_mb),
+    declared.accelerators
+  };
 }
--- a/src/job/lease.h
+++ b/src/job/lease.h
@@ -1,7 +1,7 @@
 #ifndef KQ_JOB_LEASE_H
 #define KQ_JOB_LEASE_H
 
-/* lease: the lease of one worker, as the owner of the shard that renews it sees it.
+/* lease: the lease of one worker, as seen by the owner of its shard, which renews it.
  *
  * Each answer of the worker carries a stamp, its own time; the next renewal echoes it.
  * The worker extends its lease to the echoed stamp plus the lease time, by its own
@@ -23,10 +23,9 @@
 
 typedef struct
 {
-  KqTime lease; /* how long a renewal lasts */
-  KqTime renew; /* period of renewals */
-  KqTime
-      renew_without_store; /* how long an owner renews at most while the store is away */
+  KqTime lease;               /* how long a renewal lasts */
+  KqTime renew;               /* period of renewals */
+  KqTime renew_without_store; /* how long renewals go on while the store is unreachable */
 } KqLeaseTimes;
 
 typedef enum
@@ -44,7 +43,7 @@
   uint64_t stamp;            /* of the worker's last answer; 0: none to echo */
   KqTime stamp_call_sent_at; /* when the call that brought it was sent */
   KqTime stamp_received_at;
-  KqTime echoed_call_sent_at; /* the same, of the stamp being echoed */
+  KqTime echoed_call_sent_at; /* stamp_call_sent_at of the stamp being echoed */
   KqTime live_until;          /* it certainly lives until then */
   KqTime expired_by;          /* it has certainly ended by then */
   bool in_flight;
--- a/src/job/place.c
+++ b/src/job/place.c
@@ -21,12 +21,14 @@
  * one after the other. Higher for services: together on fewer workers (each with few
  * replicas on one) they leave other workers to batch work alone. With 0.05 the target's
  * services ran on 2,700 of 4,100 workers, and batch work done was 0.95 of first
- * fit's; with 0.2 on 1,500 workers, and 1.23. */
+ * fit's; with 0.2 on 1,500 workers, and it was 1.23 of first fit's. */
 #define FREE_ROOM_COST 0.05
 #define SERVICE_FREE_ROOM_COST 0.2
-/* The worker that the job was moved away from. */
+/* Cost of the worker from which a remedy has moved the job. */
 #define AVOIDED_WORKER_COST 4.0
-/* Below SLOWDOWN_HIGH, at which remedy.c acts, by the noise of reports. */
+/* A batch job isn't placed where it would raise a service's expected slowdown above this.
+ * 5% (the noise of reports) less than the 25% above which remedy.c throttles the
+ * service's neighbours. */
 #define SERVICE_SLOWDOWN_MAX 0.2
 
 static uint16_t
--- a/src/job/queue.h
+++ b/src/job/queue.h
@@ -31,13 +31,12 @@
 
 void kq_queue_init (KqQueue *q);
 void kq_queue_clear (KqQueue *q);
-/* Adds the job, by age, to the list that its `blocked` and not_before call for. */
+/* Adds the job, by age, to the list that its blocked_reason and not_before call for. */
 void kq_queue_add (KqQueue *q, KqJob *job, KqTime now);
 void kq_queue_remove (KqQueue *q, KqJob *job);
 /* The list of a team and priority; valid until a new team is added. */
 KqJobList *kq_queue_list (KqQueue *q, size_t team, KqPriority p);
-/* The total size that a team's waiting jobs want, without delayed and unplaceable ones.
- */
+/* The total size of a team's waiting jobs, except delayed and unplaceable ones. */
 KqSize kq_queue_wanted (const KqQueue *q, size_t team);
 /* Moves delayed jobs that are due to their team's list; true when there were any. */
 bool kq_queue_move_due (KqQueue *q, KqTime now);
--- a/src/job/quota.c
+++ b/src/job/quota.c
@@ -114,7 +114,8 @@
   int64_t others_wanted;
 } ResourceLimit;
 
-/* Of this shard's part of the room under a limit, until the next digests; see quota.h. */
+/* How much of its part of the room under a limit a shard uses until the next digests; see
+ * quota.h. */
 #define PART_PER_ROUND 0.5
 
 /* Whether the team may be charged with `more` of the resource. */
--- a/src/job/workers.h
+++ b/src/job/workers.h
@@ -55,7 +55,7 @@
   KqTime start_not_before; /* it refused a START: no other before then */
   uint16_t rack_index;
   uint16_t depot_index;
-  bool urgent_only; /* for urgent jobs */
+  bool urgent_only; /* kept free for urgent jobs */
   /* Room reserved for one job while it is being made free; 0: for none. */
   KqJobId reserved_for;
   KqSize reserved_size;
@@ -105,7 +105,8 @@
 /* Adds or removes the fence of an attempt. */
 void kq_worker_fence (KqWorker *w, KqTaskKey task, KqSeq seq);
 void kq_worker_unfence (KqWorker *w, KqTaskKey task);
-/* Moves the worker in the list of renewals to its lease.next; O(1) for the latest. */
+/* Moves the worker in the list of renewals to its lease.next_call_at; O(1) for the
+ * latest. */
 void kq_workers_schedule (KqWorkers *ws, KqWorker *w);
 
 #endif
