--- a/src/shard/hold.h
+++ b/src/shard/hold.h
@@ -19,7 +19,7 @@
 typedef struct
 {
   KqHeldItem *items;
-  size_t first;
+  size_t first; /* items `first` to `len` - 1 are held */
   size_t len;
   size_t capacity;
 } KqHold;
--- a/src/shard/journal_block.h
+++ b/src/shard/journal_block.h
@@ -27,7 +27,7 @@
   uint64_t epoch;
   KqNodeId writer;
   uint64_t write_id;
-  uint64_t index; /* SLOT: position in the log; SNAPSHOT: last position that it replaces;
+  uint64_t index; /* SLOT: position in the log; SNAPSHOT: last position that it covers;
                      PART: index of the part */
   KqSeq seq;      /* SLOT: of the first record; SNAPSHOT: of the last record covered */
   KqStr parts;    /* SNAPSHOT: the parts' digests, 8 bytes each */
--- a/src/shard/journal_commit.c
+++ b/src/shard/journal_commit.c
@@ -21,9 +21,9 @@
       j->capacity = j->capacity > 0 ? j->capacity * 2 : 64;
       j->pending = kq_realloc (j->pending, j->capacity * sizeof *j->pending);
     }
-  KqPendingRecord *w = &j->pending[j->len++];
-  *w = (KqPendingRecord){ *r, now, c };
-  w->record.body = kq_str_own (r->body);
+  KqPendingRecord *p = &j->pending[j->len++];
+  *p = (KqPendingRecord){ *r, now, c };
+  p->record.body = kq_str_own (r->body);
   j->n_urgent += c == KQ_COMMIT_URGENT;
   j->last++;
   assert (j->sent + (j->len - j->first) == j->last);
@@ -41,8 +41,8 @@
 {
   if (seq <= j->sent)
     return KQ_ERR_COMMIT_UNKNOWN;
-  /* Not in a block yet. An empty record takes its place, so that
-   * sequence numbers have no gaps. */
+  /* Not in a block yet. An empty record takes its place, so that sequence numbers have no
+   * gaps. */
   size_t i = j->first + (size_t)(seq - j->sent - 1);
   if (i < j->len)
     {
--- a/src/shard/journal_recover.c
+++ b/src/shard/journal_recover.c
@@ -310,8 +310,8 @@
 must_apply (const KqJournal *j, const KqBlock *b)
 {
   const KqRecord *r = &b->records[j->replay_record];
-  bool replaced = b->kind == KQ_BLOCK_SLOT && b->seq + j->replay_record <= j->covered;
-  return !replaced && r->type != KQ_RECORD_VOID;
+  bool covered = b->kind == KQ_BLOCK_SLOT && b->seq + j->replay_record <= j->covered;
+  return !covered && r->type != KQ_RECORD_VOID;
 }
 
 bool
--- a/src/shard/journal_state.h
+++ b/src/shard/journal_state.h
@@ -138,13 +138,13 @@
    * of the item `first` is sent + 1. */
   KqPendingRecord *pending;
   size_t first, len, capacity;
-  size_t n_urgent;    /* of those */
+  size_t n_urgent;    /* of the pending records */
   bool write_pending; /* `slot_write` isn't acknowledged yet */
   KqSlotWrite slot_write;
   KqTime commit_interval; /* between commits at the allowed rate */
   KqTime rate_used_until; /* time up to which past commits use the rate */
 
-  /* Recovered, until all records were replayed: */
+  /* What recovery has read; kept until all records are replayed. */
   KqBlock *blocks; /* log slots after the snapshot, by index */
   size_t n_blocks;
   KqBlock *snapshot_blocks; /* parts in order, or a head without parts */
--- a/src/shard/owner.c
+++ b/src/shard/owner.c
@@ -138,8 +138,9 @@
   return &o->count;
 }
 
-/* No other node of the region had a key in the store when we last read it. A node that is
- * cut off from all others still knows their keys, so it isn't taken for the only one. */
+/* Whether no other node of the region had a key in the store when we last read it. A node
+ * that is cut off from all others still knows their keys, so it isn't taken for the only
+ * one. */
 static bool
 only_node_of_region (const KqOwner *o, const KqMember *m)
 {
@@ -227,8 +228,8 @@
   return reported != 0 ? reported : id;
 }
 
-/* Our lease is live and the list of nodes that we read has our own key, so we know every
- * node that was in the store before us. */
+/* True if our lease is live and the list of nodes that we read has our own key: then we
+ * know every node that was in the store before us. */
 bool
 kq_owner_may_take (const KqOwner *o, const KqMember *m, KqTime now)
 {
--- a/src/shard/owner.h
+++ b/src/shard/owner.h
@@ -69,8 +69,8 @@
 /* Steps down at once (event LOST). For a shard that can't be served: its journal is
  * FENCED or DAMAGED, its state can't be rebuilt, or kq_owner_is_mine is false. */
 void kq_owner_step_down (KqOwner *o, uint32_t shard, KqTime now);
-/* Call after GIVE_UP once the shard's records are committed and its state dropped: writes
- * the release to own/<shard>. */
+/* Call after HANDOVER once the shard's records are committed and its state dropped:
+ * writes the release to own/<shard>. */
 void kq_owner_released (KqOwner *o, uint32_t shard, KqTime now, KqOutbox *out);
 /* For a planned stop: takes no shard any more and hands over all it has. */
 void kq_owner_drain (KqOwner *o);
@@ -82,10 +82,10 @@
  * certainly live or kq_owner_valid_in_outage holds. Must be checked before every send. */
 bool kq_owner_is_mine (const KqOwner *o, uint32_t shard, const KqMember *m, KqTime now);
 /* Whether ownership continues without a live lease because the store is away: the lease
- * has expired, the store has been silent for at least half a lease and at most blind_max,
- * no peer of the region reaches it either, and a peer was heard within a fifth of a lease
- * (or this is the region's only node). Always false for a fifth of a lease after this
- * process was suspended. */
+ * has expired, the store has been silent for at least half a lease and at most
+ * outage_max, no peer of the region reaches it either, and a peer was heard within a
+ * fifth of a lease (or this is the region's only node). Always false for a fifth of a
+ * lease after this process was suspended. */
 bool kq_owner_valid_in_outage (const KqOwner *o, const KqMember *m, KqTime now);
 /* The owner of a shard of any region as far as this node knows, by the highest epoch in
  * the peers' digests and its own state. 0: none known. */
--- a/src/shard/owner_state.h
+++ b/src/shard/owner_state.h
@@ -89,7 +89,7 @@
 {
   KqOwnState state;
   KqOwnerStep step;
-  bool holding; /* between the event TOOK and LOST or kq_owner_released */
+  bool holding; /* between the event TAKEN and LOST or kq_owner_released */
   bool handover_sent;
   bool uncertain; /* own/<shard> may name us, or a write of ours may still take effect,
                      though we don't hold the shard */
--- a/src/shard/owner_test.c
+++ b/src/shard/owner_test.c
@@ -250,8 +250,7 @@
          && memmem (value.ptr, value.len, name, strlen (name)) != NULL;
 }
 
-/* Each shard has one owner: the wanted one, named in the store. Returns node i's count.
- */
+/* Checks that each shard has one owner, the wanted one. Returns node i's shard count. */
 static int
 expect_settled (Rig *g, int i)
 {
@@ -512,7 +511,7 @@
 
 /* Store outage: our lease has expired by our own clock. We remain owner if no peer of the
  * region reaches the store but one is heard. We must stop if a peer reaches the store, if
- * none is heard, after blind_max, with another lease id, or if the store isn't silent. */
+ * none is heard, after outage_max, with another lease id or if the store isn't silent. */
 static void
 test_ownership_in_outage (void **state)
 {
