--- a/src/member/lease.c
+++ b/src/member/lease.c
@@ -69,17 +69,17 @@
     return;
   switch (l->state)
     {
-    case KQ_LEASE_NONE:
+    case KQ_NODE_LEASE_NONE:
       send (l, KQ_STORE_LEASE_GRANT, token, out);
       break;
-    case KQ_LEASE_GRANTED:
+    case KQ_NODE_LEASE_GRANTED:
       send (l, KQ_STORE_PUT, token, out);
       break;
-    case KQ_LEASE_HELD:
+    case KQ_NODE_LEASE_HELD:
       send (l, KQ_STORE_LEASE_RENEW, token, out);
       break;
-    case KQ_LEASE_REPLACED:
-    case KQ_LEASE_REVOKED:
+    case KQ_NODE_LEASE_REPLACED:
+    case KQ_NODE_LEASE_REVOKED:
       return;
     }
   l->call_timeout_at = now + l->lease / RENEWALS_PER_LEASE;
@@ -90,7 +90,7 @@
 {
   kq_log (KQ_LOG_WARN, "member", "The node's lease is lost. lease=%llu",
           (unsigned long long)l->id);
-  l->state = KQ_LEASE_NONE;
+  l->state = KQ_NODE_LEASE_NONE;
   l->id = 0;
   l->valid_until = 0;
   l->next_call_at = now;
@@ -103,7 +103,7 @@
               && kq_str_eq (r->value, kq_buf_str (&l->value));
   if (r->result == KQ_OK || ours)
     {
-      l->state = KQ_LEASE_HELD;
+      l->state = KQ_NODE_LEASE_HELD;
       l->put_revision = r->revision;
       l->next_call_at = l->valid_until - l->lease + l->lease / RENEWALS_PER_LEASE;
       l->failures = 0;
@@ -147,25 +147,25 @@
   l->call_timeout_at = 0;
   switch (l->state)
     {
-    case KQ_LEASE_NONE:
+    case KQ_NODE_LEASE_NONE:
       l->next_call_at = now;
       if (r->result == KQ_OK)
         {
           l->id = r->lease;
           l->valid_until = r->sent_at + l->lease;
-          l->state = KQ_LEASE_GRANTED;
+          l->state = KQ_NODE_LEASE_GRANTED;
         }
       else
         l->next_call_at = now + retry_wait (l);
       break;
-    case KQ_LEASE_GRANTED:
+    case KQ_NODE_LEASE_GRANTED:
       put_reply (l, r, now);
       break;
-    case KQ_LEASE_HELD:
+    case KQ_NODE_LEASE_HELD:
       renew_reply (l, r, now);
       break;
-    case KQ_LEASE_REPLACED:
-    case KQ_LEASE_REVOKED:
+    case KQ_NODE_LEASE_REPLACED:
+    case KQ_NODE_LEASE_REVOKED:
       break;
     }
   return true;
@@ -174,17 +174,17 @@
 bool
 kq_node_lease_live (const KqNodeLease *l, KqTime now)
 {
-  return l->state == KQ_LEASE_HELD && now < l->valid_until;
+  return l->state == KQ_NODE_LEASE_HELD && now < l->valid_until;
 }
 
 void
 kq_node_lease_replaced (KqNodeLease *l, uint64_t revision)
 {
-  if (l->state != KQ_LEASE_HELD || revision <= l->put_revision)
+  if (l->state != KQ_NODE_LEASE_HELD || revision <= l->put_revision)
     return;
   kq_log (KQ_LOG_ERROR, "member", "Another process has this node's name. key=%.*s",
           KQ_STR_ARG (kq_buf_str (&l->key)));
-  l->state = KQ_LEASE_REPLACED;
+  l->state = KQ_NODE_LEASE_REPLACED;
   l->id = 0;
   l->valid_until = 0;
 }
@@ -194,7 +194,7 @@
 {
   if (l->id != 0)
     send (l, KQ_STORE_LEASE_REVOKE, token, out);
-  l->state = KQ_LEASE_REVOKED;
+  l->state = KQ_NODE_LEASE_REVOKED;
   l->id = 0;
   l->valid_until = 0;
   l->call_timeout_at = 0;
--- a/src/member/lease.h
+++ b/src/member/lease.h
@@ -13,19 +13,19 @@
 
 typedef enum
 {
-  KQ_LEASE_NONE,     /* no lease */
-  KQ_LEASE_GRANTED,  /* the key isn't written yet */
-  KQ_LEASE_HELD,     /* the key is written under the lease */
-  KQ_LEASE_REPLACED, /* another process of our name wrote the key; final */
-  KQ_LEASE_REVOKED   /* revoked by us; final */
-} KqLeaseState;
+  KQ_NODE_LEASE_NONE,     /* no lease */
+  KQ_NODE_LEASE_GRANTED,  /* the key isn't written yet */
+  KQ_NODE_LEASE_HELD,     /* the key is written under the lease */
+  KQ_NODE_LEASE_REPLACED, /* another process of our name wrote the key; final */
+  KQ_NODE_LEASE_REVOKED   /* revoked by us; final */
+} KqNodeLeaseState;
 
 typedef struct
 {
   KqTime lease; /* duration */
   KqBuf key;
   KqBuf value;
-  KqLeaseState state;
+  KqNodeLeaseState state;
   uint64_t id;            /* of the lease in the store; 0: none */
   KqTime valid_until;     /* expiry, counted from when the grant or renewal was sent */
   uint64_t expect;        /* revision of the key that our put replaces */
@@ -45,7 +45,7 @@
 void kq_node_lease_tick (KqNodeLease *l, uint64_t *token, KqTime now, KqOutbox *out);
 /* Handles a reply; false when it doesn't belong to the call in flight. */
 bool kq_node_lease_reply (KqNodeLease *l, const KqStoreReply *r, KqTime now);
-/* The key is written and its lease is certainly live at `now`. */
+/* Whether the key is written and its lease is certainly live at `now`. */
 bool kq_node_lease_live (const KqNodeLease *l, KqTime now);
 /* The store's list has our key with another process's value, written at `revision` (0: it
  * hasn't). If that is newer than our own put, a process started later under our name: it
--- a/src/member/member.c
+++ b/src/member/member.c
@@ -330,7 +330,7 @@
 /* Whether digests are due in the bundle to another region: when the rate allows it or
  * when our list changed, as a node that joined or returned there has none of them yet. */
 static bool
-remote_digests_due (KqMember *m, RemoteRegion *f, KqTime now)
+remote_digests_due (KqMember *m, RemoteRegion *remote, KqTime now)
 {
   size_t bytes = 0;
   size_t nodes = 0;
@@ -340,14 +340,14 @@
         bytes += kq_digest_size (&m->list.entries[i]->last_heartbeat->u.heartbeat);
         nodes++;
       }
-  bool list_changed
-      = f->version != m->list.version && now - f->digests_sent_at >= DIGEST_AGE_MAX;
-  if (f->digests_sent_at != 0 && !list_changed
-      && !digests_due (now - f->digests_sent_at, bytes, nodes, BUNDLE_DIGEST_BYTES_PER_S,
-                       BUNDLE_DIGEST_AGE_MAX))
+  bool list_changed = remote->version != m->list.version
+                      && now - remote->digests_sent_at >= DIGEST_AGE_MAX;
+  if (remote->digests_sent_at != 0 && !list_changed
+      && !digests_due (now - remote->digests_sent_at, bytes, nodes,
+                       BUNDLE_DIGEST_BYTES_PER_S, BUNDLE_DIGEST_AGE_MAX))
     return false;
-  f->digests_sent_at = now;
-  f->version = m->list.version;
+  remote->digests_sent_at = now;
+  remote->version = m->list.version;
   return true;
 }
 
@@ -357,8 +357,8 @@
 static void
 send_bundle (KqMember *m, const KqName *region, KqTime now, KqOutbox *out)
 {
-  RemoteRegion *f = remote_region (m, region);
-  bool with_digests = f != NULL && remote_digests_due (m, f, now);
+  RemoteRegion *remote = remote_region (m, region);
+  bool with_digests = remote != NULL && remote_digests_due (m, remote, now);
   for (size_t i = 0; i < m->list.n; i++)
     {
       KqNodeEntry *e = m->list.entries[i];
@@ -454,18 +454,18 @@
   m->times.store_silent = kq_member_store_silence (m, now) > m->config.lease;
   kq_node_list_age (&m->list, &m->times, now);
   kq_node_lease_tick (&m->lease, &m->token, now, out);
-  if (m->lease.state != KQ_LEASE_REVOKED)
+  if (m->lease.state != KQ_NODE_LEASE_REVOKED)
     tick_watch (m, now, out);
   tick_heartbeat (m, now, out);
 }
 
-/* Forwards a heartbeat from another region's bundle to our region. `via` is set to this
- * node, so that nobody forwards it again. */
+/* Forwards a heartbeat from another region's bundle to our region. forwarded_by is
+ * set to this node, so that nobody forwards it again. */
 static void
 forward_heartbeat (KqMember *m, const KqMsgHeartbeat *h, KqOutbox *out)
 {
-  KqNodeEntry *via = kq_node_list_find (&m->list, h->forwarded_by);
-  if (h->forwarded_by == 0 || (via != NULL && same_region (m, via)))
+  KqNodeEntry *forwarder = kq_node_list_find (&m->list, h->forwarded_by);
+  if (h->forwarded_by == 0 || (forwarder != NULL && same_region (m, forwarder)))
     return;
   KqMsg msg = { .kind = KQ_MSG_HEARTBEAT, .u.heartbeat = *h };
   msg.u.heartbeat.forwarded_by = m->config.self.id;
@@ -540,13 +540,13 @@
 uint64_t
 kq_member_lease (const KqMember *m)
 {
-  return m->lease.state == KQ_LEASE_HELD ? m->lease.id : 0;
+  return m->lease.state == KQ_NODE_LEASE_HELD ? m->lease.id : 0;
 }
 
 bool
 kq_member_replaced (const KqMember *m)
 {
-  return m->lease.state == KQ_LEASE_REPLACED;
+  return m->lease.state == KQ_NODE_LEASE_REPLACED;
 }
 
 bool
--- a/src/member/nodes.h
+++ b/src/member/nodes.h
@@ -46,11 +46,12 @@
                              const KqNodeTimes *t, KqTime now);
 /* Updates the nodes' states by their silence and removes nodes that are long gone. */
 void kq_node_list_age (KqNodeList *l, const KqNodeTimes *t, KqTime now);
-/* KqMsgHeartbeat.beat has a sequence number in its upper bits. The lowest bit means that
- * the heartbeat is sent without digests and those sent before remain valid. Digests are
- * most of a heartbeat's bytes and needn't be sent as often as liveness must be shown. */
+/* KqMsgHeartbeat.sequence has the heartbeat's number in its upper bits. The lowest bit
+ * means that the heartbeat is sent without digests and those sent before remain valid.
+ * Digests are most of a heartbeat's bytes and needn't be sent as often as liveness must
+ * be shown. */
 #define KQ_HEARTBEAT_NO_DIGESTS 1U
-#define KQ_HEARTBEAT_NUMBER(beat) ((beat) >> 1)
+#define KQ_HEARTBEAT_NUMBER(sequence) ((sequence) >> 1)
 
 /* Approximate size in bytes of a heartbeat's digests on the wire. */
 size_t kq_digest_size (const KqMsgHeartbeat *h);
