--- a/src/node/core.c
+++ b/src/node/core.c
@@ -119,11 +119,11 @@
 KqShard *
 kq_core_owned_shard (KqCore *c, uint32_t shard, KqTime now)
 {
-  KqShard *h = kq_core_shard (c, shard);
-  if (h == NULL || kq_shard_state (h) == KQ_SHARD_IDLE
+  KqShard *s = kq_core_shard (c, shard);
+  if (s == NULL || kq_shard_state (s) == KQ_SHARD_IDLE
       || !kq_owner_is_mine (c->owner, shard, c->member, now))
     return NULL;
-  return h;
+  return s;
 }
 
 /* Jobs and claims stop at once. Requests are sent to the shard's runners until the
@@ -134,10 +134,10 @@
 static void
 drop_shard (KqCore *c, uint32_t shard, KqTime linger, KqTime now)
 {
-  KqShard *h = kq_core_shard (c, shard);
-  if (kq_shard_state (h) == KQ_SHARD_IDLE)
+  KqShard *s = kq_core_shard (c, shard);
+  if (kq_shard_state (s) == KQ_SHARD_IDLE)
     return;
-  kq_shard_drop (h);
+  kq_shard_drop (s);
   c->hosts_announced[shard - c->first] = false;
   c->gone_due_at[shard - c->first] = now + linger;
 }
@@ -166,20 +166,20 @@
   KqOwnerEvent e;
   while (kq_owner_event (c->owner, &e))
     {
-      KqShard *h = kq_core_shard (c, e.shard);
+      KqShard *s = kq_core_shard (c, e.shard);
       switch (e.kind)
         {
         case KQ_OWNER_TAKEN:
           kq_log (KQ_LOG_INFO, PART, "Shard acquired. shard=%u epoch=%llu", e.shard,
                   (unsigned long long)e.epoch);
-          kq_shard_open (h, e.epoch, kq_table_dist_current (c->dist), now, out);
+          kq_shard_open (s, e.epoch, kq_table_dist_current (c->dist), now, out);
           break;
         case KQ_OWNER_LOST:
           kq_log (KQ_LOG_WARN, PART, "Shard ownership lost. shard=%u", e.shard);
           drop_shard (c, e.shard, LINGER_LOST, now);
           break;
         case KQ_OWNER_HANDOVER:
-          kq_shard_release (h);
+          kq_shard_release (s);
           break;
         }
     }
@@ -188,12 +188,12 @@
 static void
 tick_shard (KqCore *c, uint32_t shard, bool store_ok, KqTime now, KqOutbox *out)
 {
-  KqShard *h = kq_core_shard (c, shard);
+  KqShard *s = kq_core_shard (c, shard);
   KqResult r;
-  if (kq_shard_state (h) == KQ_SHARD_IDLE)
+  if (kq_shard_state (s) == KQ_SHARD_IDLE)
     return;
   if (!kq_owner_is_mine (c->owner, shard, c->member, now)
-      && kq_shard_state (h) != KQ_SHARD_RELEASING)
+      && kq_shard_state (s) != KQ_SHARD_RELEASING)
     {
       kq_log (KQ_LOG_WARN, PART,
               "Ownership of the shard has expired; dropping it. shard=%u", shard);
@@ -201,7 +201,7 @@
       kq_owner_step_down (c->owner, shard, now);
       return;
     }
-  r = kq_shard_tick (h, store_ok, now, out);
+  r = kq_shard_tick (s, store_ok, now, out);
   if (r != KQ_OK)
     {
       kq_log (KQ_LOG_WARN, PART, "Shard dropped. shard=%u code=%d name=%s", shard, r,
@@ -210,7 +210,7 @@
       kq_owner_step_down (c->owner, shard, now);
       return;
     }
-  if (kq_shard_state (h) == KQ_SHARD_RELEASING && kq_shard_released (h, now))
+  if (kq_shard_state (s) == KQ_SHARD_RELEASING && kq_shard_released (s, now))
     {
       drop_shard (c, shard, LINGER_RELEASED, now);
       kq_owner_released (c->owner, shard, now, out);
@@ -242,18 +242,18 @@
 static void
 announce_hosts (KqCore *c, uint32_t shard, KqTime now, KqOutbox *out)
 {
-  const KqSettings *s = c->config.settings;
-  KqShard *h = kq_core_owned_shard (c, shard, now);
+  const KqSettings *settings = c->config.settings;
+  KqShard *s = kq_core_owned_shard (c, shard, now);
   uint32_t i = shard - c->first;
   KqNotice *n;
-  if (h == NULL || kq_shard_state (h) != KQ_SHARD_ACTIVE)
+  if (s == NULL || kq_shard_state (s) != KQ_SHARD_ACTIVE)
     return;
   n = kq_core_add_notice (c, KQ_NOTICE_SHARD_HOSTS);
   n->shard = shard;
-  kq_shard_copy_hosts (s, c->host_lists, s->n_depots, shard, &n->hosts);
+  kq_shard_copy_hosts (settings, c->host_lists, settings->n_depots, shard, &n->hosts);
   n->taken_over = !c->hosts_announced[i];
   c->hosts_announced[i] = true;
-  kq_shard_set_hosts (h, &n->hosts, now, out);
+  kq_shard_set_hosts (s, &n->hosts, now, out);
 }
 
 /* Passes the hosts to shards that have become active, without waiting for the next read
@@ -310,7 +310,7 @@
 void
 kq_core_store_reply (KqCore *c, const KqStoreReply *r, KqTime now, KqOutbox *out)
 {
-  KqShard *h;
+  KqShard *s;
   if (r->result != KQ_ERR_STORE_UNREACHABLE && r->result != KQ_ERR_STORE_BUSY
       && r->result != KQ_ERR_PLATFORM_FORMAT)
     kq_member_store_answered (c->member, now);
@@ -325,9 +325,9 @@
     case KQ_PART_SHARD:
       if (kq_owner_reply (c->owner, r, c->member, now, out))
         break;
-      h = kq_core_shard (c, (uint32_t)(r->token >> 32));
-      if (h != NULL)
-        kq_shard_store_reply (h, r, now, out);
+      s = kq_core_shard (c, (uint32_t)(r->token >> 32));
+      if (s != NULL)
+        kq_shard_store_reply (s, r, now, out);
       break;
     case KQ_PART_HOSTS:
       handle_host_list (c, r, now, out);
@@ -340,9 +340,9 @@
 void
 kq_core_worker_reply (KqCore *c, const KqWorkerReply *r, KqTime now, KqOutbox *out)
 {
-  KqShard *h = kq_core_owned_shard (c, r->shard, now);
-  if (h != NULL)
-    kq_shard_worker_reply (h, r, now, out);
+  KqShard *s = kq_core_owned_shard (c, r->shard, now);
+  if (s != NULL)
+    kq_shard_worker_reply (s, r, now, out);
 }
 
 void
@@ -384,9 +384,9 @@
 }
 
 static void
-announce_given_up (KqCore *c)
+announce_release (KqCore *c)
 {
-  if (!c->draining || c->given_up_announced)
+  if (!c->draining || c->release_announced)
     return;
   for (uint32_t i = 0; i < c->n_shards; i++)
     {
@@ -395,7 +395,7 @@
           || c->gone_due_at[i] != 0)
         return;
     }
-  c->given_up_announced = true;
+  c->release_announced = true;
   kq_core_add_notice (c, KQ_NOTICE_SHARDS_RELEASED);
 }
 
@@ -415,7 +415,7 @@
     tick_shard (c, c->first + i, store_ok, now, out);
   announce_first_hosts (c, now, out);
   read_host_lists (c, now, out);
-  announce_given_up (c);
+  announce_release (c);
 }
 
 void
--- a/src/node/core.h
+++ b/src/node/core.h
@@ -51,8 +51,8 @@
 void kq_core_tick (KqCore *c, KqTime now, KqOutbox *out);
 void kq_core_store_reply (KqCore *c, const KqStoreReply *r, KqTime now, KqOutbox *out);
 void kq_core_worker_reply (KqCore *c, const KqWorkerReply *r, KqTime now, KqOutbox *out);
-/* HEARTBEAT, TABLE, TABLE_WANT, JOB_SUBMIT, JOB_CALL, JOB_MOVE, JOB_MOVED, CLAIM_BEGIN,
- * CLAIM_DONE. */
+/* HEARTBEAT, TABLE, TABLE_REQUEST, JOB_SUBMIT, JOB_CALL, JOB_MOVE, JOB_MOVED,
+ * CLAIM_BEGIN, CLAIM_DONE. */
 void kq_core_message (KqCore *c, KqNodeId from, const KqMsg *m, KqTime now,
                       KqOutbox *out);
 /* The mesh connection to a peer was made or lost. */
--- a/src/node/core_route.c
+++ b/src/node/core_route.c
@@ -188,11 +188,11 @@
 route_to_shard (KqCore *c, KqNodeId from, const KqMsg *m, KqTime now, KqOutbox *out)
 {
   uint32_t shard = shard_of_message (m);
-  KqShard *h = kq_core_owned_shard (c, shard, now);
+  KqShard *s = kq_core_owned_shard (c, shard, now);
   KqNodeId owner;
-  if (h != NULL && kq_shard_state (h) == KQ_SHARD_ACTIVE)
+  if (s != NULL && kq_shard_state (s) == KQ_SHARD_ACTIVE)
     {
-      kq_shard_message (h, m, now, out);
+      kq_shard_message (s, m, now, out);
       return;
     }
   owner = kq_owner_of (c->owner, c->member, shard);
@@ -337,22 +337,22 @@
 static void
 announce_if_changed (KqCore *c, const KqNode *n, KqTime now, KqOutbox *out)
 {
-  AnnouncedNode *t = find_announced (c, n->info.id);
-  if (t == NULL && c->n_announced < KQ_NODES_MAX)
+  AnnouncedNode *a = find_announced (c, n->info.id);
+  if (a == NULL && c->n_announced < KQ_NODES_MAX)
     {
-      t = &c->announced[c->n_announced++];
-      *t = (AnnouncedNode){ n->info.id, KQ_NODE_GONE, false, n->info.incarnation };
+      a = &c->announced[c->n_announced++];
+      *a = (AnnouncedNode){ n->info.id, KQ_NODE_GONE, false, n->info.incarnation };
     }
-  if (t == NULL)
+  if (a == NULL)
     return;
-  if (t->incarnation != n->info.incarnation)
-    node_gone (c, t->id, t->incarnation, now, out);
-  else if (t->state != KQ_NODE_GONE && n->state == KQ_NODE_GONE)
-    node_gone (c, t->id, t->incarnation, now, out);
-  if (t->state != n->state || t->draining != n->draining
-      || t->incarnation != n->info.incarnation)
+  if (a->incarnation != n->info.incarnation)
+    node_gone (c, a->id, a->incarnation, now, out);
+  else if (a->state != KQ_NODE_GONE && n->state == KQ_NODE_GONE)
+    node_gone (c, a->id, a->incarnation, now, out);
+  if (a->state != n->state || a->draining != n->draining
+      || a->incarnation != n->info.incarnation)
     announce_node (c, n);
-  *t = (AnnouncedNode){ n->info.id, n->state, n->draining, n->info.incarnation };
+  *a = (AnnouncedNode){ n->info.id, n->state, n->draining, n->info.incarnation };
 }
 
 static void
--- a/src/node/core_state.h
+++ b/src/node/core_state.h
@@ -45,7 +45,7 @@
   KqTime next_read_at[KQ_DEPOTS_MAX];
   bool read_pending[KQ_DEPOTS_MAX];
   bool draining;
-  bool given_up_announced;
+  bool release_announced;
   KqTime digest_at;
   uint64_t member_version;
   AnnouncedNode announced[KQ_NODES_MAX];
@@ -64,7 +64,7 @@
 bool kq_core_has_successor (const KqCore *c, uint32_t shard);
 /* Adds a KQ_NOTICE_NODE for each node that joined, changed or is gone. */
 void kq_core_announce_nodes (KqCore *c, KqTime now, KqOutbox *out);
-/* Updates the digests in our heartbeats, and the other shards' digests in ours. */
+/* Updates the digests in our heartbeats, and gives our shards those of the others. */
 void kq_core_update_digests (KqCore *c, KqTime now);
 
 #endif
--- a/src/node/core_test.c
+++ b/src/node/core_test.c
@@ -24,7 +24,7 @@
   KqTime now;
   int gone;       /* number of KQ_NOTICE_SHARD_GONE */
   KqTime gone_at; /* time of the last one */
-  bool given_up;
+  bool shards_released;
 } Rig;
 
 static int
@@ -76,7 +76,7 @@
           r->gone++;
           r->gone_at = r->now;
         }
-      r->given_up = r->given_up || n.kind == KQ_NOTICE_SHARDS_RELEASED;
+      r->shards_released = r->shards_released || n.kind == KQ_NOTICE_SHARDS_RELEASED;
       kq_hosts_free (&n.hosts);
     }
 }
@@ -135,11 +135,11 @@
     run (r, TICK);
   released_at = r->now;
   assert_int_equal (active_shards (r), 0);
-  assert_false (r->given_up);
+  assert_false (r->shards_released);
   run (r, 10 * KQ_SEC);
   assert_int_equal (r->gone, SHARDS);
   assert_true (r->gone_at - released_at >= KQ_SEC);
-  assert_true (r->given_up);
+  assert_true (r->shards_released);
 }
 
 /* Adds another node of the region by writing its key to the store. */
@@ -161,7 +161,7 @@
 
 /* Delivers a heartbeat of the other node: it owns every shard in a later epoch. */
 static void
-deliver_successor_heartbeat (Rig *r, const KqNodeInfo *n1, uint64_t beat,
+deliver_successor_heartbeat (Rig *r, const KqNodeInfo *n1, uint64_t sequence,
                              KqServiceDigest *lines, size_t n_lines)
 {
   KqShardDigest shards[SHARDS] = { { .shard = 0 } };
@@ -172,7 +172,7 @@
   shards[0].n_services = n_lines;
   m.u.heartbeat.node = n1->id;
   m.u.heartbeat.incarnation = n1->incarnation;
-  m.u.heartbeat.sequence = beat << 1;
+  m.u.heartbeat.sequence = sequence << 1;
   m.u.heartbeat.shards = shards;
   m.u.heartbeat.n_shards = SHARDS;
   kq_core_message (r->core, n1->id, &m, r->now, &r->out);
--- a/src/node/node_task.c
+++ b/src/node/node_task.c
@@ -42,7 +42,7 @@
   bool draining;
   bool gateway_drained;
   bool runners_drained;
-  bool given_up;
+  bool shards_released;
   bool leaving;
   bool replaced;
   KqTime leave_until;
@@ -200,7 +200,7 @@
           send_change_result (n, &notice.result);
           break;
         case KQ_NOTICE_SHARDS_RELEASED:
-          n->given_up = true;
+          n->shards_released = true;
           break;
         }
     }
@@ -212,7 +212,7 @@
 static void
 advance_drain (KqNodeTask *n, KqTime now)
 {
-  bool done = n->gateway_drained && n->runners_drained && n->given_up;
+  bool done = n->gateway_drained && n->runners_drained && n->shards_released;
   if (!n->draining)
     return;
   if (done && !n->leaving)
@@ -347,8 +347,8 @@
   switch (m->kind)
     {
     case KQ_MSG_HEARTBEAT:
-      /* A light heartbeat has no digests. The gateway would take it for "no slots" and
-       * find no target until the next full one, which takes seconds with many nodes. */
+      /* The gateway would take a heartbeat without digests for "no slots" and find no
+       * target until the next one with digests, seconds later if there are many nodes. */
       if (!kq_heartbeat_omits_digests (&m->u.heartbeat))
         forward (n->peers.gateway, from, m);
       kq_core_message (n->core, from, m, now, &n->out);
--- a/src/node/queries.c
+++ b/src/node/queries.c
@@ -28,7 +28,7 @@
 }
 
 static const char *
-host_state_name (KqShardState s)
+shard_state_name (KqShardState s)
 {
   switch (s)
     {
@@ -60,8 +60,8 @@
   uint32_t active = 0;
   for (uint32_t i = 0; i < kq_core_shards (c); i++)
     {
-      KqShard *h = kq_core_shard (c, kq_core_first_shard (c) + i);
-      active += kq_shard_state (h) == KQ_SHARD_ACTIVE;
+      KqShard *s = kq_core_shard (c, kq_core_first_shard (c) + i);
+      active += kq_shard_state (s) == KQ_SHARD_ACTIVE;
     }
   json_object_set_new (o, "shards_active", json_integer (active));
   return o;
@@ -89,14 +89,14 @@
 }
 
 static void
-add_own_shard (KqCore *c, KqShard *h, KqTime now, json_t *o)
+add_own_shard (KqCore *c, KqShard *s, KqTime now, json_t *o)
 {
-  const KqClaims *claims = kq_shard_claims (h);
+  const KqClaims *claims = kq_shard_claims (s);
   (void)c;
-  json_object_set_new (o, "state", json_string (host_state_name (kq_shard_state (h))));
-  json_object_set_new (o, "epoch", json_integer ((json_int_t)kq_shard_epoch (h)));
+  json_object_set_new (o, "state", json_string (shard_state_name (kq_shard_state (s))));
+  json_object_set_new (o, "epoch", json_integer ((json_int_t)kq_shard_epoch (s)));
   json_object_set_new (o, "journal_lag_ms",
-                       json_integer (kq_shard_journal_lag (h, now) / KQ_MS));
+                       json_integer (kq_shard_journal_lag (s, now) / KQ_MS));
   if (claims != NULL)
     json_object_set_new (o, "claims",
                          json_integer ((json_int_t)kq_claims_count (claims)));
@@ -126,8 +126,8 @@
   json_t *a = json_array ();
   for (uint32_t i = 0; i < kq_core_shards (c); i++)
     {
-      KqShard *h = kq_core_shard (c, kq_core_first_shard (c) + i);
-      const KqJobs *j = kq_shard_jobs (h);
+      KqShard *s = kq_core_shard (c, kq_core_first_shard (c) + i);
+      const KqJobs *j = kq_shard_jobs (s);
       json_t *part;
       if (j == NULL)
         continue;
--- a/src/node/shard.h
+++ b/src/node/shard.h
@@ -26,44 +26,44 @@
 /* all_shards: the number of shards of all regions, which share the store's write rate. */
 KqShard *kq_shard_new (uint32_t shard, uint32_t all_shards, KqNodeId self,
                        const KqJobsConfig *jobs);
-void kq_shard_free (KqShard *h);
-KqShardState kq_shard_state (const KqShard *h);
-uint64_t kq_shard_epoch (const KqShard *h);
+void kq_shard_free (KqShard *s);
+KqShardState kq_shard_state (const KqShard *s);
+uint64_t kq_shard_epoch (const KqShard *s);
 
 /* This node has acquired the shard in `epoch`: starts recovery. `table` may be NULL. */
-void kq_shard_open (KqShard *h, uint64_t epoch, KqTable *table, KqTime now,
+void kq_shard_open (KqShard *s, uint64_t epoch, KqTable *table, KqTime now,
                     KqOutbox *out);
 /* Discards the shard's state and all items that wait for a commit; IDLE afterwards. */
-void kq_shard_drop (KqShard *h);
-/* Starts the release of the shard: GIVING_UP. */
-void kq_shard_release (KqShard *h);
-/* Whether the shard is idle, or GIVING_UP with nothing left to commit or send. */
-bool kq_shard_released (const KqShard *h, KqTime now);
+void kq_shard_drop (KqShard *s);
+/* Starts the release of the shard: RELEASING. */
+void kq_shard_release (KqShard *s);
+/* Whether the shard is idle, or RELEASING with nothing left to commit or send. */
+bool kq_shard_released (const KqShard *s, KqTime now);
 /* Returns KQ_OK, or the reason why the caller must drop the shard: KQ_ERR_FENCED or
  * KQ_ERR_JOURNAL_DAMAGED. */
-KqResult kq_shard_tick (KqShard *h, bool store_ok, KqTime now, KqOutbox *out);
+KqResult kq_shard_tick (KqShard *s, bool store_ok, KqTime now, KqOutbox *out);
 /* False when the reply isn't for the shard's journal. */
-bool kq_shard_store_reply (KqShard *h, const KqStoreReply *r, KqTime now, KqOutbox *out);
-void kq_shard_worker_reply (KqShard *h, const KqWorkerReply *r, KqTime now,
+bool kq_shard_store_reply (KqShard *s, const KqStoreReply *r, KqTime now, KqOutbox *out);
+void kq_shard_worker_reply (KqShard *s, const KqWorkerReply *r, KqTime now,
                             KqOutbox *out);
 /* JOB_SUBMIT, JOB_CALL, JOB_MOVE, JOB_MOVED, CLAIM_BEGIN or CLAIM_DONE,
  * each for this shard. */
-void kq_shard_message (KqShard *h, const KqMsg *m, KqTime now, KqOutbox *out);
-void kq_shard_set_table (KqShard *h, KqTable *table, KqTime now);
-void kq_shard_set_hosts (KqShard *h, const KqHostList *l, KqTime now, KqOutbox *out);
+void kq_shard_message (KqShard *s, const KqMsg *m, KqTime now, KqOutbox *out);
+void kq_shard_set_table (KqShard *s, KqTable *table, KqTime now);
+void kq_shard_set_hosts (KqShard *s, const KqHostList *l, KqTime now, KqOutbox *out);
 /* The digests of the other shards; copied. */
-void kq_shard_set_other_digests (KqShard *h, const KqShardDigest *d, size_t n,
+void kq_shard_set_other_digests (KqShard *s, const KqShardDigest *d, size_t n,
                                  KqTime now);
 /* The process of the node with this incarnation has ended: the outcome of the claims that
  * it opened is unknown. */
-void kq_shard_node_gone (KqShard *h, KqNodeId node, uint64_t incarnation, KqTime now,
+void kq_shard_node_gone (KqShard *s, KqNodeId node, uint64_t incarnation, KqTime now,
                          KqOutbox *out);
 /* False when the shard isn't active. */
-bool kq_shard_digest (KqShard *h, KqTime now, KqShardDigest *out);
+bool kq_shard_digest (KqShard *s, KqTime now, KqShardDigest *out);
 /* NULL unless the shard is active. */
-const KqJobs *kq_shard_jobs (const KqShard *h);
-const KqClaims *kq_shard_claims (const KqShard *h);
+const KqJobs *kq_shard_jobs (const KqShard *s);
+const KqClaims *kq_shard_claims (const KqShard *s);
 /* How long the oldest uncommitted record has been waiting; 0: there is none. */
-KqTime kq_shard_journal_lag (const KqShard *h, KqTime now);
+KqTime kq_shard_journal_lag (const KqShard *s, KqTime now);
 
 #endif
--- a/src/node/shard_test.c
+++ b/src/node/shard_test.c
@@ -12,10 +12,10 @@
 
 #define SHARD 3
 
-/* Runs the journal `j`, or the shard `h` if `j` is NULL, with the store for one second.
+/* Runs the journal `j`, or the shard `s` if `j` is NULL, with the store for one second.
  * Other items of the outbox than store calls are dropped. */
 static void
-run_store (KqStoreFake *store, KqJournal *j, KqShard *h, KqOutbox *out, KqTime *now,
+run_store (KqStoreFake *store, KqJournal *j, KqShard *s, KqOutbox *out, KqTime *now,
            KqResult *code)
 {
   KqTime until = *now + KQ_SEC;
@@ -36,12 +36,12 @@
           if (j != NULL)
             kq_journal_reply (j, &r, *now, out);
           else
-            kq_shard_store_reply (h, &r, *now, out);
+            kq_shard_store_reply (s, &r, *now, out);
         }
       if (j != NULL)
         kq_journal_tick (j, *now, out);
       else if (*code == KQ_OK)
-        *code = kq_shard_tick (h, true, *now, out);
+        *code = kq_shard_tick (s, true, *now, out);
     }
 }
 
@@ -53,7 +53,7 @@
   KqStoreFake *store = kq_store_fake_new (1);
   KqJournal *j = kq_journal_new (SHARD, 9, 2);
   KqJobsConfig c = { .lease = KQ_SEC, .renew = KQ_SEC / 3, .seed = 4 };
-  KqShard *h = kq_shard_new (SHARD, 4, 9, &c);
+  KqShard *s = kq_shard_new (SHARD, 4, 9, &c);
   KqOutbox out = { 0 };
   KqRecord r = { type, 1, body };
   KqRecord recovered;
@@ -68,11 +68,11 @@
   run_store (store, j, NULL, &out, &now, &code);
   assert_int_equal (kq_journal_lag (j, now), 0);
   kq_outbox_free (&out);
-  kq_shard_open (h, 2, NULL, now, &out);
-  run_store (store, NULL, h, &out, &now, &code);
-  assert_true (code != KQ_OK || kq_shard_state (h) == KQ_SHARD_ACTIVE);
+  kq_shard_open (s, 2, NULL, now, &out);
+  run_store (store, NULL, s, &out, &now, &code);
+  assert_true (code != KQ_OK || kq_shard_state (s) == KQ_SHARD_ACTIVE);
   kq_outbox_free (&out);
-  kq_shard_free (h);
+  kq_shard_free (s);
   kq_journal_free (j);
   kq_store_fake_free (store);
   return code;
@@ -113,19 +113,19 @@
 }
 
 static void
-submit (KqShard *h, uint64_t number, KqTime now, KqOutbox *out)
+submit (KqShard *s, uint64_t number, KqTime now, KqOutbox *out)
 {
   KqMsg m = { .kind = KQ_MSG_JOB_SUBMIT };
-  KqMsgJobSubmit *s = &m.u.job_submit;
-  s->call = number;
-  s->reply_to = 7;
-  s->shard = SHARD;
-  s->job = (KqJobId)SHARD << 48 | number;
-  s->spec.team = kq_name (KQ_STR ("plan"));
-  s->spec.class_name = kq_name (KQ_STR ("route"));
-  s->spec.priority = KQ_PRIORITY_NORMAL;
-  s->spec.size = (KqSize){ 1000, 1000, 0 };
-  kq_shard_message (h, &m, now, out);
+  KqMsgJobSubmit *j = &m.u.job_submit;
+  j->call = number;
+  j->reply_to = 7;
+  j->shard = SHARD;
+  j->job = (KqJobId)SHARD << 48 | number;
+  j->spec.team = kq_name (KQ_STR ("plan"));
+  j->spec.class_name = kq_name (KQ_STR ("route"));
+  j->spec.priority = KQ_PRIORITY_NORMAL;
+  j->spec.size = (KqSize){ 1000, 1000, 0 };
+  kq_shard_message (s, &m, now, out);
 }
 
 /* Empties the outbox; returns the number of messages of that kind, and in *code the
@@ -149,14 +149,14 @@
 }
 
 static void
-claim (KqShard *h, KqTime now, KqOutbox *out)
+claim (KqShard *s, KqTime now, KqOutbox *out)
 {
   KqMsg m = { .kind = KQ_MSG_CLAIM_BEGIN };
   m.u.claim_begin.shard = SHARD;
   m.u.claim_begin.flight.node = 7;
   m.u.claim_begin.service = KQ_STR ("seal");
   m.u.claim_begin.key = KQ_STR ("k");
-  kq_shard_message (h, &m, now, out);
+  kq_shard_message (s, &m, now, out);
 }
 
 /* Guards against refusals that wait behind held replies. The store becomes unreachable:
@@ -167,26 +167,26 @@
 {
   KqStoreFake *store = kq_store_fake_new (1);
   KqJobsConfig c = { .lease = KQ_SEC, .renew = KQ_SEC / 3, .seed = 4 };
-  KqShard *h = kq_shard_new (SHARD, 4, 9, &c);
+  KqShard *s = kq_shard_new (SHARD, 4, 9, &c);
   KqTable *t = make_table ();
   KqOutbox out = { 0 };
   KqTime now = 100 * KQ_SEC;
   KqResult code = KQ_OK;
   (void)state;
-  kq_shard_open (h, 1, t, now, &out);
-  run_store (store, NULL, h, &out, &now, &code);
-  assert_int_equal (kq_shard_state (h), KQ_SHARD_ACTIVE);
-  submit (h, 1, now, &out);
+  kq_shard_open (s, 1, t, now, &out);
+  run_store (store, NULL, s, &out, &now, &code);
+  assert_int_equal (kq_shard_state (s), KQ_SHARD_ACTIVE);
+  submit (s, 1, now, &out);
   assert_int_equal (count_replies (&out, KQ_MSG_JOB_REPLY, &code), 0);
   now += 3 * KQ_SEC;
-  submit (h, 2, now, &out);
+  submit (s, 2, now, &out);
   assert_int_equal (count_replies (&out, KQ_MSG_JOB_REPLY, &code), 1);
   assert_int_equal (code, KQ_ERR_NOT_COMMITTED);
-  claim (h, now, &out);
+  claim (s, now, &out);
   assert_int_equal (count_replies (&out, KQ_MSG_CLAIM_REPLY, &code), 1);
   assert_int_equal (code, KQ_ERR_CLAIM_UNAVAILABLE);
   kq_outbox_free (&out);
-  kq_shard_free (h);
+  kq_shard_free (s);
   kq_table_unref (t);
   kq_store_fake_free (store);
 }
