--- a/src/table/commit.c
+++ b/src/table/commit.c
@@ -15,7 +15,7 @@
 /* Peers without a heartbeat for longer than this aren't sent changes. */
 #define PEER_SILENT_MAX (10 * KQ_SEC)
 /* Changes up to this size are sent at once to peers in other regions. A larger one (an
- * import) is sent across the region link only to the few peers that request it first. */
+ * import) is sent across a region link only to the few peers that request it first. */
 #define FAR_PUSH_MAX_BYTES 4096
 
 static void
@@ -180,9 +180,9 @@
       = (c->base_bytes.len + KQ_BASE_PART_BYTES - 1) / KQ_BASE_PART_BYTES;
 }
 
-/* Prepares the head to be written. `lost`: the store's head is older than the table in
- * force here, because the store has lost writes. Accepted changes must not be undone, so
- * the new head then refers to a base with the whole table of this node. */
+/* Prepares the head to be written. store_lost_writes: the store's head is older than the
+ * table in force here, because the store has lost writes. Accepted changes must not be
+ * undone, so the new head then refers to a base with the whole table of this node. */
 static void
 plan_head (KqTableDist *d, bool store_lost_writes)
 {
--- a/src/table/dist.h
+++ b/src/table/dist.h
@@ -27,7 +27,7 @@
 void kq_table_dist_free (KqTableDist *d);
 /* The table in force; NULL before the first. The caller takes a reference to keep it. */
 KqTable *kq_table_dist_current (KqTableDist *d);
-uint64_t kq_table_dist_revision (const KqTableDist *d);
+uint64_t kq_table_dist_revision (const KqTableDist *d); /* its revision; 0: no table */
 /* True once after each new table. */
 bool kq_table_dist_take_changed (KqTableDist *d);
 /* Whether the table in force came from a peer and isn't confirmed by the store yet. */
--- a/src/table/dist_state.h
+++ b/src/table/dist_state.h
@@ -110,6 +110,8 @@
                          KqTime now, KqOutbox *out);
 /* Puts a table of a higher revision in force. Takes ownership of the reference. */
 void kq_dist_set_table (KqTableDist *d, KqTable *table, bool from_peer);
+/* The revision of the table in force, 0 if there is none. kq_table_dist_revision is the
+ * same for other modules. */
 uint64_t kq_dist_revision (const KqTableDist *d);
 
 void kq_commit_tick (KqTableDist *d, KqTime now, KqOutbox *out);
--- a/src/table/table.h
+++ b/src/table/table.h
@@ -39,7 +39,7 @@
   int64_t body_max_mb;
   bool non_idempotent; /* of every method, not only POST and PATCH */
   bool far;            /* requests may be sent to another region */
-  KqName home;         /* region of its claims; "": the entry node's */
+  KqName home;         /* region of its claims; "": the first one of the settings */
   /* Safeguards; each can be disabled, to compare the results. */
   bool admission;
   bool fairness;
