--- a/src/job/policy_test.c
+++ b/src/job/policy_test.c
@@ -329,7 +329,7 @@
       q[i].teams[k].own_wanted = (KqSize){ 1000000, 1000000, 0 };
       d[i] = (KqShardDigest){ .shard = i, .teams = &t[i], .n_teams = 1 };
     }
-  for (int beat = 0; beat < 20; beat++)
+  for (int round = 0; round < 20; round++)
     {
       int64_t used = 0;
       for (int i = 0; i < SHARDS; i++)
