--- a/bench/job_fake.c
+++ b/bench/job_fake.c
@@ -9,7 +9,7 @@
 {
   memset (w, 0, sizeof *w);
   w->id = id;
-  w->whole = whole;
+  w->capacity = whole;
   w->attempts = g_hash_table_new_full (g_int64_hash, g_int64_equal, free, NULL);
 }
 
@@ -42,7 +42,7 @@
 }
 
 void
-kq_fake_worker_end (KqFakeWorker *w, KqTaskKey key, KqTaskState state)
+kq_fake_worker_end_task (KqFakeWorker *w, KqTaskKey key, KqTaskState state)
 {
   KqFakeTask *t = kq_fake_worker_task (w, key);
   if (t != NULL && t->report.state == KQ_TASK_RUNNING)
@@ -74,7 +74,7 @@
 }
 
 void
-kq_fake_worker_report (KqFakeWorker *w, const KqUsageReport *u)
+kq_fake_worker_add_usage (KqFakeWorker *w, const KqUsageReport *u)
 {
   w->usage = g_realloc (w->usage, (w->n_usage + 1) * sizeof *w->usage);
   w->usage[w->n_usage++] = *u;
@@ -105,9 +105,9 @@
     return KQ_ERR_NO_LEASE;
   if (c->task.attempt <= highest_attempt (w, c->task.job))
     return KQ_ERR_OLD_ATTEMPT;
-  if (used.cpu_milli + c->size.cpu_milli > w->whole.cpu_milli
-      || used.memory_mb + c->size.memory_mb > w->whole.memory_mb
-      || used.accelerators + c->size.accelerators > w->whole.accelerators)
+  if (used.cpu_milli + c->size.cpu_milli > w->capacity.cpu_milli
+      || used.memory_mb + c->size.memory_mb > w->capacity.memory_mb
+      || used.accelerators + c->size.accelerators > w->capacity.accelerators)
     return KQ_ERR_NO_ROOM;
   set_attempt (w, c->task);
   t.report.task = c->task;
@@ -194,7 +194,7 @@
   kq_fake_worker_tick (w, now);
   r->result = KQ_ERR_OLD_EPOCH;
   r->worker_epoch = w->epoch;
-  r->capacity = w->whole;
+  r->capacity = w->capacity;
   if (c->epoch < w->epoch)
     return;
   w->epoch = r->worker_epoch = c->epoch;
--- a/bench/job_fake.h
+++ b/bench/job_fake.h
@@ -20,7 +20,7 @@
 typedef struct
 {
   KqWorkerId id;
-  KqSize whole;
+  KqSize capacity;
   KqTime skew;
   uint64_t epoch;
   KqTime lease_until; /* by its own clock */
@@ -46,9 +46,9 @@
 /* Stops all tasks when the lease has expired. */
 void kq_fake_worker_tick (KqFakeWorker *w, KqTime now);
 KqFakeTask *kq_fake_worker_task (KqFakeWorker *w, KqTaskKey key);
-void kq_fake_worker_end (KqFakeWorker *w, KqTaskKey key, KqTaskState state);
+void kq_fake_worker_end_task (KqFakeWorker *w, KqTaskKey key, KqTaskState state);
 /* Sum of the sizes of its running tasks. */
 KqSize kq_fake_worker_used (const KqFakeWorker *w);
-void kq_fake_worker_report (KqFakeWorker *w, const KqUsageReport *u);
+void kq_fake_worker_add_usage (KqFakeWorker *w, const KqUsageReport *u);
 
 #endif
--- a/bench/job_rig.c
+++ b/bench/job_rig.c
@@ -59,13 +59,13 @@
   call->acks = NULL;
   if (call->kind == KQ_WORKER_CHECKPOINT && r->checkpoint_time > 0)
     e.at += (KqTime)kq_rand_below (&r->rand, (uint64_t)r->checkpoint_time);
-  if (call->kind == KQ_WORKER_START && r->late_start > 0)
+  if (call->kind == KQ_WORKER_START && r->late_start_delay > 0)
     {
       KqRigEvent back = { .at = e.at, .is_reply = true };
       back.reply = kq_fake_no_reply (call, r->now);
       add_event (r, &back);
       e.discard_reply = true;
-      e.at += r->late_start;
+      e.at += r->late_start_delay;
     }
   add_event (r, &e);
 }
@@ -251,7 +251,7 @@
   r->port = (KqLogPort){ KQ_LOG_PORT_FAKE, { .fake = &r->log } };
   r->table = kq_table_new (1);
   kq_hold_init (&r->hold);
-  kq_rig_team (r, "plan", NULL);
+  kq_rig_set_team (r, "plan", NULL);
   kq_rig_open (r);
 }
 
@@ -278,7 +278,7 @@
 }
 
 void
-kq_rig_row (KqRig *r, const KqRow *row)
+kq_rig_set_row (KqRig *r, const KqRow *row)
 {
   KqRowChange c = { .row = *row, .expect = UINT64_MAX };
   KqResult why;
@@ -293,16 +293,16 @@
 }
 
 void
-kq_rig_team (KqRig *r, const char *name, const KqTeamRow *row)
+kq_rig_set_team (KqRig *r, const char *name, const KqTeamRow *row)
 {
   KqRow full = kq_row_default (KQ_ROW_TEAM, kq_str (name));
   if (row != NULL)
     full.u.team = *row;
-  kq_rig_row (r, &full);
+  kq_rig_set_row (r, &full);
 }
 
 void
-kq_rig_hosts (KqRig *r)
+kq_rig_set_hosts (KqRig *r)
 {
   KqOutbox out;
   kq_outbox_init (&out);
@@ -326,7 +326,7 @@
     kq_jobs_apply (r->jobs, &r->log.records[i], r->now);
   kq_outbox_init (&out);
   send_after_commit (r, kq_jobs_recovered (r->jobs, ++r->epoch, r->now, &out), &out);
-  kq_rig_hosts (r);
+  kq_rig_set_hosts (r);
 }
 
 void
@@ -350,7 +350,7 @@
 }
 
 bool
-kq_rig_said (const KqRig *r, const char *text)
+kq_rig_answer_contains (const KqRig *r, const char *text)
 {
   return r->json != NULL && strstr (r->json, text) != NULL;
 }
--- a/bench/job_rig.h
+++ b/bench/job_rig.h
@@ -44,7 +44,7 @@
   bool store_down;
   /* A START is answered UNREACHABLE at once and takes effect so much later, as when the
    * kernel still sends what was buffered on a closed connection. */
-  KqTime late_start;
+  KqTime late_start_delay;
   /* Calls and replies in transit: a heap by time. */
   KqRigEvent *events;
   size_t n_events;
@@ -65,10 +65,11 @@
 void kq_rig_init (KqRig *r, size_t workers, KqSize whole, size_t per_rack, uint64_t seed);
 void kq_rig_clear (KqRig *r);
 /* Changes one row of the table and gives the table to the KqJobs. */
-void kq_rig_row (KqRig *r, const KqRow *row);
-void kq_rig_team (KqRig *r, const char *name, const KqTeamRow *row); /* NULL: defaults */
+void kq_rig_set_row (KqRig *r, const KqRow *row);
+void kq_rig_set_team (KqRig *r, const char *name,
+                      const KqTeamRow *row); /* NULL: defaults */
 /* Gives the hosts to the KqJobs. */
-void kq_rig_hosts (KqRig *r);
+void kq_rig_set_hosts (KqRig *r);
 /* Opens a new KqJobs under the next epoch from the log's committed records: a takeover if
  * one was open. */
 void kq_rig_open (KqRig *r);
@@ -77,7 +78,7 @@
 void kq_rig_submit (KqRig *r, KqJobId id, const KqJobSpec *spec);
 void kq_rig_call (KqRig *r, KqJobCallKind kind, KqJobId id);
 /* Whether the last answer's JSON contains `text`. */
-bool kq_rig_said (const KqRig *r, const char *text);
+bool kq_rig_answer_contains (const KqRig *r, const char *text);
 /* The worker that runs the task, or NULL. */
 KqFakeWorker *kq_rig_worker_of (KqRig *r, KqTaskKey key);
 KqJobSpec kq_rig_spec (const char *team, const char *class_name, KqSize size);
--- a/bench/load_patterns.c
+++ b/bench/load_patterns.c
@@ -73,12 +73,12 @@
           "fair");
 }
 
-/* Goodput, refused and failed are in percent of the requests of SIM_QUICK, wasted in
+/* Goodput, refused and failed are in percent of the requests of SIM_MEASURED, wasted in
  * percent of the runners' work. */
 static void
 print_run (const char *name, const SimResult *r)
 {
-  const SimStats *s = &r->groups[SIM_QUICK];
+  const SimStats *s = &r->groups[SIM_MEASURED];
   double offered = s->offered > 0 ? (double)s->offered : 1;
   printf ("  %-22s %8zu %8.1f%% %8.1f %8.1f %8.1f %7.1f%% %7.1f%% %7.1f%% %6.3f\n", name,
           s->offered, 100 * (double)s->good / offered,
@@ -175,7 +175,7 @@
 static double
 p99 (const SimResult *r)
 {
-  return (double)sim_percentile (&r->groups[SIM_QUICK], 0.99, 0, KQ_TIME_NEVER);
+  return (double)sim_percentile (&r->groups[SIM_MEASURED], 0.99, 0, KQ_TIME_NEVER);
 }
 
 static void
@@ -215,9 +215,10 @@
   snprintf (label, sizeof label, "%s.others_p99_ratio", name);
   load_result (label, p99 (&r) / p99 (&alone), "times", 1.2, 0);
   snprintf (label, sizeof label, "%s.others_goodput", name);
-  load_result (
-      label, 100 * (double)r.groups[SIM_QUICK].good / (double)r.groups[SIM_QUICK].offered,
-      "percent", 99, 1);
+  load_result (label,
+               100 * (double)r.groups[SIM_MEASURED].good
+                   / (double)r.groups[SIM_MEASURED].offered,
+               "percent", 99, 1);
   sim_result_free (&alone);
   sim_result_free (&r);
   free (a.items);
@@ -297,7 +298,7 @@
   snprintf (label, sizeof label, "overload_%.0f", times);
   print_head (label, "that many times the capacity for all of the run");
   r = run_three (&c, &a, "no admission", no_admission);
-  good = (double)sim_good_before (&r.groups[SIM_QUICK], DEADLINE, END)
+  good = (double)sim_good_before (&r.groups[SIM_MEASURED], DEADLINE, END)
          / (CAPACITY * END / KQ_SEC);
   snprintf (label, sizeof label, "overload_%.0f.goodput_of_capacity", times);
   load_result (label, 100 * good, "percent", 90, 1);
@@ -312,7 +313,7 @@
 static double
 recovered_after (const SimResult *r, KqTime before, KqTime from, KqTime end)
 {
-  const SimStats *s = &r->groups[SIM_QUICK];
+  const SimStats *s = &r->groups[SIM_MEASURED];
   KqTime normal = 2 * sim_percentile (s, 0.99, KQ_SEC, before);
   for (KqTime t = from; t < end; t += KQ_SEC / 10)
     if (sim_percentile (s, 0.99, t, t + KQ_SEC / 10) <= normal)
@@ -370,8 +371,8 @@
   print_head (name, "0.8 load, three retries by the entry node");
   r = run_three (&c, &a, "no retry budget", no_retry);
   snprintf (label, sizeof label, "%s.tries_per_request", name);
-  load_result (label, (double)r.sent / (double)r.groups[SIM_QUICK].offered, "times", 1.15,
-               0);
+  load_result (label, (double)r.sent / (double)r.groups[SIM_MEASURED].offered, "times",
+               1.15, 0);
   sim_result_free (&r);
   free (a.items);
 }
--- a/bench/load_sim.h
+++ b/bench/load_sim.h
@@ -21,7 +21,7 @@
 
 typedef enum
 {
-  SIM_QUICK, /* the requests whose figures a pattern is judged by */
+  SIM_MEASURED, /* the requests whose figures a pattern is judged by */
   SIM_LONG,
   SIM_HOT,
   SIM_GROUPS
--- a/bench/place_model.c
+++ b/bench/place_model.c
@@ -131,7 +131,7 @@
       row.u.job_class.latency_critical = c < KQ_MODEL_SERVICES;
       row.u.job_class.movable = c >= KQ_MODEL_SERVICES;
       row.u.job_class.attempts_max = 20;
-      kq_rig_row (&m->rig, &row);
+      kq_rig_set_row (&m->rig, &row);
     }
 }
 
@@ -155,15 +155,15 @@
   m->rig.started = on_started;
   m->rig.arg = m;
   for (size_t i = 0; i < d->accelerated; i++)
-    m->rig.workers[i].whole.accelerators = m->rig.hosts[i].capacity.accelerators = 4;
+    m->rig.workers[i].capacity.accelerators = m->rig.hosts[i].capacity.accelerators = 4;
   row.u.policy = *policy;
-  kq_rig_row (&m->rig, &row);
+  kq_rig_set_row (&m->rig, &row);
   add_class_rows (m);
   for (size_t i = 0; i < d->teams; i++)
     {
       char name[24];
       snprintf (name, sizeof name, "t%zu", i);
-      kq_rig_team (&m->rig, name, NULL);
+      kq_rig_set_team (&m->rig, name, NULL);
     }
   kq_rig_open (&m->rig);
   kq_rig_run (&m->rig, KQ_SEC);
@@ -209,7 +209,7 @@
           continue;
         }
       r->report.age_us = m->rig.now - r->measured;
-      kq_fake_worker_report (&m->rig.workers[r->worker], &r->report);
+      kq_fake_worker_add_usage (&m->rig.workers[r->worker], &r->report);
     }
   m->n_reports = kept;
   m->reports = kq_realloc (m->reports, (kept / 1024 + 1) * 1024 * sizeof *m->reports);
@@ -301,11 +301,11 @@
         if (c < KQ_MODEL_SERVICES)
           services += (double)m->classes[c].actual.cpu_milli;
       }
-  m->breaches += allocated.cpu_milli > w->whole.cpu_milli
-                 || allocated.memory_mb > w->whole.memory_mb
-                 || allocated.accelerators > w->whole.accelerators;
-  factor = band_factor[kq_load_band (used.cpu_milli, w->whole.cpu_milli)];
-  overcommit = fmax (1, (double)used.cpu_milli / (double)w->whole.cpu_milli);
+  m->breaches += allocated.cpu_milli > w->capacity.cpu_milli
+                 || allocated.memory_mb > w->capacity.memory_mb
+                 || allocated.accelerators > w->capacity.accelerators;
+  factor = band_factor[kq_load_band (used.cpu_milli, w->capacity.cpu_milli)];
+  overcommit = fmax (1, (double)used.cpu_milli / (double)w->capacity.cpu_milli);
   for (int v = 0; v < KQ_MODEL_CLASSES; v++)
     {
       sum[v] = -m->effect[v][v] * m->noise[v];
@@ -313,14 +313,14 @@
         sum[v] += mix[o] * m->effect[v][o] * m->noise[o];
     }
   if (m->measuring)
-    m->batch_bound += fmax (0, (double)w->whole.cpu_milli - services) / 1000;
+    m->batch_bound += fmax (0, (double)w->capacity.cpu_milli - services) / 1000;
   for (size_t n = 0; n < w->n_tasks; n++)
     if (w->tasks[n].report.state == KQ_TASK_RUNNING)
       {
         int c = kq_model_class (&w->tasks[n].report.class_name);
         advance (m, i, &w->tasks[n], (1 + fmax (0, sum[c]) * factor) * overcommit);
       }
-  if (used.memory_mb > w->whole.memory_mb)
+  if (used.memory_mb > w->capacity.memory_mb)
     kill_largest_excess (m, w);
   if (i >= m->d->workers - m->d->bad_workers && m->measuring)
     fail_all (m, w);
--- a/bench/whole.c
+++ b/bench/whole.c
@@ -283,7 +283,7 @@
                 (unsigned long long)task.job, t->task.attempt, k, task.attempt, worker);
         }
     }
-  if (used.cpu_milli > f->whole.cpu_milli || used.memory_mb > f->whole.memory_mb)
+  if (used.cpu_milli > f->capacity.cpu_milli || used.memory_mb > f->capacity.memory_mb)
     kq_whole_add_violation (w, "worker %d was given more than its size", worker);
 }
 
@@ -385,9 +385,9 @@
       if (w->workers[e->worker].n_restarts == (int)e->n_starts)
         {
           kq_fake_worker_tick (&w->workers[e->worker], w->now);
-          kq_fake_worker_end (&w->workers[e->worker], e->task,
-                              kq_rand_below (&w->rand, 20) == 0 ? KQ_TASK_FAILED
-                                                                : KQ_TASK_FINISHED);
+          kq_fake_worker_end_task (&w->workers[e->worker], e->task,
+                                   kq_rand_below (&w->rand, 20) == 0 ? KQ_TASK_FAILED
+                                                                     : KQ_TASK_FINISHED);
         }
       break;
     case EVENT_CLIENT:
--- a/src/job/jobs_policy_test.c
+++ b/src/job/jobs_policy_test.c
@@ -26,7 +26,7 @@
   KqRow row = kq_row_default (KQ_ROW_CLASS, KQ_STR ("tag-watch"));
   row.u.job_class.latency_critical = true;
   kq_rig_init (r, workers, (KqSize){ 4000, 8192, 0 }, per_rack, 1);
-  kq_rig_row (r, &row);
+  kq_rig_set_row (r, &row);
   r->net_delay = 2 * KQ_MS;
   r->commit_delay = 20 * KQ_MS;
   kq_rig_run (r, KQ_SEC);
@@ -79,7 +79,7 @@
           assert_true (kq_jobs_account (r->jobs).evicted >= 24);
           break;
         }
-      kq_fake_worker_end (w, key (id, 1), KQ_TASK_FINISHED);
+      kq_fake_worker_end_task (w, key (id, 1), KQ_TASK_FINISHED);
       kq_rig_run (r, 8 * KQ_SEC);
     }
   assert_in_range (kq_jobs_account (r->jobs).evicted, 24, 36); /* 12 jobs, 3 times */
@@ -87,8 +87,9 @@
     {
       kq_rig_call (r, KQ_JOB_GET, id);
       kq_rig_run (r, KQ_SEC);
-      assert_true (kq_rig_said (r, "queued\"") || kq_rig_said (r, "\"running\""));
-      assert_false (kq_rig_said (r, "\"evictions\":4"));
+      assert_true (kq_rig_answer_contains (r, "queued\"")
+                   || kq_rig_answer_contains (r, "\"running\""));
+      assert_false (kq_rig_answer_contains (r, "\"evictions\":4"));
     }
   free_rig (r);
 }
@@ -102,7 +103,7 @@
   KqTeamRow row = kq_row_default (KQ_ROW_TEAM, KQ_STR ("seal")).u.team;
   (void)state;
   row.guaranteed = (KqSize){ 4000, 8192, 0 };
-  kq_rig_team (r, "seal", &row);
+  kq_rig_set_team (r, "seal", &row);
   fill (r, 1, 30, "plan");
   assert_int_equal (kq_jobs_account (r->jobs).running, 16);
   fill (r, 101, 110, "seal");
@@ -126,7 +127,7 @@
   r->hosts[0].state = KQ_HOST_LEAVING;
   left = r->workers[0].n_tasks;
   assert_true (left > 0);
-  kq_rig_hosts (r);
+  kq_rig_set_hosts (r);
   kq_rig_run (r, 10 * KQ_SEC);
   assert_int_equal (kq_jobs_account (r->jobs).running, 9);
   assert_int_equal (kq_fake_worker_used (&r->workers[0]).cpu_milli, 1000);
@@ -134,7 +135,7 @@
   fill (r, 10, 12, "plan");
   assert_int_equal (kq_fake_worker_used (&r->workers[0]).cpu_milli, 1000);
   r->hosts[0].state = KQ_HOST_GONE;
-  kq_rig_hosts (r);
+  kq_rig_set_hosts (r);
   kq_rig_run (r, 10 * KQ_SEC);
   assert_int_equal (kq_jobs_account (r->jobs).running, 8);
   free_rig (r);
@@ -176,7 +177,7 @@
   end_batch_tasks (&r->workers[2], 2);
   end_batch_tasks (&r->workers[3], 2);
   kq_rig_run (r, 4 * KQ_SEC);
-  kq_rig_hosts (r);
+  kq_rig_set_hosts (r);
   kq_rig_run (r, 5 * KQ_SEC);
   assert_int_equal (kq_jobs_account (r->jobs).running, 8);
   for (KqJobId id = 7; id <= 8; id++)
@@ -204,7 +205,7 @@
       KqRow row = kq_row_default (KQ_ROW_POLICY, KQ_STR ("default"));
       size_t most = 0;
       row.u.policy.spread = on;
-      kq_rig_row (r, &row);
+      kq_rig_set_row (r, &row);
       for (KqJobId id = 1; id <= 4; id++)
         submit (r, id, "plan", "tag-watch", KQ_PRIORITY_NORMAL);
       kq_rig_run (r, KQ_SEC);
@@ -224,7 +225,7 @@
       KqUsageReport u = { .task = w->tasks[i].report.task, .age_us = KQ_SEC };
       u.cpu_milli = u.memory_mb = 1000;
       u.slowdown = w->tasks[i].report.latency_critical ? slowdown : 1;
-      kq_fake_worker_report (w, &u);
+      kq_fake_worker_add_usage (w, &u);
     }
   kq_rig_run (r, 10 * KQ_SEC);
 }
@@ -239,7 +240,7 @@
   KqFakeWorker *w;
   (void)state;
   r->hosts[1].state = KQ_HOST_LEAVING;
-  kq_rig_hosts (r);
+  kq_rig_set_hosts (r);
   submit (r, 1, "plan", "tag-watch", KQ_PRIORITY_NORMAL);
   kq_rig_run (r, KQ_SEC);
   w = kq_rig_worker_of (r, key (1, 1));
@@ -247,7 +248,7 @@
   kq_rig_run (r, 30 * KQ_SEC);
   assert_ptr_equal (kq_rig_worker_of (r, key (2, 1)), w);
   r->hosts[1].state = KQ_HOST_LIVE;
-  kq_rig_hosts (r);
+  kq_rig_set_hosts (r);
   for (int i = 0; i < 20 && kq_rig_worker_of (r, key (2, 1)) == w; i++)
     report (r, w, 1.6);
   assert_int_equal (r->calls[KQ_WORKER_THROTTLE], 2);
--- a/src/job/jobs_random_test.c
+++ b/src/job/jobs_random_test.c
@@ -64,8 +64,8 @@
       KqSize used;
       kq_fake_worker_tick (w, now);
       used = kq_fake_worker_used (w);
-      assert_true (used.cpu_milli <= w->whole.cpu_milli
-                   && used.memory_mb <= w->whole.memory_mb);
+      assert_true (used.cpu_milli <= w->capacity.cpu_milli
+                   && used.memory_mb <= w->capacity.memory_mb);
       for (size_t k = 0; k < w->n_tasks; k++)
         running += w->tasks[k].report.task.job == task.job
                    && w->tasks[k].report.state == KQ_TASK_RUNNING;
@@ -113,9 +113,9 @@
   r->commit_delay = (KqTime)kq_rand_below (&r->rand, 300) * KQ_MS;
   r->lose_call = kq_rand_unit (&r->rand) * 0.2;
   r->lose_reply = kq_rand_unit (&r->rand) * 0.2;
-  r->late_start = kq_rand_below (&r->rand, 4) == 0
-                      ? (KqTime)kq_rand_below (&r->rand, 40) * KQ_SEC
-                      : 0;
+  r->late_start_delay = kq_rand_below (&r->rand, 4) == 0
+                            ? (KqTime)kq_rand_below (&r->rand, 40) * KQ_SEC
+                            : 0;
 }
 
 /* Random slowdowns and sizes, to cause throttles, moves and growth. */
@@ -130,7 +130,7 @@
       u.cpu_milli = (int64_t)kq_rand_below (&run->rig.rand, 5000);
       u.memory_mb = (int64_t)kq_rand_below (&run->rig.rand, 9000);
       u.slowdown = 1 + kq_rand_unit (&run->rig.rand);
-      kq_fake_worker_report (w, &u);
+      kq_fake_worker_add_usage (w, &u);
     }
 }
 
@@ -145,7 +145,7 @@
     kq_fake_worker_restart (&r->workers[i]);
   r->cut[i] = state == KQ_HOST_GONE;
   r->hosts[i].state = state;
-  kq_rig_hosts (r);
+  kq_rig_set_hosts (r);
 }
 
 static void
@@ -208,11 +208,11 @@
   KqRig *r = &run->rig;
   memset (r->cut, 0, WORKERS * sizeof *r->cut);
   r->lose_call = r->lose_reply = 0;
-  r->late_start = 0;
+  r->late_start_delay = 0;
   r->store_down = false;
   for (size_t i = 0; i < WORKERS; i++)
     r->hosts[i].state = KQ_HOST_LIVE;
-  kq_rig_hosts (r);
+  kq_rig_set_hosts (r);
   for (int i = 0;
        i < 400
        && kq_jobs_account (r->jobs).running + kq_jobs_account (r->jobs).queued > 0;
@@ -232,7 +232,7 @@
   Run run = { 0 };
   KqJobsAccount a;
   kq_rig_init (&run.rig, WORKERS, (KqSize){ 8000, 8192, 0 }, 2, seed);
-  kq_rig_team (&run.rig, "seal", NULL);
+  kq_rig_set_team (&run.rig, "seal", NULL);
   run.rig.started = check_start;
   run.rig.arg = &run;
   run.ended = g_hash_table_new_full (g_int64_hash, g_int64_equal, free, NULL);
--- a/src/job/jobs_test.c
+++ b/src/job/jobs_test.c
@@ -46,7 +46,7 @@
 {
   kq_rig_call (r, KQ_JOB_GET, id);
   kq_rig_run (r, r->commit_delay * 2);
-  return kq_rig_said (r, text);
+  return kq_rig_answer_contains (r, text);
 }
 
 static void
@@ -63,7 +63,8 @@
   assert_int_equal (r->answers, 1);
   assert_int_equal (r->calls[KQ_WORKER_START], 1);
   assert_int_equal (r->log.n_records, 2); /* accepted and assigned, one commit */
-  kq_fake_worker_end (kq_rig_worker_of (r, key (1, 1)), key (1, 1), KQ_TASK_FINISHED);
+  kq_fake_worker_end_task (kq_rig_worker_of (r, key (1, 1)), key (1, 1),
+                           KQ_TASK_FINISHED);
   kq_rig_run (r, 10 * KQ_SEC);
   assert_true (job_shows (r, 1, "\"finished\""));
   assert_int_equal (r->workers[0].n_tasks + r->workers[1].n_tasks, 0); /* acknowledged */
@@ -85,11 +86,11 @@
   kq_rig_submit (r, 2, &s);
   kq_rig_run (r, 0);
   assert_int_equal (r->code, KQ_OK);
-  assert_true (kq_rig_said (r, "\"0001000000000001\""));
+  assert_true (kq_rig_answer_contains (r, "\"0001000000000001\""));
   kq_rig_open (r);
   kq_rig_submit (r, 3, &s);
   kq_rig_run (r, 0);
-  assert_true (kq_rig_said (r, "\"0001000000000001\""));
+  assert_true (kq_rig_answer_contains (r, "\"0001000000000001\""));
   s.size.cpu_milli++;
   kq_rig_submit (r, 4, &s);
   kq_rig_run (r, 0);
@@ -144,10 +145,10 @@
 {
   KqRig *r = new_rig (1);
   (void)state;
-  r->late_start = 12 * KQ_SEC;
+  r->late_start_delay = 12 * KQ_SEC;
   submit (r, 1);
   kq_rig_run (r, 10 * KQ_MS);
-  r->late_start = 0;
+  r->late_start_delay = 0;
   kq_rig_run (r, 11 * KQ_SEC);
   assert_int_equal (r->calls[KQ_WORKER_STOP], 1);
   assert_true (job_shows (r, 1, "\"attempt\":2"));
@@ -177,13 +178,13 @@
   (void)state;
   r->started = count_start;
   r->arg = &started;
-  r->late_start = 60 * KQ_SEC;
+  r->late_start_delay = 60 * KQ_SEC;
   kq_rig_submit (r, 1, &s);
   kq_rig_run (r, 10 * KQ_MS);
-  r->late_start = 0;
+  r->late_start_delay = 0;
   kq_rig_call (r, KQ_JOB_GET, 1);
   kq_rig_run (r, 0);
-  i = kq_rig_said (r, "\"worker\":\"w0\"") ? 0 : 1;
+  i = kq_rig_answer_contains (r, "\"worker\":\"w0\"") ? 0 : 1;
   r->cut[i] = true;
   kq_rig_run (r, 7 * KQ_SEC);
   assert_true (job_shows (r, 1, "\"attempt\":1")); /* the lease may be live */
@@ -250,7 +251,7 @@
   kq_rig_run (r, 10 * KQ_SEC);
   assert_true (job_shows (r, 1, "\"attempt\":2"));
   r->hosts[kq_rig_worker_of (r, key (1, 2))->id - 1].state = KQ_HOST_GONE;
-  kq_rig_hosts (r);
+  kq_rig_set_hosts (r);
   kq_rig_run (r, KQ_SEC);
   assert_true (job_shows (r, 1, "\"attempt\":3"));
   free_rig (r);
@@ -290,8 +291,8 @@
   kq_rig_call (r, KQ_JOB_CANCEL, 1);
   kq_rig_run (r, 0);
   assert_int_equal (r->code, KQ_OK);
-  kq_fake_worker_end (&r->workers[0], key (1, 1), KQ_TASK_FINISHED);
-  kq_fake_worker_end (&r->workers[0], key (2, 1), KQ_TASK_FINISHED);
+  kq_fake_worker_end_task (&r->workers[0], key (1, 1), KQ_TASK_FINISHED);
+  kq_fake_worker_end_task (&r->workers[0], key (2, 1), KQ_TASK_FINISHED);
   r->cut[0] = false;
   kq_rig_run (r, 4 * KQ_SEC);
   kq_rig_call (r, KQ_JOB_CANCEL, 2);
@@ -315,7 +316,7 @@
   reply = checkpointed (r, 1, key (1, 1));
   deliver_reply (r, &reply); /* unrequested: only the list counts */
   assert_true (job_shows (r, 1, "\"running\""));
-  kq_fake_worker_end (&r->workers[0], key (1, 1), KQ_TASK_FINISHED);
+  kq_fake_worker_end_task (&r->workers[0], key (1, 1), KQ_TASK_FINISHED);
   kq_rig_run (r, 4 * KQ_SEC);
   deliver_reply (r, &reply);
   reply.epoch--;
@@ -335,7 +336,7 @@
   submit (r, 1);
   kq_rig_run (r, KQ_SEC);
   r->store_down = true;
-  kq_fake_worker_end (&r->workers[0], key (1, 1), KQ_TASK_FINISHED);
+  kq_fake_worker_end_task (&r->workers[0], key (1, 1), KQ_TASK_FINISHED);
   kq_rig_run (r, 20 * KQ_SEC);
   assert_int_equal (r->workers[0].n_tasks, 1);
   r->store_down = false;
@@ -401,16 +402,17 @@
   (void)state;
   kq_rig_submit (r, 1, &s);
   kq_rig_run (r, 0);
-  assert_true (kq_rig_said (r, "\"unplaceable\""));
+  assert_true (kq_rig_answer_contains (r, "\"unplaceable\""));
   kq_rig_call (r, KQ_JOB_EXPLAIN, 1);
   kq_rig_run (r, 0);
-  assert_true (kq_rig_said (r, "memory_mb 99999, the largest worker has 8192"));
+  assert_true (
+      kq_rig_answer_contains (r, "memory_mb 99999, the largest worker has 8192"));
   submit (r, 2);
   kq_rig_run (r, KQ_SEC);
   assert_non_null (kq_rig_worker_of (r, key (2, 1)));
-  r->workers[0].whole.memory_mb = r->hosts[0].capacity.memory_mb = 200000;
+  r->workers[0].capacity.memory_mb = r->hosts[0].capacity.memory_mb = 200000;
   kq_rig_run (r, 4 * KQ_SEC);
-  kq_rig_hosts (r);
+  kq_rig_set_hosts (r);
   kq_rig_run (r, KQ_SEC);
   assert_non_null (kq_rig_worker_of (r, key (1, 1)));
   free_rig (r);
@@ -428,7 +430,7 @@
     {
       kq_rig_run (r, 10 * KQ_SEC);
       assert_non_null (kq_rig_worker_of (r, key (1, attempt)));
-      kq_fake_worker_end (&r->workers[0], key (1, attempt), KQ_TASK_FAILED);
+      kq_fake_worker_end_task (&r->workers[0], key (1, attempt), KQ_TASK_FAILED);
     }
   kq_rig_run (r, 10 * KQ_SEC);
   assert_true (job_shows (r, 1, "\"failed\""));
@@ -485,11 +487,12 @@
   for (KqJobId id = 1; id <= 12; id++)
     submit (r, id);
   kq_rig_run (r, KQ_SEC);
-  kq_fake_worker_end (&r->workers[0], r->workers[0].tasks[0].report.task,
-                      KQ_TASK_FINISHED);
-  kq_fake_worker_end (&r->workers[1], r->workers[1].tasks[0].report.task, KQ_TASK_FAILED);
-  kq_fake_worker_end (&r->workers[1], r->workers[1].tasks[1].report.task,
-                      KQ_TASK_CHECKPOINTED);
+  kq_fake_worker_end_task (&r->workers[0], r->workers[0].tasks[0].report.task,
+                           KQ_TASK_FINISHED);
+  kq_fake_worker_end_task (&r->workers[1], r->workers[1].tasks[0].report.task,
+                           KQ_TASK_FAILED);
+  kq_fake_worker_end_task (&r->workers[1], r->workers[1].tasks[1].report.task,
+                           KQ_TASK_CHECKPOINTED);
   kq_rig_call (r, KQ_JOB_CANCEL, 2);
   kq_rig_call (r, KQ_JOB_CANCEL, 11);
   kq_rig_run (r, 10 * KQ_SEC);
--- a/src/request/load_test.c
+++ b/src/request/load_test.c
@@ -47,19 +47,19 @@
 static double
 p99 (const SimResult *r)
 {
-  return (double)sim_percentile (&r->groups[SIM_QUICK], 0.99, 0, KQ_TIME_NEVER);
+  return (double)sim_percentile (&r->groups[SIM_MEASURED], 0.99, 0, KQ_TIME_NEVER);
 }
 
 static double
 good (const SimResult *r)
 {
-  return (double)r->groups[SIM_QUICK].good / (double)r->groups[SIM_QUICK].offered;
+  return (double)r->groups[SIM_MEASURED].good / (double)r->groups[SIM_MEASURED].offered;
 }
 
 static double
 late (const SimResult *r)
 {
-  return (double)r->groups[SIM_QUICK].late / (double)r->groups[SIM_QUICK].offered;
+  return (double)r->groups[SIM_MEASURED].late / (double)r->groups[SIM_MEASURED].offered;
 }
 
 /* Six times the capacity arrives for 200 ms. Each request must be answered within its
@@ -176,8 +176,8 @@
   on = sim_run (&c, &a, 0);
   c.row = sim_row (false);
   off = sim_run (&c, &a, 0);
-  assert_true (on.groups[SIM_QUICK].failed * 10 < off.groups[SIM_QUICK].failed);
-  assert_true (on.groups[SIM_QUICK].failed < 50);
+  assert_true (on.groups[SIM_MEASURED].failed * 10 < off.groups[SIM_MEASURED].failed);
+  assert_true (on.groups[SIM_MEASURED].failed < 50);
   sim_result_free (&on);
   sim_result_free (&off);
   free (a.items);
@@ -230,11 +230,11 @@
   (void)state;
   c.row = sim_row (false);
   off = sim_run (&c, &a, 0);
-  assert_true ((double)sim_good_before (&on.groups[SIM_QUICK], DEADLINE, END)
+  assert_true ((double)sim_good_before (&on.groups[SIM_MEASURED], DEADLINE, END)
                >= 0.9 * CAPACITY * END / KQ_SEC);
   assert_true (p99 (&on) <= DEADLINE);
   assert_true (on.work_wasted < 0.05 * on.work_done);
-  assert_true (off.groups[SIM_QUICK].good < on.groups[SIM_QUICK].good / 2);
+  assert_true (off.groups[SIM_MEASURED].good < on.groups[SIM_MEASURED].good / 2);
   assert_true (sim_fairness (&on) > 0.98);
   sim_result_free (&on);
   sim_result_free (&off);
@@ -278,7 +278,7 @@
   SimResult x = sim_run (&c, &a, 0);
   SimResult y = sim_run (&c, &a, 0);
   (void)state;
-  assert_int_equal (x.groups[SIM_QUICK].good, y.groups[SIM_QUICK].good);
+  assert_int_equal (x.groups[SIM_MEASURED].good, y.groups[SIM_MEASURED].good);
   assert_int_equal (x.sent, y.sent);
   assert_true (p99 (&x) == p99 (&y));
   sim_result_free (&x);
