--- a/src/http/client.c
+++ b/src/http/client.c
@@ -9,12 +9,10 @@
 #include <string.h>
 #include <strings.h>
 
-/* Interval of the check for timed-out calls. */
-#define IDLE_CHECK_S 0.1
+#define IDLE_CHECK_S 0.1 /* interval of the check for timed-out calls */
 /* Limit of KqHttpClient.opened_at. When it is reached, the table is cleared, and calls
- * with opened_before end as KQ_HTTP_NOT_SENT on connections opened earlier. Open
- * connections are far fewer, as file descriptors are limited; the other entries are of
- * closed ones. */
+ * with opened_before end as KQ_HTTP_NOT_SENT on connections opened earlier. Most entries
+ * are of closed connections: file descriptors limit the number of open ones. */
 #define OPENED_MAX 20000
 
 typedef struct Socket
@@ -52,7 +50,7 @@
   bool paused;
   bool write_paused; /* libcurl keeps a chunk until the call is resumed */
   bool cancelled;
-  bool timed_out;
+  bool idle; /* ended by the check for timed-out calls */
   KqTime last_activity;
   KqTime idle_limit_us;   /* the present timeout of inactivity */
   KqTime idle_timeout_us; /* the one from the response's first byte on */
@@ -188,16 +186,14 @@
 }
 
 static KqHttpOutcome
-end_of (const KqHttpCall *c, CURLcode code)
+outcome_of (const KqHttpCall *c, CURLcode code)
 {
   if (code == CURLE_OK)
     return KQ_HTTP_DONE;
-  /* libcurl's count of sent bytes isn't used: it is 0 if the request's first write
-   * blocked. */
+  /* Not libcurl's count of sent bytes: it is 0 if the request's first write blocked. */
   if (c->send_started_at == 0)
     return KQ_HTTP_NOT_SENT;
-  return c->timed_out || code == CURLE_OPERATION_TIMEDOUT ? KQ_HTTP_TIMED_OUT
-                                                          : KQ_HTTP_BROKEN;
+  return c->idle || code == CURLE_OPERATION_TIMEDOUT ? KQ_HTTP_TIMED_OUT : KQ_HTTP_BROKEN;
 }
 
 static void
@@ -218,10 +214,10 @@
 static void
 finish_call (KqHttpCall *c, CURLcode code)
 {
-  KqHttpOutcome end = end_of (c, code);
+  KqHttpOutcome outcome = outcome_of (c, code);
   count_bytes (c);
   if (!c->cancelled)
-    c->cb.done (c->cb.arg, c, end);
+    c->cb.done (c->cb.arg, c, outcome);
   free_call (c);
 }
 
@@ -322,9 +318,8 @@
   return 0;
 }
 
-/* Ends inactive calls. Otherwise a target that accepts a connection and never responds
- * would hold its call, and the slot that the call occupies, until total_ms, or forever if
- * that is 0. */
+/* Ends inactive calls. A target that accepts a connection and never responds would
+ * otherwise hold the call, and its slot, until total_ms, or forever if that is 0. */
 static void
 on_idle_check (struct ev_loop *ev, ev_timer *w, int events)
 {
@@ -339,10 +334,9 @@
       else if (c->idle_limit_us > 0 && !c->paused && !c->read_paused
                && now - c->last_activity > c->idle_limit_us)
         {
-          c->timed_out = true;
+          c->idle = true;
           finish_call (c, CURLE_OPERATION_TIMEDOUT);
-          /* The done callback may have changed the list: restart, without waiting for the
-           * next interval. */
+          /* The done callback may have changed the list: restart the check at once. */
           ev_feed_event (ev, w, events);
           return;
         }
@@ -408,8 +402,7 @@
 set_headers (KqHttpCall *c, const KqHttpRequest *r)
 {
   /* Headers that libcurl would add; removed unless the caller sets them. */
-  static const char *const curl_headers[]
-      = { "Accept", "Content-Type", "User-Agent", "Expect" };
+  static const char *const added[] = { "Accept", "Content-Type", "User-Agent", "Expect" };
   KqBuf line = { 0 };
   for (size_t i = 0; i < r->n_headers; i++)
     {
@@ -422,11 +415,11 @@
                        KQ_STR_ARG (r->headers[i].value));
       c->headers = curl_slist_append (c->headers, line.ptr);
     }
-  for (size_t i = 0; i < sizeof curl_headers / sizeof curl_headers[0]; i++)
+  for (size_t i = 0; i < sizeof added / sizeof added[0]; i++)
     {
       kq_buf_clear (&line);
-      kq_buf_printf (&line, "%s:", curl_headers[i]);
-      if (!has_header (r, curl_headers[i]))
+      kq_buf_printf (&line, "%s:", added[i]);
+      if (!has_header (r, added[i]))
         c->headers = curl_slist_append (c->headers, line.ptr);
     }
   kq_buf_free (&line);
@@ -488,10 +481,9 @@
   return at == 0 || at > c->opened_before;
 }
 
-/* Called by libcurl each time before it sends the request. A second time means that a
- * reused connection closed without a response and libcurl repeats the request. This is
- * prevented: such a repetition isn't in the retry budget or any counter, and may run a
- * task twice. */
+/* Called by libcurl each time before it sends the request. Prevents the repetition after
+ * a reused connection closed without a response: it isn't in the retry budget or any
+ * counter, and may run a task twice. */
 static int
 on_prereq (void *arg, char *to, char *from, int to_port, int from_port)
 {
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -34,7 +34,7 @@
   /* Of a streamed upload: a part was sent, more may be fed. May be NULL. */
   void (*want_body) (void *arg, KqHttpCall *c);
   /* The last callback; c is freed after it. */
-  void (*done) (void *arg, KqHttpCall *c, KqHttpOutcome end);
+  void (*done) (void *arg, KqHttpCall *c, KqHttpOutcome outcome);
 } KqHttpCallback;
 
 typedef struct
@@ -69,8 +69,7 @@
 /* Appends bytes to a streamed body; end: these are the last. */
 void kq_http_call_feed (KqHttpCall *c, KqStr bytes, bool end);
 size_t kq_http_call_unsent (const KqHttpCall *c); /* body bytes not yet sent */
-/* Stops and continues the delivery of data; while paused, idle_timeout_ms doesn't apply.
- */
+/* Pause and resume the delivery of data; idle_timeout_ms doesn't apply meanwhile. */
 void kq_http_call_pause (KqHttpCall *c);
 void kq_http_call_resume (KqHttpCall *c);
 /* Ends the call without callbacks; its connection is closed. */
--- a/src/http/http_test.c
+++ b/src/http/http_test.c
@@ -49,7 +49,7 @@
   int status;
   size_t received;
   KqBuf uploaded;
-  KqHttpOutcome end;
+  KqHttpOutcome outcome;
   bool done;
   bool pause_once;
   bool stop_on_finished;
@@ -59,23 +59,23 @@
 static void
 server_begin (void *arg, KqHttpExchange *x)
 {
-  Fixture *p = arg;
+  Fixture *f = arg;
   (void)x;
-  p->n_begun++;
+  f->n_begun++;
 }
 
 static void
 server_body (void *arg, KqHttpExchange *x, KqStr chunk)
 {
-  Fixture *p = arg;
-  kq_buf_add_str (&p->uploaded, chunk);
+  Fixture *f = arg;
+  kq_buf_add_str (&f->uploaded, chunk);
   (void)x;
 }
 
 static void
 server_end (void *arg, KqHttpExchange *x)
 {
-  Fixture *p = arg;
+  Fixture *f = arg;
   KqStr path = kq_http_path (x);
   if (kq_str_eq (path, KQ_STR ("/drop")))
     kq_http_abort (x);
@@ -84,7 +84,7 @@
   else if (kq_str_eq (path, KQ_STR ("/echo%20it")))
     {
       kq_http_reply_begin (x, 200, NULL, 0, -1);
-      kq_http_reply_data (x, kq_buf_str (&p->uploaded));
+      kq_http_reply_data (x, kq_buf_str (&f->uploaded));
       kq_http_reply_end (x);
     }
   else if (kq_str_eq (path, KQ_STR ("/short")))
@@ -96,50 +96,50 @@
 }
 
 static void
-server_gone (void *arg, KqHttpExchange *x, bool whole)
+server_finished (void *arg, KqHttpExchange *x, bool whole)
 {
-  Fixture *p = arg;
+  Fixture *f = arg;
   (void)x;
   if (whole)
-    p->n_complete++;
+    f->n_complete++;
   else
-    p->n_incomplete++;
-  if (p->stop_on_finished)
-    kq_loop_stop (p->loop);
+    f->n_incomplete++;
+  if (f->stop_on_finished)
+    kq_loop_stop (f->loop);
 }
 
 static void
 client_head (void *arg, KqHttpCall *c, int status, const KqHeader *h, size_t n,
              int64_t length)
 {
-  Fixture *p = arg;
+  Fixture *f = arg;
   (void)c;
   (void)h;
   (void)n;
   (void)length;
-  p->status = status;
+  f->status = status;
 }
 
 static void
 client_data (void *arg, KqHttpCall *c, KqStr chunk)
 {
-  Fixture *p = arg;
-  p->received += chunk.len;
-  if (p->pause_once)
+  Fixture *f = arg;
+  f->received += chunk.len;
+  if (f->pause_once)
     {
-      p->pause_once = false;
+      f->pause_once = false;
       kq_http_call_pause (c);
     }
 }
 
 static void
-client_done (void *arg, KqHttpCall *c, KqHttpOutcome end)
+client_done (void *arg, KqHttpCall *c, KqHttpOutcome outcome)
 {
-  Fixture *p = arg;
+  Fixture *f = arg;
   (void)c;
-  p->end = end;
-  p->done = true;
-  kq_loop_stop (p->loop);
+  f->outcome = outcome;
+  f->done = true;
+  kq_loop_stop (f->loop);
 }
 
 static void
@@ -153,72 +153,72 @@
 static int
 set_up (void **state)
 {
-  Fixture *p = kq_alloc (sizeof *p);
-  KqHttpHandler h = { p, server_begin, server_body, server_end, NULL, server_gone };
-  p->loop = kq_loop_new ();
-  p->server = kq_http_server_new (p->loop, "127.0.0.1", 0, &h);
-  p->client = kq_http_client_new (p->loop, 4, 60000);
-  *state = p;
+  Fixture *f = kq_alloc (sizeof *f);
+  KqHttpHandler h = { f, server_begin, server_body, server_end, NULL, server_finished };
+  f->loop = kq_loop_new ();
+  f->server = kq_http_server_new (f->loop, "127.0.0.1", 0, &h);
+  f->client = kq_http_client_new (f->loop, 4, 60000);
+  *state = f;
   return 0;
 }
 
 static int
 tear_down (void **state)
 {
-  Fixture *p = *state;
-  kq_http_client_free (p->client);
-  kq_http_server_free (p->server);
-  kq_loop_free (p->loop);
-  kq_buf_free (&p->uploaded);
-  free (p);
+  Fixture *f = *state;
+  kq_http_client_free (f->client);
+  kq_http_server_free (f->server);
+  kq_loop_free (f->loop);
+  kq_buf_free (&f->uploaded);
+  free (f);
   return 0;
 }
 
 static void
-run (Fixture *p)
+run (Fixture *f)
 {
-  guard_run (p->loop, 20);
+  guard_run (f->loop, 20);
 }
 
 static KqHttpCall *
-start (Fixture *p, const char *path, KqHttpRequest *r)
+start (Fixture *f, const char *path, KqHttpRequest *r)
 {
   static char url[128];
-  KqHttpCallback cb = { p, client_head, client_data, NULL, client_done };
-  snprintf (url, sizeof url, "http://127.0.0.1:%d%s", kq_http_server_port (p->server),
+  KqHttpCallback cb = { f, client_head, client_data, NULL, client_done };
+  snprintf (url, sizeof url, "http://127.0.0.1:%d%s", kq_http_server_port (f->server),
             path);
   r->url = url;
-  p->done = false;
-  p->status = 0;
-  return kq_http_call (p->client, r, &cb);
+  f->done = false;
+  f->status = 0;
+  return kq_http_call (f->client, r, &cb);
 }
 
 static void
 test_whole_bodies (void **state)
 {
-  Fixture *p = *state;
+  Fixture *f = *state;
   KqHttpRequest r = { .method = "PATCH", .body = KQ_STR ("abc") };
-  start (p, "/plain", &r);
-  run (p);
-  assert_true (p->done);
-  assert_int_equal (p->status, 201);
-  assert_int_equal (p->received, 5);
+  start (f, "/plain", &r);
+  run (f);
+  assert_true (f->done);
+  assert_int_equal (f->status, 201);
+  assert_int_equal (f->received, 5);
 }
 
 static void
 test_streams_both_ways (void **state)
 {
-  Fixture *p = *state;
+  Fixture *f = *state;
   KqHttpRequest r = { .method = "POST", .streamed = true, .body_length = BIG_BODY_BYTES };
   char *bytes = kq_alloc (BIG_BODY_BYTES);
-  KqHttpCall *c = start (p, "/echo%20it", &r);
+  KqHttpCall *c = start (f, "/echo%20it", &r);
   kq_http_call_feed (c, kq_str_n (bytes, BIG_BODY_BYTES / 2), false);
   kq_http_call_feed (c, kq_str_n (bytes, BIG_BODY_BYTES - BIG_BODY_BYTES / 2), true);
-  run (p);
+  run (f);
   free (bytes);
-  assert_true (p->done);
-  assert_int_equal (p->end, KQ_HTTP_DONE);
-  assert_int_equal (p->received, BIG_BODY_BYTES);
+  assert_true (f->done);
+  assert_int_equal (f->outcome, KQ_HTTP_DONE);
+  assert_int_equal (f->received, BIG_BODY_BYTES);
 }
 
 /* The server closes the connection after 4 of 100 bytes. The client must report the
@@ -226,12 +226,12 @@
 static void
 test_incomplete_response_is_broken (void **state)
 {
-  Fixture *p = *state;
+  Fixture *f = *state;
   KqHttpRequest r = { .method = "GET" };
-  start (p, "/short", &r);
-  run (p);
-  assert_true (p->done);
-  assert_int_equal (p->end, KQ_HTTP_BROKEN);
+  start (f, "/short", &r);
+  run (f);
+  assert_true (f->done);
+  assert_int_equal (f->outcome, KQ_HTTP_BROKEN);
 }
 
 /* The server receives a request on a reused connection and closes it without a response.
@@ -240,41 +240,41 @@
 static void
 test_no_repeat_on_reused_connection (void **state)
 {
-  Fixture *p = *state;
+  Fixture *f = *state;
   KqHttpRequest r = { .method = "GET" };
-  start (p, "/plain", &r);
-  run (p);
-  assert_int_equal (p->end, KQ_HTTP_DONE);
-  p->n_begun = 0;
-  start (p, "/drop", &r);
-  run (p);
-  assert_true (p->done);
-  assert_int_equal (p->n_begun, 1);
-  assert_int_equal (p->end, KQ_HTTP_BROKEN);
+  start (f, "/plain", &r);
+  run (f);
+  assert_int_equal (f->outcome, KQ_HTTP_DONE);
+  f->n_begun = 0;
+  start (f, "/drop", &r);
+  run (f);
+  assert_true (f->done);
+  assert_int_equal (f->n_begun, 1);
+  assert_int_equal (f->outcome, KQ_HTTP_BROKEN);
 }
 
 /* The first write of a request blocks, a later one sends it, and there is no response:
  * the call must not be reported as not sent. */
 static void
-expect_sent_once (Fixture *p, const KqHttpRequest *request, const char *path, bool reused,
-                  KqHttpOutcome end)
+expect_sent_once (Fixture *f, const KqHttpRequest *request, const char *path, bool reused,
+                  KqHttpOutcome outcome)
 {
   KqHttpRequest r = *request;
   if (reused)
     {
-      start (p, "/plain", &(KqHttpRequest){ .method = "GET" });
-      run (p);
-      assert_int_equal (p->end, KQ_HTTP_DONE);
+      start (f, "/plain", &(KqHttpRequest){ .method = "GET" });
+      run (f);
+      assert_int_equal (f->outcome, KQ_HTTP_DONE);
     }
-  p->n_begun = 0;
+  f->n_begun = 0;
   block_next_request = true;
   r.total_ms = 300;
-  start (p, path, &r);
-  run (p);
-  assert_true (p->done);
+  start (f, path, &r);
+  run (f);
+  assert_true (f->done);
   assert_false (block_next_request);
-  assert_int_equal (p->n_begun, 1);
-  assert_int_equal (p->end, end);
+  assert_int_equal (f->n_begun, 1);
+  assert_int_equal (f->outcome, outcome);
 }
 
 /* A call whose first write blocked was reported as not sent although a later write sent
@@ -282,15 +282,15 @@
 static void
 test_blocked_first_write_is_sent (void **state)
 {
-  Fixture *p = *state;
+  Fixture *f = *state;
   KqHttpRequest get = { .method = "GET" };
   KqHttpRequest post = { .method = "POST", .body = KQ_STR ("abc") };
   for (int reused = 0; reused < 2; reused++)
     {
-      expect_sent_once (p, &get, "/never", reused, KQ_HTTP_TIMED_OUT);
-      expect_sent_once (p, &post, "/never", reused, KQ_HTTP_TIMED_OUT);
-      expect_sent_once (p, &get, "/drop", reused, KQ_HTTP_BROKEN);
-      expect_sent_once (p, &post, "/drop", reused, KQ_HTTP_BROKEN);
+      expect_sent_once (f, &get, "/never", reused, KQ_HTTP_TIMED_OUT);
+      expect_sent_once (f, &post, "/never", reused, KQ_HTTP_TIMED_OUT);
+      expect_sent_once (f, &get, "/drop", reused, KQ_HTTP_BROKEN);
+      expect_sent_once (f, &post, "/drop", reused, KQ_HTTP_BROKEN);
     }
 }
 
@@ -301,35 +301,34 @@
 static void
 test_call_uses_old_connection_only (void **state)
 {
-  Fixture *p = *state;
+  Fixture *f = *state;
   KqHttpRequest r = { .method = "GET" };
-  start (p, "/plain", &r);
-  run (p);
+  start (f, "/plain", &r);
+  run (f);
   r.opened_before = kq_time_now ();
-  start (p, "/plain", &r);
-  run (p);
-  assert_int_equal (p->end, KQ_HTTP_DONE);
-  start (p, "/drop", &(KqHttpRequest){ .method = "GET" }); /* closes the connection */
-  run (p);
-  p->n_begun = 0;
-  start (p, "/plain", &r);
-  run (p);
-  assert_true (p->done);
-  assert_int_equal (p->end, KQ_HTTP_NOT_SENT);
-  assert_int_equal (p->n_begun, 0);
+  start (f, "/plain", &r);
+  run (f);
+  assert_int_equal (f->outcome, KQ_HTTP_DONE);
+  start (f, "/drop", &(KqHttpRequest){ .method = "GET" }); /* closes the connection */
+  run (f);
+  f->n_begun = 0;
+  start (f, "/plain", &r);
+  run (f);
+  assert_true (f->done);
+  assert_int_equal (f->outcome, KQ_HTTP_NOT_SENT);
+  assert_int_equal (f->n_begun, 0);
 }
 
-/* The server accepts the request and never responds: idle_timeout_ms must end the call.
- */
+/* The server accepts the request and never responds: idle_timeout_ms must end it. */
 static void
 test_unresponsive_target_times_out (void **state)
 {
-  Fixture *p = *state;
+  Fixture *f = *state;
   KqHttpRequest r = { .method = "GET", .idle_timeout_ms = 200 };
-  start (p, "/never", &r);
-  run (p);
-  assert_true (p->done);
-  assert_int_equal (p->end, KQ_HTTP_TIMED_OUT);
+  start (f, "/never", &r);
+  run (f);
+  assert_true (f->done);
+  assert_int_equal (f->outcome, KQ_HTTP_TIMED_OUT);
 }
 
 /* A listening socket outside of the event loop, so that a test can send a response while
@@ -348,14 +347,14 @@
 }
 
 static int
-accept_request (Fixture *p, int listener)
+accept_request (Fixture *f, int listener)
 {
   char request[512];
   int fd = -1;
   ssize_t n = -1;
   for (int i = 0; i < 1000 && n <= 0; i++)
     {
-      ev_run (kq_loop_ev (p->loop), EVRUN_ONCE);
+      ev_run (kq_loop_ev (f->loop), EVRUN_ONCE);
       if (fd < 0)
         fd = accept4 (listener, NULL, NULL, SOCK_NONBLOCK);
       if (fd >= 0)
@@ -372,8 +371,8 @@
 test_arrived_response_is_not_timed_out (void **state)
 {
   static const char response[] = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-  Fixture *p = *state;
-  KqHttpCallback cb = { p, client_head, client_data, NULL, client_done };
+  Fixture *f = *state;
+  KqHttpCallback cb = { f, client_head, client_data, NULL, client_done };
   KqHttpRequest r = { .method = "GET", .idle_timeout_ms = 300 };
   char url[64];
   int port;
@@ -381,27 +380,27 @@
   int fd;
   snprintf (url, sizeof url, "http://127.0.0.1:%d/", port);
   r.url = url;
-  kq_http_call (p->client, &r, &cb);
-  fd = accept_request (p, listener);
+  kq_http_call (f->client, &r, &cb);
+  fd = accept_request (f, listener);
   assert_int_equal (send (fd, response, strlen (response), 0), strlen (response));
   usleep (500000);
-  run (p);
+  run (f);
   close (fd);
   close (listener);
-  assert_true (p->done);
-  assert_int_equal (p->end, KQ_HTTP_DONE);
+  assert_true (f->done);
+  assert_int_equal (f->outcome, KQ_HTTP_DONE);
 }
 
 static void
-count_timeout (void *arg, KqHttpCall *c, KqHttpOutcome end)
+count_timeout (void *arg, KqHttpCall *c, KqHttpOutcome outcome)
 {
-  Fixture *p = arg;
+  Fixture *f = arg;
   (void)c;
-  assert_int_equal (end, KQ_HTTP_TIMED_OUT);
-  if (p->received++ > 0)
+  assert_int_equal (outcome, KQ_HTTP_TIMED_OUT);
+  if (f->received++ > 0)
     return;
-  ev_timer_set (&p->stop_timer, 0.05, 0); /* before the next check for timeouts */
-  ev_timer_start (kq_loop_ev (p->loop), &p->stop_timer);
+  ev_timer_set (&f->stop_timer, 0.05, 0); /* before the next check for timeouts */
+  ev_timer_start (kq_loop_ev (f->loop), &f->stop_timer);
 }
 
 /* After the loss of a rack many calls time out at the same time, and all of them must end
@@ -410,32 +409,32 @@
 static void
 test_timed_out_calls_end_together (void **state)
 {
-  Fixture *p = *state;
-  KqHttpCallback cb = { p, client_head, client_data, NULL, count_timeout };
+  Fixture *f = *state;
+  KqHttpCallback cb = { f, client_head, client_data, NULL, count_timeout };
   KqHttpRequest r = { .method = "GET", .idle_timeout_ms = 200 };
   char url[64];
   snprintf (url, sizeof url, "http://127.0.0.1:%d/never",
-            kq_http_server_port (p->server));
+            kq_http_server_port (f->server));
   r.url = url;
-  ev_timer_init (&p->stop_timer, on_stop_timer, 0, 0);
+  ev_timer_init (&f->stop_timer, on_stop_timer, 0, 0);
   for (int i = 0; i < 4; i++)
-    kq_http_call (p->client, &r, &cb);
-  run (p);
-  assert_int_equal (p->received, 4);
+    kq_http_call (f->client, &r, &cb);
+  run (f);
+  assert_int_equal (f->received, 4);
 }
 
 /* The connection is refused: no byte of the request was sent, so it had no effect. */
 static void
 test_refused_connection_is_not_sent (void **state)
 {
-  Fixture *p = *state;
-  KqHttpCallback cb = { p, client_head, client_data, NULL, client_done };
+  Fixture *f = *state;
+  KqHttpCallback cb = { f, client_head, client_data, NULL, client_done };
   KqHttpRequest r
       = { .method = "POST", .url = "http://127.0.0.1:1/", .fresh_connection = true };
-  kq_http_call (p->client, &r, &cb);
-  run (p);
-  assert_true (p->done);
-  assert_int_equal (p->end, KQ_HTTP_NOT_SENT);
+  kq_http_call (f->client, &r, &cb);
+  run (f);
+  assert_true (f->done);
+  assert_int_equal (f->outcome, KQ_HTTP_NOT_SENT);
 }
 
 /* The client closes its connection while its request waits for the response. The server
@@ -444,14 +443,14 @@
 static void
 test_client_close_is_noticed (void **state)
 {
-  Fixture *p = *state;
+  Fixture *f = *state;
   KqHttpRequest r = { .method = "GET", .idle_timeout_ms = 300 };
-  start (p, "/never", &r);
-  run (p);
-  p->stop_on_finished = true;
-  if (p->n_incomplete == 0)
-    run (p);
-  assert_int_equal (p->n_incomplete, 1);
+  start (f, "/never", &r);
+  run (f);
+  f->stop_on_finished = true;
+  if (f->n_incomplete == 0)
+    run (f);
+  assert_int_equal (f->n_incomplete, 1);
 }
 
 /* A daemon is started twice by mistake: the second one must fail to bind. With the
@@ -460,10 +459,10 @@
 static void
 test_port_is_not_shared (void **state)
 {
-  Fixture *p = *state;
-  KqHttpHandler h = { p, server_begin, server_body, server_end, NULL, server_gone };
-  int port = kq_http_server_port (p->server);
-  assert_null (kq_http_server_new (p->loop, "127.0.0.1", port, &h));
+  Fixture *f = *state;
+  KqHttpHandler h = { f, server_begin, server_body, server_end, NULL, server_finished };
+  int port = kq_http_server_port (f->server);
+  assert_null (kq_http_server_new (f->loop, "127.0.0.1", port, &h));
 }
 
 int
