--- a/src/port/front.h
+++ b/src/port/front.h
@@ -7,8 +7,8 @@
 #include "base/task.h"
 #include "steps/spec.h"
 
-typedef struct KqFrontExchange
-    KqFrontExchange; /* a request that has not been answered yet */
+/* A request that has not been answered yet. */
+typedef struct KqFrontExchange KqFrontExchange;
 
 typedef enum
 {
@@ -34,7 +34,7 @@
   KQ_REPLY_NO_JOB,
   KQ_REPLY_NO_QUEUE,
   KQ_REPLY_REFUSED, /* not done and never will be: the client may retry later */
-  KQ_REPLY_BAD,
+  KQ_REPLY_BAD,     /* the request is invalid */
   KQ_REPLY_TOO_LARGE,
   KQ_REPLY_UNKNOWN /* it may have been done: the client should retry at once */
 } KqReplyKind;
@@ -48,14 +48,14 @@
   const char *why;  /* REFUSED, BAD: the reason, a few words; NULL: none */
 } KqFrontReply;
 
-/* Answers the request and frees `a`. Sends nothing if the client has disconnected. */
-void kq_front_exchange_reply (KqFrontExchange *a, const KqFrontReply *r);
+/* Answers the request and frees `e`. Sends nothing if the client has disconnected. */
+void kq_front_exchange_reply (KqFrontExchange *e, const KqFrontReply *r);
 
 typedef struct
 {
   void *arg;
   /* Must lead to exactly one kq_front_exchange_reply, at once or later. */
-  void (*request) (void *arg, KqFrontExchange *a, const KqFrontRequest *r, KqTime now);
+  void (*request) (void *arg, KqFrontExchange *e, const KqFrontRequest *r, KqTime now);
   bool (*ready) (void *arg, KqTime now); /* answer of the readiness check */
   bool (*leaving) (void *arg);     /* connections are to be closed after their answers */
   int64_t (*body_max) (void *arg); /* longest accepted request body, in bytes */
@@ -65,7 +65,7 @@
 /* Listens at both "ip:port" addresses (for requests and for readiness checks); NULL when
  * one can't be bound. */
 KqFront *kq_front_new (KqLoop *loop, KqStr front, KqStr ready,
-                       const KqFrontCallbacks *owner);
+                       const KqFrontCallbacks *callbacks);
 void kq_front_ports (const KqFront *f, int *front, int *ready);
 void kq_front_free (KqFront *f);
 size_t kq_front_open_requests (const KqFront *f); /* requests without an answer */
--- a/src/port/outbox.c
+++ b/src/port/outbox.c
@@ -41,29 +41,29 @@
 bool
 kq_outbox_empty (const KqOutbox *o)
 {
-  return o->first == o->len;
+  return o->first == o->end;
 }
 
 void
 kq_outbox_move (KqOutbox *o, KqOut *item)
 {
-  if (o->len == o->capacity)
+  if (o->end == o->capacity)
     {
       o->capacity = o->capacity > 0 ? o->capacity * 2 : 16;
       o->items = kq_realloc (o->items, o->capacity * sizeof *o->items);
     }
-  o->items[o->len++] = *item;
+  o->items[o->end++] = *item;
   *item = (KqOut){ 0 };
 }
 
 bool
 kq_outbox_take (KqOutbox *o, KqOut *item)
 {
-  if (o->first == o->len)
+  if (o->first == o->end)
     return false;
   *item = o->items[o->first++];
-  if (o->first == o->len)
-    o->first = o->len = 0;
+  if (o->first == o->end)
+    o->first = o->end = 0;
   return true;
 }
 
--- a/src/port/outbox.h
+++ b/src/port/outbox.h
@@ -34,12 +34,12 @@
   } u;
 } KqOut;
 
-/* A queue in one array: the items are those from `first` to before `len`. */
+/* A queue in one array: the items from index `first` up to, but not including, `end`. */
 typedef struct
 {
   KqOut *items;
   size_t first;
-  size_t len;
+  size_t end;
   size_t capacity;
 } KqOutbox;
 
--- a/src/port/runner.c
+++ b/src/port/runner.c
@@ -10,9 +10,9 @@
 }
 
 const char *
-kq_end_reason_name (KqEndReason h)
+kq_end_reason_name (KqEndReason r)
 {
   static const char *const names[]
       = { "done", "failed", "stopped", "lapsed", "broken", "alone" };
-  return names[h];
+  return names[r];
 }
--- a/src/port/runner.h
+++ b/src/port/runner.h
@@ -83,7 +83,7 @@
 
 /* For logs. */
 const char *kq_order_result_name (KqOrderResult r);
-const char *kq_end_reason_name (KqEndReason h);
+const char *kq_end_reason_name (KqEndReason r);
 
 typedef struct
 {
@@ -98,8 +98,8 @@
   bool unsent; /* UNHEALTHY because the call was never sent; false: the runner answered
                   so */
   KqTime called_at; /* when the call was made; it may have waited for a connection */
-  KqTime send_started_at; /* when its first byte was sent, on a connection that was open
-                     by then; 0: never sent */
+  /* When its first byte was sent, on a connection that was open then; 0: never sent. */
+  KqTime send_started_at;
 } KqRunnerReply;
 
 typedef struct
@@ -116,24 +116,24 @@
   uint64_t epoch;
   int timeout_ms;
   /* Not 0: the call is sent only on a connection opened at or before this time; if there
-   * is none, the result is UNHEALTHY with `unsent`. Set to the left_at of a call that the
-   * runner has answered, this makes the order reach the process that gave that answer or
+   * is none, the result is UNHEALTHY with `unsent`. Set to the send_started_at of a reply
+   * of the runner, this makes the order reach the process that gave that reply or
    * none at all, because a process's connections end with it. */
   KqTime opened_before;
 } KqRunnerDest;
 
-void kq_runner_start (KqRunnerClient *c, const KqRunnerDest *a, KqStr task, uint32_t run,
+void kq_runner_start (KqRunnerClient *c, const KqRunnerDest *to, KqStr task, uint32_t run,
                       KqStr spec, KqStr checkpoint, KqStr ticket, int64_t lease_end_ms,
                       KqRunnerCallback cb);
-void kq_runner_stop (KqRunnerClient *c, const KqRunnerDest *a, KqStr task, uint32_t run,
+void kq_runner_stop (KqRunnerClient *c, const KqRunnerDest *to, KqStr task, uint32_t run,
                      KqRunnerCallback cb);
 /* Sets the task's pace: a percentage of its full speed, 0 to 100. */
-void kq_runner_pace (KqRunnerClient *c, const KqRunnerDest *a, KqStr task, uint32_t run,
+void kq_runner_pace (KqRunnerClient *c, const KqRunnerDest *to, KqStr task, uint32_t run,
                      int percent, KqRunnerCallback cb);
 /* Renews the lease (not if lease_end_ms < 0), drops the ends up to number ends_seen from
  * the runner's list, and returns its runs and ends. Without an end the runner answers
  * after wait_ms at the latest. */
-void kq_runner_renew (KqRunnerClient *c, const KqRunnerDest *a, int64_t lease_end_ms,
+void kq_runner_renew (KqRunnerClient *c, const KqRunnerDest *to, int64_t lease_end_ms,
                       uint64_t ends_seen, int wait_ms, KqRunnerCallback cb);
 
 #endif
--- a/src/port/store_fake.h
+++ b/src/port/store_fake.h
@@ -27,8 +27,7 @@
   KQ_STORE_FAULT_LOST_BEFORE, /* never reaches the store; UNREACHABLE after the timeout */
   KQ_STORE_FAULT_LOST_AFTER,  /* takes effect; UNREACHABLE after the timeout */
   KQ_STORE_FAULT_LATE_EFFECT, /* UNREACHABLE after the timeout; takes effect after that */
-  KQ_STORE_FAULT_LATE_ANSWER, /* UNREACHABLE after the timeout; the real answer after that
-                               */
+  KQ_STORE_FAULT_LATE_ANSWER, /* UNREACHABLE after the timeout, then the real answer */
   KQ_STORE_FAULT_DUPLICATE,   /* answered twice */
   KQ_STORE_FAULT_COUNT
 } KqStoreCallFault;
--- a/src/port/store_http.c
+++ b/src/port/store_http.c
@@ -16,7 +16,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Watches open at once, each on a connection of its own; a node needs one or two. */
+/* Limit of the open watches, each on a connection of its own; a node needs one or two. */
 #define WATCHES_MAX 8
 /* A longer answer is an error; a list of the largest journal is shorter. */
 #define ANSWER_MAX_BYTES (64 * 1024 * 1024)
@@ -236,9 +236,9 @@
 }
 
 static KqResult
-read_answer (const Call *c, KqHttpOutcome end, const json_t *j, KqStoreReply *r)
+read_answer (const Call *c, KqHttpOutcome outcome, const json_t *j, KqStoreReply *r)
 {
-  if (end != KQ_HTTP_DONE)
+  if (outcome != KQ_HTTP_DONE)
     return KQ_ERR_STORE_UNREACHABLE;
   if (c->too_long)
     return KQ_ERR_PLATFORM_FORMAT;
@@ -284,7 +284,7 @@
 static void schedule (KqStorePort *p, KqTime now);
 
 static void
-on_done (void *arg, KqHttpCall *http, KqHttpOutcome end)
+on_done (void *arg, KqHttpCall *http, KqHttpOutcome outcome)
 {
   Call *c = arg;
   KqStorePort *p = c->port;
@@ -298,15 +298,15 @@
   g_queue_unlink (&p->open, &c->link);
   if (kind == KQ_STORE_WATCH)
     p->watches--;
-  if (end == KQ_HTTP_DONE && c->status == 200 && answers_json (kind))
+  if (outcome == KQ_HTTP_DONE && c->status == 200 && answers_json (kind))
     j = kq_json_parse (kq_buf_str (&c->body));
-  r.result = read_answer (c, end, j, &r);
+  r.result = read_answer (c, outcome, j, &r);
   if (r.result != KQ_ERR_STORE_UNREACHABLE && r.result != KQ_ERR_PLATFORM_FORMAT)
     p->answered_at = now;
   /* What broke one connection has probably broken the other pooled ones too, and each
    * would cost a timeout. When this time is over, they have been idle for longer than
    * idle_ms and aren't reused. */
-  if (end != KQ_HTTP_DONE)
+  if (outcome != KQ_HTTP_DONE)
     p->no_reuse_until = now + p->config.idle_ms * KQ_MS + KQ_SEC;
   log_invalid_answer (p, c, r.result, now);
   kq_meter_answered (&p->meters[kind], r.result, now - c->sent_at, c->body.len);
--- a/src/port/worker_fake.c
+++ b/src/port/worker_fake.c
@@ -47,9 +47,9 @@
 }
 
 void
-kq_worker_fake_init (KqWorkerFake *w, KqWorkerFakeEffects *e, KqSize whole)
+kq_worker_fake_init (KqWorkerFake *w, KqWorkerFakeEffects *e, KqSize capacity)
 {
-  *w = (KqWorkerFake){ .effects = e, .capacity = whole };
+  *w = (KqWorkerFake){ .effects = e, .capacity = capacity };
   w->attempts = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
 }
 
--- a/src/port/worker_fake.h
+++ b/src/port/worker_fake.h
@@ -40,8 +40,8 @@
 {
   GHashTable *jobs;    /* job -> KqWorkerFakeEffect */
   uint64_t stamp_base; /* random: makes the stamps of an earlier process invalid */
-  KqTime usage_lag;
-  int overcommits; /* times a worker ran more than its capacity: must stay 0 */
+  KqTime usage_lag;    /* usage reports are one to two times this old when sent */
+  int overcommits;     /* times a worker ran more than its capacity: must stay 0 */
 } KqWorkerFakeEffects;
 
 typedef struct KqWorkerFake
@@ -56,16 +56,18 @@
   KqTime lease_until;
   KqTime stamps_valid_from; /* earlier stamps renew nothing */
   KqWorkerFakeTask *tasks;
-  GHashTable *attempts;       /* job -> highest attempt seen */
-  KqWorkerFakeUsage reported; /* delayed by one to two times usage_lag */
-  KqWorkerFakeUsage next_reported;
-  KqTime reported_from; /* a caller that echoes a stamp from then on has `reported` */
+  GHashTable *attempts;            /* job -> highest attempt seen */
+  KqWorkerFakeUsage reported;      /* sent in answers until the caller has received it */
+  KqWorkerFakeUsage next_reported; /* becomes `reported` when it is usage_lag old */
+  /* When `reported` was first sent: a caller that echoes the stamp of this time or a
+   * later one has received it. */
+  KqTime reported_from;
 } KqWorkerFake;
 
 void kq_worker_fake_effects_init (KqWorkerFakeEffects *e, uint64_t stamp_base,
                                   KqTime usage_lag);
 void kq_worker_fake_effects_free (KqWorkerFakeEffects *e);
-void kq_worker_fake_init (KqWorkerFake *w, KqWorkerFakeEffects *e, KqSize whole);
+void kq_worker_fake_init (KqWorkerFake *w, KqWorkerFakeEffects *e, KqSize capacity);
 void kq_worker_fake_free (KqWorkerFake *w);
 /* Runs the tasks up to now; stops them at the end of the lease if it has expired. */
 void kq_worker_fake_advance (KqWorkerFake *w, KqTime now);
--- a/src/port/worker_http.c
+++ b/src/port/worker_http.c
@@ -13,7 +13,7 @@
 #include <assert.h>
 #include <stdlib.h>
 
-/* A worker with 16 tasks answers some 5 KB; one some 800 times as long is an error. */
+/* A longer answer is an error: that of a worker with 16 tasks has some 5 KB. */
 #define ANSWER_MAX_BYTES (4 * 1024 * 1024)
 /* Interval of the check for calls that have waited too long. */
 #define EXPIRE_INTERVAL_S 0.1
@@ -105,11 +105,11 @@
 }
 
 static KqResult
-read_answer (const Call *c, KqHttpOutcome end, KqWorkerReply *r)
+read_answer (const Call *c, KqHttpOutcome outcome, KqWorkerReply *r)
 {
   const KqWorkerCall *call = &c->out.u.worker;
   KqResult result;
-  if (end != KQ_HTTP_DONE || (c->status != 200 && c->status != 409))
+  if (outcome != KQ_HTTP_DONE || (c->status != 200 && c->status != 409))
     return KQ_ERR_WORKER_UNREACHABLE;
   if (c->too_long)
     return KQ_ERR_PLATFORM_FORMAT;
@@ -130,7 +130,7 @@
 }
 
 static void
-on_done (void *arg, KqHttpCall *http, KqHttpOutcome end)
+on_done (void *arg, KqHttpCall *http, KqHttpOutcome outcome)
 {
   Call *c = arg;
   KqWorkerPort *p = c->port;
@@ -138,11 +138,11 @@
   KqTime now = kq_time_now ();
   (void)http;
   g_queue_unlink (&p->open, &c->link);
-  r.result = read_answer (c, end, &r);
+  r.result = read_answer (c, outcome, &r);
   /* What broke one connection to the worker has probably broken the other pooled ones
    * too. When this time is over, they have been idle for longer than idle_ms and aren't
    * reused. */
-  if (end != KQ_HTTP_DONE)
+  if (outcome != KQ_HTTP_DONE)
     c->worker->no_reuse_until = now + p->config.idle_ms * KQ_MS + KQ_SEC;
   if (r.result == KQ_ERR_PLATFORM_FORMAT && now - p->logged_at >= KQ_SEC)
     {
--- a/src/port/worker_http_test.c
+++ b/src/port/worker_http_test.c
@@ -92,7 +92,7 @@
 }
 
 static void
-server_gone (void *arg, KqHttpExchange *x, bool whole)
+server_finished (void *arg, KqHttpExchange *x, bool whole)
 {
   Rig *r = arg;
   (void)x;
@@ -138,7 +138,7 @@
 new_rig (KqWorkerHttpConfig config)
 {
   Rig *r = kq_alloc (sizeof *r);
-  KqHttpHandler h = { r, server_begin, server_body, server_end, NULL, server_gone };
+  KqHttpHandler h = { r, server_begin, server_body, server_end, NULL, server_finished };
   r->loop = kq_loop_new ();
   r->server = kq_http_server_new (r->loop, "127.0.0.1", 0, &h);
   r->counters = kq_counters_new ();
--- a/src/port/worker_list.c
+++ b/src/port/worker_list.c
@@ -82,13 +82,13 @@
 KqResult
 kq_worker_list_apply (KqWorkerList *l, const KqWorkerCall *c, KqWorkerReply *r)
 {
-  bool whole = r->tasks_since == 0;
-  if (!whole && (l->stamp == 0 || !merge (l, c, r)))
+  bool full = r->tasks_since == 0;
+  if (!full && (l->stamp == 0 || !merge (l, c, r)))
     {
       l->stamp = 0;
       return KQ_ERR_PLATFORM_FORMAT;
     }
-  if (whole)
+  if (full)
     {
       l->n = 0;
       for (size_t i = 0; i < r->n_tasks; i++)
