--- a/src/wire/conn.c
+++ b/src/wire/conn.c
@@ -75,8 +75,8 @@
   return true;
 }
 
-/* Passes every complete frame to the owner. Returns KQ_OK, or why the connection must be
- * closed. */
+/* Passes the message of each complete frame to the callback. Returns KQ_OK, or why the
+ * connection must be closed. */
 static KqResult
 deliver_frames (KqConn *c)
 {
--- a/src/wire/conn.h
+++ b/src/wire/conn.h
@@ -19,8 +19,8 @@
   void (*connected) (void *arg, KqConn *c);
   /* May free the connection. `m` is valid during the call only. */
   void (*message) (void *arg, KqConn *c, const KqMsg *m);
-  /* The connection failed or was closed by the peer. The owner must free it, and may do
-   * so inside this callback. */
+  /* The connection failed or was closed by the peer. It must then be freed, within this
+   * callback or later. */
   void (*closed) (void *arg, KqConn *c, KqResult why);
 } KqConnCallback;
 
@@ -33,7 +33,7 @@
 void kq_conn_send (KqConn *c, const KqMsg *m);
 void kq_conn_ping (KqConn *c);
 KqTime kq_conn_heard_at (const KqConn *c); /* when bytes last arrived */
-KqTime kq_conn_sent_at (const KqConn *c);  /* last call of _send or _ping */
+KqTime kq_conn_sent_at (const KqConn *c);  /* last kq_conn_send or kq_conn_ping */
 void kq_conn_set_data (KqConn *c, void *data);
 void *kq_conn_data (const KqConn *c);
 uint64_t kq_conn_bytes_in (const KqConn *c);
--- a/src/wire/mesh.c
+++ b/src/wire/mesh.c
@@ -207,9 +207,10 @@
   p->n_pending = 0;
 }
 
-/* Two nodes may connect to each other at the same time. The connection opened by the node
- * with the lower id is kept. Of two that the same node opened the newer one is kept,
- * since that node has given up the older one. */
+/* Whether to keep the present connection to p instead of a new one. Two nodes may connect
+ * to each other at the same time: then the connection opened by the node with the lower
+ * id is kept. If that node opens a second one it has given up its first, so a new
+ * connection of that node always replaces the present one. */
 static bool
 keep_existing (const KqMesh *m, const Peer *p, bool initiator)
 {
--- a/src/wire/mesh_test.c
+++ b/src/wire/mesh_test.c
@@ -78,11 +78,11 @@
 }
 
 static void
-add_peer (Node *a, const Node *b, bool keep)
+add_peer (Node *a, const Node *b, bool persistent)
 {
   char address[32];
   snprintf (address, sizeof address, "127.0.0.1:%d", kq_mesh_port (b->mesh));
-  kq_mesh_add (a->mesh, b->id, kq_str (address), keep);
+  kq_mesh_add (a->mesh, b->id, kq_str (address), persistent);
 }
 
 /* Runs the loop until the two nodes have received `events` mails, 10 s at most. */
--- a/src/wire/msg.h
+++ b/src/wire/msg.h
@@ -124,12 +124,13 @@
 {
   KqNodeId node;
   uint64_t incarnation;
-  uint64_t sequence; /* sequence number; its lowest bit is a flag, see member/nodes.h */
+  /* Sequence number in the upper 63 bits. The lowest bit means that the heartbeat has no
+   * digests and that those sent before remain valid (member/nodes.h). */
+  uint64_t sequence;
   uint64_t table_revision; /* that the sender uses */
   int64_t store_age_us;    /* time since the store last answered the sender */
   bool draining;
-  KqNodeId
-      forwarded_by; /* node that forwarded it in a batch; 0: sent by the node itself */
+  KqNodeId forwarded_by; /* node that forwarded it in a batch; 0: `node` sent it */
   KqShardDigest *shards;
   size_t n_shards;
 } KqMsgHeartbeat;
--- a/src/wire/msg_request.c
+++ b/src/wire/msg_request.c
@@ -1,7 +1,6 @@
 #include "wire/msg_fields.h"
 
-/* More headers are refused as malformed; the limits of the HTTP libraries are far lower.
- */
+/* More headers are refused as malformed; the HTTP libraries' limits are far lower. */
 #define HEADERS_MAX 512
 
 static void
