--- a/src/api/jobs_http.c
+++ b/src/api/jobs_http.c
@@ -114,7 +114,7 @@
   return true;
 }
 
-/* Larger values are typing errors: no machine has 10,000 cores or 100 TB of memory. */
+/* Larger values are typing errors: no host has 10,000 cores or 100 TB of memory. */
 #define CPU_MILLI_MAX 10000000
 #define MEMORY_MB_MAX 100000000
 #define ACCELERATORS_MAX 1000
--- a/src/api/operator.c
+++ b/src/api/operator.c
@@ -311,7 +311,7 @@
 }
 
 static void
-on_gone (void *arg, KqHttpExchange *x, bool whole)
+on_finished (void *arg, KqHttpExchange *x, bool whole)
 {
   KqOperator *o = arg;
   Request *r = kq_http_data (x);
@@ -353,7 +353,7 @@
 kq_operator_new (KqLoop *loop, const KqOperatorConfig *c)
 {
   KqOperator *o = kq_alloc (sizeof *o);
-  KqHttpHandler h = { o, on_begin, on_body, on_end, NULL, on_gone };
+  KqHttpHandler h = { o, on_begin, on_body, on_end, NULL, on_finished };
   o->loop = loop;
   o->config = *c;
   o->http = kq_http_server_new (loop, c->settings->operator_ip,
