--- a/src/base/log.c
+++ b/src/base/log.c
@@ -84,8 +84,8 @@
   out.len -= at;
 }
 
-/* Token bucket. Whether one more line is within the rate; errors and warnings always are.
- */
+/* Takes the token of one line from the bucket. False: the line exceeds the rate; errors
+ * and warnings never do. */
 static bool
 take_token (KqLogLevel level)
 {
--- a/src/base/str.h
+++ b/src/base/str.h
@@ -65,8 +65,7 @@
 void kq_buf_reserve (KqBuf *b, size_t more); /* room for `more` bytes and a NUL */
 void kq_buf_add (KqBuf *b, const void *ptr, size_t len);
 void kq_buf_add_str (KqBuf *b, KqStr s);
-/* Appends s unless the buffer would then hold more than `max` bytes; false: not appended.
- */
+/* Appends s unless the buffer would hold more than `max` bytes; false: not appended. */
 bool kq_buf_add_bounded (KqBuf *b, KqStr s, size_t max);
 void kq_buf_printf (KqBuf *b, const char *fmt, ...)
     __attribute__ ((format (printf, 2, 3)));
--- a/src/base/task.c
+++ b/src/base/task.c
@@ -66,10 +66,10 @@
     }
 }
 
-/* Delivers one batch. Mails that handlers send meanwhile need no event, since those left
- * over are seen at the end of the batch; so `scheduled` is set first, and no event is
- * fed. An earlier version fed such events and removed them if no mail was left, but
- * `scheduled` stayed true: no mail was delivered any more. */
+/* Delivers one batch. `scheduled` is set meanwhile, so that mails sent by handlers feed
+ * no event: those left over are seen at the end of the batch. If an event were fed and
+ * then removed when no mail is left, `scheduled` would stay true and no mail would be
+ * delivered any more. */
 static void
 run_batch (KqLoop *l)
 {
--- a/src/base/task.h
+++ b/src/base/task.h
@@ -36,7 +36,7 @@
 struct ev_loop *kq_loop_ev (KqLoop *l);
 void kq_loop_run (KqLoop *l); /* returns after kq_loop_stop */
 void kq_loop_stop (KqLoop *l);
-KqTime kq_loop_now (const KqLoop *l);
+KqTime kq_loop_now (const KqLoop *l); /* the same as kq_time_now () */
 
 void kq_task_init (KqTask *t, KqLoop *l, const char *name, void *self,
                    void (*handle) (void *, KqMail *, KqTime));
--- a/src/base/task_test.c
+++ b/src/base/task_test.c
@@ -10,8 +10,8 @@
 
 #include <cmocka.h>
 
-/* Two tasks: a forwards each mail to b, and b returns it to a `left` times. Both count.
- */
+/* Two tasks: a forwards each mail to b, and b returns it to a `left` times. Both count
+ * the mails they get. */
 typedef struct
 {
   KqLoop *loop;
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -4,8 +4,9 @@
 /* time: monotonic time in microseconds since an unspecified point; it includes the time
  * in which the host was suspended.
  *
- * Functions that decide by the time take `now` as an argument. Only callbacks of the
- * event loop and the main programs call kq_time_now (). */
+ * Functions that decide by the time take `now` as an argument, so that tests can simulate
+ * it. kq_time_now () is called by callbacks of the event loop, by the modules that own
+ * sockets or write the log, and by the main programs. */
 
 #include <stdint.h>
 
