--- a/src/ctl/cmd_account.c
+++ b/src/ctl/cmd_account.c
@@ -82,10 +82,10 @@
     json_array_foreach (json_object_get (node_answer, "answer"), k, shard)
     {
       json_int_t left = json_integer_value (json_object_get (shard, "accepted"));
-      static const char *const ends[]
+      static const char *const states[]
           = { "queued", "running", "finished", "failed", "cancelled" };
-      for (size_t e = 0; e < sizeof ends / sizeof ends[0]; e++)
-        left -= json_integer_value (json_object_get (shard, ends[e]));
+      for (size_t e = 0; e < sizeof states / sizeof states[0]; e++)
+        left -= json_integer_value (json_object_get (shard, states[e]));
       json_object_set_new (shard, "balanced", json_boolean (left == 0));
       json_array_append (rows, shard);
     }
--- a/src/ctl/csv_plan.c
+++ b/src/ctl/csv_plan.c
@@ -168,7 +168,7 @@
 
 /* Plans the removal of rows that the file lacks, of those kinds that occur in it. */
 static void
-prune (Plan *p)
+plan_removals (Plan *p)
 {
   for (int k = 0; k < KQ_ROW_KINDS; k++)
     {
@@ -204,7 +204,7 @@
 }
 
 void
-kq_csv_plan (const json_t *table, KqStr csv, bool remove_others, KqCsvPlan *out)
+kq_csv_plan (const json_t *table, KqStr csv, bool prune, KqCsvPlan *out)
 {
   Plan p = { .table = table, .out = out, .line = 1 };
   KqCsvRecord r = { 0 };
@@ -217,8 +217,8 @@
     {
       for (p.line = 2; kq_csv_read (&csv, &r, &unclosed); p.line++)
         plan_record (&p, &r);
-      if (remove_others)
-        prune (&p);
+      if (prune)
+        plan_removals (&p);
     }
   if (unclosed)
     add_fault (&p, KQ_STR ("quote"), "the closing quote is missing");
