--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -1,6 +1,8 @@
 /* kumquatd: reads the settings file, starts the node's tasks on one event loop and runs
  * until SIGTERM or SIGINT. A file with a section [fleet] starts a fleet node
- * (FleetDaemon), any other file an entry host (Daemon). */
+ * (FleetDaemon), which runs jobs of steps on a platform's runners. Any other file starts
+ * an entry host (Daemon), which forwards callers' requests to runners and runs jobs on
+ * workers. */
 
 #include "api/operator.h"
 #include "base/log.h"
