--- a/src/base/result.h
+++ b/src/base/result.h
@@ -33,7 +33,7 @@
   KQ_ERR_PEER_UNKNOWN = 208,
   KQ_ERR_PEER_KIND = 209,
 
-  KQ_ERR_STORE_UNREACHABLE = 301, /* no answer, or an error; it may be written */
+  KQ_ERR_STORE_UNREACHABLE = 301, /* no answer, or an error: the write may be done */
   KQ_ERR_STORE_CONFLICT = 302,    /* the revision didn't match: not written */
   KQ_ERR_STORE_NOT_FOUND = 303,
   KQ_ERR_STORE_LEASE_LOST = 304,
