--- a/bench/sched_load.c
+++ b/bench/sched_load.c
@@ -619,7 +619,7 @@
       if (l.now % (50 * KQ_MS) == 0)
         check_deadlines (&l);
     }
-  l.out.examined = *kq_counter (counters, "kq_place_looks_total", "", "");
+  l.out.runners_examined = *kq_counter (counters, "kq_place_looks_total", "", "");
   l.out.cpu_s += l.out.pass_s + l.out.list_s + l.out.store_s;
   clear (&l);
   kq_counters_free (counters);
--- a/bench/sched_load.h
+++ b/bench/sched_load.h
@@ -24,18 +24,18 @@
 
 typedef struct
 {
-  double cpu_s;       /* processor time in the scheduler */
-  double pass_s;      /* of that in kq_sched_run */
-  double list_s;      /* in kq_sched_list */
-  double store_s;     /* in writing batches for the store */
-  uint64_t lists;     /* passed to the scheduler */
-  uint64_t passes;    /* calls of kq_sched_run */
-  uint64_t starts;    /* ordered */
-  uint64_t examined;  /* candidate runners examined to place tasks */
-  uint64_t paces;     /* ordered */
-  uint64_t done;      /* tasks ended as done */
-  uint64_t jobs;      /* submitted, without lasting ones */
-  uint64_t jobs_late; /* of those ended, after their deadline */
+  double cpu_s;              /* processor time in the scheduler */
+  double pass_s;             /* of that in kq_sched_run */
+  double list_s;             /* in kq_sched_list */
+  double store_s;            /* in writing batches for the store */
+  uint64_t lists;            /* passed to the scheduler */
+  uint64_t passes;           /* calls of kq_sched_run */
+  uint64_t starts;           /* ordered */
+  uint64_t runners_examined; /* candidate runners examined to place tasks */
+  uint64_t paces;            /* ordered */
+  uint64_t done;             /* tasks ended as done */
+  uint64_t jobs;             /* submitted, without lasting ones */
+  uint64_t jobs_late;        /* of those ended, after their deadline */
   uint64_t jobs_ended;
   uint64_t decisions; /* hash of all start and stop orders, in sequence */
   double
--- a/bench/sched_load_main.c
+++ b/bench/sched_load_main.c
@@ -19,8 +19,8 @@
           "%llu of %llu jobs ended, %llu late; %.0f s over target; decisions %016llx\n",
           runners, load, r.cpu_s / s, r.pass_s / s, r.list_s / s, r.store_s / s,
           (double)r.starts / s,
-          (double)r.examined / (double)(r.starts > 0 ? r.starts : 1), (double)r.lists / s,
-          (double)r.paces / s, (unsigned long long)r.jobs_ended,
+          (double)r.runners_examined / (double)(r.starts > 0 ? r.starts : 1),
+          (double)r.lists / s, (double)r.paces / s, (unsigned long long)r.jobs_ended,
           (unsigned long long)r.jobs, (unsigned long long)r.jobs_late, r.over_target_s,
           (unsigned long long)r.decisions);
   printf ("RESULT sched_load.%d.core %.5f\n", runners, r.cpu_s / s);
--- a/src/agent/agent_test.c
+++ b/src/agent/agent_test.c
@@ -175,9 +175,10 @@
 
 /* Answers the call that verifies a connection, if one is in flight. */
 static void
-answer_verification (KqOrderResult result, KqTime left_at, KqTime now)
+answer_verification (KqOrderResult result, KqTime send_started_at, KqTime now)
 {
-  KqRunnerReply r = { .result = result, .clock_ms = -1, .send_started_at = left_at };
+  KqRunnerReply r
+      = { .result = result, .clock_ms = -1, .send_started_at = send_started_at };
   KqRunnerCallback cb = t.verification;
   if (cb.done == NULL)
     return;
--- a/src/fleet/fleet.c
+++ b/src/fleet/fleet.c
@@ -520,7 +520,7 @@
 {
   KqFleet *f = kq_alloc (sizeof *f);
   KqQueueKeysOwner queues = { f, on_answered, on_store_failed };
-  KqStoreOwner store = { f, on_store_alive };
+  KqStoreCallbacks store = { f, on_store_alive };
   f->config = *c;
   f->handover.own_milli = (int)c->settings->cpu_share_milli;
   f->self = (KqAgentInfo){ .name = c->settings->node,
--- a/src/sched/placing_test.c
+++ b/src/sched/placing_test.c
@@ -17,7 +17,7 @@
       = { .runners = runners, .load = load, .span = 3 * KQ_SEC, .seed = 7 };
   KqSchedLoadResult r = kq_sched_load (&c);
   assert_true (r.starts > 100);
-  return (double)r.examined / (double)r.starts;
+  return (double)r.runners_examined / (double)r.starts;
 }
 
 /* In a burst the leader of a large fleet would fall behind if it scored every runner for
