--- a/src/agent/agent_runner.c
+++ b/src/agent/agent_runner.c
@@ -83,8 +83,8 @@
 kq_agent_runner_update_lease (KqAgentRunner *runner, const KqRunnerReply *r, KqTime now)
 {
   KqLeaseReply n = { r->clock_ms, r->started_ms, r->called_at };
-  /* The runner has restarted and numbers its ends from 1 again. An acknowledgement of the
-   * earlier numbers would make it drop ends that nobody has read. */
+  /* A runner that restarts numbers the ends of its runs from 1 again. It must not get an
+   * acknowledgement of the earlier numbers, by which it would drop ends not yet read. */
   if (!kq_lease_update (&runner->lease, &n, runner->agent->config.lease_ms, now))
     return;
   runner->ends_acked = runner->ends_reported = 0;
--- a/src/agent/agent_test.c
+++ b/src/agent/agent_test.c
@@ -30,7 +30,7 @@
   int starts;
   KqTime opened_before; /* of the last start */
   KqOrderResult result; /* of the last outcome */
-  bool confirms;        /* the leader answers lists */
+  bool leader_renews;   /* the leader answers each list by a RENEW order */
   KqAgentItemKind last_item;
   uint64_t assignment;
   uint64_t halt;
@@ -126,7 +126,7 @@
       t.assignment = i->u.list.assignment;
       t.halt = i->u.list.halt;
       t.lease_left_ms = i->u.list.lease_left_ms;
-      if (t.confirms && t.halt != 0)
+      if (t.leader_renews && t.halt != 0)
         order_renew (t.halt);
     }
 }
@@ -245,7 +245,7 @@
   (void)state;
   kq_log_set_level (KQ_LOG_ERROR);
   memset (&t, 0, sizeof t);
-  t.confirms = true;
+  t.leader_renews = true;
   t.lease_end_ms = -1;
   t.loop = c.loop = kq_loop_new ();
   t.counters = c.counters = kq_counters_new ();
@@ -305,7 +305,7 @@
     answer_next_poll (KQ_ORDER_UNKNOWN);
   reported = t.lease_end_ms;
   assert_true (reported > 0);
-  t.confirms = false;
+  t.leader_renews = false;
   answer_next_poll (KQ_ORDER_OK);
   order_renew (earlier);
   answer_next_poll (KQ_ORDER_OK);
@@ -326,7 +326,7 @@
 test_assigned_runner_waits_for_the_leader (void **state)
 {
   (void)state;
-  t.confirms = false;
+  t.leader_renews = false;
   assign_runner (1);
   answer_next_poll (KQ_ORDER_OK);
   answer_next_poll (KQ_ORDER_OK);
--- a/src/agent/state.h
+++ b/src/agent/state.h
@@ -115,7 +115,7 @@
 /* starts.c */
 /* Queues a start that the leader has ordered, and sends it if that is possible now. */
 void kq_starts_add (KqAgentRunner *runner, const KqOrder *o, KqTime now);
-/* Sends queued starts as far as verified connections are free. */
+/* Sends queued starts while there are free verified connections (agent/conns.h). */
 void kq_starts_send (KqAgentRunner *runner, KqTime now);
 /* Fetches a list on a connection that isn't in use, which verifies it for starts. */
 void kq_starts_verify_connection (KqAgentRunner *runner);
--- a/src/fleet/front.c
+++ b/src/fleet/front.c
@@ -193,7 +193,7 @@
 }
 
 static void
-on_submitted (void *arg, const KqKvReply *r, KqTime now)
+on_submit_written (void *arg, const KqKvReply *r, KqTime now)
 {
   Request *q = arg;
   report_reach (q, r, now);
@@ -232,7 +232,7 @@
   q->step = SUBMIT;
   kq_kv_txn (q->handler->config.kv, &t,
              timeout_ms (q, kq_loop_now (q->handler->config.loop)),
-             (KqKvCallback){ on_submitted, q });
+             (KqKvCallback){ on_submit_written, q });
   free ((char *)key.ptr);
 }
 
@@ -245,7 +245,7 @@
 }
 
 static void
-on_cancelled (void *arg, const KqKvReply *r, KqTime now)
+on_cancel_written (void *arg, const KqKvReply *r, KqTime now)
 {
   Request *q = arg;
   report_reach (q, r, now);
@@ -270,7 +270,7 @@
   KqKvTxn t = { &check, 1, &put, 1, NULL, 0 };
   q->step = CANCEL_WRITE;
   kq_kv_txn (q->handler->config.kv, &t, timeout_ms (q, now),
-             (KqKvCallback){ on_cancelled, q });
+             (KqKvCallback){ on_cancel_written, q });
   free ((char *)job.ptr);
   free ((char *)mark.ptr);
 }
--- a/src/fleet/front_test.c
+++ b/src/fleet/front_test.c
@@ -328,7 +328,7 @@
   assert_int_equal (fake.leader_call, 0);
 }
 
-#define DESK(test) cmocka_unit_test_setup_teardown (test, set_up, tear_down)
+#define FIXTURE_TEST(test) cmocka_unit_test_setup_teardown (test, set_up, tear_down)
 
 int
 main (void)
@@ -344,10 +344,10 @@
                                            set_up, tear_down),
           cmocka_unit_test_setup_teardown (test_store_that_is_down_is_not_called, set_up,
                                            tear_down),
-          DESK (test_leader_writes_for_a_node_without_the_store),
-          DESK (test_no_leader_refuses),
-          DESK (test_leader_without_a_write_refuses),
-          DESK (test_leader_without_a_reply_leaves_the_outcome_unknown),
-          DESK (test_no_time_for_the_leader_refuses_at_once) };
+          FIXTURE_TEST (test_leader_writes_for_a_node_without_the_store),
+          FIXTURE_TEST (test_no_leader_refuses),
+          FIXTURE_TEST (test_leader_without_a_write_refuses),
+          FIXTURE_TEST (test_leader_without_a_reply_leaves_the_outcome_unknown),
+          FIXTURE_TEST (test_no_time_for_the_leader_refuses_at_once) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/fleet/link.c
+++ b/src/fleet/link.c
@@ -432,8 +432,9 @@
                              : p->heartbeat_sent_at - LOSS_DETECTION;
 }
 
+/* Closes peers that have been silent for PEER_TIMEOUT, and pings the others. */
 static void
-ping_peers (KqLink *l, KqTime now)
+ping_or_close_peers (KqLink *l, KqTime now)
 {
   KqAgentItem i = { .kind = KQ_AGENT_ITEM_PING };
   guint n = 0;
@@ -461,7 +462,7 @@
   (void)ev;
   (void)events;
   send_heartbeat (l, now);
-  ping_peers (l, now);
+  ping_or_close_peers (l, now);
 }
 
 void
--- a/src/fleet/reach_test.c
+++ b/src/fleet/reach_test.c
@@ -51,8 +51,9 @@
   assert_false (kq_reach_up (&r, START + 3 * KQ_SEC));
 }
 
-/* Guards against replies with unknown outcome: without the leader's reports each node
- * detects an outage only by a client's write that gets no answer. */
+/* Guards against a late detection of an outage. Most nodes rarely call the store: without
+ * the leader's reports they notice an outage only when a client's write times out, and
+ * reply that its outcome is unknown. */
 static void
 test_leader_without_answers_makes_the_store_suspect (void **state)
 {
--- a/src/job/health.c
+++ b/src/job/health.c
@@ -10,9 +10,9 @@
 #define EVIDENCE_TO_HOLD 5.0
 #define EVIDENCE_MIN (-3.0)
 #define FAILED_JOBS_MIN 3
-#define RATE_SMOOTHING 0.02
-#define RATE_MIN 0.02
-#define RATE_MAX 0.8
+#define FAILURE_RATE_SMOOTHING 0.02
+#define FAILURE_RATE_MIN 0.02
+#define FAILURE_RATE_MAX 0.8
 #define HOLD_TIME_MIN (30 * KQ_SEC)
 #define HOLD_TIME_MAX (900 * KQ_SEC)
 #define PROBE_LIMIT_END 16 /* a worker that reaches it is good again */
@@ -52,10 +52,10 @@
                    bool failed, uint32_t n_workers, int64_t held_percent, KqTime now)
 {
   double *class_rate = &f->failure_rate[class_index];
-  double rate = fmin (fmax (*class_rate, RATE_MIN), RATE_MAX);
+  double rate = fmin (fmax (*class_rate, FAILURE_RATE_MIN), FAILURE_RATE_MAX);
   uint32_t held_max = (uint32_t)(n_workers * held_percent / 100);
   if (h->state == KQ_HEALTH_GOOD)
-    *class_rate += RATE_SMOOTHING * ((failed ? 1.0 : 0.0) - *class_rate);
+    *class_rate += FAILURE_RATE_SMOOTHING * ((failed ? 1.0 : 0.0) - *class_rate);
   if (!failed)
     {
       record_success (f, h, rate);
--- a/src/job/jobs.c
+++ b/src/job/jobs.c
@@ -18,7 +18,7 @@
   kq_buf_init (&j->buf);
   kq_job_set_init (&j->set);
   kq_workers_init (&j->workers);
-  kq_queue_init (&j->queue);
+  kq_job_queue_init (&j->queue);
   return j;
 }
 
@@ -29,7 +29,7 @@
     return;
   kq_quota_clear (&j->quota);
   kq_spread_clear (&j->spread);
-  kq_queue_clear (&j->queue);
+  kq_job_queue_clear (&j->queue);
   kq_workers_clear (&j->workers);
   kq_job_set_clear (&j->set);
   kq_buf_free (&j->buf);
@@ -176,11 +176,11 @@
 {
   KqTeam *team = &j->quota.teams[job->team];
   KqSize want = kq_jobs_declared (j, &job->spec);
-  kq_queue_remove (&j->queue, job);
+  kq_job_queue_remove (&j->queue, job);
   team->own_wanted = kq_size_sub (team->own_wanted, job->declared_size);
   job->declared_size = want;
   team->own_wanted = kq_size_add (team->own_wanted, want);
-  kq_queue_add (&j->queue, job, now);
+  kq_job_queue_add (&j->queue, job, now);
 }
 
 /* After a change of the table or the hosts: updates all jobs' traits, and the queued
--- a/src/job/jobs_change.c
+++ b/src/job/jobs_change.c
@@ -31,7 +31,7 @@
     kq_jobs_cancel_reservation (j, job, now);
   if (job->in_queue)
     {
-      kq_queue_remove (&j->queue, job);
+      kq_job_queue_remove (&j->queue, job);
       j->quota.teams[job->team].own_wanted
           = kq_size_sub (j->quota.teams[job->team].own_wanted, job->declared_size);
     }
@@ -57,7 +57,7 @@
   KqWorker *w;
   if (job->state == KQ_JOB_STATE_QUEUED)
     {
-      kq_queue_add (&j->queue, job, now);
+      kq_job_queue_add (&j->queue, job, now);
       j->quota.teams[job->team].own_wanted
           = kq_size_add (j->quota.teams[job->team].own_wanted, job->declared_size);
       j->dirty = true;
@@ -259,7 +259,7 @@
       job->blocked_reason = why;
       return;
     }
-  kq_queue_remove (&j->queue, job);
+  kq_job_queue_remove (&j->queue, job);
   job->blocked_reason = why;
-  kq_queue_add (&j->queue, job, now);
+  kq_job_queue_add (&j->queue, job, now);
 }
--- a/src/job/jobs_impl.h
+++ b/src/job/jobs_impl.h
@@ -45,7 +45,7 @@
   KqSeq send_after; /* record that must be committed before this call's items are sent */
   KqJobSet set;
   KqWorkers workers;
-  KqQueue queue;
+  KqJobQueue queue;
   KqQuota quota;
   KqClasses classes;
   KqSizes sizes;
--- a/src/job/jobs_move.c
+++ b/src/job/jobs_move.c
@@ -148,7 +148,7 @@
     {
       for (int p = KQ_PRIORITY_URGENT; p >= KQ_PRIORITY_LOW && n < count_max; p--)
         {
-          KqJob *job = kq_queue_list (&j->queue, team, (KqPriority)p)->first;
+          KqJob *job = kq_job_queue_list (&j->queue, team, (KqPriority)p)->first;
           if (job != NULL && job->blocked_reason == KQ_ERR_NO_ROOM
               && now - job->queued_at > MOVE_WAIT)
             n += try_move (j, job, false, now);
--- a/src/job/jobs_tick.c
+++ b/src/job/jobs_tick.c
@@ -339,7 +339,7 @@
   KqJobs *j = r->j;
   size_t team;
   for (size_t i = 0; i < j->n_cursors; i++)
-    j->cursors[i] = kq_queue_list (&j->queue, i, p)->first;
+    j->cursors[i] = kq_job_queue_list (&j->queue, i, p)->first;
   while (r->starts_left > 0 && r->tries_left > 0 && (team = next_team (j)) != SIZE_MAX)
     {
       bool started = false;
@@ -395,7 +395,7 @@
     scan_workers (j, now);
   if (store_ok)
     kq_jobs_record_learned (j, now);
-  if (kq_queue_move_due (&j->queue, now))
+  if (kq_job_queue_move_due (&j->queue, now))
     j->dirty = true;
   if (!store_ok)
     return j->send_after;
@@ -409,7 +409,7 @@
 KqTime
 kq_jobs_next_tick (const KqJobs *j, KqTime now)
 {
-  KqTime next = MIN (j->next_scan, kq_queue_next_due_time (&j->queue));
+  KqTime next = MIN (j->next_scan, kq_job_queue_next_due_time (&j->queue));
   if (!j->open)
     return KQ_TIME_NEVER;
   if (j->renewing && j->workers.first_due != NULL)
--- a/src/job/queue.c
+++ b/src/job/queue.c
@@ -5,13 +5,13 @@
 #include <string.h>
 
 void
-kq_queue_init (KqQueue *q)
+kq_job_queue_init (KqJobQueue *q)
 {
   memset (q, 0, sizeof *q);
 }
 
 void
-kq_queue_clear (KqQueue *q)
+kq_job_queue_clear (KqJobQueue *q)
 {
   free (q->teams);
 }
@@ -56,7 +56,7 @@
 }
 
 KqJobList *
-kq_queue_list (KqQueue *q, size_t team, KqPriority p)
+kq_job_queue_list (KqJobQueue *q, size_t team, KqPriority p)
 {
   if (team >= q->n_teams)
     {
@@ -70,17 +70,17 @@
 }
 
 static KqJobList *
-list_of (KqQueue *q, const KqJob *job)
+list_of (KqJobQueue *q, const KqJob *job)
 {
   if (job->delayed)
     return &q->delayed;
   if (job->blocked_reason == KQ_ERR_JOB_UNPLACEABLE)
     return &q->unplaceable;
-  return kq_queue_list (q, job->team, job->spec.priority);
+  return kq_job_queue_list (q, job->team, job->spec.priority);
 }
 
 void
-kq_queue_add (KqQueue *q, KqJob *job, KqTime now)
+kq_job_queue_add (KqJobQueue *q, KqJob *job, KqTime now)
 {
   assert (!job->in_queue && job->state == KQ_JOB_STATE_QUEUED);
   job->in_queue = true;
@@ -90,7 +90,7 @@
 }
 
 void
-kq_queue_remove (KqQueue *q, KqJob *job)
+kq_job_queue_remove (KqJobQueue *q, KqJob *job)
 {
   assert (job->in_queue);
   unlink_job (list_of (q, job), job);
@@ -100,7 +100,7 @@
 }
 
 KqSize
-kq_queue_wanted (const KqQueue *q, size_t team)
+kq_job_queue_wanted (const KqJobQueue *q, size_t team)
 {
   KqSize s = { 0 };
   if (team >= q->n_teams)
@@ -111,7 +111,7 @@
 }
 
 bool
-kq_queue_move_due (KqQueue *q, KqTime now)
+kq_job_queue_move_due (KqJobQueue *q, KqTime now)
 {
   bool any = false;
   for (KqJob *job = q->delayed.first, *next; job != NULL; job = next)
@@ -119,15 +119,15 @@
       next = job->next;
       if (job->not_before > now)
         continue;
-      kq_queue_remove (q, job);
-      kq_queue_add (q, job, now);
+      kq_job_queue_remove (q, job);
+      kq_job_queue_add (q, job, now);
       any = true;
     }
   return any;
 }
 
 KqTime
-kq_queue_next_due_time (const KqQueue *q)
+kq_job_queue_next_due_time (const KqJobQueue *q)
 {
   KqTime next = KQ_TIME_NEVER;
   for (const KqJob *job = q->delayed.first; job != NULL; job = job->next)
--- a/src/job/queue.h
+++ b/src/job/queue.h
@@ -27,20 +27,20 @@
   KqJobList delayed;
   KqJobList unplaceable;
   size_t n;
-} KqQueue;
+} KqJobQueue;
 
-void kq_queue_init (KqQueue *q);
-void kq_queue_clear (KqQueue *q);
+void kq_job_queue_init (KqJobQueue *q);
+void kq_job_queue_clear (KqJobQueue *q);
 /* Adds the job, by age, to the list that its blocked_reason and not_before call for. */
-void kq_queue_add (KqQueue *q, KqJob *job, KqTime now);
-void kq_queue_remove (KqQueue *q, KqJob *job);
+void kq_job_queue_add (KqJobQueue *q, KqJob *job, KqTime now);
+void kq_job_queue_remove (KqJobQueue *q, KqJob *job);
 /* The list of a team and priority; valid until a new team is added. */
-KqJobList *kq_queue_list (KqQueue *q, size_t team, KqPriority p);
+KqJobList *kq_job_queue_list (KqJobQueue *q, size_t team, KqPriority p);
 /* The total size of a team's waiting jobs, except delayed and unplaceable ones. */
-KqSize kq_queue_wanted (const KqQueue *q, size_t team);
+KqSize kq_job_queue_wanted (const KqJobQueue *q, size_t team);
 /* Moves delayed jobs that are due to their team's list; true when there were any. */
-bool kq_queue_move_due (KqQueue *q, KqTime now);
+bool kq_job_queue_move_due (KqJobQueue *q, KqTime now);
 /* When the next delayed job is due, or KQ_TIME_NEVER. */
-KqTime kq_queue_next_due_time (const KqQueue *q);
+KqTime kq_job_queue_next_due_time (const KqJobQueue *q);
 
 #endif
--- a/src/job/quota.h
+++ b/src/job/quota.h
@@ -42,7 +42,8 @@
   KqTeam *teams;
   size_t n;
   uint32_t n_others;      /* shards that sent a digest */
-  uint64_t digest_rounds; /* rounds of digests so far, plus this shard's number */
+  uint64_t digest_rounds; /* rounds of digests so far, plus this shard's number: it is
+                             this shard's turn when the number of shards divides it */
   KqSize fleet;           /* the total size of all workers, of this and other shards */
 } KqQuota;
 
--- a/src/request/account.c
+++ b/src/request/account.c
@@ -14,21 +14,21 @@
   uint64_t in_flight;
 } ServiceCounts;
 
-struct KqAccount
+struct KqRequestCounts
 {
   ServiceCounts *first;
 };
 
 static const char *const end_names[] = { "answered", "refused", "unknown", "abandoned" };
 
-KqAccount *
-kq_account_new (void)
+KqRequestCounts *
+kq_request_counts_new (void)
 {
-  return kq_alloc (sizeof (KqAccount));
+  return kq_alloc (sizeof (KqRequestCounts));
 }
 
 void
-kq_account_free (KqAccount *a)
+kq_request_counts_free (KqRequestCounts *a)
 {
   if (a == NULL)
     return;
@@ -41,7 +41,7 @@
 }
 
 static ServiceCounts *
-get_counts (KqAccount *a, KqStr service)
+get_counts (KqRequestCounts *a, KqStr service)
 {
   for (ServiceCounts *c = a->first; c != NULL; c = c->next)
     {
@@ -66,7 +66,7 @@
 }
 
 void
-kq_account_accepted (KqAccount *a, KqStr service)
+kq_request_counts_accepted (KqRequestCounts *a, KqStr service)
 {
   ServiceCounts *c = get_counts (a, service);
   c->accepted++;
@@ -74,7 +74,7 @@
 }
 
 void
-kq_account_ended (KqAccount *a, KqStr service, KqRequestEnd end)
+kq_request_counts_ended (KqRequestCounts *a, KqStr service, KqRequestEnd end)
 {
   ServiceCounts *c = get_counts (a, service);
   assert (c->in_flight > 0);
@@ -84,7 +84,7 @@
 }
 
 json_t *
-kq_account_json (const KqAccount *a)
+kq_request_counts_json (const KqRequestCounts *a)
 {
   json_t *o = json_object ();
   for (const ServiceCounts *c = a->first; c != NULL; c = c->next)
@@ -99,7 +99,7 @@
 }
 
 uint64_t
-kq_account_in_flight (const KqAccount *a)
+kq_request_counts_in_flight (const KqRequestCounts *a)
 {
   uint64_t n = 0;
   for (const ServiceCounts *c = a->first; c != NULL; c = c->next)
--- a/src/request/account.h
+++ b/src/request/account.h
@@ -1,7 +1,7 @@
 #ifndef KQ_REQUEST_ACCOUNT_H
 #define KQ_REQUEST_ACCOUNT_H
 
-/* account: counts the requests of each service by how they ended: answered, refused,
+/* request counts: the requests of each service by how they ended: answered, refused,
  * unknown or abandoned, or still in flight.
  *
  * Kept by the entry node. At the end of each request it is asserted that these counts add
@@ -21,16 +21,16 @@
   KQ_END_KINDS
 } KqRequestEnd;
 
-typedef struct KqAccount KqAccount;
+typedef struct KqRequestCounts KqRequestCounts;
 
-KqAccount *kq_account_new (void);
-void kq_account_free (KqAccount *a);
+KqRequestCounts *kq_request_counts_new (void);
+void kq_request_counts_free (KqRequestCounts *a);
 /* A request for the service was accepted. */
-void kq_account_accepted (KqAccount *a, KqStr service);
-/* A request that was counted by kq_account_accepted has ended. */
-void kq_account_ended (KqAccount *a, KqStr service, KqRequestEnd end);
+void kq_request_counts_accepted (KqRequestCounts *a, KqStr service);
+/* A request that was counted by kq_request_counts_accepted has ended. */
+void kq_request_counts_ended (KqRequestCounts *a, KqStr service, KqRequestEnd end);
 /* Returns a new JSON object with the counts of each service, by its name. */
-json_t *kq_account_json (const KqAccount *a);
-uint64_t kq_account_in_flight (const KqAccount *a);
+json_t *kq_request_counts_json (const KqRequestCounts *a);
+uint64_t kq_request_counts_in_flight (const KqRequestCounts *a);
 
 #endif
--- a/src/request/decisions_test.c
+++ b/src/request/decisions_test.c
@@ -114,8 +114,7 @@
   kq_fair_free (&f->fair);
 }
 
-/* Callers 1 and 2, with weights 100 and 300, both have a backlog: they are served in a
- * ratio of 1 to 3. */
+/* Two callers with a backlog and weights 100 and 300 are served in a ratio of 1 to 3. */
 static void
 test_fair_weights (void **state)
 {
@@ -180,9 +179,8 @@
   empty (&f);
 }
 
-/* A caller's request took much longer than its forecast, and the caller has been idle
- * since. It must still be charged for the difference: the others are served first, up to
- * that amount. */
+/* A caller is charged for a request that took much longer than its forecast even if it
+ * has been idle since: the others are served first, up to the difference. */
 static void
 test_fair_idle_caller_is_charged (void **state)
 {
@@ -271,9 +269,8 @@
   assert_in_range (kq_run_times_forecast (&r, 0).mean, 9000, 11000);
 }
 
-/* Exponential run times of a healthy runner rarely lower its limit. Run times that grow
- * with the number of requests lower it to where they no longer grow, and it rises again
- * afterwards. */
+/* A healthy runner's exponential run times rarely lower its limit. Run times that grow
+ * with its load lower it to where they no longer grow, and it rises again afterwards. */
 static void
 test_limit (void **state)
 {
@@ -345,9 +342,8 @@
   assert_int_equal (p.ejected, 1);
 }
 
-/* Four of ten targets are killed together. Each refused connection ejects its runner at
- * once, beyond the bound for slow or failing ones. Good probes or its worker's report let
- * it return. */
+/* Four of ten targets are killed: each refused connection ejects its runner at once,
+ * beyond the bound for slow or failing ones. Good probes or a worker's report undo it. */
 static void
 test_refused_connections_go_beyond_the_bound (void **state)
 {
@@ -375,9 +371,8 @@
   assert_int_equal (p.unreachable, 2);
 }
 
-/* Only a tenth may be ejected: the second bad runner still gets one request at a time. A
- * service that fails on all runners loses none of them, and the only runner of a group
- * isn't ejected. */
+/* At most a tenth is ejected: a second bad runner still gets one request at a time. None
+ * is ejected if the service fails on all, nor the only runner of a group. */
 static void
 test_outlier_bounds (void **state)
 {
@@ -573,10 +568,9 @@
   assert_false (kq_link_allows (&b, 1, now));
 }
 
-/* Callers got 503 "no runner" for requests that a draining owner had handed back, because
- * its successor had not yet taken over the shard and listed the runners, so the next try
- * found no owner. A request that was handed back looks for an owner again, for two
- * seconds; others don't. */
+/* Callers got 503 "no runner" for requests that a draining owner had handed back: its
+ * successor had not yet taken over the shard and listed the runners. A request that was
+ * handed back looks for an owner again for two seconds; others don't. */
 static void
 test_handed_back_waits_for_successor (void **state)
 {
--- a/src/request/dispatch.c
+++ b/src/request/dispatch.c
@@ -220,13 +220,13 @@
 }
 
 void
-kq_dispatch_report (KqDispatch *d, KqRunnerId id, const KqRunnerReport *report,
-                    KqTime now)
+kq_dispatch_set_report (KqDispatch *d, KqRunnerId id, const KqRunnerReport *report,
+                        KqTime now)
 {
   KqRunner *r = kq_pool_find (&d->pool, id);
   (void)now;
   if (r != NULL)
-    kq_pool_report (r, report);
+    kq_pool_set_report (r, report);
 }
 
 void
--- a/src/request/dispatch.h
+++ b/src/request/dispatch.h
@@ -83,8 +83,9 @@
 /* This node no longer owns the runner. It gets no more flights; those that it has stay
  * until kq_dispatch_done. */
 void kq_dispatch_drop_runner (KqDispatch *d, KqRunnerId id, KqTime now);
-void kq_dispatch_report (KqDispatch *d, KqRunnerId id, const KqRunnerReport *r,
-                         KqTime now);
+/* Takes in the runner's latest report about itself; ignored when it isn't known here. */
+void kq_dispatch_set_report (KqDispatch *d, KqRunnerId id, const KqRunnerReport *r,
+                             KqTime now);
 /* Says whether the runner is leaving according to the host list or an operator. It gets
  * no more flights if either this or its own last report says so. */
 void kq_dispatch_set_leaving (KqDispatch *d, KqRunnerId id, bool leaving, KqTime now);
--- a/src/request/dispatch_test.c
+++ b/src/request/dispatch_test.c
@@ -72,7 +72,7 @@
 report (Fixture *f, KqRunnerId id, int busy, bool leaving)
 {
   KqRunnerReport r = { .slots = 8, .slots_busy = busy, .leaving = leaving };
-  kq_dispatch_report (f->d, id, &r, f->now);
+  kq_dispatch_set_report (f->d, id, &r, f->now);
 }
 
 static KqFlightId
@@ -147,7 +147,7 @@
   (void)state;
   start (&f);
   runner (&f, 1, 8, false);
-  kq_dispatch_report (f.d, 1, &r, f.now);
+  kq_dispatch_set_report (f.d, 1, &r, f.now);
   for (int i = 0; i < 10; i++)
     offer (&f);
   assert_int_equal (send_all (&f, NULL), 4);
--- a/src/request/entry.c
+++ b/src/request/entry.c
@@ -23,7 +23,7 @@
   if (f->counted)
     return;
   f->counted = true;
-  kq_account_ended (g->account, kq_name_str (&f->service), end);
+  kq_request_counts_ended (g->request_counts, kq_name_str (&f->service), end);
 }
 
 /* Reports the end of a claimed request, from which repeats with the same key are
@@ -360,8 +360,7 @@
 static void
 on_claim_reply (KqGateway *g, KqFlight *f, const KqMsgClaimReply *c, KqTime now)
 {
-  /* A duplicate grant: the request is in progress already. Reporting "not run" below
-   * would release its key for a second run. */
+  /* A duplicate grant for a request in progress: "not run" would allow a second run. */
   if (f->claimed)
     return;
   f->claim_deadline = 0;
--- a/src/request/entry.h
+++ b/src/request/entry.h
@@ -36,7 +36,7 @@
   KqHttpServer *http;
   KqRoute *route;
   KqTable *table; /* NULL: none received yet */
-  KqAccount *account;
+  KqRequestCounts *request_counts;
   KqCalls *calls;
   KqClaimEnds *ends;
   KqRecent recent;
--- a/src/request/flight.h
+++ b/src/request/flight.h
@@ -53,7 +53,7 @@
   KqName caller;
   KqName method;
   bool idempotent;
-  bool counted; /* its end was counted in the account */
+  bool counted; /* its end was counted in the gateway's request counts */
   KqServiceRow row;
   /* `text` holds the strings of path, key and headers. */
   KqBuf text;
--- a/src/request/gateway.c
+++ b/src/request/gateway.c
@@ -39,8 +39,8 @@
 refuse_request (KqGateway *g, KqHttpExchange *x, KqStr service, KqResult code,
                 KqTime retry)
 {
-  kq_account_accepted (g->account, service);
-  kq_account_ended (g->account, service, KQ_END_REFUSED);
+  kq_request_counts_accepted (g->request_counts, service);
+  kq_request_counts_ended (g->request_counts, service, KQ_END_REFUSED);
   kq_counter_result (g->config.counters, code);
   kq_problem_reply (x, code, KQ_RAN_NO, retry, kq_str (""), kq_str (""));
 }
@@ -152,7 +152,7 @@
   bool stream = f->key.len == 0
                 && (f->body_length < 0 || f->body_length > KQ_RESEND_BODY_MAX_BYTES);
   g_hash_table_insert (g->flights, &f->id.number, f);
-  kq_account_accepted (g->account, kq_name_str (&f->service));
+  kq_request_counts_accepted (g->request_counts, kq_name_str (&f->service));
   kq_http_set_data (f->exchange, f);
   f->state = KQ_FLIGHT_COLLECTING;
   if (!stream)
@@ -400,12 +400,13 @@
   return o;
 }
 
-/* Answers the queries "requests" (the account, by service) and "explain". */
+/* Answers the queries "requests" (counts by service) and "explain". */
 static void
 answer_query (KqGateway *g, KqNodeId from, const KqMsgQuery *q)
 {
-  bool account = kq_str_eq (q->what, KQ_STR ("requests"));
-  json_t *o = account ? kq_account_json (g->account) : explain (g, q->argument);
+  bool counts = kq_str_eq (q->what, KQ_STR ("requests"));
+  json_t *o
+      = counts ? kq_request_counts_json (g->request_counts) : explain (g, q->argument);
   char *text = o != NULL ? json_dumps (o, JSON_COMPACT) : NULL;
   kq_mail_send_answer (g->config.mesh, from, q->call,
                        o != NULL ? KQ_OK : KQ_ERR_NOT_FOUND, kq_str (text));
@@ -533,7 +534,7 @@
       return NULL;
     }
   g->route = kq_route_new (&self, s->link_bytes_per_s, c->incarnation);
-  g->account = kq_account_new ();
+  g->request_counts = kq_request_counts_new ();
   g->ends = kq_claim_ends_new ();
   g->calls = kq_calls_new (KQ_CALLS_GATEWAY, c->self, c->mesh, c->counters);
   g->flights = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, free_flight);
@@ -561,7 +562,7 @@
   g_hash_table_destroy (g->nodes);
   kq_claim_ends_free (g->ends);
   kq_calls_free (g->calls);
-  kq_account_free (g->account);
+  kq_request_counts_free (g->request_counts);
   kq_route_free (g->route);
   if (g->table != NULL)
     kq_table_unref (g->table);
@@ -583,5 +584,5 @@
 size_t
 kq_gateway_open_requests (const KqGateway *g)
 {
-  return (size_t)kq_account_in_flight (g->account);
+  return (size_t)kq_request_counts_in_flight (g->request_counts);
 }
--- a/src/request/pool.c
+++ b/src/request/pool.c
@@ -268,7 +268,7 @@
 }
 
 void
-kq_pool_report (KqRunner *r, const KqRunnerReport *report)
+kq_pool_set_report (KqRunner *r, const KqRunnerReport *report)
 {
   int foreign = report->slots_busy - r->ours_min;
   add_to_totals (r, -1);
--- a/src/request/pool.h
+++ b/src/request/pool.h
@@ -87,7 +87,7 @@
 /* The kq_dispatch functions of the same purpose describe these. */
 void kq_pool_set_runner (KqPool *p, const KqRunnerInfo *info, bool taken_over);
 void kq_pool_drop_runner (KqPool *p, KqRunnerId id);
-void kq_pool_report (KqRunner *r, const KqRunnerReport *report);
+void kq_pool_set_report (KqRunner *r, const KqRunnerReport *report);
 void kq_pool_set_leaving (KqRunner *r, bool leaving);
 bool kq_group_serves (const KqGroup *g, const KqName *service);
 
--- a/src/request/run_times.c
+++ b/src/request/run_times.c
@@ -20,7 +20,7 @@
 #define MEDIAN_COARSE_STEP 1.05
 #define MEDIAN_STEP 1.01
 #define MEDIAN_COARSE_SAMPLES 200
-/* Places of a class in `classes`. */
+/* `classes` is a set-associative cache: number of entries in which a class may be. */
 #define WAYS 4
 
 void
--- a/src/request/runner_task.c
+++ b/src/request/runner_task.c
@@ -250,7 +250,7 @@
       KqRunnerId id = runner_id (w->worker, &w->runners[i].runner);
       if (!g_hash_table_contains (t->runners, &id))
         continue;
-      kq_dispatch_report (t->dispatch, id, &w->runners[i], now);
+      kq_dispatch_set_report (t->dispatch, id, &w->runners[i], now);
       if (w->leaving || w->runners[i].leaving)
         kq_dispatch_set_leaving (t->dispatch, id, true, now);
     }
--- a/src/sched/maintenance_test.c
+++ b/src/sched/maintenance_test.c
@@ -319,7 +319,7 @@
   assert_false (kq_sched_used_runners_pending (d->sched)); /* it is in the list */
 }
 
-#define DESK(test)                                                                       \
+#define FIXTURE_TEST(test)                                                               \
   cmocka_unit_test_setup_teardown (test, kq_sched_fixture_set_up,                        \
                                    kq_sched_fixture_tear_down)
 
@@ -327,16 +327,16 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    DESK (test_host_is_drained_first),
-    DESK (test_no_more_hosts_than_allowed),
-    DESK (test_earlier_new_runner_is_not_taken_for_the_next),
-    DESK (test_unanswered_call_is_repeated),
-    DESK (test_tasks_that_may_not_be_away),
-    DESK (test_next_leader_continues_wave),
-    DESK (test_host_that_was_done_before_is_used_again),
-    DESK (test_runner_taken_down_is_not_waited_for),
-    DESK (test_drained_runner_is_not_waited_for),
-    DESK (test_drained_runner_with_an_end_is_waited_for),
+    FIXTURE_TEST (test_host_is_drained_first),
+    FIXTURE_TEST (test_no_more_hosts_than_allowed),
+    FIXTURE_TEST (test_earlier_new_runner_is_not_taken_for_the_next),
+    FIXTURE_TEST (test_unanswered_call_is_repeated),
+    FIXTURE_TEST (test_tasks_that_may_not_be_away),
+    FIXTURE_TEST (test_next_leader_continues_wave),
+    FIXTURE_TEST (test_host_that_was_done_before_is_used_again),
+    FIXTURE_TEST (test_runner_taken_down_is_not_waited_for),
+    FIXTURE_TEST (test_drained_runner_is_not_waited_for),
+    FIXTURE_TEST (test_drained_runner_with_an_end_is_waited_for),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/sched/sched.h
+++ b/src/sched/sched.h
@@ -233,7 +233,7 @@
 KqTime kq_sched_run (KqSched *s, KqTime now, int64_t wall_ms);
 
 KqJobState kq_sched_state (const KqSched *s, KqStr id);
-/* The number of accepted jobs of the queue of which no task has started. */
+/* The number of jobs in the queue that were accepted and have not started a task yet. */
 int64_t kq_sched_waiting (const KqSched *s, KqStr queue);
 /* Appends lines of text for operators on what the job waits for. */
 void kq_sched_explain (const KqSched *s, KqStr id, KqTime now, KqBuf *out);
--- a/src/sched/tickets_test.c
+++ b/src/sched/tickets_test.c
@@ -10,7 +10,7 @@
 
 #define PASS_TIME (50 * KQ_MS)
 
-/* Submits a job of an advised queue, which leads to a question. */
+/* Submits a job of an advised queue, for which the advice service is asked. */
 static KqSchedFixture *
 asked (void **state)
 {
@@ -78,7 +78,7 @@
   kq_sched_fixture_outcome (d, KQ_ORDER_START, "r1", d->task, d->run, KQ_ORDER_NO_TICKET);
   kq_sched_fixture_run (d, PASS_TIME);
   assert_int_equal (d->advise_orders, 2);
-  assert_int_equal (d->advise_runners, 1); /* the other runner's refusal stays known */
+  assert_int_equal (d->advise_runners, 1); /* only r1: the first advice excluded r2 */
   kq_sched_fixture_advise (d, "aa.0.0", KQ_ADVICE_OK, "r1", "t-2", 3000);
   kq_sched_fixture_run (d, PASS_TIME);
   assert_int_equal (d->start_orders, 2);
@@ -160,7 +160,7 @@
   assert_int_equal (d->advise_runners, 1);
 }
 
-#define DESK(test)                                                                       \
+#define FIXTURE_TEST(test)                                                               \
   cmocka_unit_test_setup_teardown (test, kq_sched_fixture_set_up,                        \
                                    kq_sched_fixture_tear_down)
 
@@ -168,13 +168,13 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    DESK (test_start_goes_where_the_ticket_is),
-    DESK (test_no_runner_is_allowed),
-    DESK (test_busy_service_is_asked_again),
-    DESK (test_refused_ticket_is_replaced),
-    DESK (test_queue_that_becomes_advised),
-    DESK (test_few_questions_are_outstanding_at_a_time),
-    DESK (test_headroom_is_computed_in_each_pass),
+    FIXTURE_TEST (test_start_goes_where_the_ticket_is),
+    FIXTURE_TEST (test_no_runner_is_allowed),
+    FIXTURE_TEST (test_busy_service_is_asked_again),
+    FIXTURE_TEST (test_refused_ticket_is_replaced),
+    FIXTURE_TEST (test_queue_that_becomes_advised),
+    FIXTURE_TEST (test_few_questions_are_outstanding_at_a_time),
+    FIXTURE_TEST (test_headroom_is_computed_in_each_pass),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/src/table/dist_state.h
+++ b/src/table/dist_state.h
@@ -45,7 +45,7 @@
 {
   KqCommitState state;
   bool head_read;   /* the head was read since this change was started */
-  uint64_t id;      /* the write id */
+  uint64_t id;      /* random; the new head lists it, which shows that it was written */
   KqTableHead head; /* to be written */
   uint64_t expect;  /* the store's revision of the head on which this one is based. Not
                        d->head_store_revision: a watch may raise that while an answer is
