--- a/src/fleet/link_test.c
+++ b/src/fleet/link_test.c
@@ -15,8 +15,8 @@
 
 #define EPOCH 7
 
-/* A leader and a node, each on its own loop. One whose loop isn't run hangs, while
- * messages from the other one wait at its socket. */
+/* A leader and a node, each on its own loop. A loop that isn't run stands for a process
+ * that hangs: messages from the other one wait at its socket. */
 typedef struct
 {
   KqLoop *leader_loop;
@@ -25,14 +25,14 @@
   KqLink *node;
   int pings;              /* seen by the node */
   KqTime acknowledged_at; /* latest heartbeat that a ping acknowledged */
-  int until_pings;
+  int until_pings;        /* the loops run until the node has seen so many pings */
   int joined;
   int left;
   int left_planned;
   int lists;
   int listed; /* runs in the last list */
   int cancels;
-  bool loses_leadership; /* loses leadership with the first cancellation */
+  bool loses_leadership; /* the leader does, when it receives a cancellation */
   int n_welcomes;        /* seen by the node */
 } Fixture;
 
--- a/src/sched/sched.h
+++ b/src/sched/sched.h
@@ -37,7 +37,7 @@
 typedef enum
 {
   KQ_ORDER_TAKE,  /* the agent takes over this runner */
-  KQ_ORDER_DROP,  /* the agent gives it up */
+  KQ_ORDER_DROP,  /* the agent releases it */
   KQ_ORDER_START, /* start a run */
   KQ_ORDER_STOP,
   KQ_ORDER_PACE,
@@ -156,13 +156,13 @@
  * it can't be read. */
 bool kq_sched_job (KqSched *s, KqStr stored, uint64_t revision, KqTime now);
 void kq_sched_cancel (KqSched *s, KqStr id, KqTime now);
-/* Progress in the stored form of an earlier leader. False: it can't be read. */
+/* Restores a job's progress that an earlier leader stored. False: it can't be read. */
 bool kq_sched_progress (KqSched *s, KqStr id, KqStr stored, KqTime now);
-/* The stored list of runners that earlier leaders used (kq_sched_used_runners_pack).
+/* Restores the list of runners that earlier leaders used (kq_sched_used_runners_pack).
  * False: it can't be read. */
 bool kq_sched_used_runners (KqSched *s, KqStr stored, KqTime now);
-/* The disturbance model of an earlier leader (kq_sched_learned_pack); before any job.
- * False: it can't be read. */
+/* Restores the disturbance model of an earlier leader (kq_sched_learned_pack); before any
+ * job. False: it can't be read. */
 bool kq_sched_learned (KqSched *s, KqStr stored);
 void kq_sched_learned_pack (const KqSched *s, KqBuf *out);
 /* To be called once everything stored has been passed in; scheduling begins. */
--- a/src/sched/state.h
+++ b/src/sched/state.h
@@ -60,9 +60,9 @@
 {
   KqTicket *rows;
   int32_t n_rows;
-  int agent;       /* that has an outstanding question; -1: none */
-  KqTime asked_at; /* when the question was sent */
-  KqTime again_at; /* earliest time of the next question */
+  int agent;       /* that has an outstanding request to the advice service; -1: none */
+  KqTime asked_at; /* when that request was sent */
+  KqTime again_at; /* earliest time of the next request */
 } KqTickets;
 
 typedef struct
@@ -487,7 +487,7 @@
 void kq_tickets_refused (KqOccurrence *o, int32_t step, const KqRunnerState *r);
 /* Drops the step's rows of a runner that is about to be freed. */
 void kq_tickets_forget_runner (KqStepState *st, const KqRunnerState *r);
-/* Ends all questions outstanding at an agent that is down. */
+/* Ends all requests for advice outstanding at an agent that is down. */
 void kq_tickets_agent_down (KqSched *s, int agent);
 void kq_tickets_free (KqTickets *a);
 
--- a/src/sched/tickets.c
+++ b/src/sched/tickets.c
@@ -1,9 +1,9 @@
 /* tickets: tickets of the advice service, which permit a runner to run a step of an
  * advised queue.
  *
- * The service answers one question of a host at a time, so under load starts wait for its
- * answers. One question names as many runners as the step is likely to need, the best
- * first. Questions are spread over all hosts, and few are outstanding at each, so that
+ * The service answers one request of a host at a time, so under load starts wait for its
+ * answers. One request names as many runners as the step is likely to need, the best
+ * first. Requests are spread over all hosts, and few are outstanding at each, so that
  * those for urgent steps don't queue behind others at the service. The answers are kept
  * per step: a refusal of a runner for good, a ticket while it is valid. */
 
@@ -13,15 +13,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Runners named in one question: a third of a small fleet. With fewer a wide step needs
- * several questions; with more each answer takes longer. */
-#define RUNNERS_PER_QUESTION 30
-/* Outstanding questions per host: one that is being answered and the next. */
-#define QUESTIONS_PER_HOST_MAX 2
-/* A question without an answer after this time is asked again, by another host if
+/* Runners named in one request: a third of a small fleet. With fewer a wide step needs
+ * several requests; with more each answer takes longer. */
+#define RUNNERS_PER_REQUEST 30
+/* Outstanding requests per host: one that is being answered and the next. */
+#define REQUESTS_PER_HOST_MAX 2
+/* A request without an answer after this time is repeated, by another host if
  * possible. */
 #define ANSWER_TIMEOUT (2500 * KQ_MS)
-/* Time to the next question after a failed one. */
+/* Time to the next request after a failed one. */
 #define RETRY_DELAY (100 * KQ_MS)
 /* A ticket isn't used in this last part of its validity, as the start order has yet to
  * arrive. */
@@ -67,9 +67,9 @@
     }
 }
 
-/* Drops the rows of a question that failed: nothing is known of their runners. */
+/* Drops the rows of a request that failed: nothing is known of their runners. */
 static void
-drop_question (KqTickets *a)
+drop_request (KqTickets *a)
 {
   a->agent = -1;
   for (int32_t i = 0; i < a->n_rows; i++)
@@ -102,16 +102,16 @@
     for (KqOccurrence *o = j->occurrences; j->spec.advised && o != NULL; o = o->next)
       for (int32_t i = 0; i < j->spec.n_steps; i++)
         if (o->steps[i].advice != NULL && o->steps[i].advice->agent == agent)
-          drop_question (o->steps[i].advice);
+          drop_request (o->steps[i].advice);
 }
 
-/* The agent with the fewest outstanding questions; -1: all have QUESTIONS_PER_HOST_MAX.
+/* The agent with the fewest outstanding requests; -1: all have REQUESTS_PER_HOST_MAX.
  */
 static int
 pick_agent (const KqSched *s)
 {
   int best = -1;
-  int least = QUESTIONS_PER_HOST_MAX;
+  int least = REQUESTS_PER_HOST_MAX;
   for (int i = 0; i < s->agents.n; i++)
     {
       const KqAgentState *a = &s->agents.list[i];
@@ -135,7 +135,7 @@
                      KqTime now)
 {
   int32_t asked = 0;
-  for (int32_t i = 0; i < n && asked < RUNNERS_PER_QUESTION; i++)
+  for (int32_t i = 0; i < n && asked < RUNNERS_PER_REQUEST; i++)
     {
       const KqTicket *row = find_row (a, list[i]);
       if (row == NULL || (row->ticket != NULL && now >= row->valid_until))
@@ -150,7 +150,7 @@
   KqStepState *st = &o->steps[step];
   int32_t max = (int32_t)s->runner_list->len;
   KqRunnerState **list;
-  KqStr ids[RUNNERS_PER_QUESTION];
+  KqStr ids[RUNNERS_PER_REQUEST];
   KqOrder order = { .kind = KQ_ORDER_ADVISE, .runner = KQ_STR ("") };
   char name[96];
   int32_t n;
@@ -161,7 +161,7 @@
       st->advice->agent = -1;
     }
   if (st->advice->agent >= 0 && now - st->advice->asked_at >= ANSWER_TIMEOUT)
-    drop_question (st->advice);
+    drop_request (st->advice);
   if (s->next_pass_at == 0)
     s->next_pass_at = now + RETRY_DELAY;
   if (st->advice->agent >= 0 || now < st->advice->again_at)
@@ -243,11 +243,11 @@
   if (a->reply.result != KQ_ADVICE_OK)
     {
       st->advice->again_at = now + RETRY_DELAY;
-      drop_question (st->advice);
+      drop_request (st->advice);
       return;
     }
   st->advice->agent = -1;
-  /* Validity counts from the question, as the ticket can't be older. */
+  /* Validity counts from the request, as the ticket can't be older. */
   for (size_t i = 0; i < a->reply.n_rows; i++)
     {
       const KqAdviceRow *allowed = &a->reply.rows[i];
--- a/src/sched/tickets_test.c
+++ b/src/sched/tickets_test.c
@@ -53,7 +53,7 @@
   assert_int_equal (d->start_orders, 1);
 }
 
-/* The service is busy, or doesn't answer: the question is repeated after a delay. */
+/* The service is busy, or doesn't answer: the request is repeated after a delay. */
 static void
 test_busy_service_is_asked_again (void **state)
 {
@@ -78,7 +78,7 @@
   kq_sched_fixture_outcome (d, KQ_ORDER_START, "r1", d->task, d->run, KQ_ORDER_NO_TICKET);
   kq_sched_fixture_run (d, PASS_TIME);
   assert_int_equal (d->advise_orders, 2);
-  assert_int_equal (d->advise_runners, 1); /* only r1: the first advice excluded r2 */
+  assert_int_equal (d->advise_runners, 1); /* only r1: the first advice excluded r0 */
   kq_sched_fixture_advise (d, "aa.0.0", KQ_ADVICE_OK, "r1", "t-2", 3000);
   kq_sched_fixture_run (d, PASS_TIME);
   assert_int_equal (d->start_orders, 2);
@@ -101,11 +101,11 @@
   assert_int_equal (d->advise_orders, 1);
 }
 
-/* Ten steps wait and one host can ask: only two questions are outstanding, and each
+/* Ten steps wait and one host can ask: only two requests are outstanding, and each
  * answer lets the next one be sent. More would wait in the service's queue, ahead of
  * urgent ones. */
 static void
-test_few_questions_are_outstanding_at_a_time (void **state)
+test_few_requests_are_outstanding_at_a_time (void **state)
 {
   KqSchedFixture *d = *state;
   for (int i = 0; i < 10; i++)
@@ -173,7 +173,7 @@
     FIXTURE_TEST (test_busy_service_is_asked_again),
     FIXTURE_TEST (test_refused_ticket_is_replaced),
     FIXTURE_TEST (test_queue_that_becomes_advised),
-    FIXTURE_TEST (test_few_questions_are_outstanding_at_a_time),
+    FIXTURE_TEST (test_few_requests_are_outstanding_at_a_time),
     FIXTURE_TEST (test_headroom_is_computed_in_each_pass),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
