--- a/bench/sched_fixture.c
+++ b/bench/sched_fixture.c
@@ -184,7 +184,7 @@
                   .n_steps = 1 };
   KqBuf b = { 0 };
   kq_spec_pack (&spec, &b);
-  kq_sched_job (d->sched, kq_buf_str (&b), 10, d->now);
+  kq_sched_add_job (d->sched, kq_buf_str (&b), 10, d->now);
   kq_buf_free (&b);
 }
 
--- a/bench/sched_load.c
+++ b/bench/sched_load.c
@@ -272,7 +272,7 @@
   s.id = kq_str (id);
   kq_spec_pack (&s, &stored);
   g_hash_table_insert (l->kinds, strdup (id), GINT_TO_POINTER (kind + 1));
-  kq_sched_job (l->sched, kq_buf_str (&stored), 1000 + (uint64_t)l->n_jobs, l->now);
+  kq_sched_add_job (l->sched, kq_buf_str (&stored), 1000 + (uint64_t)l->n_jobs, l->now);
   kq_buf_free (&stored);
   if (kind != LASTING)
     {
--- a/bench/sched_rig.c
+++ b/bench/sched_rig.c
@@ -233,15 +233,16 @@
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       KqSchedRigJob *j = value;
-      kq_sched_job (r->sched, kq_str_n ((const char *)j->stored->data, j->stored->len),
-                    j->revision, r->now);
+      kq_sched_add_job (r->sched,
+                        kq_str_n ((const char *)j->stored->data, j->stored->len),
+                        j->revision, r->now);
     }
   g_hash_table_iter_init (&it, r->progress);
   while (g_hash_table_iter_next (&it, &id, &value))
     {
       GByteArray *v = value;
-      kq_sched_progress (r->sched, kq_str (id), kq_str_n ((const char *)v->data, v->len),
-                         r->now);
+      kq_sched_apply_progress (r->sched, kq_str (id),
+                               kq_str_n ((const char *)v->data, v->len), r->now);
     }
 }
 
@@ -398,8 +399,8 @@
   j->length = length;
   j->fails_index = fails_index;
   g_hash_table_insert (r->jobs, strdup (id), j);
-  kq_sched_job (r->sched, kq_str_n ((const char *)j->stored->data, j->stored->len),
-                j->revision, r->now);
+  kq_sched_add_job (r->sched, kq_str_n ((const char *)j->stored->data, j->stored->len),
+                    j->revision, r->now);
 }
 
 void
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -163,7 +163,7 @@
                      .port = s->mesh_port,
                      .silence = MESH_SILENCE_HEARTBEATS * s->heartbeat_ms * KQ_MS,
                      .counters = d->counters,
-                     .receiver = kq_node_task_task (d->node) };
+                     .receiver = kq_node_task_get_task (d->node) };
   d->mesh = kq_mesh_new (d->loop, &c);
   return d->mesh != NULL;
 }
@@ -174,9 +174,9 @@
   KqStoreHttpConfig store = { .url = kq_str (d->settings.store_url),
                               .calls_per_second = (int)d->settings.store_calls_per_s,
                               .counters = d->counters,
-                              .receiver = kq_node_task_task (d->node) };
+                              .receiver = kq_node_task_get_task (d->node) };
   KqWorkerHttpConfig workers
-      = { .counters = d->counters, .receiver = kq_node_task_task (d->node) };
+      = { .counters = d->counters, .receiver = kq_node_task_get_task (d->node) };
   d->store = kq_store_http_new (d->loop, &store);
   d->workers = kq_worker_http_new (d->loop, &workers);
 }
@@ -190,12 +190,12 @@
                         .incarnation = incarnation,
                         .counters = d->counters,
                         .mesh = kq_mesh_task (d->mesh),
-                        .node = kq_node_task_task (d->node) };
+                        .node = kq_node_task_get_task (d->node) };
   KqRunnerTaskConfig r = { .self = self,
                            .incarnation = incarnation,
                            .counters = d->counters,
                            .mesh = kq_mesh_task (d->mesh),
-                           .node = kq_node_task_task (d->node) };
+                           .node = kq_node_task_get_task (d->node) };
   KqOperatorConfig o = { .settings = &d->settings,
                          .self = self,
                          .counters = d->counters,
@@ -220,7 +220,7 @@
                             .store = kq_store_http_task (d->store),
                             .workers = kq_worker_http_task (d->workers),
                             .gateway = kq_gateway_task (d->gateway),
-                            .runners = kq_runner_task_task (d->runners),
+                            .runners = kq_runner_task_get_task (d->runners),
                             .operators = kq_operator_task (d->operators) };
   KqCoreConfig core = { .settings = s,
                         .self = node_info (s, incarnation, mesh, operators),
--- a/src/fleet/leader.c
+++ b/src/fleet/leader.c
@@ -328,8 +328,8 @@
   else
     {
       for (size_t i = 0; i < r->n_items; i++)
-        kq_sched_progress (l->sched, kq_key_id (r->items[i].key, KQ_KEY_PROGRESS),
-                           r->items[i].value, now);
+        kq_sched_apply_progress (l->sched, kq_key_id (r->items[i].key, KQ_KEY_PROGRESS),
+                                 r->items[i].value, now);
       if (r->more && r->n_items > 0)
         {
           free (l->page_after);
@@ -505,7 +505,7 @@
 {
   KqSpec spec;
   char *id;
-  if (!kq_sched_job (l->sched, i->u.job.stored, i->u.job.revision, now)
+  if (!kq_sched_add_job (l->sched, i->u.job.stored, i->u.job.revision, now)
       || l->phase != LOAD_DONE || g_hash_table_size (l->early_cancels) == 0)
     return;
   if (!kq_spec_unpack (i->u.job.stored, &spec))
--- a/src/node/node_task.c
+++ b/src/node/node_task.c
@@ -508,7 +508,7 @@
 }
 
 KqTask *
-kq_node_task_task (KqNodeTask *n)
+kq_node_task_get_task (KqNodeTask *n)
 {
   return &n->task;
 }
--- a/src/node/node_task.h
+++ b/src/node/node_task.h
@@ -37,7 +37,7 @@
  * need this one, and the core needs the ports that they have bound, for its heartbeats.
  */
 void kq_node_task_start (KqNodeTask *n, const KqNodeTaskPeers *p, const KqCoreConfig *c);
-KqTask *kq_node_task_task (KqNodeTask *n);
+KqTask *kq_node_task_get_task (KqNodeTask *n);
 /* Starts a planned stop: no new work is accepted, shards are released. */
 void kq_node_task_drain (KqNodeTask *n, KqTime now);
 bool kq_node_task_ready (KqNodeTask *n, KqTime now, const char **why);
--- a/src/request/entry.h
+++ b/src/request/entry.h
@@ -6,11 +6,11 @@
 
 #include "api/calls.h"
 #include "port/mail.h"
-#include "request/account.h"
 #include "request/claim_ends.h"
 #include "request/flight.h"
 #include "request/gateway.h"
 #include "request/recent.h"
+#include "request/request_counts.h"
 #include "request/retry.h"
 #include "request/route.h"
 
--- a/src/request/account.c
+++ b/src/request/request_counts.c
@@ -1,4 +1,4 @@
-#include "request/account.h"
+#include "request/request_counts.h"
 
 #include <assert.h>
 #include <stdlib.h>
--- a/src/request/account.h
+++ b/src/request/request_counts.h
@@ -1,5 +1,5 @@
-#ifndef KQ_REQUEST_ACCOUNT_H
-#define KQ_REQUEST_ACCOUNT_H
+#ifndef KQ_REQUEST_REQUEST_COUNTS_H
+#define KQ_REQUEST_REQUEST_COUNTS_H
 
 /* request counts: the requests of each service by how they ended: answered, refused,
  * unknown or abandoned, or still in flight.
--- a/src/request/runner_task.c
+++ b/src/request/runner_task.c
@@ -400,7 +400,7 @@
 }
 
 KqTask *
-kq_runner_task_task (KqRunnerTask *t)
+kq_runner_task_get_task (KqRunnerTask *t)
 {
   return &t->task;
 }
--- a/src/sched/sched.c
+++ b/src/sched/sched.c
@@ -174,7 +174,7 @@
 }
 
 bool
-kq_sched_job (KqSched *s, KqStr stored, uint64_t revision, KqTime now)
+kq_sched_add_job (KqSched *s, KqStr stored, uint64_t revision, KqTime now)
 {
   KqJob *j = kq_alloc (sizeof *j);
   int64_t wall = s->wall_minus_now_ms + now / KQ_MS;
@@ -229,7 +229,7 @@
 }
 
 bool
-kq_sched_progress (KqSched *s, KqStr id, KqStr stored, KqTime now)
+kq_sched_apply_progress (KqSched *s, KqStr id, KqStr stored, KqTime now)
 {
   KqJob *j = kq_book_find (s, id);
   if (j == NULL)
--- a/src/sched/sched.h
+++ b/src/sched/sched.h
@@ -154,10 +154,10 @@
 
 /* Adds a job in its stored form (kq_spec_pack); one that is known is left alone. False:
  * it can't be read. */
-bool kq_sched_job (KqSched *s, KqStr stored, uint64_t revision, KqTime now);
+bool kq_sched_add_job (KqSched *s, KqStr stored, uint64_t revision, KqTime now);
 void kq_sched_cancel (KqSched *s, KqStr id, KqTime now);
 /* Restores a job's progress that an earlier leader stored. False: it can't be read. */
-bool kq_sched_progress (KqSched *s, KqStr id, KqStr stored, KqTime now);
+bool kq_sched_apply_progress (KqSched *s, KqStr id, KqStr stored, KqTime now);
 /* Restores the list of runners that earlier leaders used (kq_sched_used_runners_pack).
  * False: it can't be read. */
 bool kq_sched_used_runners (KqSched *s, KqStr stored, KqTime now);
