--- a/src/request/admission.h
+++ b/src/request/admission.h
@@ -38,21 +38,22 @@
   int64_t queue_max;
   int64_t work;   /* expected work queued ahead of the request, microseconds */
   double slots;   /* available for this work */
-  bool slot_free; /* a slot is free now and nothing is queued */
+  bool slot_free; /* a slot is free now and nothing is queued: no wait */
   bool fair;      /* fair queueing is on; the fields below apply */
   size_t caller_queued;
   int64_t caller_percent; /* most of the queue that one caller may fill */
   int64_t caller_work;    /* expected work that the caller has queued, microseconds */
   size_t key_queued;      /* of the caller, with the same key; 0 if the key isn't known */
-  int64_t key_work;
-  int64_t active_keys; /* keys of the caller with a queue, this one included */
-  int64_t caller_weight;
-  int64_t active_weight; /* of all callers with a queue, this one included */
+  int64_t key_work;       /* expected work of these requests, microseconds */
+  int64_t active_keys;    /* keys of the caller with a queue, this one included */
+  int64_t caller_weight;  /* the caller's share of the slots is proportional to it */
+  int64_t active_weight;  /* sum for all callers with a queue, this one included */
 } KqAdmissionInput;
 
 /* Expected time that the request waits in the queue. */
 KqTime kq_admission_wait (const KqAdmissionInput *in, const KqRunForecast *run);
-/* Returns KQ_OK, KQ_ERR_QUEUE_FULL, KQ_ERR_CALLER_SHARE or (only if check_forecast)
+/* Returns KQ_OK if the request may be queued, otherwise why it is refused:
+ * KQ_ERR_QUEUE_FULL, KQ_ERR_CALLER_SHARE or (only if check_forecast)
  * KQ_ERR_DEADLINE_FORECAST. time_left: until the deadline. */
 KqResult kq_admission_decide (const KqAdmissionInput *in, const KqRunForecast *run,
                               KqTime time_left, bool check_forecast);
@@ -62,8 +63,9 @@
   KqTime next; /* the last time that was advised */
 } KqRetryAfter;
 
-/* Returns how long a refused caller should wait before it retries. wait: until the queue
- * is expected to have room; interval: mean time between two starts at full capacity. */
+/* Returns how long a refused caller should wait before it retries, and advances r->next,
+ * so that each caller gets another time. wait: until the queue is expected to be empty;
+ * interval: mean time between the starts of two requests at full capacity. */
 KqTime kq_retry_after_next (KqRetryAfter *r, KqTime wait, KqTime interval, KqTime now,
                             KqRand *rand);
 
--- a/src/request/claim_ends.c
+++ b/src/request/claim_ends.c
@@ -2,10 +2,11 @@
 
 #include <stdlib.h>
 
-/* An end is kept while its claim's owner may have died unnoticed: twice the sum of a node
- * lease and the wait for its expiry. */
+/* An end is kept for as long as the death of its claim's owner may go unnoticed: twice
+ * the sum of a node lease and the wait for its expiry. */
 #define KEEP_TIME (30 * KQ_SEC)
-/* Covers a lost node's lease, the recovery at the successors and their grace time. */
+/* How long ends are resent after a node was lost: covers that node's lease, the recovery
+ * at the successors and their grace time. */
 #define RESEND_TIME (40 * KQ_SEC)
 #define RESEND_INTERVAL (2 * KQ_SEC)
 /* Bounds the sum of the answers, each of which has at most 64 KB. The oldest are dropped
--- a/src/request/claim_records.h
+++ b/src/request/claim_records.h
@@ -18,17 +18,17 @@
   KQ_CLAIM_RECORD_ANSWERED = 101,
   KQ_CLAIM_RECORD_FREED = 102,   /* provably not run: the key may be used again */
   KQ_CLAIM_RECORD_UNKNOWN = 103, /* may have run; its answer is lost */
-  KQ_CLAIM_RECORD_NUMBER = 104   /* in snapshots: the last number assigned */
+  KQ_CLAIM_RECORD_NUMBER = 104   /* in snapshots: the last claim number assigned */
 } KqClaimRecordType;
 
 typedef struct
 {
-  uint64_t number;
-  KqTime ttl;
-  KqFlightId flight;     /* OPENED */
+  uint64_t number;       /* of the claim, unique in its shard */
+  KqTime ttl;            /* time until the claim expires */
+  KqFlightId flight;     /* OPENED: the flight to which the claim was granted */
   KqStr service;         /* OPENED */
   KqStr caller;          /* OPENED */
-  KqStr key;             /* OPENED */
+  KqStr key;             /* OPENED: the Idempotency-Key */
   uint64_t request_hash; /* OPENED; of method, path and body */
   bool kept;             /* ANSWERED: status, headers and body are stored */
   int32_t status;        /* ANSWERED */
@@ -39,10 +39,12 @@
 
 /* Appends the record's body to `out`. */
 void kq_claim_record_pack (KqClaimRecordType t, const KqClaimFields *f, KqBuf *out);
-/* Unpacks a record's body. If true, the strings of f point into u, and both must be freed
- * by kq_claim_record_clear. False: the body is damaged; nothing to free. */
+/* Unpacks a record's body. Returns true on success: the strings of f then point into u,
+ * and kq_claim_record_clear must free both. Returns false if the body is damaged; there
+ * is nothing to free then. */
 bool kq_claim_record_unpack (KqClaimRecordType t, KqStr body, KqUnpacked *u,
                              KqClaimFields *f);
+/* Frees what kq_claim_record_unpack allocated for u and f. */
 void kq_claim_record_clear (KqUnpacked *u, KqClaimFields *f);
 
 #endif
--- a/src/request/claim_set.c
+++ b/src/request/claim_set.c
@@ -80,7 +80,7 @@
   c->last = claim;
   c->last_number = f->number;
   c->bytes += claim_size (claim);
-  /* For the case that its entry node never reports the end. */
+  /* It expires even if its entry node never reports the end. */
   kq_claim_set_expire_at (c, claim, now + claim->ttl);
   return claim;
 }
--- a/src/request/claim_set.h
+++ b/src/request/claim_set.h
@@ -32,19 +32,19 @@
   KqMapNode by_key;
   KqMapNode by_flight;
   KqMapNode by_number;
-  KqHeapNode by_expiry; /* when it becomes unknown (open) or is removed (ended) */
-  KqClaim *prev;        /* in order of numbers */
+  KqHeapNode by_expiry; /* when an open claim becomes unknown, an ended one is removed */
+  KqClaim *prev;        /* the list is in order of claim numbers */
   KqClaim *next;
   uint64_t number;
-  KqFlightId flight; /* the one to which the claim was granted */
+  KqFlightId flight; /* the flight to which the claim was granted */
   KqName service;
   KqName caller;
   KqStr key; /* owned */
   uint64_t request_hash;
-  KqTime ttl;
+  KqTime ttl; /* how long it is kept after it was opened, and again after its end */
   KqClaimState state;
-  KqSeq seq;    /* record of the state; to be committed before a reply tells the state */
-  KqBuf answer; /* the body of the ANSWERED record; empty: not stored */
+  KqSeq seq;    /* record of the state; must be committed before a reply is sent */
+  KqBuf answer; /* the body of the ANSWERED record; empty: the answer isn't stored */
   KqClaimWaiter *waiters;
   size_t n_waiters;
 };
@@ -56,11 +56,11 @@
   KqMap by_number;
   KqHeap by_expiry;
   KqHeap waiters_by_timeout; /* of all claims */
-  uint64_t next_order;       /* for the heaps */
+  uint64_t next_order;       /* of the next heap node; breaks ties */
   KqClaim *first;
   KqClaim *last;
   uint64_t last_number;
-  size_t bytes;        /* of all claims with keys and stored answers */
+  size_t bytes;        /* used by all claims, with their keys and stored answers */
   size_t answer_bytes; /* of the stored answers */
 } KqClaimSet;
 
@@ -74,12 +74,14 @@
 void kq_claim_set_remove (KqClaimSet *c, KqClaim *claim);
 /* Sets when the claim expires. */
 void kq_claim_set_expire_at (KqClaimSet *c, KqClaim *claim, KqTime at);
-/* Sets the end of an open claim, or corrects an unknown one; it expires after ttl. */
+/* Sets the final state of an open claim, or corrects that of an unknown one. The claim
+ * then expires after ttl. */
 void kq_claim_set_end (KqClaimSet *c, KqClaim *claim, KqClaimState state, KqTime ttl,
                        KqTime now);
 /* Stores a copy of the body of the ANSWERED record. */
 void kq_claim_set_store_answer (KqClaimSet *c, KqClaim *claim, KqStr record);
-/* Removes a waiter, which the caller must free; NULL: there is none. */
+/* Removes one waiter of the claim and returns it, for the caller to free; NULL: the claim
+ * has none. */
 KqClaimWaiter *kq_claim_set_take_waiter (KqClaimSet *c, KqClaim *claim);
 
 #endif
--- a/src/request/claims.c
+++ b/src/request/claims.c
@@ -7,8 +7,8 @@
 #include <stdlib.h>
 
 /* Limits per shard. A node owns several shards and has 128 MB for the whole control
- * plane; a snapshot of 8 MB takes eight store values. Beyond them new keys are refused as
- * not run, since dropping an old claim could let its request run twice. */
+ * plane; a snapshot of 8 MB takes eight store values. Beyond these limits new keys are
+ * refused as not run, since dropping an old claim could let its request run twice. */
 #define CLAIMS_MAX 20000
 #define CLAIMS_MAX_BYTES (8 << 20)
 /* Larger answers aren't stored: one store value holds the records of many claims. */
@@ -22,8 +22,8 @@
 /* After a takeover an entry node must learn of the new owner (by a heartbeat every 0.5 s,
  * or the store's watch) and resend the ends of its claims. 10 s leave room for delays. */
 #define TAKEOVER_GRACE (10 * KQ_SEC)
-/* If a record has waited longer for its commit, the store is unreachable or slow: the
- * caller of a new claim would only wait until its deadline. */
+/* If a journal record has waited longer for its commit, the store is unreachable or slow.
+ * New claims are refused then: their callers would only wait until their deadlines. */
 #define JOURNAL_LAG_MAX (2 * KQ_SEC)
 
 struct KqClaims
@@ -52,8 +52,8 @@
   free (c);
 }
 
-/* Numbers of claims increase; an OPENED record with a number that was already seen is
- * ignored, so that applying records twice changes nothing. */
+/* Applies one unpacked record. Numbers of claims increase; an OPENED record with a number
+ * that was already seen is ignored, so that applying records twice changes nothing. */
 static void
 apply_fields (KqClaims *c, KqClaimRecordType t, const KqClaimFields *f, KqStr body,
               KqTime now)
@@ -166,7 +166,7 @@
 }
 
 static KqSeq
-append (KqClaims *c, KqClaimRecordType t, const KqClaimFields *f, KqTime now)
+append_record (KqClaims *c, KqClaimRecordType t, const KqClaimFields *f, KqTime now)
 {
   KqRecord r = { .type = (uint16_t)t, .version = KQ_CLAIM_RECORD_VERSION };
   KqBuf buf;
@@ -250,7 +250,7 @@
   KqClaim *claim;
   f->number = c->set.last_number + 1;
   claim = kq_claim_set_add (&c->set, f, now);
-  claim->seq = append (c, KQ_CLAIM_RECORD_OPENED, f, now);
+  claim->seq = append_record (c, KQ_CLAIM_RECORD_OPENED, f, now);
   reply (out, f->flight, KQ_CLAIM_GRANTED, KQ_OK, claim->number);
   return claim->seq;
 }
@@ -268,7 +268,7 @@
                       .request_hash = m->request_hash };
   if (claim == NULL)
     {
-      /* Refused while recovering, without room or with lagging commits. */
+      /* A new key is refused during recovery, without room, or if commits lag. */
       if (c->recovered && c->set.by_key.n < CLAIMS_MAX && c->set.bytes < CLAIMS_MAX_BYTES
           && kq_log_port_lag (c->log, now) <= JOURNAL_LAG_MAX)
         return open_claim (c, &f, now, out);
@@ -289,8 +289,8 @@
   return claim->seq;
 }
 
-/* The request didn't run: removes the claim. If repeats wait, one is granted a new claim
- * and the others wait for that. */
+/* Removes the claim of a request that didn't run. If repeats wait for it, one of them is
+ * granted a new claim and the others wait for the end of that one. */
 static KqSeq
 release_key (KqClaims *c, KqClaim *claim, KqTime now, KqOutbox *out)
 {
@@ -301,7 +301,7 @@
   char *key = kq_str_dup (claim->key);
   KqName service = claim->service;
   KqName caller = claim->caller;
-  KqSeq seq = append (c, KQ_CLAIM_RECORD_FREED, &f, now);
+  KqSeq seq = append_record (c, KQ_CLAIM_RECORD_FREED, &f, now);
   claim->waiters = NULL;
   claim->n_waiters = 0;
   f.key = kq_str_n (key, claim->key.len);
@@ -327,7 +327,7 @@
 {
   KqClaimFields f = fields_of (claim, claim->ttl);
   KqClaimWaiter *w;
-  claim->seq = append (c, KQ_CLAIM_RECORD_UNKNOWN, &f, now);
+  claim->seq = append_record (c, KQ_CLAIM_RECORD_UNKNOWN, &f, now);
   kq_claim_set_end (&c->set, claim, KQ_CLAIM_STATE_UNKNOWN, claim->ttl, now);
   while ((w = kq_claim_set_take_waiter (&c->set, claim)) != NULL)
     {
@@ -337,7 +337,8 @@
   return claim->seq;
 }
 
-/* Waiters get the answer even if there is no room to store it. */
+/* Ends the claim with an answer. The waiters get it even if there is no room to store
+ * it. */
 static KqSeq
 answer_claim (KqClaims *c, KqClaim *claim, const KqMsgClaimDone *m, KqTime now,
               KqOutbox *out)
@@ -361,7 +362,7 @@
     kq_claim_set_store_answer (&c->set, claim, kq_buf_str (&record));
   else
     f = (KqClaimFields){ .number = claim->number, .ttl = claim->ttl };
-  claim->seq = append (c, KQ_CLAIM_RECORD_ANSWERED, &f, now);
+  claim->seq = append_record (c, KQ_CLAIM_RECORD_ANSWERED, &f, now);
   kq_claim_set_end (&c->set, claim, KQ_CLAIM_STATE_ANSWERED, claim->ttl, now);
   while ((w = kq_claim_set_take_waiter (&c->set, claim)) != NULL)
     {
--- a/src/request/dispatch_class.h
+++ b/src/request/dispatch_class.h
@@ -3,14 +3,16 @@
 
 /* dispatch_class: the class and the key of a request, from its method and path.
  *
- * Run times are learned by class; a caller's slots are shared evenly among its keys. */
+ * Run times are learned by class; the slots that a caller gets are shared evenly
+ * among its keys. */
 
 #include "base/str.h"
 
-/* The class: a hash of the method and of the first two segments of the path, without
- * segments that contain a digit (ids). The requests of a class take about as long. */
+/* Returns the class: a hash of the method and of the first two segments of the path,
+ * without segments that contain a digit (ids). The requests of a class take about as
+ * long. */
 uint64_t kq_dispatch_class (KqStr method, KqStr path);
-/* The key: a hash of the path without the query; never 0. */
+/* Returns the key: a hash of the path without the query; never 0. */
 uint64_t kq_dispatch_key (KqStr path);
 
 #endif
--- a/src/request/fair.c
+++ b/src/request/fair.c
@@ -5,8 +5,8 @@
 #include <assert.h>
 #include <stdlib.h>
 
-/* The unit of a tag: 1/TAG_SCALE microseconds of work / weight. It leaves whole units per
- * microsecond for weights up to 1000. */
+/* The unit of a tag: 1/TAG_SCALE microseconds of work / weight. With weights up
+ * to 1000, a microsecond of work is at least one whole unit. */
 #define TAG_SCALE 1000
 
 struct KqFlow
@@ -18,10 +18,10 @@
   int64_t tag;          /* finish tag */
   int64_t virtual_time; /* start tag of the child served last */
   int64_t weight;
-  size_t queued;
-  int64_t work;
+  size_t queued; /* items of the flow and its children */
+  int64_t work;  /* expected work of these items, microseconds */
   KqHeap active; /* children that have something queued */
-  KqHeap items;  /* of a leaf, by deadline */
+  KqHeap items;  /* of a leaf: its items by deadline */
 };
 
 void
@@ -79,7 +79,7 @@
 /* Frees idle callers whose tag the virtual time has reached; all of them if nothing is
  * queued. */
 static void
-free_caught_up (KqFairQueue *f)
+free_caught_up_callers (KqFairQueue *f)
 {
   KqHeapNode *top;
   while ((top = kq_heap_top (&f->idle_callers)) != NULL
@@ -94,7 +94,7 @@
 kq_fair_free (KqFairQueue *f)
 {
   assert (f->queued == 0);
-  free_caught_up (f);
+  free_caught_up_callers (f);
   assert (f->flows.n == 0);
   kq_map_free (&f->flows);
   kq_heap_free (&f->idle_callers);
@@ -140,8 +140,9 @@
   return arrived > ahead ? arrived : ahead;
 }
 
-/* Among equal tags, the request that arrived first is served first. Equal tags are
- * common, because the virtual time doesn't advance between two requests served. */
+/* Updates the flow's place in its parent's heap. Among equal tags, the request that
+ * arrived first is served first. Equal tags are common, because the virtual time doesn't
+ * advance between two requests served. */
 static void
 update_tag (KqFairQueue *f, KqFlow *flow)
 {
@@ -159,7 +160,8 @@
     f->active_weight += flow->weight;
 }
 
-/* Keys are freed at once: it is the caller's tag that protects other callers. */
+/* Called when the flow has nothing queued any more. A key's flow is freed at once: the
+ * tag of its caller, which is kept, protects other callers. */
 static void
 deactivate (KqFairQueue *f, KqFlow *flow)
 {
@@ -246,7 +248,7 @@
     deactivate (f, caller);
   else
     update_tag (f, caller);
-  free_caught_up (f);
+  free_caught_up_callers (f);
 }
 
 /* Charges at most one burst, so that one stuck request doesn't lock out its caller. */
--- a/src/request/fair.h
+++ b/src/request/fair.h
@@ -41,10 +41,10 @@
 typedef struct
 {
   KqHeapNode by_deadline;
-  KqFlow *leaf;           /* the flow of its key; NULL: not queued */
+  KqFlow *leaf;           /* the flow of the item's key; NULL: not queued */
   int64_t cost;           /* expected run time, microseconds; at least 1 */
-  int64_t caller_arrival; /* virtual time among callers when it arrived */
-  int64_t key_arrival;    /* virtual time among the caller's keys when it arrived */
+  int64_t caller_arrival; /* virtual time among callers when the item arrived */
+  int64_t key_arrival;    /* virtual time among the caller's keys, likewise */
   void *user_data;        /* for the user of the queue; not read here */
 } KqFairItem;
 
@@ -72,20 +72,20 @@
 
 void kq_fair_init (KqFairQueue *f);
 void kq_fair_free (KqFairQueue *f); /* must hold no items */
-/* All zero if the caller has nothing queued. */
+/* Returns what the caller and the key have queued; all zero: nothing. */
 KqFairShare kq_fair_share (const KqFairQueue *f, uint64_t caller, uint64_t key);
-/* Queues an item whose cost is set. weight: of the caller; applies from when it next has
- * an empty queue. deadline: orders the items of a key. */
+/* Queues an item whose cost is set. weight: of the caller; a changed weight applies once
+ * the caller's queue has been empty. deadline: orders the items of a key. */
 void kq_fair_push (KqFairQueue *f, KqFairItem *item, uint64_t caller, int64_t weight,
                    uint64_t key, KqTime deadline);
 /* Returns the next item without removing it; NULL: none. */
 KqFairItem *kq_fair_first (const KqFairQueue *f);
-/* Removes the next item and charges its cost to its flows. */
+/* Removes `item`, which must be kq_fair_first, and charges its cost to its flows. */
 void kq_fair_take (KqFairQueue *f, KqFairItem *item);
 /* Removes any item without charging its flows. */
 void kq_fair_remove (KqFairQueue *f, KqFairItem *item);
-/* A served item took `extra` microseconds more (or fewer, if negative) than its cost:
- * charges the caller for the difference. */
+/* Charges the caller for `extra` microseconds, by which an item served took longer than
+ * its cost (shorter, if negative). At most one burst is charged. */
 void kq_fair_correct (KqFairQueue *f, uint64_t caller, int64_t extra);
 
 #endif
--- a/src/request/flight.h
+++ b/src/request/flight.h
@@ -4,8 +4,9 @@
 /* flight: the state of one request in flight at its entry node.
  *
  * The entry node holds the caller's connection and sends the request to an owner, which
- * runs it; each time that it does so is a try. A small body is kept whole, so that it can
- * be sent again. Of a larger one only the bytes that were not yet sent are kept. */
+ * runs it. Each time that the request is sent is a try. A small body is kept whole, so
+ * that it can be sent again. Of a larger one only the bytes that were not yet sent are
+ * kept. */
 
 #include "base/time.h"
 #include "http/server.h"
@@ -53,8 +54,8 @@
   KqName caller;
   KqName method;
   bool idempotent;
-  bool counted; /* its end was counted in the gateway's request counts */
-  KqServiceRow row;
+  bool counted;     /* the flight's end was added to the gateway's request counts */
+  KqServiceRow row; /* of the service, when the flight was accepted */
   /* `text` holds the strings of path, key and headers. */
   KqBuf text;
   KqStr path;
@@ -66,9 +67,9 @@
   uint64_t body_base;
   uint64_t body_sent;
   uint64_t body_credit; /* offset up to which the owner has granted credit */
-  int64_t body_length;  /* announced; -1: unknown */
+  int64_t body_length;  /* announced by the caller; -1: unknown */
   bool body_kept;       /* `body` keeps bytes that were sent, for another try */
-  bool body_end;        /* received completely */
+  bool body_end;        /* the body was received completely */
   bool body_end_sent;
   /* The owner of the current or last try. */
   KqNodeId owner;
@@ -77,18 +78,18 @@
   bool may_have_run; /* in an earlier try: later refusals must not report "not run" */
   /* The claim of its idempotency key. */
   uint32_t claim_shard;
-  bool claimed;          /* granted */
+  bool claimed;          /* the claim was granted */
   KqTime claim_deadline; /* 0: no reply from the claim's owner is expected */
   /* The answer. */
   int status;
   uint64_t answer_offset;
   uint64_t answer_consumed; /* bytes that the caller has read */
   uint64_t answer_credit;   /* offset up to which the owner may send */
-  KqBuf answer;             /* body, stored for the claim */
-  bool answer_kept;         /* false: too long, dropped */
+  KqBuf answer;             /* the body, stored for the claim */
+  bool answer_kept;         /* false: the body was too long to store, and was dropped */
   KqHeader *answer_headers;
   size_t n_answer_headers;
-  KqBuf answer_text;
+  KqBuf answer_text; /* holds the strings of answer_headers */
 } KqFlight;
 
 KqFlight *kq_flight_new (KqNodeId node, uint64_t incarnation, uint64_t number,
@@ -101,11 +102,12 @@
                             size_t n);
 /* Whether the whole body is still there for another try. */
 bool kq_flight_can_resend (const KqFlight *f);
-/* Resets the send state for another try. */
+/* Resets what was sent and received, so that the body is sent again from its start. */
 void kq_flight_rewind (KqFlight *f);
-/* The next chunk within the owner's credit, pointing into f; false: none now. */
+/* Sets *out to the next chunk that the owner's credit allows; its bytes point into f.
+ * Returns false if nothing can be sent now. */
 bool kq_flight_next_chunk (const KqFlight *f, KqMsgBody *out);
-/* The chunk was sent: drops its bytes unless the body is kept. */
+/* Notes that the chunk was sent, and drops its bytes unless the body is kept. */
 void kq_flight_chunk_sent (KqFlight *f, const KqMsgBody *chunk);
 /* Hash of method, path and body, to refuse another request with the same key. */
 uint64_t kq_flight_request_hash (const KqFlight *f);
--- a/src/request/limit.c
+++ b/src/request/limit.c
@@ -2,11 +2,12 @@
 
 #define WINDOW_ANSWERS 32
 #define OVERLOAD_FACTOR 2.0
-/* An answer counts at most as this ratio: one that hung says nothing about the others. */
+/* Larger ratios count as this one: an answer that hung says nothing about the others. */
 #define RATIO_MAX 8
 #define DECREASE_FACTOR 0.75
-/* A machine that is slow for another reason than load keeps this many. */
+/* Lower bound of the limit, since a machine may be slow for another reason than load. */
 #define LIMIT_MIN 2
+/* Fraction of the difference to a window's mean by which the baseline falls or rises. */
 #define BASELINE_DOWN 0.25
 #define BASELINE_UP 0.01
 
--- a/src/request/limit.h
+++ b/src/request/limit.h
@@ -25,15 +25,16 @@
   int slots;       /* of the runner */
   int limit;       /* 2 to slots (1 with a single slot) */
   double baseline; /* latency of a window without overload; 0: none yet */
-  double sum;      /* of the latencies in the window */
+  double sum;      /* of the latencies (ratios) in the window */
   int n_answers;
   bool limit_reached; /* as many requests as the limit ran at once during the window */
 } KqLimit;
 
 void kq_limit_init (KqLimit *l, int slots);
 void kq_limit_set_slots (KqLimit *l, int slots);
-/* Adds an answer. ratio: its run time over its class's mean of the last five minutes;
- * busy: the runner's requests when it was sent, this one included. */
+/* Adds an answer, and adapts the limit at the end of each window. ratio: its run time
+ * over its class's mean of the last five minutes; busy: requests at the runner when this
+ * one was sent, itself included. */
 void kq_limit_add_answer (KqLimit *l, double ratio, int busy);
 
 #endif
--- a/src/request/link.h
+++ b/src/request/link.h
@@ -18,18 +18,18 @@
 
 typedef struct
 {
-  int64_t rate;      /* bytes per second */
-  int64_t available; /* bytes in the bucket; may be negative */
-  int64_t spent;     /* total bytes since the start */
+  int64_t bytes_per_s; /* refill rate; also the size of the bucket */
+  int64_t available;   /* bytes in the bucket; may be negative */
+  int64_t spent;       /* total bytes since the start */
   KqTime refilled_at;
 } KqLinkBudget;
 
-void kq_link_init (KqLinkBudget *b, int64_t rate);
-/* Whether so many bytes may be sent now. */
+void kq_link_init (KqLinkBudget *b, int64_t bytes_per_s);
+/* Refills the bucket; returns whether so many bytes may be sent now. */
 bool kq_link_allows (KqLinkBudget *b, int64_t bytes, KqTime now);
 /* Takes bytes that were sent or received from the bucket. */
 void kq_link_spend (KqLinkBudget *b, int64_t bytes, KqTime now);
-/* Time until so many bytes may be sent; KQ_TIME_NEVER with a rate of 0. */
+/* Time until so many bytes may be sent; KQ_TIME_NEVER if bytes_per_s is 0. */
 KqTime kq_link_wait (KqLinkBudget *b, int64_t bytes, KqTime now);
 
 #endif
--- a/src/request/map.h
+++ b/src/request/map.h
@@ -22,14 +22,16 @@
   KqMapNode **buckets;
   size_t n_buckets; /* a power of two; 0: nothing allocated yet */
   size_t n;
-  size_t first; /* buckets below it are empty, so that removing all nodes is O(n) */
+  size_t
+      first; /* buckets below this index are empty, so that removing all nodes is O(n) */
 } KqMap;
 
 /* Frees the table; nodes still in it are not freed. */
 void kq_map_free (KqMap *m);
 void kq_map_add (KqMap *m, KqMapNode *node, uint64_t hash, void *container);
 void kq_map_remove (KqMap *m, KqMapNode *node);
-/* The first node with the hash, and the next node with the same hash; NULL: none. */
+/* kq_map_find returns the first node with the hash, kq_map_next the next node with the
+ * same hash as `node`; NULL: none. */
 KqMapNode *kq_map_find (const KqMap *m, uint64_t hash);
 KqMapNode *kq_map_next (const KqMapNode *node);
 /* Any node, for removing them all; NULL: the map is empty. */
--- a/src/request/outlier.c
+++ b/src/request/outlier.c
@@ -5,28 +5,31 @@
 #define EJECTED_MAX_PERCENT 10
 #define ERROR_WEIGHT (1.0 / 8)
 #define LOST_WEIGHT (1.0 / 4)
-/* With exponential run times this gives the average a standard deviation of 9%. With 1/16
- * (18%), healthy runners exceeded RATIO_FEWER_SLOTS by chance, and at a load of 0.9 the
- * p99 of short requests was 471 ms instead of 192 ms (bench-load, long among short, seed
- * 1, outliers as the only safeguard). */
+/* Weight of an answer in latency_ratio. With exponential run times it gives the average a
+ * standard deviation of 9%. With 1/16 (18%), healthy runners exceeded RATIO_FEWER_SLOTS
+ * by chance, and at a load of 0.9 the p99 of short requests was 471 ms instead of 192 ms
+ * (bench-load, long among short, seed 1, outliers as the only safeguard). */
 #define RATIO_WEIGHT (1.0 / 64)
-/* A runner is failing if more than this share of its requests fail, and more than this
- * many times the mean share of the others. */
+/* A runner is failing if its failure share exceeds FAILURE_SHARE_EJECT, and also
+ * FAILURE_TIMES_OTHERS times the mean share of the others. */
 #define FAILURE_SHARE_EJECT 0.5
 #define FAILURE_TIMES_OTHERS 2
+/* Above these latency ratios a runner gets fewer slots, and is ejected. */
 #define RATIO_FEWER_SLOTS 1.5
 #define RATIO_EJECT 4.0
-/* Good answers before the latency ratio is used. */
+/* The latency ratio is used once it has averaged this many good answers. */
 #define SAMPLES_MIN 32
 #define PROBE_WAIT_MIN KQ_SEC
 #define PROBE_WAIT_MAX (30 * KQ_SEC)
 /* A refused connection costs a probe almost nothing, and a restarted runner should be
  * used again soon. */
 #define PROBE_WAIT_UNREACHABLE_MAX (4 * KQ_SEC)
-/* Until the next probe, after a good one. */
+/* Time from a good probe to the next one. */
 #define PROBE_INTERVAL (200 * KQ_MS)
 #define PROBES_TO_RETURN 3
+/* A probe that took longer, as a ratio to its class's mean, isn't good. */
 #define PROBE_RATIO_MAX 2.5
+/* Good answers after which a returning runner's slots are doubled. */
 #define ANSWERS_PER_STEP 8
 
 void
--- a/src/request/outlier.h
+++ b/src/request/outlier.h
@@ -2,7 +2,7 @@
 #define KQ_REQUEST_OUTLIER_H
 
 /* outlier: a runner that is much slower or fails more often than the others gets fewer
- * slots, then only probes (it is ejected), and returns in steps.
+ * slots. A still worse one is ejected: it gets only probes, and returns in steps.
  *
  * If one target in fifty takes ten times as long, or has gone silent, the service's p99
  * is that target's latency. If one fails every request immediately, it looks idle,
@@ -47,7 +47,7 @@
   int n_peers;
   int ejected;        /* without the unreachable ones */
   int unreachable;    /* ejected because a connection was refused */
-  double failure_sum; /* of failure_share */
+  double failure_sum; /* sum of the runners' failure_share */
 } KqOutlierPeers;
 
 typedef struct
@@ -55,13 +55,14 @@
   KqOutlierState state;
   double failure_share; /* of its requests, moving average */
   double latency_ratio; /* run time / mean of its class, moving average */
-  int samples;
-  int good_in_row;   /* good samples, while EJECTED or RETURNING */
-  int slots_allowed; /* while RETURNING */
-  bool probing;      /* while EJECTED: the one flight under way is a probe */
-  bool unreachable;  /* while EJECTED: its last connection was refused */
-  KqTime probe_at;   /* time of the next probe, while EJECTED */
-  KqTime probe_wait;
+  int samples;          /* good answers that latency_ratio has averaged */
+  int good_in_row;      /* good samples, while EJECTED or RETURNING */
+  int slots_allowed;    /* while RETURNING */
+  bool probing;         /* while EJECTED: the one flight under way is a probe */
+  bool unreachable;     /* while EJECTED: its last connection was refused */
+  KqTime probe_at;      /* time of the next probe, while EJECTED */
+  KqTime
+      probe_wait; /* from ejection to the first probe; doubles with each failed probe */
 } KqOutlier;
 
 typedef enum
@@ -73,14 +74,15 @@
 } KqOutlierSample;
 
 void kq_outlier_init (KqOutlier *o);
-/* Adds the runner to the group's sums, or removes it. */
+/* kq_outlier_join adds the runner to the group's sums, kq_outlier_leave removes it. */
 void kq_outlier_join (KqOutlierPeers *p, const KqOutlier *o);
 void kq_outlier_leave (KqOutlierPeers *p, const KqOutlier *o);
-/* Adds the outcome of a request, or of a probe if one is under way. ratio: its run time
- * over the mean of its class; used if the sample is good. slots: of the runner. */
+/* Adds the outcome of a request, or of a probe if one is under way. ratio: the
+ * request's run time over the mean of its class; used if the sample is good. slots: of
+ * the runner. */
 void kq_outlier_add_sample (KqOutlier *o, KqOutlierPeers *p, KqOutlierSample s,
                             double ratio, int slots, KqTime now);
-/* The runner's worker has just reported it: an unreachable runner starts to return. */
+/* Lets an unreachable runner start to return, because its worker has just reported it. */
 void kq_outlier_reported (KqOutlier *o, KqOutlierPeers *p);
 /* How many of its `slots` the runner may use. */
 int kq_outlier_allowed (const KqOutlier *o, const KqOutlierPeers *p, int slots);
--- a/src/request/problem.h
+++ b/src/request/problem.h
@@ -6,8 +6,9 @@
 
 #include "http/server.h"
 
-/* retry_after: 0: not told. id: the request's id for `kumquatctl explain`; "": none.
- * detail: "": the general meaning of the result. */
+/* Ends the exchange with an error answer. retry_after: 0: the answer has no retry time.
+ * id: the request's id for `kumquatctl explain`; "": none. detail: text for the caller;
+ * "": the general meaning of the result. */
 void kq_problem_reply (KqHttpExchange *x, KqResult code, KqRan ran, KqTime retry_after,
                        KqStr id, KqStr detail);
 
--- a/src/request/recent.c
+++ b/src/request/recent.c
@@ -5,7 +5,7 @@
 void
 kq_recent_add (KqRecent *r, const KqFlight *f, KqResult code, KqRan ran, KqTime now)
 {
-  KqRecentEntry *e = &r->entries[r->next++ % KQ_RECENT_MAX];
+  KqRecentEntry *e = &r->entries[r->n_added++ % KQ_RECENT_MAX];
   memcpy (e->id_text, f->id_text, sizeof e->id_text);
   e->service = f->service;
   e->caller = f->caller;
--- a/src/request/recent.h
+++ b/src/request/recent.h
@@ -16,17 +16,17 @@
   KqRan ran;
   int status;
   int tries;
-  KqTime duration;
+  KqTime duration; /* from its acceptance to its end */
 } KqRecentEntry;
 
 typedef struct
 {
   KqRecentEntry entries[KQ_RECENT_MAX];
-  size_t next; /* count of all added; modulo KQ_RECENT_MAX the next to overwrite */
+  size_t n_added; /* modulo KQ_RECENT_MAX: index of the next entry to overwrite */
 } KqRecent;
 
 void kq_recent_add (KqRecent *r, const KqFlight *f, KqResult code, KqRan ran, KqTime now);
-/* The entry of the request with that id, or NULL. */
+/* Returns the entry of the request with that id; NULL: none. */
 const KqRecentEntry *kq_recent_find (const KqRecent *r, KqStr id_text);
 
 #endif
--- a/src/request/request_counts.c
+++ b/src/request/request_counts.c
@@ -3,8 +3,8 @@
 #include <assert.h>
 #include <stdlib.h>
 
-/* Kept in a list, because services are few: requests for names that aren't in the table
- * are counted under "-". */
+/* The counts of one service. They form a list, because services are few: requests for
+ * names that aren't in the table are counted under "-". */
 typedef struct ServiceCounts
 {
   struct ServiceCounts *next;
--- a/src/request/request_counts.h
+++ b/src/request/request_counts.h
@@ -4,8 +4,8 @@
 /* request counts: the requests of each service by how they ended: answered, refused,
  * unknown or abandoned, or still in flight.
  *
- * Kept by the entry node. At the end of each request it is asserted that these counts add
- * up to the requests accepted, which finds a request that ends without an outcome. */
+ * The entry node keeps these counts. At the end of each request an assertion checks that
+ * they add up to the requests accepted, so that none ends without an outcome. */
 
 #include "base/result.h"
 #include "base/str.h"
@@ -14,9 +14,9 @@
 
 typedef enum
 {
-  KQ_END_ANSWERED,  /* the caller got the complete answer */
-  KQ_END_REFUSED,   /* the caller was told "not run" */
-  KQ_END_UNKNOWN,   /* told "outcome unknown", or its answer was cut short */
+  KQ_END_ANSWERED, /* the caller got the complete answer */
+  KQ_END_REFUSED,  /* the caller was told "not run" */
+  KQ_END_UNKNOWN, /* the caller was told "outcome unknown", or its answer was cut short */
   KQ_END_ABANDONED, /* the caller left first */
   KQ_END_KINDS
 } KqRequestEnd;
@@ -25,12 +25,13 @@
 
 KqRequestCounts *kq_request_counts_new (void);
 void kq_request_counts_free (KqRequestCounts *a);
-/* A request for the service was accepted. */
+/* Counts an accepted request for the service. */
 void kq_request_counts_accepted (KqRequestCounts *a, KqStr service);
-/* A request that was counted by kq_request_counts_accepted has ended. */
+/* Counts the end of a request that kq_request_counts_accepted has counted. */
 void kq_request_counts_ended (KqRequestCounts *a, KqStr service, KqRequestEnd end);
 /* Returns a new JSON object with the counts of each service, by its name. */
 json_t *kq_request_counts_json (const KqRequestCounts *a);
+/* Number of accepted requests, of all services, that have not ended. */
 uint64_t kq_request_counts_in_flight (const KqRequestCounts *a);
 
 #endif
--- a/src/request/retry.c
+++ b/src/request/retry.c
@@ -12,12 +12,12 @@
 #define BACKOFF_MIN (20 * KQ_MS)
 #define BACKOFF_MAX KQ_SEC
 #define SUCCESSOR_RETRY_INTERVAL (200 * KQ_MS)
-/* The retries that fit into KQ_RETRY_SUCCESSOR_WAIT and the tries before them; must be
- * less than KQ_TRY_IDS. */
+/* The retries that fit into KQ_RETRY_SUCCESSOR_WAIT plus the KQ_TRIES_MAX tries that may
+ * come before them. Must be less than KQ_TRY_IDS. */
 #define SUCCESSOR_TRIES_MAX 13
 
 static void
-update (KqRetryBudget *b, KqTime now)
+update_tokens (KqRetryBudget *b, KqTime now)
 {
   double s = (double)(now - b->updated_at) / KQ_SEC;
   if (b->updated_at == 0)
@@ -34,14 +34,14 @@
 void
 kq_retry_count_first_try (KqRetryBudget *b, int64_t percent, KqTime now)
 {
-  update (b, now);
+  update_tokens (b, now);
   b->tokens += (double)percent / 100;
 }
 
 bool
 kq_retry_take (KqRetryBudget *b, KqTime now)
 {
-  update (b, now);
+  update_tokens (b, now);
   if (b->tokens < 1)
     return false;
   b->tokens -= 1;
