--- a/src/request/dispatch.c
+++ b/src/request/dispatch.c
@@ -10,13 +10,14 @@
 
 /* The unit of a service's tag: 1/TAG_SCALE microseconds of work / weight (see fair.h). */
 #define TAG_SCALE 1000
-/* Advised when the service has no live runner, and so no queue to base a forecast on. */
+/* Retry time advised when the service has no live runner, and so no queue from which the
+ * wait could be forecast. */
 #define NO_TARGET_RETRY_AFTER KQ_SEC
 
 typedef struct
 {
   KqMapNode by_flight;
-  KqHeapNode by_latest_start; /* while queued */
+  KqHeapNode by_latest_start; /* while queued: the last time at which it may be sent */
   KqFairItem item;            /* while queued */
   KqFlightId flight;
   KqServiceQueue *service;
@@ -27,7 +28,7 @@
   int64_t cost;     /* forecast mean run time on arrival, microseconds */
   KqRunner *runner; /* NULL while queued */
   KqTime sent_at;
-  KqHeapNode by_long_at; /* while sent, if its class isn't known well */
+  KqHeapNode by_long_at; /* while sent, if its class isn't known to be short or long */
   int busy_at_send;      /* flights at the runner when it was sent, this one included */
 } Flight;
 
@@ -44,7 +45,7 @@
   int64_t virtual_time;   /* tag of the service served last */
   KqHeap by_latest_start; /* all queued flights */
   KqHeap by_long_at;      /* sent flights, by when they count as long */
-  uint64_t order;
+  uint64_t order;         /* of the next heap node; breaks ties */
 };
 
 static uint64_t
@@ -163,10 +164,10 @@
   kq_map_add (&d->services, &s->by_name, kq_str_hash (kq_name_str (name)), s);
 }
 
-/* A service that was removed from the table keeps its learned run times; its queued
- * requests are refused. */
+/* Copies the services' rows from the new table. A service that was removed from the table
+ * keeps its learned run times; its queued requests are refused. */
 static void
-refresh_rows (KqDispatch *d)
+update_service_rows (KqDispatch *d)
 {
   for (size_t b = 0; b < d->services.n_buckets; b++)
     for (KqMapNode *n = d->services.buckets[b]; n != NULL; n = n->next)
@@ -195,7 +196,7 @@
           && find_service (d, kq_name_str (&row->name)) == NULL)
         add_service (d, &row->name);
     }
-  refresh_rows (d);
+  update_service_rows (d);
 }
 
 void
@@ -276,7 +277,7 @@
   f->cost = run->mean;
   f->item.cost = run->mean;
   f->item.user_data = f;
-  /* Sent any later, it would probably miss its deadline and waste the slot's time. */
+  /* A request sent any later would probably miss its deadline and waste the slot. */
   if (s->row.admission)
     latest_start -= run->high;
   kq_map_add (&d->flights, &f->by_flight, flight_hash (r->flight), f);
@@ -307,6 +308,7 @@
     }
 }
 
+/* Adds a sent flight to by_long_at if its class is new, so not known to be short. */
 static void
 watch_run_time (KqDispatch *d, Flight *f, KqTime now)
 {
@@ -371,7 +373,7 @@
 /* Refuses a queued flight that can't be served any more: its latest start has passed, or
  * its service has no live runner or no row left. */
 static bool
-next_refusal (KqDispatch *d, KqTime now, KqDispatchEvent *event)
+refuse_next (KqDispatch *d, KqTime now, KqDispatchEvent *event)
 {
   KqHeapNode *top = kq_heap_top (&d->by_latest_start);
   if (top != NULL && top->key <= now)
@@ -432,7 +434,7 @@
 /* Sends the next flight of the service with the lowest tag, which is the one furthest
  * behind its weighted share, among those that have a flight and a runner for it. */
 static bool
-next_send (KqDispatch *d, KqTime now, KqDispatchEvent *event)
+send_next (KqDispatch *d, KqTime now, KqDispatchEvent *event)
 {
   Flight *best = NULL;
   KqRunner *runner = NULL;
@@ -461,7 +463,7 @@
 {
   if (d->n_active == 0)
     return false;
-  return next_refusal (d, now, event) || next_send (d, now, event);
+  return refuse_next (d, now, event) || send_next (d, now, event);
 }
 
 KqTime
--- a/src/request/dispatch.h
+++ b/src/request/dispatch.h
@@ -27,9 +27,9 @@
   KqWorkerId worker;
   uint32_t shard;
   KqName depot;
-  int slots;
-  int connections;
-  const KqName *services; /* none: every service */
+  int slots;              /* requests that it may run at a time */
+  int connections;        /* that it accepts; bounds its slots */
+  const KqName *services; /* those that it serves; none: every service */
   size_t n_services;
 } KqRunnerInfo;
 
@@ -38,7 +38,7 @@
   KqFlightId flight;
   KqStr service;
   KqStr caller;
-  KqTime deadline; /* by this node's clock */
+  KqTime deadline; /* of the request, by this node's clock */
   bool idempotent;
   uint64_t class_id; /* from kq_dispatch_class; selects the run times. 0: unknown */
   uint64_t key;      /* from kq_dispatch_key; a caller's keys share evenly. 0: unknown */
@@ -54,9 +54,9 @@
 {
   KqDispatchKind kind;
   KqFlightId flight;
-  KqRunnerId runner;
-  KqResult code;
-  KqTime retry_after;
+  KqRunnerId runner;  /* SEND */
+  KqResult code;      /* REFUSE: why */
+  KqTime retry_after; /* REFUSE: how long the caller should wait; 0: no advice */
 } KqDispatchEvent;
 
 typedef enum
@@ -80,37 +80,40 @@
  * former owner run there, so every slot counts as busy until the first report. */
 void kq_dispatch_set_runner (KqDispatch *d, const KqRunnerInfo *r, bool taken_over,
                              KqTime now);
-/* This node no longer owns the runner. It gets no more flights; those that it has stay
- * until kq_dispatch_done. */
+/* Removes a runner that this node no longer owns. It gets no more flights; those that it
+ * has stay until kq_dispatch_done. */
 void kq_dispatch_drop_runner (KqDispatch *d, KqRunnerId id, KqTime now);
-/* Takes in the runner's latest report about itself; ignored when it isn't known here. */
+/* Stores the runner's latest report about itself; ignored if the runner isn't known. */
 void kq_dispatch_set_report (KqDispatch *d, KqRunnerId id, const KqRunnerReport *r,
                              KqTime now);
-/* Says whether the runner is leaving according to the host list or an operator. It gets
- * no more flights if either this or its own last report says so. */
+/* Sets whether the runner is leaving according to the host list or an operator. A runner
+ * that is leaving by this or by its own last report gets no more flights. */
 void kq_dispatch_set_leaving (KqDispatch *d, KqRunnerId id, bool leaving, KqTime now);
 
-/* KQ_OK: queued; an event for the flight follows. Otherwise it was refused at once (not
- * run), and *retry_after is how long the caller should wait before a retry; 0: no
- * advice. */
+/* Queues the request or refuses it. Returns KQ_OK if it was queued: an event for its
+ * flight follows. Otherwise returns why it was refused (not run), and sets *retry_after
+ * to how long the caller should wait before a retry; 0: no advice. */
 KqResult kq_dispatch_offer (KqDispatch *d, const KqDispatchRequest *r, KqTime now,
                             KqTime *retry_after);
-/* Returns the next event that is due, one per call; false: none. */
+/* Takes the next decision that is due, sends or refuses one flight by it, and sets *e for
+ * the caller to carry it out. Returns false if there is nothing to do. */
 bool kq_dispatch_next (KqDispatch *d, KqTime now, KqDispatchEvent *e);
-/* When kq_dispatch_next may have an event although nothing else was called;
- * KQ_TIME_NEVER: never. */
+/* Returns the time at which kq_dispatch_next may have an event although no other function
+ * was called; KQ_TIME_NEVER: no such time. */
 KqTime kq_dispatch_wake_time (const KqDispatch *d, KqTime now);
-/* A sent flight has ended at its runner: frees the slot, and updates run times, limit and
- * outlier state. Ignores flights that aren't known. */
+/* Ends a flight that was sent: frees its slot, and updates run times, limit and outlier
+ * state. Ignores flights that aren't known or not sent. */
 void kq_dispatch_done (KqDispatch *d, KqFlightId flight, KqOutcome o, KqTime now);
-/* The caller left. True: the flight was still queued and has been removed (not run).
- * False: it has been sent; call kq_dispatch_done when it ends. */
+/* Removes a flight that is still queued, because its caller left. Returns true if it was
+ * removed (not run); false if it has been sent, in which case kq_dispatch_done must be
+ * called when it ends. */
 bool kq_dispatch_cancel (KqDispatch *d, KqFlightId flight, KqTime now);
-/* Writes at most max lines to `out`, one for each service that has a live runner, for
- * heartbeats and answers. Returns the number of lines. */
+/* Writes at most max digests to `out`, one for each service that has a live runner, for
+ * heartbeats and answers. Returns their number. */
 size_t kq_dispatch_digest (const KqDispatch *d, KqServiceDigest *out, size_t max);
-/* Upper bound of the lines of a digest. */
+/* Number of services: an upper bound for the result of kq_dispatch_digest. */
 size_t kq_dispatch_services (const KqDispatch *d);
+/* Numbers of flights that are queued, and that were sent and have not ended. */
 size_t kq_dispatch_queued (const KqDispatch *d);
 size_t kq_dispatch_running (const KqDispatch *d);
 /* For operators: the queues, and each runner's limit, slots and state. Returns a new JSON
--- a/src/request/entry.c
+++ b/src/request/entry.c
@@ -45,7 +45,7 @@
       d->body = kq_buf_str (&f->answer);
     }
   send_msg (g, g->config.self, &m);
-  kq_claim_ends_add (g->ends, &m, kq_loop_now (g->loop));
+  kq_claim_ends_add (g->claim_ends, &m, kq_loop_now (g->loop));
 }
 
 static void
@@ -120,8 +120,8 @@
   send_msg (g, f->owner, &m);
 }
 
-/* When to look again for an owner, if the refusal means that the runners are just being
- * handed over to a successor; 0: they are not, or the deadline comes first. */
+/* When to look again for an owner, if the refusal means that a draining owner is handing
+ * its runners over to a successor; 0: it isn't, or the deadline comes first. */
 static KqTime
 successor_retry_time (const KqFlight *f, KqResult code, KqRan ran, KqTime now)
 {
@@ -178,15 +178,15 @@
 }
 
 static uint32_t
-claim_shard (const KqGateway *g, const KqFlight *f)
+shard_of_claim (const KqGateway *g, const KqFlight *f)
 {
   const KqSettings *s = g->config.settings;
   KqStr home = kq_name_str (&f->row.home);
   uint64_t h = kq_hash2 (kq_str_hash (kq_name_str (&f->service)), kq_str_hash (f->key));
   int region = 0;
   int first = 0;
-  /* Without a home region, the first one of the settings: every entry node must choose
-   * the same, so that a repeat that enters in another region finds the claim. */
+  /* Without a home region it is the first region of the settings: all entry nodes must
+   * agree, so that a repeat that enters in another region finds the claim. */
   for (int i = 0; i < s->n_regions && home.len > 0; i++)
     {
       if (kq_str_eq (kq_name_str (&s->regions[i].name), home))
@@ -203,7 +203,7 @@
   KqMsg m = { .kind = KQ_MSG_CLAIM_BEGIN };
   KqMsgClaimBegin *b = &m.u.claim_begin;
   f->state = KQ_FLIGHT_CLAIMING;
-  f->claim_shard = claim_shard (g, f);
+  f->claim_shard = shard_of_claim (g, f);
   f->claim_deadline = now + KQ_CLAIM_TIMEOUT;
   b->flight = f->id;
   b->shard = f->claim_shard;
@@ -243,7 +243,7 @@
   return false;
 }
 
-/* A try ended without an answer: retries or fails the flight. */
+/* Retries or fails a flight whose last try ended without an answer. */
 static void
 try_failed (KqGateway *g, KqFlight *f, KqResult code, KqRan ran, KqTime retry_after,
             KqTime now)
@@ -356,11 +356,11 @@
   grant_credit (g, f);
 }
 
-/* The claim was granted, or the reply tells the state of an earlier request's claim. */
+/* Continues after a grant, or ends the flight by the state of an earlier claim. */
 static void
 on_claim_reply (KqGateway *g, KqFlight *f, const KqMsgClaimReply *c, KqTime now)
 {
-  /* A duplicate grant for a request in progress: "not run" would allow a second run. */
+  /* A duplicate grant: reporting "not run" now would allow a second run. */
   if (f->claimed)
     return;
   f->claim_deadline = 0;
@@ -439,7 +439,7 @@
       on_claim_reply (g, f, &m->u.claim_reply, now);
       return;
     }
-  /* Late or duplicate, or from an owner that is no longer used. */
+  /* The message is late, a duplicate, or from an owner that is no longer used. */
   if (!at_owner)
     {
       ++*g->late_messages;
@@ -494,7 +494,7 @@
 kq_entry_peer_down (KqGateway *g, const KqMailPeer *p, KqTime now)
 {
   for_each_flight (g, fail_try_at_peer, p, now);
-  kq_claim_ends_node_lost (g->ends, now);
+  kq_claim_ends_node_lost (g->claim_ends, now);
 }
 
 static void
@@ -550,7 +550,7 @@
           kq_entry_fail (g, f, KQ_ERR_OUTCOME_UNKNOWN, KQ_RAN_UNKNOWN, 0, now);
         }
       break;
-    case KQ_FLIGHT_ANSWERING: /* the deadline applies to the head, not to the body */
+    case KQ_FLIGHT_ANSWERING: /* the deadline applies to the answer's head only */
       break;
     case KQ_FLIGHT_ENDED:
       if (f->claim_deadline != 0)
@@ -569,12 +569,13 @@
 void
 kq_entry_tick (KqGateway *g, KqTime now)
 {
-  kq_claim_ends_tick (g->ends, now, resend_claim_end, g);
+  kq_claim_ends_tick (g->claim_ends, now, resend_claim_end, g);
   for_each_flight (g, tick_flight, NULL, now);
 }
 
-/* The caller disconnected before it had the whole answer. A claimed request continues:
- * the caller is expected to repeat it with the same key and then gets the answer. */
+/* Cancels a flight whose caller left before it had the whole answer. A claimed request
+ * continues: the caller is expected to repeat it with its key and then gets the answer.
+ */
 static void
 on_caller_gone (KqGateway *g, KqFlight *f, KqTime now)
 {
--- a/src/request/entry.h
+++ b/src/request/entry.h
@@ -23,7 +23,7 @@
 /* Time limit for recording a claim: many store latencies, yet short enough that a caller
  * with a deadline of some seconds can try again. */
 #define KQ_CLAIM_TIMEOUT (2 * KQ_SEC)
-/* Added to the deadline, so that the owner's own report of it can arrive first. */
+/* How long after the deadline the entry node waits for the owner to report it. */
 #define KQ_DEADLINE_GRACE (250 * KQ_MS)
 /* How long the end of a claim is resent while the reply to its begin is missing. */
 #define KQ_CLAIM_END_RESEND_TIME (30 * KQ_SEC)
@@ -38,11 +38,11 @@
   KqTable *table; /* NULL: none received yet */
   KqRequestCounts *request_counts;
   KqCalls *calls;
-  KqClaimEnds *ends;
+  KqClaimEnds *claim_ends;
   KqRecent recent;
-  GHashTable *flights; /* number -> KqFlight */
-  GHashTable *nodes;   /* id -> KnownNode of gateway.c */
-  uint64_t next_number;
+  GHashTable *flights;  /* flight number -> KqFlight */
+  GHashTable *nodes;    /* node id -> KnownNode of gateway.c */
+  uint64_t next_number; /* of flights, in units of KQ_TRY_IDS */
   bool draining;
   bool drained_reported;
   ev_timer tick;
@@ -50,7 +50,8 @@
   uint64_t *cut_answers;   /* counter */
 };
 
-/* Starts the flight: its body has been collected, or is to be streamed. */
+/* Asks for the claim of the flight's idempotency key or, without a key, sends the flight
+ * to an owner. To be called when its body has been collected, or if it is streamed. */
 void kq_entry_start (KqGateway *g, KqFlight *f, KqTime now);
 /* Sends the body bytes for which the owner has granted credit. */
 void kq_entry_send_body (KqGateway *g, KqFlight *f);
@@ -58,13 +59,17 @@
  * releases the idempotency key, unless an earlier try may have run. */
 void kq_entry_fail (KqGateway *g, KqFlight *f, KqResult code, KqRan ran,
                     KqTime retry_after, KqTime now);
-/* Handles RESP_*, REQ_CREDIT and CLAIM_REPLY. */
+/* Handles the messages RESP_*, REQ_CREDIT and CLAIM_REPLY. */
 void kq_entry_message (KqGateway *g, KqNodeId from, const KqMsg *m, KqTime now);
+/* Retries or fails the flights at a node whose connection is down, and starts to resend
+ * the ends of claims. */
 void kq_entry_peer_down (KqGateway *g, const KqMailPeer *p, KqTime now);
+/* Checks the deadlines, backoffs and claims of all flights. */
 void kq_entry_tick (KqGateway *g, KqTime now);
-/* The caller's exchange has ended. whole: the answer was sent completely. */
+/* Detaches the flight from its caller's exchange, which has ended, and cancels a flight
+ * that nobody waits for. whole: the answer was sent completely. */
 void kq_entry_exchange_ended (KqGateway *g, KqFlight *f, bool whole, KqTime now);
-/* The caller has read answer bytes: grants credit for more. */
+/* Grants the owner credit for more, because the caller has read answer bytes. */
 void kq_entry_answer_consumed (KqGateway *g, KqFlight *f);
 
 #endif
--- a/src/request/gateway.c
+++ b/src/request/gateway.c
@@ -15,18 +15,20 @@
 #define TICK_S 0.02
 #define DEADLINE_MS_MAX (3600 * 1000)
 #define KEY_MAX_BYTES 200
-/* How long an owner whose connection was lost is not chosen, unless it reconnects sooner:
- * the time after which missing heartbeats make a node suspect, with default settings. */
+/* An owner whose connection was lost isn't chosen for this time, unless it reconnects
+ * sooner. It is the time after which missing heartbeats make a node suspect, with default
+ * settings. */
 #define LOST_OWNER_EXCLUSION (2 * KQ_SEC)
 
-/* First member of the data of an exchange, which is a KqFlight or a JobExchange. */
+/* The data of an HTTP exchange is a KqFlight or a JobExchange. Its first member, `tag`,
+ * tells which. */
 enum
 {
   TAG_FLIGHT = 1,
   TAG_JOB = 2
 };
 
-/* A request to the jobs API, whose body is collected. */
+/* A request to the jobs API. Its body is collected before the request is handled. */
 typedef struct
 {
   int tag;
@@ -101,7 +103,8 @@
   return KQ_OK;
 }
 
-/* Reads the request's properties to f. path_rest: the path to request from the runner. */
+/* Copies the request's properties to f, and checks them. path_rest: the path to request
+ * from the runner. */
 static KqResult
 read_request (KqGateway *g, KqHttpExchange *x, KqFlight *f, KqStr path_rest, KqTime now)
 {
@@ -146,6 +149,8 @@
   return f;
 }
 
+/* Counts the flight as accepted. A streamed one starts at once, any other when its body
+ * has been collected. */
 static void
 accept_flight (KqGateway *g, KqFlight *f, KqTime now)
 {
@@ -209,7 +214,7 @@
 }
 
 static void
-flight_body (KqGateway *g, KqFlight *f, KqStr chunk)
+on_flight_body (KqGateway *g, KqFlight *f, KqStr chunk)
 {
   uint64_t received = f->body_base + f->body.len + chunk.len;
   if (f->state == KQ_FLIGHT_ENDED)
@@ -224,7 +229,7 @@
   kq_buf_add_str (&f->body, chunk);
   if (f->state == KQ_FLIGHT_COLLECTING)
     return;
-  /* A streamed body beyond the limit is no longer kept for another try. */
+  /* A streamed body that exceeds the limit isn't kept for another try any more. */
   if (f->body_kept && f->body.len > KQ_RESEND_BODY_MAX_BYTES)
     f->body_kept = false;
   kq_entry_send_body (g, f);
@@ -237,7 +242,7 @@
 {
   int *tag = kq_http_data (x);
   if (tag != NULL && *tag == TAG_FLIGHT)
-    flight_body (arg, (KqFlight *)tag, chunk);
+    on_flight_body (arg, (KqFlight *)tag, chunk);
   else if (tag != NULL)
     {
       JobExchange *j = (JobExchange *)tag;
@@ -247,7 +252,7 @@
 }
 
 static void
-flight_end (KqGateway *g, KqFlight *f)
+on_flight_end (KqGateway *g, KqFlight *f)
 {
   KqTime now = kq_loop_now (g->loop);
   f->body_end = true;
@@ -261,7 +266,7 @@
 }
 
 static void
-job_end (KqGateway *g, KqHttpExchange *x, JobExchange *j)
+on_job_end (KqGateway *g, KqHttpExchange *x, JobExchange *j)
 {
   if (j->too_large)
     kq_calls_refuse (g->calls, x, KQ_ERR_BODY_TOO_LARGE, kq_str (""));
@@ -280,9 +285,9 @@
 {
   int *tag = kq_http_data (x);
   if (tag != NULL && *tag == TAG_FLIGHT)
-    flight_end (arg, (KqFlight *)tag);
+    on_flight_end (arg, (KqFlight *)tag);
   else if (tag != NULL)
-    job_end (arg, x, (JobExchange *)tag);
+    on_job_end (arg, x, (JobExchange *)tag);
 }
 
 static void
@@ -309,13 +314,14 @@
     }
 }
 
-/* What is known of another node, for the route module: its state, which this node's own
- * task reports, and the digests of its services, from its heartbeats. */
+/* What is known of another node, for the route module. Its state comes from this node's
+ * own task, the digests of its services come from its heartbeats. */
 typedef struct
 {
   KqNodeId id;
   KqRouteNode state;
-  KqTime excluded_until; /* not chosen before, because its connection was lost */
+  KqTime
+      excluded_until; /* not chosen before this time, because its connection was lost */
   KqServiceDigest *digests;
   size_t n_digests;
 } KnownNode;
@@ -349,9 +355,9 @@
   kq_route_set_node (g->route, &n, k->digests, k->n_digests, now);
 }
 
-/* A node becomes suspect only after several missing heartbeats. Until then each request
- * sent to a dead owner would cost a try and a part of the retry budget, so a lost
- * connection excludes the owner at once. */
+/* Handles a connection to another node that came up or was lost. A lost one excludes the
+ * owner at once: a node becomes suspect only after several missing heartbeats, and until
+ * then each request to a dead owner would cost a try and a part of the retry budget. */
 static void
 on_peer (KqGateway *g, const KqMailPeer *p, KqTime now)
 {
@@ -535,7 +541,7 @@
     }
   g->route = kq_route_new (&self, s->link_bytes_per_s, c->incarnation);
   g->request_counts = kq_request_counts_new ();
-  g->ends = kq_claim_ends_new ();
+  g->claim_ends = kq_claim_ends_new ();
   g->calls = kq_calls_new (KQ_CALLS_GATEWAY, c->self, c->mesh, c->counters);
   g->flights = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, free_flight);
   g->nodes = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, free_known_node);
@@ -560,7 +566,7 @@
   kq_task_close (&g->task);
   g_hash_table_destroy (g->flights);
   g_hash_table_destroy (g->nodes);
-  kq_claim_ends_free (g->ends);
+  kq_claim_ends_free (g->claim_ends);
   kq_calls_free (g->calls);
   kq_request_counts_free (g->request_counts);
   kq_route_free (g->route);
--- a/src/request/gateway.h
+++ b/src/request/gateway.h
@@ -11,7 +11,7 @@
  *       Idempotency-Key        for POST, PATCH and services that are not idempotent
  *   /v1/jobs...           see api/jobs_http.h
  *
- * Takes: KQ_MAIL_MSG with RESP_*, REQ_CREDIT, CLAIM_REPLY, JOB_REPLY, ANSWER,
+ * Receives KQ_MAIL_MSG with RESP_*, REQ_CREDIT, CLAIM_REPLY, JOB_REPLY, ANSWER,
  * HEARTBEAT (for the owners' digests) and QUERY ("requests", "explain"); KQ_MAIL_PEER,
  * _NODE, _TABLE, _DRAIN. */
 
@@ -32,12 +32,14 @@
 
 typedef struct KqGateway KqGateway;
 
-/* NULL: the address can't be bound. */
+/* Starts to listen at the address for callers in the settings. Returns NULL if it can't
+ * be bound. */
 KqGateway *kq_gateway_new (KqLoop *loop, const KqGatewayConfig *c);
 void kq_gateway_free (KqGateway *g);
+/* The port at which the gateway listens. */
 int kq_gateway_port (const KqGateway *g);
 KqTask *kq_gateway_task (KqGateway *g);
-/* Requests that have no final answer yet. */
+/* Number of requests that have no final answer yet. */
 size_t kq_gateway_open_requests (const KqGateway *g);
 
 #endif
--- a/src/request/pool.c
+++ b/src/request/pool.c
@@ -5,7 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Keeps the estimate finite for a runner that fails every request. */
+/* Lower bound of the success share in completion_time, whose result would otherwise be
+ * infinite for a runner that fails every request. */
 #define SUCCESS_SHARE_MIN 0.02
 
 static int
@@ -59,6 +60,7 @@
   r->free_index[checks] = 0;
 }
 
+/* Adds the runner to the group's probes if it is to be probed, or removes it. */
 static void
 update_probe (KqRunner *r)
 {
@@ -83,7 +85,8 @@
     }
 }
 
-/* To be called when its slots, limit, outlier state or is_live may have changed. */
+/* Updates the slots that a runner may use. To be called when its slots, limit, outlier
+ * state or is_live may have changed. */
 static void
 update_allowed (KqRunner *r)
 {
@@ -307,8 +310,10 @@
   return time / (success > SUCCESS_SHARE_MIN ? success : SUCCESS_SHARE_MIN);
 }
 
+/* Draws one of the `total` runners with a free slot uniformly. */
 static KqRunner *
-random_free (KqGroup *const *groups, size_t n, int checks, size_t total, KqRand *rand)
+draw_free_runner (KqGroup *const *groups, size_t n, int checks, size_t total,
+                  KqRand *rand)
 {
   size_t at = kq_rand_below (rand, total);
   for (size_t i = 0; i < n; i++)
@@ -331,10 +336,10 @@
     total += groups[i]->n_free[checks];
   if (total == 0)
     return NULL;
-  a = random_free (groups, n, checks, total, rand);
+  a = draw_free_runner (groups, n, checks, total, rand);
   if (!two_choices || total == 1)
     return a;
-  b = random_free (groups, n, checks, total, rand);
+  b = draw_free_runner (groups, n, checks, total, rand);
   return completion_time (b, cost) < completion_time (a, cost) ? b : a;
 }
 
--- a/src/request/route.c
+++ b/src/request/route.c
@@ -18,12 +18,14 @@
 #define FAR_SAVING_PER_CHUNK (50 * KQ_MS)
 /* Assumed size of an answer, which is unknown when the owner is chosen. */
 #define EXPECTED_ANSWER_BYTES 16384
-/* Up to so many owners of a tier are all weighed; a region has 12 at the target size. */
+/* Up to this number of owners in a tier, all are weighed; a region has 12 at the target
+ * size. */
 #define OWNERS_WEIGHED_MAX 16
 /* Typical age of a digest when it is used. */
 #define DIGEST_AGE (500 * KQ_MS)
-/* Assumed for a service whose owner has reported no run time yet. */
+/* Run time assumed for a service whose owner has reported none yet. */
 #define DEFAULT_RUN_TIME (10 * KQ_MS)
+/* Retry time advised if there is no owner for the service, or no such service. */
 #define RETRY_AFTER KQ_SEC
 
 /* Owners by their distance from this node. */
@@ -59,7 +61,7 @@
   KqMapNode by_name;
   KqName name;
   KqRetryBudget budget;
-  const KqServiceRow *row; /* of r->table; NULL: no such service */
+  const KqServiceRow *row; /* in the route's table; NULL: no such service */
   Endpoint **endpoints[TIERS];
   size_t n[TIERS];
   size_t capacity[TIERS];
@@ -217,7 +219,8 @@
   return NULL;
 }
 
-/* Adds the endpoints of n; the counts of open requests are taken over from `old`. */
+/* Adds the endpoints of n, with the counts of open requests that `old`, the former state
+ * of the node, has for the same services. */
 static void
 add_endpoints (KqRoute *r, Node *n, const Node *old, const KqServiceDigest *digests,
                size_t n_digests)
@@ -323,9 +326,10 @@
   return rate / (1 + (double)expected_wait (e) / DIGEST_AGE);
 }
 
-/* Draws one of all owners by weight. Drawing two uniformly and choosing one of these by
- * weight gives small owners too many requests: one of three that had a tenth of the slots
- * still got a fifth of the requests, and refused them at 0.6 load (bench-load-live). */
+/* Draws one of all owners of the tier by weight. Drawing two uniformly and choosing one
+ * of these two by weight gives small owners too many requests: one of three that had a
+ * tenth of the slots still got a fifth of the requests, and refused them at 0.6 load
+ * (bench-load-live). */
 static Endpoint *
 choose_weighted (KqRoute *r, const Service *s, Tier t, KqNodeId avoid)
 {
@@ -452,7 +456,8 @@
   kq_link_spend (&r->link, bytes, now);
 }
 
-/* Adds services of the table only: callers could fill the memory with other names. */
+/* Finds or adds a service that is in the table; NULL: it isn't. Other names are never
+ * added, because callers could fill the memory with them. */
 static Service *
 get_table_service (KqRoute *r, KqStr name)
 {
--- a/src/request/run_times.c
+++ b/src/request/run_times.c
@@ -4,13 +4,16 @@
 
 /* Mean run time before the first sample, microseconds. */
 #define MEAN_DEFAULT (10.0 * KQ_MS)
+/* The weight of a sample in the mean is 1/n for the first samples, later 1/this. */
 #define MEAN_SAMPLES_MAX 64
-/* Time constant with which the baseline follows the mean: most waves of batch work on all
- * machines end before they count as normal. */
+/* Time constant with which the baseline follows the mean: long enough that most waves of
+ * batch work on all machines end before their slowdown enters the baseline. */
 #define BASELINE_TIME (300 * KQ_SEC)
+/* The high estimate is the mean plus this many mean deviations. */
 #define HIGH_DEVIATIONS 6
 /* A class is long if its mean exceeds this multiple of the median. With exponential run
- * times one request in 250 does, so the mean of a class of short requests never does. */
+ * times one request in 250 does, so the mean of a class of short requests never does.
+ * The class needs LONG_SAMPLES_MIN samples. */
 #define LONG_FACTOR 8
 #define LONG_SAMPLES_MIN 2
 #define RELIABLE_SAMPLES_MIN 16
@@ -20,7 +23,7 @@
 #define MEDIAN_COARSE_STEP 1.05
 #define MEDIAN_STEP 1.01
 #define MEDIAN_COARSE_SAMPLES 200
-/* `classes` is a set-associative cache: number of entries in which a class may be. */
+/* Entries per set of `classes`, which is a set-associative cache. */
 #define WAYS 4
 
 void
@@ -77,8 +80,8 @@
   c->mean += (run_time - c->mean) * weight;
   if (c->first_at == 0)
     c->first_at = now;
-  /* The first answers to arrive are those of the shortest requests. So that they don't
-   * weigh for long, the time constant is at most the age of the class. */
+  /* The first answers to arrive are those of the shortest requests. Their weight must not
+   * last, so the time constant is at most the age of the class. */
   if (c->samples < MEAN_SAMPLES_MAX || known <= 0)
     c->baseline = c->mean;
   else
--- a/src/request/run_times.h
+++ b/src/request/run_times.h
@@ -21,21 +21,21 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Classes remembered per service: more than an interface has kinds of requests. If all
- * paths differ, a class is replaced before it is used again, and the values of all
- * requests apply. */
+/* Classes remembered per service: more than a service has kinds of requests. If all paths
+ * differ, each class is replaced before it is used again, and forecasts use the values of
+ * all requests. */
 #define KQ_RUN_CLASSES 128
 
 typedef struct
 {
-  uint64_t id;
-  double mean;        /* microseconds */
-  double deviation;   /* mean deviation, microseconds */
-  double baseline;    /* mean of the last five minutes, or since the first sample */
-  KqTime first_at;    /* the first sample; 0: none yet */
+  uint64_t id;      /* from kq_dispatch_class */
+  double mean;      /* microseconds */
+  double deviation; /* mean deviation, microseconds */
+  double baseline;  /* mean over five minutes, or since the first sample; microseconds */
+  KqTime first_at;  /* the first sample; 0: none yet */
   KqTime baseline_at; /* when the baseline was last updated */
-  uint32_t samples;   /* up to the number that sets the weight of the mean */
-  uint32_t last_used; /* use_count of the last use */
+  uint32_t samples;   /* counted up to MEAN_SAMPLES_MAX */
+  uint32_t last_used; /* value of use_count at the last use */
 } KqRunClass;
 
 typedef struct
@@ -43,8 +43,8 @@
   KqRunClass classes[KQ_RUN_CLASSES]; /* 4-way set associative, by id */
   KqRunClass all;                     /* all requests, of every class */
   double median;                      /* of all run times, microseconds */
-  uint32_t median_samples; /* up to the number after which its steps are small */
-  uint32_t use_count;      /* samples added to classes */
+  uint32_t median_samples;            /* counted up to MEDIAN_COARSE_SAMPLES */
+  uint32_t use_count;                 /* samples added to classes */
 } KqRunTimes;
 
 typedef struct
@@ -52,16 +52,19 @@
   KqTime mean;
   KqTime high;     /* about the 99.5th percentile */
   KqTime baseline; /* the mean without a slowdown of the last seconds */
-  bool reliable;   /* enough samples to compare a runner's answers with it */
+  bool reliable;   /* enough samples to compare a runner's answers with the mean */
   bool is_long;    /* the mean is a multiple of the service's median */
 } KqRunForecast;
 
 void kq_run_times_init (KqRunTimes *r);
+/* Adds a sample. class_id: 0: unknown. */
 void kq_run_times_add (KqRunTimes *r, uint64_t class_id, KqTime run_time, KqTime now);
-/* A class that isn't known, or 0, gets the values of all requests. */
+/* Returns the forecast for a class. If the class isn't known, or 0, the forecast is that
+ * of all requests. */
 KqRunForecast kq_run_times_forecast (const KqRunTimes *r, uint64_t class_id);
 KqTime kq_run_times_median (const KqRunTimes *r);
-/* Run time after which a running request counts as long; KQ_TIME_NEVER: not known yet. */
+/* The run time after which a request in progress counts as long; KQ_TIME_NEVER: not known
+ * yet. */
 KqTime kq_run_times_long_after (const KqRunTimes *r);
 
 #endif
--- a/src/request/runner_flight.c
+++ b/src/request/runner_flight.c
@@ -22,7 +22,7 @@
 }
 
 static void
-send_entry (KqRunnerTask *t, KqNodeId to, const KqMsg *m)
+send_to_entry_node (KqRunnerTask *t, KqNodeId to, const KqMsg *m)
 {
   kq_mail_send_msg (t->config.mesh, to, m);
 }
@@ -37,10 +37,10 @@
   m.u.resp_fail.ran = ran;
   m.u.resp_fail.retry_after_us = retry_after;
   kq_counter_result (t->config.counters, code);
-  send_entry (t, to, &m);
+  send_to_entry_node (t, to, &m);
 }
 
-/* Grants the entry node credit for as many more bytes as the runner has taken. */
+/* Grants the entry node credit for as many more body bytes as the runner has taken. */
 static void
 grant_body (KqRunnerFlight *f)
 {
@@ -52,10 +52,10 @@
   m.u.credit.flight = f->id;
   m.u.credit.bytes = wanted - f->body_granted;
   f->body_granted = wanted;
-  send_entry (f->task, f->entry, &m);
+  send_to_entry_node (f->task, f->entry, &m);
 }
 
-/* The runner says that it refused the request before running it. */
+/* Whether the runner says that it refused the request before running it. */
 static bool
 says_not_run (const KqHeader *h, size_t n)
 {
@@ -84,7 +84,7 @@
   m.u.resp_head.body_length = length;
   m.u.resp_head.headers = (KqHeader *)h;
   m.u.resp_head.n_headers = n;
-  send_entry (f->task, f->entry, &m);
+  send_to_entry_node (f->task, f->entry, &m);
 }
 
 static void
@@ -100,7 +100,7 @@
       size_t k = chunk.len < KQ_CHUNK_MAX ? chunk.len : KQ_CHUNK_MAX;
       m.u.body.offset = f->answer_offset;
       m.u.body.bytes = kq_str_n (chunk.ptr, k);
-      send_entry (f->task, f->entry, &m);
+      send_to_entry_node (f->task, f->entry, &m);
       f->answer_offset += k;
       chunk = kq_str_n (chunk.ptr + k, chunk.len - k);
     }
@@ -109,7 +109,7 @@
 }
 
 static void
-on_want (void *arg, KqHttpCall *c)
+on_want_body (void *arg, KqHttpCall *c)
 {
   (void)c;
   grant_body (arg);
@@ -134,6 +134,7 @@
   return KQ_OUTCOME_BROKEN;
 }
 
+/* Sends the end of the answer, or the failure, to the entry node. */
 static void
 send_end (KqRunnerFlight *f, KqOutcome o)
 {
@@ -145,7 +146,7 @@
       m.u.body.flight = f->id;
       m.u.body.offset = f->answer_offset;
       m.u.body.end = true;
-      send_entry (f->task, f->entry, &m);
+      send_to_entry_node (f->task, f->entry, &m);
       break;
     case KQ_OUTCOME_NOT_SENT:
       kq_runner_send_fail (f->task, f->entry, f->id, KQ_ERR_TARGET_FAILED, KQ_RAN_NO, 0);
@@ -180,10 +181,11 @@
   kq_runner_run_queue (t, now);
 }
 
+/* Writes the request's headers and X-Kq-Flight to `out`. extra: holds the new value. */
 static void
 fill_headers (const KqRunnerFlight *f, KqBuf *extra, KqHeader *out, size_t *n)
 {
-  /* Reserved at full size first, because the header's value points into the buffer. */
+  /* The new header's value points into `extra`, which must not be reallocated later. */
   kq_buf_reserve (extra, 256);
   for (size_t i = 0; i < f->n_headers; i++)
     out[(*n)++] = f->headers[i];
@@ -198,7 +200,7 @@
 static void
 start_call (KqRunnerTask *t, KqRunnerFlight *f, const KqRunnerRecord *r)
 {
-  KqHttpCallback cb = { f, on_head, on_data, on_want, on_done };
+  KqHttpCallback cb = { f, on_head, on_data, on_want_body, on_done };
   KqHeader *headers = kq_alloc ((f->n_headers + 1) * sizeof *headers);
   KqBuf url = { 0 };
   KqBuf extra = { 0 };
@@ -232,10 +234,10 @@
   free (method);
 }
 
-/* A shard also moves to another owner when a node joins, not only when this one drains.
- * Requests that are queued for its runners can then be served by the new owner, so they
- * are handed back as draining. With "no target" some were refused: 1 to 4 of 8 requests
- * in 18 of 120 runs of live_test (ten at a time). */
+/* A shard moves to another owner not only when this node drains, but also when another
+ * node joins. The new owner can serve the requests that are queued here for the shard's
+ * runners, so they are handed back as draining. With "no target" some were refused: 1 to
+ * 4 of 8 requests in 18 of 120 runs of live_test (ten at a time). */
 KqResult
 kq_runner_refusal_code (const KqRunnerTask *t, KqResult code, KqTime now)
 {
@@ -285,7 +287,8 @@
   f->body_end = o->body_length == 0;
   f->body_granted = KQ_CREDIT_WINDOW_BYTES;
   f->answer_allowed = KQ_CREDIT_WINDOW_BYTES;
-  /* The copy of path and headers is made as at the entry node; it now belongs to f. */
+  /* Path and headers are copied by the same function as at the entry node. The copy then
+   * belongs to f. */
   kq_flight_set_request (&text, o->path, o->claim_key, o->headers, o->n_headers);
   f->text = text.text;
   f->path = text.path;
@@ -303,9 +306,9 @@
   g_hash_table_remove (t->flights, &f->id);
 }
 
-/* A queued flight is removed; it did not run. At a runner, an idempotent request is
- * cancelled, and so is one whose body is incomplete. Any other goes on, because
- * cancelling it half-way would leave its effect undefined; it is counted. */
+/* A queued flight, which did not run, is removed. The call of a sent one is cancelled if
+ * the request is idempotent or its body is incomplete. Any other call goes on, because
+ * cancelling it half-way would leave its effect undefined; such calls are counted. */
 void
 kq_runner_abandon (KqRunnerTask *t, KqRunnerFlight *f, KqTime now)
 {
--- a/src/request/runner_task.c
+++ b/src/request/runner_task.c
@@ -6,19 +6,19 @@
 #include <stdlib.h>
 
 #define PART "runner"
-/* Deadlines and other times of the queue are checked at least this often. */
+/* Deadlines and the other times of the queue are checked at this interval. */
 #define TICK_S 0.01
-/* Between digests to the node's task: a fifth of the heartbeat's period, so that the
- * lines in a heartbeat are hardly older than the heartbeat. */
+/* Time between digests to the node's task: a fifth of the heartbeat's period, so that the
+ * digests in a heartbeat are hardly older than the heartbeat. */
 #define DIGEST_INTERVAL (100 * KQ_MS)
-/* The most that the wire format allows. Entry nodes don't see an owner of the services
- * that are left out. */
+/* The most services in a digest that the wire format allows. Entry nodes don't see an
+ * owner of the services that are left out. */
 #define DIGEST_SERVICES_MAX 4096
 /* A pooled connection that was idle for longer isn't reused: a device on the path may
  * have dropped its state. */
 #define IDLE_MAX_MS 5000
 /* The HTTP client's limit for connections to a host. A runner accepts 64 in all; the
- * dispatcher counts its slots exactly and stays below. */
+ * dispatcher, which counts a runner's slots exactly, never needs more. */
 #define HOST_CONNECTIONS 64
 
 static guint
@@ -29,7 +29,7 @@
 }
 
 static gboolean
-flight_same (gconstpointer a, gconstpointer b)
+flight_equal (gconstpointer a, gconstpointer b)
 {
   return kq_flight_eq (*(const KqFlightId *)a, *(const KqFlightId *)b);
 }
@@ -43,7 +43,7 @@
 }
 
 static void
-on_open (KqRunnerTask *t, KqNodeId from, const KqMsgReqOpen *o, KqTime now)
+on_request (KqRunnerTask *t, KqNodeId from, const KqMsgReqOpen *o, KqTime now)
 {
   KqDispatchRequest q = { 0 };
   const KqRow *row = NULL;
@@ -133,7 +133,7 @@
   switch (m->kind)
     {
     case KQ_MSG_REQ_OPEN:
-      on_open (t, from, &m->u.req_open, now);
+      on_request (t, from, &m->u.req_open, now);
       break;
     case KQ_MSG_REQ_BODY:
       on_body (t, &m->u.body, now);
@@ -155,7 +155,8 @@
     }
 }
 
-/* The connection to an entry node is down: it waits for none of its flights. */
+/* Abandons the flights of an entry node whose connection is down: it no longer waits for
+ * their answers. */
 static void
 on_peer_down (KqRunnerTask *t, const KqMailPeer *p, KqTime now)
 {
@@ -372,7 +373,7 @@
   t->dispatch = kq_dispatch_new (c->incarnation);
   t->http = kq_http_client_new (loop, HOST_CONNECTIONS, IDLE_MAX_MS);
   t->flights
-      = g_hash_table_new_full (flight_hash, flight_same, NULL, kq_runner_flight_free);
+      = g_hash_table_new_full (flight_hash, flight_equal, NULL, kq_runner_flight_free);
   t->runners = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, free_runner);
   t->uncancelled = kq_counter (c->counters, "kq_uncancelled_total", "",
                                "Abandoned requests that run on: not idempotent.");
--- a/src/request/runner_task.h
+++ b/src/request/runner_task.h
@@ -27,6 +27,7 @@
 
 KqRunnerTask *kq_runner_task_new (KqLoop *loop, const KqRunnerTaskConfig *c);
 void kq_runner_task_free (KqRunnerTask *t);
+/* The task's mailbox; owned by t. */
 KqTask *kq_runner_task_get_task (KqRunnerTask *t);
 /* Number of flights that are queued here or sent to a runner. */
 size_t kq_runner_task_open_flights (const KqRunnerTask *t);
--- a/src/request/service_queue.c
+++ b/src/request/service_queue.c
@@ -2,8 +2,9 @@
 
 #include <stdlib.h>
 
-/* Time constant of the mean demand. */
+/* Time constant of the mean demand of short requests. */
 #define DEMAND_TIME KQ_SEC
+/* The slots kept free of long requests are the mean demand times this. */
 #define DEMAND_MARGIN 1.15
 /* Largest share of the slots that is kept free of long requests. */
 #define KEPT_MAX_SHARE 0.75
@@ -83,8 +84,8 @@
   s->demand_at = now;
 }
 
-/* Slots that long requests may hold: at least one, and not the last one unless it is the
- * only one. */
+/* Slots that long requests may hold: at least one, and not all unless there is only
+ * one. */
 static int
 long_slots (const KqServiceQueue *s)
 {
@@ -129,7 +130,7 @@
 {
   if (s->lanes[lane].queued == 0 && s->lane_tag[lane] < s->lane_virtual_time)
     s->lane_tag[lane] = s->lane_virtual_time;
-  /* The service time of all slots, see fair.h. */
+  /* One service time of all slots, as fair.h explains. */
   s->lanes[lane].burst = item->cost * kq_service_slots (s);
   kq_fair_push (&s->lanes[lane], item, caller, weight, key, deadline);
 }
@@ -204,18 +205,18 @@
 KqServiceDigest
 kq_service_digest (const KqServiceQueue *s)
 {
-  KqServiceDigest line = { .service = s->name,
-                           .slots = kq_service_slots (s),
-                           .queued = (int32_t)kq_service_queued (s),
-                           .p50_us = kq_run_times_median (&s->run_times) };
+  KqServiceDigest digest = { .service = s->name,
+                             .slots = kq_service_slots (s),
+                             .queued = (int32_t)kq_service_queued (s),
+                             .p50_us = kq_run_times_median (&s->run_times) };
   for (int lane = 0; lane < KQ_LANES; lane++)
-    line.work_us += s->lanes[lane].work;
+    digest.work_us += s->lanes[lane].work;
   for (size_t i = 0; i < s->n_groups; i++)
     {
-      line.busy += s->groups[i]->busy;
-      line.work_us += s->groups[i]->work;
+      digest.busy += s->groups[i]->busy;
+      digest.work_us += s->groups[i]->work;
     }
-  return line;
+  return digest;
 }
 
 json_t *
