--- a/src/request/admission.c
+++ b/src/request/admission.c
@@ -2,7 +2,6 @@
 
 #define RETRY_AFTER_MAX (10 * KQ_SEC)
 #define RETRY_AFTER_MIN (50 * KQ_MS)
-
 /* Advised times are spaced so that retries use up 1/RETRY_CAPACITY_DIVISOR of the
  * capacity. */
 #define RETRY_CAPACITY_DIVISOR 2
--- a/src/request/admission.h
+++ b/src/request/admission.h
@@ -38,7 +38,7 @@
   int64_t queue_max;
   int64_t work;   /* expected work queued ahead of the request, microseconds */
   double slots;   /* available for this work */
-  bool slot_free; /* a slot is free now and nothing is queued: no wait */
+  bool slot_free; /* a slot is free now and nothing is queued, so there is no wait */
   bool fair;      /* fair queueing is on; the fields below apply */
   size_t caller_queued;
   int64_t caller_percent; /* most of the queue that one caller may fill */
--- a/src/request/claims.h
+++ b/src/request/claims.h
@@ -22,8 +22,8 @@
  * refused as not run: dropping an old claim could let its request run twice.
  *
  * A claim is kept for `ttl` after its end. An open claim whose entry node doesn't report
- * the end becomes unknown after `ttl`. A new owner of the shard starts these
- * times again.
+ * the end becomes unknown after `ttl`. A new owner of the shard starts
+ * these times again.
  *
  * Records are never withdrawn from the journal: a grant is sent after its commit or not
  * at all. An entry node that stops waiting for the grant (deadline passed, store
--- a/src/request/dispatch.c
+++ b/src/request/dispatch.c
@@ -84,6 +84,7 @@
   return d;
 }
 
+/* Adds the service to d->active if it has queued requests, else removes it. */
 static void
 update_active (KqDispatch *d, KqServiceQueue *s)
 {
--- a/src/request/dispatch.h
+++ b/src/request/dispatch.h
@@ -95,8 +95,9 @@
  * to how long the caller should wait before a retry; 0: no advice. */
 KqResult kq_dispatch_offer (KqDispatch *d, const KqDispatchRequest *r, KqTime now,
                             KqTime *retry_after);
-/* Takes the next decision that is due, sends or refuses one flight by it, and sets *e for
- * the caller to carry it out. Returns false if there is nothing to do. */
+/* Sends or refuses the next flight for which that is due: takes a slot for it or removes
+ * it from the queue, and sets *e for the caller to carry out. One flight per call;
+ * returns false if there is none. */
 bool kq_dispatch_next (KqDispatch *d, KqTime now, KqDispatchEvent *e);
 /* Returns the time at which kq_dispatch_next may have an event although no other function
  * was called; KQ_TIME_NEVER: no such time. */
@@ -105,8 +106,8 @@
  * state. Ignores flights that aren't known or not sent. */
 void kq_dispatch_done (KqDispatch *d, KqFlightId flight, KqOutcome o, KqTime now);
 /* Removes a flight that is still queued, because its caller left. Returns true if it was
- * removed (not run); false if it has been sent, in which case kq_dispatch_done must be
- * called when it ends. */
+ * removed (not run). Returns false if it isn't known, or has been sent: kq_dispatch_done
+ * must be called when a sent one ends. */
 bool kq_dispatch_cancel (KqDispatch *d, KqFlightId flight, KqTime now);
 /* Writes at most max digests to `out`, one for each service that has a live runner, for
  * heartbeats and answers. Returns their number. */
--- a/src/request/dispatch_class.h
+++ b/src/request/dispatch_class.h
@@ -3,8 +3,8 @@
 
 /* dispatch_class: the class and the key of a request, from its method and path.
  *
- * Run times are learned by class; the slots that a caller gets are shared evenly
- * among its keys. */
+ * Run times are learned by class; the slots that a caller gets are shared evenly among
+ * its keys. */
 
 #include "base/str.h"
 
--- a/src/request/entry.c
+++ b/src/request/entry.c
@@ -574,8 +574,7 @@
 }
 
 /* Cancels a flight whose caller left before it had the whole answer. A claimed request
- * continues: the caller is expected to repeat it with its key and then gets the answer.
- */
+ * continues: the caller is expected to repeat it with its key, to get the answer. */
 static void
 on_caller_gone (KqGateway *g, KqFlight *f, KqTime now)
 {
--- a/src/request/entry.h
+++ b/src/request/entry.h
@@ -23,7 +23,8 @@
 /* Time limit for recording a claim: many store latencies, yet short enough that a caller
  * with a deadline of some seconds can try again. */
 #define KQ_CLAIM_TIMEOUT (2 * KQ_SEC)
-/* How long after the deadline the entry node waits for the owner to report it. */
+/* How long after the deadline the entry node waits for the owner to report it, before it
+ * fails the flight itself. */
 #define KQ_DEADLINE_GRACE (250 * KQ_MS)
 /* How long the end of a claim is resent while the reply to its begin is missing. */
 #define KQ_CLAIM_END_RESEND_TIME (30 * KQ_SEC)
--- a/src/request/fair.c
+++ b/src/request/fair.c
@@ -5,8 +5,8 @@
 #include <assert.h>
 #include <stdlib.h>
 
-/* The unit of a tag: 1/TAG_SCALE microseconds of work / weight. With weights up
- * to 1000, a microsecond of work is at least one whole unit. */
+/* The unit of a tag: 1/TAG_SCALE microseconds of work / weight. With weights up to
+ * 1000, a microsecond of work is at least one whole unit. */
 #define TAG_SCALE 1000
 
 struct KqFlow
@@ -150,6 +150,7 @@
   kq_heap_set_key (&flow->parent->active, &flow->by_tag, start_tag (f, flow));
 }
 
+/* Called when the flow gets its first queued item: adds it to its parent's heap. */
 static void
 activate (KqFairQueue *f, KqFlow *flow)
 {
--- a/src/request/fair.h
+++ b/src/request/fair.h
@@ -80,7 +80,7 @@
                    uint64_t key, KqTime deadline);
 /* Returns the next item without removing it; NULL: none. */
 KqFairItem *kq_fair_first (const KqFairQueue *f);
-/* Removes `item`, which must be kq_fair_first, and charges its cost to its flows. */
+/* Removes the item that kq_fair_first returned, and charges its cost to its flows. */
 void kq_fair_take (KqFairQueue *f, KqFairItem *item);
 /* Removes any item without charging its flows. */
 void kq_fair_remove (KqFairQueue *f, KqFairItem *item);
--- a/src/request/gateway.c
+++ b/src/request/gateway.c
@@ -252,7 +252,7 @@
 }
 
 static void
-on_flight_end (KqGateway *g, KqFlight *f)
+on_flight_body_end (KqGateway *g, KqFlight *f)
 {
   KqTime now = kq_loop_now (g->loop);
   f->body_end = true;
@@ -266,7 +266,7 @@
 }
 
 static void
-on_job_end (KqGateway *g, KqHttpExchange *x, JobExchange *j)
+on_job_body_end (KqGateway *g, KqHttpExchange *x, JobExchange *j)
 {
   if (j->too_large)
     kq_calls_refuse (g->calls, x, KQ_ERR_BODY_TOO_LARGE, kq_str (""));
@@ -285,9 +285,9 @@
 {
   int *tag = kq_http_data (x);
   if (tag != NULL && *tag == TAG_FLIGHT)
-    on_flight_end (arg, (KqFlight *)tag);
+    on_flight_body_end (arg, (KqFlight *)tag);
   else if (tag != NULL)
-    on_job_end (arg, x, (JobExchange *)tag);
+    on_job_body_end (arg, x, (JobExchange *)tag);
 }
 
 static void
@@ -320,8 +320,7 @@
 {
   KqNodeId id;
   KqRouteNode state;
-  KqTime
-      excluded_until; /* not chosen before this time, because its connection was lost */
+  KqTime excluded_until; /* not chosen before, since its connection was lost; 0: may be */
   KqServiceDigest *digests;
   size_t n_digests;
 } KnownNode;
--- a/src/request/map.h
+++ b/src/request/map.h
@@ -22,8 +22,7 @@
   KqMapNode **buckets;
   size_t n_buckets; /* a power of two; 0: nothing allocated yet */
   size_t n;
-  size_t
-      first; /* buckets below this index are empty, so that removing all nodes is O(n) */
+  size_t first; /* buckets below this are empty, so that removing all nodes is O(n) */
 } KqMap;
 
 /* Frees the table; nodes still in it are not freed. */
--- a/src/request/outlier.c
+++ b/src/request/outlier.c
@@ -14,7 +14,8 @@
  * FAILURE_TIMES_OTHERS times the mean share of the others. */
 #define FAILURE_SHARE_EJECT 0.5
 #define FAILURE_TIMES_OTHERS 2
-/* Above these latency ratios a runner gets fewer slots, and is ejected. */
+/* A runner gets fewer slots if its latency ratio exceeds the first value, and is ejected
+ * if it exceeds the second. */
 #define RATIO_FEWER_SLOTS 1.5
 #define RATIO_EJECT 4.0
 /* The latency ratio is used once it has averaged this many good answers. */
--- a/src/request/outlier.h
+++ b/src/request/outlier.h
@@ -61,8 +61,7 @@
   bool probing;         /* while EJECTED: the one flight under way is a probe */
   bool unreachable;     /* while EJECTED: its last connection was refused */
   KqTime probe_at;      /* time of the next probe, while EJECTED */
-  KqTime
-      probe_wait; /* from ejection to the first probe; doubles with each failed probe */
+  KqTime probe_wait;    /* until the first probe; doubles with each failed one */
 } KqOutlier;
 
 typedef enum
--- a/src/request/pool.c
+++ b/src/request/pool.c
@@ -60,7 +60,7 @@
   r->free_index[checks] = 0;
 }
 
-/* Adds the runner to the group's probes if it is to be probed, or removes it. */
+/* Puts the runner into the group's probes if it is to be probed, else removes it. */
 static void
 update_probe (KqRunner *r)
 {
--- a/src/request/request_counts.h
+++ b/src/request/request_counts.h
@@ -5,7 +5,8 @@
  * unknown or abandoned, or still in flight.
  *
  * The entry node keeps these counts. At the end of each request an assertion checks that
- * they add up to the requests accepted, so that none ends without an outcome. */
+ * they add up to the requests accepted: this finds a request that ends without an
+ * outcome. */
 
 #include "base/result.h"
 #include "base/str.h"
@@ -14,9 +15,9 @@
 
 typedef enum
 {
-  KQ_END_ANSWERED, /* the caller got the complete answer */
-  KQ_END_REFUSED,  /* the caller was told "not run" */
-  KQ_END_UNKNOWN, /* the caller was told "outcome unknown", or its answer was cut short */
+  KQ_END_ANSWERED,  /* the caller got the complete answer */
+  KQ_END_REFUSED,   /* the caller was told "not run" */
+  KQ_END_UNKNOWN,   /* it was told "outcome unknown", or its answer was cut short */
   KQ_END_ABANDONED, /* the caller left first */
   KQ_END_KINDS
 } KqRequestEnd;
--- a/src/request/retry.c
+++ b/src/request/retry.c
@@ -12,8 +12,8 @@
 #define BACKOFF_MIN (20 * KQ_MS)
 #define BACKOFF_MAX KQ_SEC
 #define SUCCESSOR_RETRY_INTERVAL (200 * KQ_MS)
-/* The retries that fit into KQ_RETRY_SUCCESSOR_WAIT plus the KQ_TRIES_MAX tries that may
- * come before them. Must be less than KQ_TRY_IDS. */
+/* The retries that fit into KQ_RETRY_SUCCESSOR_WAIT plus the tries that came before them.
+ * Must be less than KQ_TRY_IDS. */
 #define SUCCESSOR_TRIES_MAX 13
 
 static void
--- a/src/request/retry.h
+++ b/src/request/retry.h
@@ -41,11 +41,10 @@
 /* Returns when to look again for the successor of a draining owner; 0: the request should
  * not wait, or has waited too long.
  *
- * A draining owner hands back
- * the requests in its queue, and for a short time no other owner has its runners. If they
- * were refused then, each roll-out would fail a part of the queue (1 to 4 of 8 requests
- * when the owner stopped 0.3 s after it had taken over). So requests that were handed
- * back, and no others, wait for the successor.
+ * A draining owner hands back the requests in its queue, and for a short time no other
+ * owner has its runners. If these requests were refused then, each roll-out would fail a
+ * part of the queue (1 to 4 of 8 requests when the owner stopped 0.3 s after it had taken
+ * over). So requests that were handed back, and no others, wait for the successor.
  *
  * handed_back_at: when the owner handed the request back; 0: never. tries: so far. */
 KqTime kq_retry_successor_time (KqTime handed_back_at, int tries, KqTime now);
--- a/src/request/route.h
+++ b/src/request/route.h
@@ -5,11 +5,11 @@
  * the caller's connection; an owner passes requests to the runners of its shards.
  *
  * Heartbeats carry a load digest of each service at each owner. Owners are drawn at
- * random, weighted by what they can serve: slots over run time, or
- * less if there is a queue.
- * The own depot is preferred, then the own region. Another ("far") region is used only if
- * the saved wait justifies the bytes sent over the link, for which there is a budget.
- * Only the part of the requests that evens out the waits goes to the next tier.
+ * random, weighted by what they can serve: slots over run time, or less
+ * if there is a queue. The own depot is preferred, then the own region. Another ("far")
+ * region is used only if the saved wait justifies the bytes sent over the link, for which
+ * there is a budget. Only the part of the requests that evens out the waits goes to the
+ * next tier.
  *
  * Always choosing the less loaded of two owners was worse than drawing at random
  * (bench-load, owners, seed 1: p50 61 ms against 28 ms): digests are half a second old,
@@ -63,8 +63,8 @@
 
 /* Counts the first try of a request, which adds to the retry budget. */
 void kq_route_first_try (KqRoute *r, KqStr service, KqTime now);
-/* Takes a retry from the budget. Returns whether it is allowed; always true if the
- * service row has no retry budget (`retry` false). */
+/* Takes a retry from the budget. Returns false if none is left, so that a retry isn't
+ * allowed; always true if the service row has no retry budget (`retry` false). */
 bool kq_route_take_retry (KqRoute *r, KqStr service, KqTime now);
 /* Returns the backoff with jitter before retry n, counted from 1. */
 KqTime kq_route_backoff (KqRoute *r, int n);
--- a/src/request/runner_task.c
+++ b/src/request/runner_task.c
@@ -235,6 +235,7 @@
   kq_runner_run_queue (t, now);
 }
 
+/* Drops all runners of a shard that went to another owner. */
 static void
 on_shard_gone (KqRunnerTask *t, uint32_t shard, KqTime now)
 {
--- a/src/request/service_queue.c
+++ b/src/request/service_queue.c
@@ -4,7 +4,7 @@
 
 /* Time constant of the mean demand of short requests. */
 #define DEMAND_TIME KQ_SEC
-/* The slots kept free of long requests are the mean demand times this. */
+/* At least the mean demand times this is kept free of long requests, in slots. */
 #define DEMAND_MARGIN 1.15
 /* Largest share of the slots that is kept free of long requests. */
 #define KEPT_MAX_SHARE 0.75
