--- a/src/sched/book.c
+++ b/src/sched/book.c
@@ -117,7 +117,7 @@
           free (o->steps[i].tasks[k].failed_runs);
         }
       free (o->steps[i].tasks);
-      kq_tickets_free (o->steps[i].advice);
+      kq_tickets_free (o->steps[i].tickets);
     }
   free (o->steps);
   free (o);
@@ -199,7 +199,7 @@
           KQ_STR_ARG (j->spec.id), kq_job_state_name (j->state),
           (long long)((now - j->accepted_at) / KQ_MS),
           (long long)kq_spec_objective_ms (&j->spec), KQ_STR_ARG (kq_buf_str (&spent)),
-          j->runs);
+          j->n_runs);
   kq_buf_free (&spent);
 }
 
@@ -214,8 +214,8 @@
     log_end (j, now);
   if (s->loaded && !kq_spec_lasting (&j->spec))
     kq_histogram_add (&s->job_time, now - j->accepted_at);
-  if (j->runs > 0)
-    kq_run_cancel_all (s, j, now);
+  if (j->n_runs > 0)
+    kq_run_stop_all (s, j, now);
   while (j->occurrences != NULL)
     {
       KqOccurrence *o = j->occurrences;
@@ -241,7 +241,7 @@
 }
 
 void
-kq_book_task_done (KqSched *s, KqOccurrence *o, int32_t step, int32_t index, KqTime now)
+kq_book_finish_task (KqSched *s, KqOccurrence *o, int32_t step, int32_t index, KqTime now)
 {
   KqStepState *p = &o->steps[step];
   KqTaskState *t = &p->tasks[index];
@@ -266,7 +266,7 @@
 }
 
 bool
-kq_book_has_failed (const KqTaskState *t, uint32_t run)
+kq_book_run_has_failed (const KqTaskState *t, uint32_t run)
 {
   for (int i = 0; i < t->failures; i++)
     if (t->failed_runs[i] == run)
@@ -287,12 +287,12 @@
 }
 
 void
-kq_book_task_failed (KqSched *s, KqOccurrence *o, int32_t step, int32_t index,
-                     uint32_t run, KqRunnerState *where, KqTime now)
+kq_book_fail_task (KqSched *s, KqOccurrence *o, int32_t step, int32_t index, uint32_t run,
+                   KqRunnerState *where, KqTime now)
 {
   KqTaskState *t = &o->steps[step].tasks[index];
   const KqSpec *spec = &o->job->spec;
-  if (t->phase == KQ_TASK_DONE || kq_book_has_failed (t, run))
+  if (t->phase == KQ_TASK_DONE || kq_book_run_has_failed (t, run))
     return;
   t->avoid = where;
   if (spec->steps[step].lasting)
@@ -335,12 +335,12 @@
 void
 kq_book_unlink (KqSched *s, KqJob *j)
 {
-  if (j->prev == NULL && s->open != j)
+  if (j->prev == NULL && s->open_jobs != j)
     return;
   if (j->prev != NULL)
     j->prev->next = j->next;
   else
-    s->open = j->next;
+    s->open_jobs = j->next;
   if (j->next != NULL)
     j->next->prev = j->prev;
   j->next = j->prev = NULL;
--- a/src/sched/explain.c
+++ b/src/sched/explain.c
@@ -18,10 +18,10 @@
   else if (st->done + st->active < p->width
            && !kq_place_any_fits (s, &o->job->spec, step))
     kq_buf_printf (out, ", no runner is large enough");
-  else if (st->done + st->active < p->width && o->job->spec.advised && st->advice != NULL
-           && st->advice->agent >= 0)
+  else if (st->done + st->active < p->width && o->job->spec.advised && st->tickets != NULL
+           && st->tickets->agent >= 0)
     kq_buf_printf (out, ", waits for advice since %lld ms",
-                   (long long)((now - st->advice->asked_at) / KQ_MS));
+                   (long long)((now - st->tickets->asked_at) / KQ_MS));
   else if (st->done + st->active < p->width)
     kq_buf_printf (out, ", waits for room: %d milli cpu, %d MB", p->cpu_milli, p->mem_mb);
   kq_buf_printf (out, "\n");
@@ -40,7 +40,7 @@
                  "job %.*s: %s, queue %.*s, age %lld ms, objective %lld ms, runs %d\n",
                  KQ_STR_ARG (id), kq_job_state_name (j->state),
                  KQ_STR_ARG (j->spec.queue), (long long)((now - j->accepted_at) / KQ_MS),
-                 (long long)kq_spec_objective_ms (&j->spec), j->runs);
+                 (long long)kq_spec_objective_ms (&j->spec), j->n_runs);
   kq_buf_printf (out, "so far: ");
   kq_spent_print (&j->spent, out);
   kq_buf_printf (out, "\n");
--- a/src/sched/harm.c
+++ b/src/sched/harm.c
@@ -312,5 +312,5 @@
 kq_harm_loss_by_run (const KqSched *s, const KqRun *filling, int serving)
 {
   return kq_disturb_loss_bound (s->disturb, serving, kq_run_image (filling))
-         * filling->share;
+         * filling->cpu_share;
 }
--- a/src/sched/lists.c
+++ b/src/sched/lists.c
@@ -24,7 +24,7 @@
   KqOccurrence *o = t->occurrence;
   KqTaskState *state = o != NULL ? &o->steps[t->step].tasks[t->index] : NULL;
   bool wanted = state != NULL && state->phase == KQ_TASK_WAITING && !t->job->cancelled
-                && !kq_book_has_failed (state, number);
+                && !kq_book_run_has_failed (state, number);
   KqRun *run
       = kq_run_new (s, t->job, wanted ? o : NULL, t->step, t->index, r, number, now);
   run->occurrence_number = t->occurrence_number;
@@ -78,7 +78,7 @@
       run->running_at = now;
     }
   if (row->percent != run->percent)
-    run->moved_at = now;
+    run->last_change_at = now;
   run->percent = row->percent;
   run->load = row->load;
   kq_run_set_checkpoint (run, row->checkpoint);
@@ -110,7 +110,7 @@
       if (t->phase == KQ_TASK_ACTIVE)
         t->run->occurrence = NULL;
       if (t->phase != KQ_TASK_DONE)
-        kq_book_task_done (s, o, step, i, now);
+        kq_book_finish_task (s, o, step, i, now);
       if (last)
         return; /* the occurrence may have been freed */
     }
@@ -121,7 +121,7 @@
 {
   KqOccurrence *o = t->occurrence;
   KqTaskState *state;
-  kq_runners_record_end (r, true, now);
+  kq_runners_count_end (r, true, now);
   if (run != NULL)
     update_slowness (s, r, run, now);
   if (o == NULL)
@@ -140,7 +140,7 @@
   if (t->job->spec.steps[t->step].gang)
     complete_gang (s, o, t->step, now);
   else
-    kq_book_task_done (s, o, t->step, t->index, now);
+    kq_book_finish_task (s, o, t->step, t->index, now);
 }
 
 /* Whether a start order of the run may still reach its runner: it is unanswered, or no
@@ -185,9 +185,9 @@
   if (e->reason != KQ_END_FAILED)
     return;
   if (ours || t.occurrence != NULL)
-    kq_runners_record_end (r, false, now);
+    kq_runners_count_end (r, false, now);
   if (t.occurrence != NULL)
-    kq_book_task_failed (s, t.occurrence, t.step, t.index, e->run, r, now);
+    kq_book_fail_task (s, t.occurrence, t.step, t.index, e->run, r, now);
 }
 
 /* Ends the runs that the runner has confirmed (by a list, or by its answer to a start or
@@ -235,7 +235,7 @@
     return;
   if (l->started_ms != 0 && r->started_ms != 0 && l->started_ms != r->started_ms)
     {
-      kq_runners_restarted (s, r, l->order, now);
+      kq_runners_handle_restart (s, r, l->order, now);
       r->ends_seen = r->ends_stored = r->ends_batch = 0;
       r->failed_count = r->done_count = 0;
       r->suspect_until = 0;
@@ -275,11 +275,11 @@
     drop_unlisted (s, r, l->order, now);
   if (r->n_serving > 0)
     kq_pace_update (s, r, now);
-  else if (r->filling > 0)
+  else if (r->filling_milli > 0)
     kq_pace_release (s, r, now);
   if (l->halt != 0)
     send_renew_order (s, r, l->halt);
-  kq_runners_changed (s, r);
+  kq_runners_note_change (s, r);
 }
 
 static void
@@ -288,7 +288,7 @@
   KqRunnerState *r = run->runner;
   KqTaskState *t = kq_book_task_state (run);
   if (result == KQ_ORDER_UNHEALTHY)
-    kq_runners_record_end (r, false, now);
+    kq_runners_count_end (r, false, now);
   if (result == KQ_ORDER_NO_ROOM)
     ++*s->no_room;
   /* Only this repeat of the start was refused: the runner accepted an earlier one and
@@ -302,7 +302,7 @@
       /* Its queue became advised after the job was accepted. */
       run->job->spec.advised = true;
       if (run->occurrence != NULL)
-        kq_tickets_refused (run->occurrence, run->step, r);
+        kq_tickets_drop (run->occurrence, run->step, r);
     }
   /* An earlier copy of this start may still be in flight; only a stop rules that out. */
   if (run->outcome_unknown)
@@ -322,10 +322,10 @@
       if (run->phase == KQ_RUN_SENDING)
         {
           run->phase = KQ_RUN_RUNNING;
-          run->running_at = run->moved_at = now;
+          run->running_at = run->last_change_at = now;
           kq_histogram_add (&s->start_answer, now - run->placed_at);
           if (!run->resent)
-            kq_window_answered (&s->window, now - run->placed_at);
+            kq_window_adapt (&s->window, now - run->placed_at);
           if (kq_run_step (run)->filling && run->runner->n_serving > 0)
             kq_pace_set (s, run->runner, now);
         }
@@ -403,7 +403,7 @@
   run->order_pending = false;
   if (o->kind == KQ_ORDER_START)
     {
-      kq_run_close_start (s, run);
+      kq_run_leave_window (s, run);
       apply_start_result (s, run, o, now);
     }
   else
--- a/src/sched/maintenance.c
+++ b/src/sched/maintenance.c
@@ -285,7 +285,7 @@
   if (r != NULL)
     {
       r->host_leaving = false;
-      kq_runners_changed (s, r);
+      kq_runners_note_change (s, r);
     }
   s->pass_needed = true;
 }
@@ -398,7 +398,7 @@
       h->since = now;
       s->waves_dirty = true;
       if (started_before_wave (s, w, h))
-        kq_runners_taken_down (s, kq_str (h->old_runner), now);
+        kq_runners_note_taken_down (s, kq_str (h->old_runner), now);
       break;
     case KQ_MAINTENANCE_FOREIGN:
       h->phase = KQ_HOST_BACK; /* it has gone for good: nothing to wait for */
--- a/src/sched/pace.c
+++ b/src/sched/pace.c
@@ -107,7 +107,7 @@
   if (to > 100 - CHANGE_MIN_PERCENT / 2)
     to = 100;
   if (run->pace_unknown || kq_pace_worth_order (run->pace, to))
-    kq_run_pace (s, run, to, now);
+    kq_run_set_pace (s, run, to, now);
 }
 
 /* Clears pace_unknown if the reported load shows that no earlier leader has slowed the
--- a/src/sched/pass.c
+++ b/src/sched/pass.c
@@ -73,7 +73,7 @@
 room_kind (const WaitingStep *t, KqTime now)
 {
   const KqStep *p = &t->occurrence->job->spec.steps[t->step];
-  bool starved = kq_place_starved (t->occurrence, t->step, now);
+  bool starved = kq_place_is_starved (t->occurrence, t->step, now);
   if (p->filling)
     return starved ? FOR_ANY : FOR_FILLING;
   if (!p->lasting)
@@ -148,7 +148,7 @@
 static void
 collect_waiting_steps (KqSched *s, GArray *waiting, KqTime now)
 {
-  for (KqJob *j = s->open; j != NULL; j = j->next)
+  for (KqJob *j = s->open_jobs; j != NULL; j = j->next)
     {
       if (j->state >= KQ_JOB_COMPLETED || start_forbidden (s, j))
         continue;
@@ -210,8 +210,8 @@
     g_strlcpy (st->rack, r->rack, sizeof st->rack);
   if (o->job->spec.steps[step].lasting)
     {
-      kq_pools_lasting_placed (r, o->job->spec.steps[step].cpu_milli);
-      kq_runners_changed (s, r); /* lasting tasks may use it from now on */
+      kq_pools_count_lasting (r, o->job->spec.steps[step].cpu_milli);
+      kq_runners_note_change (s, r); /* lasting tasks may use it from now on */
     }
   if (!o->job->begun)
     kq_histogram_add (&s->first_start, now - o->due_at);
@@ -254,10 +254,10 @@
   KqPlacing placing;
   KqBuf starts = { 0 };
   /* A starved job's filling task is placed whatever its speed, but only one of them. */
-  bool one_only = p->filling && kq_place_starved (o, step, now);
+  bool one_only = p->filling && kq_place_is_starved (o, step, now);
   bool all_placed = true;
   kq_placing_begin (&placing, s, o, step, now);
-  for (int32_t i = 0; i < p->width && all_placed && kq_window_open (&s->window); i++)
+  for (int32_t i = 0; i < p->width && all_placed && kq_window_is_open (&s->window); i++)
     {
       KqTaskState *t = &o->steps[step].tasks[i];
       KqRunnerState *r;
@@ -340,7 +340,7 @@
 static void
 log_closed_window (KqSched *s, KqTime now)
 {
-  if (kq_window_open (&s->window) || now - s->window_logged_at < WINDOW_LOG_INTERVAL)
+  if (kq_window_is_open (&s->window) || now - s->window_logged_at < WINDOW_LOG_INTERVAL)
     return;
   s->window_logged_at = now;
   kq_log (KQ_LOG_INFO, PART,
@@ -360,7 +360,7 @@
   kq_pools_update_kept_free (s, now);
   if (waiting->len > 0)
     qsort (waiting->data, waiting->len, sizeof (WaitingStep), compare_waiting_steps);
-  for (guint i = 0; i < waiting->len && kq_window_open (&s->window); i++)
+  for (guint i = 0; i < waiting->len && kq_window_is_open (&s->window); i++)
     {
       const WaitingStep *t = &g_array_index (waiting, WaitingStep, i);
       const KqSpec *spec = &t->occurrence->job->spec;
--- a/src/sched/place.c
+++ b/src/sched/place.c
@@ -58,8 +58,8 @@
 static int64_t
 cpu_left_to_filling (const KqRunnerState *r)
 {
-  return r->room.cpu_milli - (r->used.cpu_milli - r->serving)
-         - r->serving * SERVING_USE_PERCENT / 100 - r->filling;
+  return r->room.cpu_milli - (r->used.cpu_milli - r->serving_milli)
+         - r->serving_milli * SERVING_USE_PERCENT / 100 - r->filling_milli;
 }
 
 /* Whether the task fits beside what is reserved, and, for a filling task, whether enough
@@ -175,11 +175,11 @@
 }
 
 bool
-kq_place_starved (const KqOccurrence *o, int32_t step, KqTime now)
+kq_place_is_starved (const KqOccurrence *o, int32_t step, KqTime now)
 {
   KqTime since = o->steps[step].waits_since;
-  return o->job->runs == 0 && since != 0 && now - since > STARVED_AFTER
-         && kq_pools_half_free (o->job->pool);
+  return o->job->n_runs == 0 && since != 0 && now - since > STARVED_AFTER
+         && kq_pools_is_half_free (o->job->pool);
 }
 
 /* The share of its full speed that a filling task must be able to work at to start: the
@@ -193,7 +193,7 @@
   double waited = st->waits_since != 0 ? (double)(now - st->waits_since) : 0;
   double required
       = half_speed_wait > 0 ? half_speed_wait / (half_speed_wait + waited) : 0;
-  if (kq_place_starved (o, step, now))
+  if (kq_place_is_starved (o, step, now))
     return 0;
   return required > START_SPEED_MIN ? required : START_SPEED_MIN;
 }
@@ -204,7 +204,7 @@
 {
   const KqStep *p = &o->job->spec.steps[step];
   int image = o->job->images[step];
-  bool starved = kq_place_starved (o, step, now);
+  bool starved = kq_place_is_starved (o, step, now);
   if (r->pool != o->job->pool || !accepts_tasks (r, now) || !fits_now (r, p, starved)
       || !has_label (r, p->label))
     return false;
--- a/src/sched/pools.c
+++ b/src/sched/pools.c
@@ -68,9 +68,9 @@
     {
       const KqRunnerState *r = g_ptr_array_index (s->runner_list, i);
       KqPool *p = r->pool;
-      p->demand_milli += r->used.cpu_milli - r->lasting;
+      p->demand_milli += r->used.cpu_milli - r->lasting_milli;
       if (r->n_lasting == 0)
-        p->demand_milli += r->filling;
+        p->demand_milli += r->filling_milli;
       if (!r->in_store || r->draining || r->host_leaving || r->silent)
         continue;
       p->usable_milli += r->room.cpu_milli;
@@ -117,7 +117,7 @@
 }
 
 void
-kq_pools_lasting_placed (const KqRunnerState *r, int32_t cpu_milli)
+kq_pools_count_lasting (const KqRunnerState *r, int32_t cpu_milli)
 {
   r->pool->used_milli += cpu_milli;
   if (r->n_lasting == 1)
@@ -125,7 +125,7 @@
 }
 
 bool
-kq_pools_half_free (const KqPool *p)
+kq_pools_is_half_free (const KqPool *p)
 {
   return p->used_milli * 100 < p->usable_milli * HALF_RESERVED_PERCENT;
 }
--- a/src/sched/runners.c
+++ b/src/sched/runners.c
@@ -65,7 +65,7 @@
 }
 
 void
-kq_runners_changed (KqSched *s, KqRunnerState *r)
+kq_runners_note_change (KqSched *s, KqRunnerState *r)
 {
   r->changed = ++s->changes;
   s->pass_needed = true;
@@ -228,7 +228,7 @@
     s->used_runners_dirty = true;
   if (moved && r->agent >= 0)
     drop_agent (s, r, now);
-  kq_runners_changed (s, r);
+  kq_runners_note_change (s, r);
 }
 
 void
@@ -273,7 +273,7 @@
  * started elsewhere. And a start that was answered after the request for this list was
  * sent may run after the restart: the next list shows whether it does. */
 void
-kq_runners_restarted (KqSched *s, KqRunnerState *r, uint64_t order, KqTime now)
+kq_runners_handle_restart (KqSched *s, KqRunnerState *r, uint64_t order, KqTime now)
 {
   KqRun *next;
   kq_log (KQ_LOG_WARN, PART, "Runner has restarted. runner=%s runs=%d", r->id, r->n_runs);
@@ -322,7 +322,7 @@
   /* The new agent doesn't know the orders that the earlier one was given. */
   for (KqRun *run = r->runs; run != NULL; run = run->next)
     {
-      kq_run_orders_lost (s, run);
+      kq_run_mark_orders_lost (s, run);
       run->stopped = false;
       run->confirmed = 0;
       if (run->phase == KQ_RUN_RUNNING)
@@ -410,10 +410,10 @@
       r->agent = -1;
       kq_runners_extend_lease (r, ends, "lost agent");
       for (KqRun *run = r->runs; run != NULL; run = run->next)
-        kq_run_orders_lost (s, run);
+        kq_run_mark_orders_lost (s, run);
     }
   s->agents.list[agent].runners = 0;
-  kq_tickets_agent_down (s, agent);
+  kq_tickets_drop_requests (s, agent);
   s->pass_needed = true;
 }
 
@@ -437,7 +437,7 @@
 }
 
 void
-kq_runners_taken_down (KqSched *s, KqStr id, KqTime now)
+kq_runners_note_taken_down (KqSched *s, KqStr id, KqTime now)
 {
   KqRunnerState *r = kq_runners_find (s, id);
   if (r == NULL)
@@ -504,7 +504,7 @@
 static void
 clear_references (KqSched *s, const KqRunnerState *r)
 {
-  for (KqJob *j = s->open; j != NULL; j = j->next)
+  for (KqJob *j = s->open_jobs; j != NULL; j = j->next)
     for (KqOccurrence *o = j->occurrences; o != NULL; o = o->next)
       for (int32_t i = 0; i < j->spec.n_steps; i++)
         {
@@ -560,7 +560,7 @@
 static void
 mark_lost_lasting (KqSched *s, KqTime now)
 {
-  for (KqJob *j = s->open; j != NULL; j = j->next)
+  for (KqJob *j = s->open_jobs; j != NULL; j = j->next)
     {
       if (j->revision >= s->config.epoch)
         continue;
--- a/src/sched/runs.c
+++ b/src/sched/runs.c
@@ -38,7 +38,7 @@
   const KqStep *p = kq_run_step (run);
   int image = kq_run_image (run);
   if (p->filling)
-    r->filling += sign * (int64_t)p->cpu_milli;
+    r->filling_milli += sign * (int64_t)p->cpu_milli;
   else
     r->used.cpu_milli += sign * (int64_t)p->cpu_milli;
   r->used.mem_mb += sign * (int64_t)p->mem_mb;
@@ -47,11 +47,11 @@
   if (p->lasting && !p->filling)
     {
       r->n_lasting += sign;
-      r->lasting += sign * (int64_t)p->cpu_milli;
+      r->lasting_milli += sign * (int64_t)p->cpu_milli;
     }
   if (image >= 0 && p->filling)
     {
-      r->filling_shares[image] += sign * run->share;
+      r->filling_shares[image] += sign * run->cpu_share;
       if (r->filling_shares[image] > SHARE_EPSILON)
         r->filling_images |= (uint32_t)1 << image;
       else
@@ -61,7 +61,7 @@
     {
       r->serving_images[image] += sign;
       r->n_serving += sign;
-      r->serving += sign * (int64_t)p->cpu_milli;
+      r->serving_milli += sign * (int64_t)p->cpu_milli;
     }
 }
 
@@ -79,9 +79,9 @@
   run->runner = r;
   run->pace = 100;
   run->load = -1;
-  run->share = (double)kq_run_step (run)->cpu_milli
-               / (double)(r->room.cpu_milli > 0 ? r->room.cpu_milli : 1);
-  run->placed_at = run->moved_at = now;
+  run->cpu_share = (double)kq_run_step (run)->cpu_milli
+                   / (double)(r->room.cpu_milli > 0 ? r->room.cpu_milli : 1);
+  run->placed_at = run->last_change_at = now;
   if (kq_run_is_serving (run))
     {
       run->serving = kq_alloc (sizeof *run->serving);
@@ -95,7 +95,7 @@
     r->runs->prev = run;
   r->runs = run;
   update_reservations (run, 1);
-  j->runs++;
+  j->n_runs++;
   j->spent.runs++;
   run->job_next = j->run_list;
   if (j->run_list != NULL)
@@ -138,20 +138,20 @@
 }
 
 void
-kq_run_close_start (KqSched *s, KqRun *run)
+kq_run_leave_window (KqSched *s, KqRun *run)
 {
   if (run->start_in_window)
-    kq_window_done (&s->window);
+    kq_window_remove (&s->window);
   run->start_in_window = false;
 }
 
 void
-kq_run_orders_lost (KqSched *s, KqRun *run)
+kq_run_mark_orders_lost (KqSched *s, KqRun *run)
 {
   if (run->order_pending)
     run->outcome_unknown = true;
   run->order_pending = false;
-  kq_run_close_start (s, run);
+  kq_run_leave_window (s, run);
 }
 
 void
@@ -160,7 +160,7 @@
   KqRunnerState *r = run->runner;
   KqTaskState *t = kq_book_task_state (run);
   KqJob *j = run->job;
-  kq_run_close_start (s, run);
+  kq_run_leave_window (s, run);
   if (t != NULL && t->run == run)
     {
       KqStepState *st = &run->occurrence->steps[run->step];
@@ -186,7 +186,7 @@
     run->next->prev = run->prev;
   if (run->serving != NULL)
     unlink_serving (run);
-  j->runs--;
+  j->n_runs--;
   if (run->job_prev != NULL)
     run->job_prev->job_next = run->job_next;
   else
@@ -196,7 +196,7 @@
   free (run->checkpoint);
   free (run->serving);
   free (run);
-  kq_runners_changed (s, r);
+  kq_runners_note_change (s, r);
 }
 
 static void
@@ -229,7 +229,7 @@
         = kq_str (kq_tickets_find (run->occurrence, run->step, run->runner, now));
   ++*s->starts;
   if (!run->start_in_window)
-    kq_window_sent (&s->window);
+    kq_window_add (&s->window);
   run->start_in_window = true;
   send_order (s, run, &o, now);
 }
@@ -259,7 +259,7 @@
           "moved_ms_ago=%lld",
           name, run->number, run->runner->id, why, run->percent,
           (long long)((now - run->placed_at) / KQ_MS),
-          (long long)((now - run->moved_at) / KQ_MS));
+          (long long)((now - run->last_change_at) / KQ_MS));
   if (run->job->state < KQ_JOB_COMPLETED)
     run->job->spent.stopped++;
   run->phase = KQ_RUN_STOPPING;
@@ -267,7 +267,7 @@
 }
 
 void
-kq_run_pace (KqSched *s, KqRun *run, int percent, KqTime now)
+kq_run_set_pace (KqSched *s, KqRun *run, int percent, KqTime now)
 {
   char name[96];
   KqOrder o = { .kind = KQ_ORDER_PACE };
@@ -283,12 +283,12 @@
   account_slowed_time (run, percent, now);
   run->pace = percent;
   run->pace_unknown = false;
-  run->moved_at = now;
+  run->last_change_at = now;
   o.runner = kq_str (run->runner->id);
   o.u.pace.task = kq_str (name);
   o.u.pace.run = run->number;
   o.u.pace.percent = percent;
-  ++*s->paces;
+  ++*s->pace_orders;
   s->config.order (s->config.arg, run->runner->agent, &o);
 }
 
@@ -304,7 +304,7 @@
 }
 
 void
-kq_run_cancel_all (KqSched *s, KqJob *j, KqTime now)
+kq_run_stop_all (KqSched *s, KqJob *j, KqTime now)
 {
   for (KqRun *run = j->run_list; run != NULL; run = run->job_next)
     kq_run_stop (s, run, "job ended", now);
--- a/src/sched/sched.c
+++ b/src/sched/sched.c
@@ -69,7 +69,7 @@
                                   "Runners whose lease ended while they were silent.");
   s->no_room
       = kq_counter (c, "kq_run_no_room_total", "", "Starts refused for want of room.");
-  s->paces = kq_counter (c, "kq_run_paces_total", "", "Changes of a task's pace.");
+  s->pace_orders = kq_counter (c, "kq_run_paces_total", "", "Changes of a task's pace.");
   for (int i = 0; i <= KQ_ADVICE_UNKNOWN; i++)
     s->advices[i] = advice_counter (c, i);
 }
@@ -198,10 +198,10 @@
   find_images (s, j);
   age = wall - j->spec.accepted_ms;
   j->accepted_at = now - (age > 0 && s->wall_minus_now_ms != 0 ? age : 0) * KQ_MS;
-  j->next = s->open;
-  if (s->open != NULL)
-    s->open->prev = j;
-  s->open = j;
+  j->next = s->open_jobs;
+  if (s->open_jobs != NULL)
+    s->open_jobs->prev = j;
+  s->open_jobs = j;
   g_hash_table_insert (s->jobs, kq_str_dup (j->spec.id), j);
   if (s->loaded)
     {
@@ -292,10 +292,10 @@
 {
   s->loaded = true;
   s->pass_needed = true;
-  for (KqJob *j = s->open; j != NULL; j = j->next)
+  for (KqJob *j = s->open_jobs; j != NULL; j = j->next)
     if (j->created == 0 || j->spec.n_occurrences > 0)
       kq_book_create_due (s, j, now);
-  for (KqJob *j = s->open; j != NULL; j = j->next)
+  for (KqJob *j = s->open_jobs; j != NULL; j = j->next)
     if (j->state < KQ_JOB_COMPLETED && j->finished == kq_spec_occurrences (&j->spec))
       kq_book_end_job (s, j, KQ_JOB_COMPLETED, now);
   kq_log (KQ_LOG_INFO, PART, "Loaded the stored state. jobs=%u runners=%u after_ms=%lld",
@@ -307,12 +307,12 @@
 update_jobs (KqSched *s, KqTime now)
 {
   KqJob *next;
-  for (KqJob *j = s->open; j != NULL; j = next)
+  for (KqJob *j = s->open_jobs; j != NULL; j = next)
     {
       next = j->next;
       if (j->spec.n_occurrences > 0)
         kq_book_create_due (s, j, now);
-      if (j->state < KQ_JOB_COMPLETED || j->runs > 0)
+      if (j->state < KQ_JOB_COMPLETED || j->n_runs > 0)
         continue;
       kq_book_unlink (s, j);
     }
@@ -361,7 +361,7 @@
 kq_sched_waiting (const KqSched *s, KqStr queue)
 {
   int64_t n = 0;
-  for (const KqJob *j = s->open; j != NULL; j = j->next)
+  for (const KqJob *j = s->open_jobs; j != NULL; j = j->next)
     n += j->state < KQ_JOB_COMPLETED && !j->begun && kq_str_eq (j->spec.queue, queue);
   return n;
 }
@@ -373,10 +373,10 @@
   uint64_t *gauge;
   uint64_t open = 0;
   uint64_t runs = 0;
-  for (const KqJob *j = s->open; j != NULL; j = j->next)
+  for (const KqJob *j = s->open_jobs; j != NULL; j = j->next)
     {
       open++;
-      runs += (uint64_t)j->runs;
+      runs += (uint64_t)j->n_runs;
     }
   gauge = kq_counter (c, "kq_jobs_open", "", "Jobs that aren't ended.");
   *gauge = open;
--- a/src/sched/state.h
+++ b/src/sched/state.h
@@ -69,7 +69,7 @@
 {
   int32_t done;
   int32_t active;
-  KqTickets *advice;  /* of an advised step; NULL: never asked */
+  KqTickets *tickets; /* of an advised step; NULL: never asked */
   KqTime lost_since;  /* since when lost lasting tasks wait; 0: none */
   KqTime waits_since; /* since when some task is ready and not started; 0: none is */
   /* The last search of all runners that found none for a task of the step. 0 in
@@ -114,7 +114,7 @@
   int32_t created;  /* number of occurrences created */
   int32_t finished; /* number of occurrences completed */
   KqOccurrence *occurrences; /* open ones */
-  int runs;                  /* number of runs that may exist on runners */
+  int n_runs;                /* number of runs that may exist on runners */
   KqRun *run_list;           /* those runs, the latest first */
   KqBuf batch;               /* packed progress that is being stored */
   KqJob *next;               /* list of open jobs (KqSched.open) */
@@ -162,10 +162,10 @@
   uint64_t confirmed; /* agent's count of results when the runner last reported the run,
                          plus 1; 0: never */
   KqTime placed_at;
-  KqTime running_at; /* when its runner first confirmed it; 0: not yet */
-  KqTime moved_at;   /* last change of its progress or pace */
+  KqTime running_at;     /* when its runner first confirmed it; 0: not yet */
+  KqTime last_change_at; /* last change of its progress or pace */
   KqTime retry_at;
-  double share;       /* share of the runner's cpu that it asks for */
+  double cpu_share;   /* share of the runner's cpu that it asks for */
   int percent;        /* progress, as in KqRunRow */
   int load;           /* as in KqRunRow; -1: not reported yet */
   int pace;           /* last ordered pace, in percent */
@@ -205,11 +205,11 @@
   char *domain;
   char *rack;
   char *kind;
-  char *host;        /* its target host; "": not known */
-  bool host_leaving; /* its host will be taken down for maintenance soon */
-  KqRoom room;       /* its whole capacity */
-  KqRoom used;       /* reserved by all runs that may exist there */
-  int64_t filling;   /* cpu that its filling runs ask for */
+  char *host;            /* its target host; "": not known */
+  bool host_leaving;     /* its host will be taken down for maintenance soon */
+  KqRoom room;           /* its whole capacity */
+  KqRoom used;           /* reserved by all runs that may exist there */
+  int64_t filling_milli; /* cpu that its filling runs ask for */
   int64_t started_ms;
   bool in_store;               /* it has an entry in the store now */
   bool in_stored_list;         /* it is in the stored list of runners in use */
@@ -241,9 +241,9 @@
   int suspect_times;
   int n_runs;
   int n_serving;
-  int64_t serving; /* cpu that serving tasks reserve, as a part of `used` */
-  int n_lasting;   /* lasting tasks that aren't filling */
-  int64_t lasting; /* cpu that they reserve, as a part of `used` */
+  int64_t serving_milli; /* cpu that serving tasks reserve, as a part of `used` */
+  int n_lasting;         /* lasting tasks that aren't filling */
+  int64_t lasting_milli; /* cpu that they reserve, as a part of `used` */
   int serving_images[KQ_DISTURB_IMAGES_MAX];    /* serving tasks per image */
   double filling_shares[KQ_DISTURB_IMAGES_MAX]; /* share of the cpu that each filling
                                                    image asks for */
@@ -301,7 +301,7 @@
   KqAgents agents;
   uint64_t assignments;  /* number of assignments of runners to agents so far */
   uint64_t runners_made; /* number of runners added so far */
-  KqJob *open;      /* jobs that have not ended, and ended ones that still have runs */
+  KqJob *open_jobs; /* jobs that have not ended, and ended ones that still have runs */
   bool loaded;      /* everything stored has been passed in */
   bool settled;     /* all runs of earlier leaders are known */
   bool pass_needed; /* something has changed that calls for a placing pass */
@@ -341,7 +341,7 @@
   uint64_t *stops_drain;
   uint64_t *leases_expired;
   uint64_t *no_room;
-  uint64_t *paces;
+  uint64_t *pace_orders;
   uint64_t *advices[3]; /* answers, by KqAdviceResult */
   KqHistogram first_start;
   KqHistogram job_time;
@@ -363,14 +363,14 @@
 bool kq_book_find_task (const KqSched *s, KqStr name, KqTaskRef *out);
 void kq_book_task_name (const KqRun *r, char out[96]);
 KqTaskState *kq_book_task_state (const KqRun *r);
-bool kq_book_has_failed (const KqTaskState *t, uint32_t run);
+bool kq_book_run_has_failed (const KqTaskState *t, uint32_t run);
 void kq_book_add_failure (KqTaskState *t, uint32_t run);
 KqOccurrence *kq_book_add_occurrence (KqJob *j, int32_t number, KqTime due_at);
 void kq_book_open_steps (KqOccurrence *o);
-void kq_book_task_done (KqSched *s, KqOccurrence *o, int32_t step, int32_t index,
-                        KqTime now);
-void kq_book_task_failed (KqSched *s, KqOccurrence *o, int32_t step, int32_t index,
-                          uint32_t run, KqRunnerState *where, KqTime now);
+void kq_book_finish_task (KqSched *s, KqOccurrence *o, int32_t step, int32_t index,
+                          KqTime now);
+void kq_book_fail_task (KqSched *s, KqOccurrence *o, int32_t step, int32_t index,
+                        uint32_t run, KqRunnerState *where, KqTime now);
 /* Notes that a task of a lasting step runs for the first time. This is stored, since a
  * later leader must know which waiting tasks have lost their runner. */
 void kq_book_mark_has_run (KqSched *s, KqJob *j, KqTaskState *t, KqTime now);
@@ -392,29 +392,29 @@
 void kq_run_send_start (KqSched *s, KqRun *run, KqTime now);
 /* Notes that an unanswered order of the run won't be answered: it may or may not be
  * carried out. */
-void kq_run_orders_lost (KqSched *s, KqRun *run);
+void kq_run_mark_orders_lost (KqSched *s, KqRun *run);
 /* Removes the run's start order from the window, as it has been answered or won't be. */
-void kq_run_close_start (KqSched *s, KqRun *run);
+void kq_run_leave_window (KqSched *s, KqRun *run);
 void kq_run_stop (KqSched *s, KqRun *run, const char *why, KqTime now);
 void kq_run_send_stop (KqSched *s, KqRun *run, KqTime now);
-void kq_run_pace (KqSched *s, KqRun *run, int percent, KqTime now);
+void kq_run_set_pace (KqSched *s, KqRun *run, int percent, KqTime now);
 void kq_run_set_checkpoint (KqRun *run, KqStr checkpoint);
 const KqStep *kq_run_step (const KqRun *run);
 bool kq_run_is_serving (const KqRun *run); /* not filling, has a latency target */
 /* Its image's place in the disturbance model; -1: none. */
 int kq_run_image (const KqRun *run);
-void kq_run_cancel_all (KqSched *s, KqJob *j, KqTime now);
+void kq_run_stop_all (KqSched *s, KqJob *j, KqTime now);
 
 /* runners.c */
 /* Notes a change that may have made room on the runner: waiting steps that found none
  * search it again. What changes with time alone is found by occasional searches of all
  * runners. */
-void kq_runners_changed (KqSched *s, KqRunnerState *r);
+void kq_runners_note_change (KqSched *s, KqRunnerState *r);
 KqRunnerState *kq_runners_find (const KqSched *s, KqStr id);
 bool kq_runners_may_run (const KqRunnerState *r);
 /* Notes that the runner's host has been taken down. Once the runner is unreachable as
  * well, its runs are ended without waiting for its lease. */
-void kq_runners_taken_down (KqSched *s, KqStr id, KqTime now);
+void kq_runners_note_taken_down (KqSched *s, KqStr id, KqTime now);
 /* Notes that a run may exist there until `ends`, unless a later time is known. `from`
  * says where that time comes from, for logs, and must stay valid. */
 void kq_runners_extend_lease (KqRunnerState *r, KqTime ends, const char *from);
@@ -424,7 +424,7 @@
                                   uint64_t assignment, const char *what);
 /* Ends or stops the runs from before a restart of the runner, which was noticed by a list
  * that its agent requested after sending `order` results. */
-void kq_runners_restarted (KqSched *s, KqRunnerState *r, uint64_t order, KqTime now);
+void kq_runners_handle_restart (KqSched *s, KqRunnerState *r, uint64_t order, KqTime now);
 /* Tells the runner's agent which ends are stored, and whether to report often. */
 void kq_runners_acknowledge (const KqSched *s, const KqRunnerState *r);
 void kq_runners_check_leases (KqSched *s, KqTime now);
@@ -433,7 +433,7 @@
 /* suspects.c */
 /* Counts a task that has ended there, done or failed; after too many failures the runner
  * isn't used for a while. */
-void kq_runners_record_end (KqRunnerState *r, bool done, KqTime now);
+void kq_runners_count_end (KqRunnerState *r, bool done, KqTime now);
 
 void kq_runners_free (KqRunnerState *r);
 
@@ -447,7 +447,7 @@
                         int32_t step, bool lost, KqTime now);
 /* Whether the job is starved: none of its tasks has run for long, though about half of
  * the service's cpu is not reserved. `now` is the present time. */
-bool kq_place_starved (const KqOccurrence *o, int32_t step, KqTime now);
+bool kq_place_is_starved (const KqOccurrence *o, int32_t step, KqTime now);
 /* The score of the runner for a task of the step that has failed nowhere; higher is
  * better. */
 double kq_place_score (const KqSched *s, const KqRunnerState *r, const KqOccurrence *o,
@@ -471,9 +471,9 @@
 /* Whether a lasting task may be placed on the runner, by what is kept free. */
 bool kq_pools_may_place_lasting (const KqRunnerState *r);
 /* Whether no more than about half of the service's cpu is reserved. */
-bool kq_pools_half_free (const KqPool *p);
+bool kq_pools_is_half_free (const KqPool *p);
 /* Counts a lasting task with that cpu that has been placed on the runner. */
-void kq_pools_lasting_placed (const KqRunnerState *r, int32_t cpu_milli);
+void kq_pools_count_lasting (const KqRunnerState *r, int32_t cpu_milli);
 
 /* tickets.c: tickets of the advice service for steps of advised queues. */
 /* The ticket for the step on the runner that is valid now; NULL: none. Owned by the step.
@@ -484,11 +484,11 @@
  * an answer is outstanding. */
 void kq_tickets_request (KqSched *s, KqOccurrence *o, int32_t step, KqTime now);
 /* Drops the step's ticket for the runner, which has refused it. */
-void kq_tickets_refused (KqOccurrence *o, int32_t step, const KqRunnerState *r);
+void kq_tickets_drop (KqOccurrence *o, int32_t step, const KqRunnerState *r);
 /* Drops the step's rows of a runner that is about to be freed. */
 void kq_tickets_forget_runner (KqStepState *st, const KqRunnerState *r);
 /* Ends all requests for advice outstanding at an agent that is down. */
-void kq_tickets_agent_down (KqSched *s, int agent);
+void kq_tickets_drop_requests (KqSched *s, int agent);
 void kq_tickets_free (KqTickets *a);
 
 /* maintenance.c */
--- a/src/sched/store.c
+++ b/src/sched/store.c
@@ -27,7 +27,7 @@
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       KqJob *j = value;
-      bool expired = j->stored_state >= KQ_JOB_COMPLETED && !j->dirty && j->runs == 0
+      bool expired = j->stored_state >= KQ_JOB_COMPLETED && !j->dirty && j->n_runs == 0
                      && now - j->ended_at > s->config.keep_ms * KQ_MS;
       if (!j->dirty && !expired)
         continue;
@@ -166,7 +166,7 @@
     {
       KqRunnerState *r = g_ptr_array_index (s->runner_list, i);
       if (r->in_sent_list && !r->in_stored_list)
-        kq_runners_changed (s, r);
+        kq_runners_note_change (s, r);
       r->in_stored_list = r->in_sent_list;
     }
 }
--- a/src/sched/suspects.c
+++ b/src/sched/suspects.c
@@ -29,7 +29,7 @@
 }
 
 void
-kq_runners_record_end (KqRunnerState *r, bool done, KqTime now)
+kq_runners_count_end (KqRunnerState *r, bool done, KqTime now)
 {
   KqTime pause;
   decay (r, now);
--- a/src/sched/tickets.c
+++ b/src/sched/tickets.c
@@ -50,7 +50,7 @@
 const char *
 kq_tickets_find (const KqOccurrence *o, int32_t step, const KqRunnerState *r, KqTime now)
 {
-  const KqTicket *row = find_row (o->steps[step].advice, r);
+  const KqTicket *row = find_row (o->steps[step].tickets, r);
   return row != NULL && now < row->valid_until ? row->ticket : NULL;
 }
 
@@ -78,9 +78,9 @@
 }
 
 void
-kq_tickets_refused (KqOccurrence *o, int32_t step, const KqRunnerState *r)
+kq_tickets_drop (KqOccurrence *o, int32_t step, const KqRunnerState *r)
 {
-  KqTickets *a = o->steps[step].advice;
+  KqTickets *a = o->steps[step].tickets;
   KqTicket *row = find_row (a, r);
   if (row != NULL)
     drop_row (a, row);
@@ -89,20 +89,20 @@
 void
 kq_tickets_forget_runner (KqStepState *st, const KqRunnerState *r)
 {
-  for (int32_t i = 0; st->advice != NULL && i < st->advice->n_rows; i++)
-    if (st->advice->rows[i].runner == r)
-      drop_row (st->advice, &st->advice->rows[i--]);
+  for (int32_t i = 0; st->tickets != NULL && i < st->tickets->n_rows; i++)
+    if (st->tickets->rows[i].runner == r)
+      drop_row (st->tickets, &st->tickets->rows[i--]);
 }
 
 void
-kq_tickets_agent_down (KqSched *s, int agent)
+kq_tickets_drop_requests (KqSched *s, int agent)
 {
   s->agents.list[agent].advice_requests = 0;
-  for (KqJob *j = s->open; j != NULL; j = j->next)
+  for (KqJob *j = s->open_jobs; j != NULL; j = j->next)
     for (KqOccurrence *o = j->occurrences; j->spec.advised && o != NULL; o = o->next)
       for (int32_t i = 0; i < j->spec.n_steps; i++)
-        if (o->steps[i].advice != NULL && o->steps[i].advice->agent == agent)
-          drop_request (o->steps[i].advice);
+        if (o->steps[i].tickets != NULL && o->steps[i].tickets->agent == agent)
+          drop_request (o->steps[i].tickets);
 }
 
 /* The agent with the fewest outstanding requests; -1: all have REQUESTS_PER_HOST_MAX.
@@ -155,23 +155,23 @@
   char name[96];
   int32_t n;
   int agent;
-  if (st->advice == NULL)
+  if (st->tickets == NULL)
     {
-      st->advice = kq_alloc (sizeof *st->advice);
-      st->advice->agent = -1;
+      st->tickets = kq_alloc (sizeof *st->tickets);
+      st->tickets->agent = -1;
     }
-  if (st->advice->agent >= 0 && now - st->advice->asked_at >= ANSWER_TIMEOUT)
-    drop_request (st->advice);
+  if (st->tickets->agent >= 0 && now - st->tickets->asked_at >= ANSWER_TIMEOUT)
+    drop_request (st->tickets);
   if (s->next_pass_at == 0)
     s->next_pass_at = now + RETRY_DELAY;
-  if (st->advice->agent >= 0 || now < st->advice->again_at)
+  if (st->tickets->agent >= 0 || now < st->tickets->again_at)
     return;
   agent = pick_agent (s);
   if (agent < 0)
     return;
   list = kq_alloc (((size_t)max + 1) * sizeof (KqRunnerState *));
   n = kq_place_candidates (s, o, step, now, list, max);
-  n = pick_runners_to_ask (st->advice, list, n, ids, now);
+  n = pick_runners_to_ask (st->tickets, list, n, ids, now);
   free (list);
   if (n == 0)
     return;
@@ -179,8 +179,8 @@
   kq_log (KQ_LOG_DEBUG, PART, "Asking for advice. step=%s runners=%d agent=%d", name, n,
           agent);
   s->agents.list[agent].advice_requests++;
-  st->advice->agent = agent;
-  st->advice->asked_at = now;
+  st->tickets->agent = agent;
+  st->tickets->asked_at = now;
   order.u.advise.step = kq_str (name);
   order.u.advise.runners = ids;
   order.u.advise.n_runners = (size_t)n;
@@ -189,12 +189,12 @@
   for (int32_t i = 0; i < n; i++)
     {
       KqRunnerState *r = kq_runners_find (s, ids[i]);
-      KqTicket *row = find_row (st->advice, r);
+      KqTicket *row = find_row (st->tickets, r);
       if (row == NULL)
         {
-          size_t size = ((size_t)st->advice->n_rows + 1) * sizeof *st->advice->rows;
-          st->advice->rows = kq_realloc (st->advice->rows, size);
-          row = &st->advice->rows[st->advice->n_rows++];
+          size_t size = ((size_t)st->tickets->n_rows + 1) * sizeof *st->tickets->rows;
+          st->tickets->rows = kq_realloc (st->tickets->rows, size);
+          row = &st->tickets->rows[st->tickets->n_rows++];
         }
       else
         free (row->ticket);
@@ -237,27 +237,27 @@
           "Answer of the advice service. step=%.*s result=%d good=%zu valid_ms=%lld",
           KQ_STR_ARG (a->step), a->reply.result, a->reply.n_rows,
           (long long)a->reply.valid_ms);
-  if (st == NULL || st->advice == NULL || st->advice->agent != agent)
+  if (st == NULL || st->tickets == NULL || st->tickets->agent != agent)
     return;
   s->pass_needed = true;
   if (a->reply.result != KQ_ADVICE_OK)
     {
-      st->advice->again_at = now + RETRY_DELAY;
-      drop_request (st->advice);
+      st->tickets->again_at = now + RETRY_DELAY;
+      drop_request (st->tickets);
       return;
     }
-  st->advice->agent = -1;
+  st->tickets->agent = -1;
   /* Validity counts from the request, as the ticket can't be older. */
   for (size_t i = 0; i < a->reply.n_rows; i++)
     {
       const KqAdviceRow *allowed = &a->reply.rows[i];
       KqRunnerState *r = kq_runners_find (s, allowed->runner);
-      KqTicket *row = r != NULL ? find_row (st->advice, r) : NULL;
+      KqTicket *row = r != NULL ? find_row (st->tickets, r) : NULL;
       if (row == NULL)
         continue;
       free (row->ticket);
       row->ticket = kq_str_dup (allowed->ticket);
-      row->valid_until = st->advice->asked_at + a->reply.valid_ms * KQ_MS - VALID_MARGIN;
+      row->valid_until = st->tickets->asked_at + a->reply.valid_ms * KQ_MS - VALID_MARGIN;
     }
-  mark_refused (st->advice);
+  mark_refused (st->tickets);
 }
--- a/src/sched/watch.c
+++ b/src/sched/watch.c
@@ -27,12 +27,13 @@
     return false;
   if (p->lasting)
     return run->percent < 100 && now - run->running_at > LASTING_START_MAX
-           && now - run->moved_at > LASTING_START_MAX;
+           && now - run->last_change_at > LASTING_START_MAX;
   if (run->pace < 100 || p->filling)
     bound *= 3;
   /* Measured to the last report rather than to now: a late report says nothing of the
    * task. */
-  return run->runner->heard_at - run->moved_at > (bound > STALL_MIN ? bound : STALL_MIN);
+  return run->runner->heard_at - run->last_change_at
+         > (bound > STALL_MIN ? bound : STALL_MIN);
 }
 
 /* Whether the run must be stopped because its runner leaves. */
@@ -110,7 +111,7 @@
       if (t != NULL)
         t->avoid = r;
       ++*s->stops_stalled;
-      kq_runners_record_end (r, false, now);
+      kq_runners_count_end (r, false, now);
       kq_run_stop (s, run, "stands still", now);
     }
   else if (must_move (run, now))
@@ -119,7 +120,7 @@
       kq_run_stop (s, run, "runner leaves", now);
     }
   else if (kq_run_step (run)->filling && run->pace <= THROTTLED_PACE_PERCENT
-           && now - run->moved_at > THROTTLED_MAX && kq_run_step (run)->checkpoints)
+           && now - run->last_change_at > THROTTLED_MAX && kq_run_step (run)->checkpoints)
     {
       KqTaskState *t = kq_book_task_state (run);
       if (t != NULL)
--- a/src/sched/window.c
+++ b/src/sched/window.c
@@ -18,26 +18,26 @@
 }
 
 bool
-kq_window_open (const KqWindow *w)
+kq_window_is_open (const KqWindow *w)
 {
   return w->unanswered < w->size;
 }
 
 void
-kq_window_sent (KqWindow *w)
+kq_window_add (KqWindow *w)
 {
   w->unanswered++;
 }
 
 void
-kq_window_done (KqWindow *w)
+kq_window_remove (KqWindow *w)
 {
   assert (w->unanswered > 0);
   w->unanswered--;
 }
 
 void
-kq_window_answered (KqWindow *w, KqTime took)
+kq_window_adapt (KqWindow *w, KqTime took)
 {
   if (took < ANSWER_SOON && w->size < WINDOW_MAX)
     w->size++;
--- a/src/sched/window.h
+++ b/src/sched/window.h
@@ -22,11 +22,11 @@
 } KqWindow;
 
 void kq_window_init (KqWindow *w);
-bool kq_window_open (const KqWindow *w);
-void kq_window_sent (KqWindow *w);
+bool kq_window_is_open (const KqWindow *w);
+void kq_window_add (KqWindow *w);
 /* The order has been answered, or won't be. */
-void kq_window_done (KqWindow *w);
+void kq_window_remove (KqWindow *w);
 /* A start was carried out, answered after `took`. */
-void kq_window_answered (KqWindow *w, KqTime took);
+void kq_window_adapt (KqWindow *w, KqTime took);
 
 #endif
--- a/src/sched/window_test.c
+++ b/src/sched/window_test.c
@@ -14,7 +14,7 @@
 send (KqWindow *w, int n)
 {
   for (int i = 0; i < n; i++)
-    kq_window_sent (w);
+    kq_window_add (w);
 }
 
 static void
@@ -22,8 +22,8 @@
 {
   for (int i = 0; i < n; i++)
     {
-      kq_window_done (w);
-      kq_window_answered (w, took);
+      kq_window_remove (w);
+      kq_window_adapt (w, took);
     }
 }
 
@@ -31,8 +31,8 @@
 size (KqWindow w)
 {
   int n = 0;
-  for (; kq_window_open (&w); n++)
-    kq_window_sent (&w);
+  for (; kq_window_is_open (&w); n++)
+    kq_window_add (&w);
   return n;
 }
 
