--- a/src/sched/agents.h
+++ b/src/sched/agents.h
@@ -24,8 +24,8 @@
 {
   KqAgentInfo info;
   bool up;
-  int runners;
-  int unlisted;        /* of them, whose first list hasn't arrived */
+  int runners;         /* number of runners assigned to it */
+  int unlisted;        /* runners whose first list to it hasn't arrived */
   int advice_requests; /* unanswered requests to the advice service */
 } KqAgentState;
 
@@ -35,7 +35,7 @@
 {
   KqAgentState list[KQ_AGENTS_MAX];
   int n;
-  KqName lost[KQ_AGENTS_MAX]; /* went down unplanned and haven't come back */
+  KqName lost[KQ_AGENTS_MAX]; /* agents that went down unplanned and haven't come back */
   int n_lost;
 } KqAgents;
 
@@ -51,8 +51,8 @@
  * hundreds of runners at once would fill a slow link and delay the renewal of the
  * leader's own lease. */
 int kq_agents_pick (const KqAgents *a, KqStr failure_domain);
-/* Whether the agent has so much more than its proportional number of the total runners
- * that a runner should move to another one. */
+/* Whether the agent has so many more of the `total` runners than its processor share
+ * calls for that one of them should move to another agent. */
 bool kq_agents_overloaded (const KqAgents *a, int agent, int total);
 
 #endif
--- a/src/sched/disturb.h
+++ b/src/sched/disturb.h
@@ -15,20 +15,21 @@
 #include "base/str.h"
 #include "base/time.h"
 
-/* Per kind, serving or filling; further images share the last place. */
+/* Most images of each kind, serving and filling; further ones share the last number. */
 #define KQ_DISTURB_IMAGES_MAX 32
 
 typedef struct KqDisturb KqDisturb;
 
 KqDisturb *kq_disturb_new (void);
 void kq_disturb_free (KqDisturb *d);
-/* The image's place, 0 to KQ_DISTURB_IMAGES_MAX - 1, among the serving or the filling
- * images; added if it is new. */
+/* Return the image's number, 0 to KQ_DISTURB_IMAGES_MAX - 1, among the serving and among
+ * the filling images; an image that is new is added. The other functions take these
+ * numbers in `serving` and `filling`. */
 int kq_disturb_serving (KqDisturb *d, KqStr image);
 int kq_disturb_filling (KqDisturb *d, KqStr image);
 
-/* The model in its stored form, for the next leader: without it filling tasks would be
- * placed badly for some seconds after each change of leader. */
+/* Appends the model in its stored form, for the next leader: without it filling tasks
+ * would be placed badly for some seconds after each change of leader. */
 void kq_disturb_pack (const KqDisturb *d, KqBuf *out);
 /* Reads the stored form into a new model. False: it can't be read; the model may hold a
  * part of it then. */
@@ -41,10 +42,11 @@
  * runners of 16 and of 64 cores, and the loss per core isn't. */
 void kq_disturb_learn (KqDisturb *d, int serving, double lost, double variance,
                        const double shares[KQ_DISTURB_IMAGES_MAX]);
-/* Lower bound of the slack lost if the filling image used the runner's whole cpu; at
- * least 0. */
+/* Lower bound of the slack that the serving image loses if the filling image uses the
+ * runner's whole cpu; at least 0. */
 double kq_disturb_loss_bound (const KqDisturb *d, int serving, int filling);
-/* Estimate of the slack lost with these shares in use, and its variance. */
+/* Estimate of the slack that the serving image loses while filling images use these
+ * shares of the runner's cpu; sets the estimate's variance. */
 double kq_disturb_loss (const KqDisturb *d, int serving,
                         const double shares[KQ_DISTURB_IMAGES_MAX], double *variance);
 
--- a/src/sched/explain.c
+++ b/src/sched/explain.c
@@ -1,4 +1,4 @@
-/* explain: tells operators, in lines of text, what a job waits for. */
+/* explain: lines of text that tell operators what a job waits for. */
 
 #include "sched/state.h"
 
--- a/src/sched/load_trend.c
+++ b/src/sched/load_trend.c
@@ -10,14 +10,15 @@
 /* Variance that the slope gains per second: the load varies by half of its mean with a
  * period of about 14 s, so that its slope changes by 0.2 a second. */
 #define SLOPE_NOISE 0.05
-/* Larger differences between report and estimate are cut to this many standard
- * deviations: a filling task that has just started shows in the tail before it shows in
- * the cpu in use. */
+/* Larger differences between report and estimate are cut to ERROR_MAX_DEVIATIONS
+ * standard deviations of their sum of variances: a filling task that has just started
+ * shows in the tail before it shows in the cpu in use. */
 #define ERROR_MAX_DEVIATIONS 2.5
 /* Without reports the slope is extrapolated for this long; after that the level is
  * constant. */
 #define EXTRAPOLATE_MAX_S 1.5
-/* Time constant with which the recorded low decays; the load returns to its peak. */
+/* Time constant with which the recorded low approaches the level. It is long, as the load
+ * returns to its peak. */
 #define LOW_DECAY_S 12.0
 
 static double
--- a/src/sched/load_trend.h
+++ b/src/sched/load_trend.h
@@ -16,19 +16,19 @@
 
 typedef struct
 {
-  bool known;
-  double level;
-  double slope; /* per second */
-  double var_level;
-  double var_slope;
-  double covar;
+  bool known;       /* there was a report; if not, the other fields are 0 */
+  double level;     /* estimated slack at time `at` */
+  double slope;     /* change of the slack per second */
+  double var_level; /* variance of the level */
+  double var_slope; /* variance of the slope */
+  double covar;     /* covariance of level and slope */
   KqTime at;
-  double low; /* lowest recent level, at the peak of the load */
-  KqTime low_at;
+  double low;    /* lowest recent level, at the peak of the load */
+  KqTime low_at; /* when `low` was last updated */
 } KqLoadTrend;
 
-/* Learns the slack at time `at`, from a report with the loss to filling tasks added back.
- */
+/* Learns from a report for time `at`: the reported slack plus the loss to filling tasks,
+ * and the variance of that sum. */
 void kq_load_trend_learn (KqLoadTrend *s, double slack, double variance, KqTime at);
 /* The slack expected at time `at`. */
 double kq_load_trend_at (const KqLoadTrend *s, KqTime at);
--- a/src/sched/pace.c
+++ b/src/sched/pace.c
@@ -2,8 +2,8 @@
  * task over its latency target.
  *
  * Most pairs of images don't disturb each other and some do strongly, and the load of a
- * serving step changes within seconds. So only filling tasks are slowed that the
- * disturbance model (sched/disturb.h) makes responsible, and no further than the load
+ * serving step changes within seconds. So a filling task is slowed only if the
+ * disturbance model (sched/disturb.h) names it as a cause, and no further than the load
  * predicted for the serving step (sched/load_trend.h) requires. */
 
 #include "sched/pace.h"
@@ -14,29 +14,31 @@
 
 /* Smaller changes of pace aren't ordered. */
 #define CHANGE_MIN_PERCENT 15
-/* Least time between two updates: reports cover the last half second, so that sooner ones
- * repeat most of it. */
+/* Least time between two updates of a runner's paces: a report covers the last half
+ * second, so that one sooner after another would repeat most of it. */
 #define UPDATE_INTERVAL_MIN (450 * KQ_MS)
-/* Below this pace the task is stopped altogether. */
+/* A task whose pace would be below this gets pace 0. */
 #define PACE_MIN_PERCENT 10
-/* With a tail this many times over its target, and no filling image known to be the
- * cause, all filling tasks there are slowed to the given pace. */
+/* If a tail is over UNEXPLAINED_RATIO times its target, and no filling image is known to
+ * be the cause, all filling tasks of the runner are slowed to UNEXPLAINED_PACE_PERCENT.
+ */
 #define UNEXPLAINED_RATIO 1.3
 #define UNEXPLAINED_PACE_PERCENT 30
-/* A task that uses this share of the cpu it asks for isn't slowed by its runner. */
+/* A task that uses this share of the cpu that it asks for runs at full speed. */
 #define FULL_SPEED_LOAD_PERCENT 70
 
 bool
 kq_pace_worth_order (int ordered, int wanted)
 {
-  /* Pace 0 is always ordered, as it is the last means: filling tasks at 12% beside a task
-   * long over its target would otherwise stay at 12%, as seen for 4 s. */
+  /* Pace 0 is ordered however small the change, as it is the last means: filling tasks at
+   * 12% beside a task long over its target would otherwise stay at 12%, as seen for 4 s.
+   */
   if (wanted == 0)
     return ordered != 0;
   return abs (wanted - ordered) >= CHANGE_MIN_PERCENT;
 }
 
-/* A serving task with filling tasks beside it. */
+/* A serving task, while paces are set for the filling tasks beside it. */
 typedef struct
 {
   const KqRun *run;
@@ -67,17 +69,17 @@
 }
 
 static int
-by_age (const void *a, const void *b)
+compare_age (const void *a, const void *b)
 {
   const KqRun *x = *(KqRun *const *)a;
   const KqRun *y = *(KqRun *const *)b;
   return x->placed_at < y->placed_at ? -1 : x->placed_at > y->placed_at;
 }
 
-/* The pace for the filling task, given the slack that older ones have left, from which
- * its own loss is then subtracted; 100 if it disturbs nobody. */
+/* Returns the pace for the filling task, given the slack that older filling tasks have
+ * left to each serving task; subtracts what it takes itself. 100 if it disturbs none. */
 static int
-wanted_pace (const KqSched *s, const KqRun *filling, GArray *serving_tasks)
+allot_pace (const KqSched *s, const KqRun *filling, GArray *serving_tasks)
 {
   double pace = 1;
   for (guint i = 0; i < serving_tasks->len; i++)
@@ -110,8 +112,8 @@
     kq_run_set_pace (s, run, to, now);
 }
 
-/* Clears pace_unknown if the reported load shows that no earlier leader has slowed the
- * task. */
+/* Clears pace_unknown if the reported load shows that the task runs at full speed, so
+ * that no earlier leader has slowed it. */
 static void
 check_full_speed (KqRun *run)
 {
@@ -132,8 +134,9 @@
     }
 }
 
-/* Serves the oldest filling tasks first, which gives them full speed and the youngest
- * what is left. With equal paces for all, most would end later and none sooner. */
+/* Allots pace to the oldest filling tasks first, which gives them full speed and the
+ * youngest what is left. With equal paces for all, most would end later and none sooner.
+ */
 void
 kq_pace_set (KqSched *s, KqRunnerState *r, KqTime now)
 {
@@ -147,11 +150,11 @@
         g_ptr_array_add (filling, run);
       }
   if (filling->len > 0)
-    qsort (filling->pdata, filling->len, sizeof (gpointer), by_age);
+    qsort (filling->pdata, filling->len, sizeof (gpointer), compare_age);
   for (guint i = 0; i < filling->len; i++)
     {
       KqRun *run = g_ptr_array_index (filling, i);
-      order_pace (s, run, may_run ? wanted_pace (s, run, serving_tasks) : 0, now);
+      order_pace (s, run, may_run ? allot_pace (s, run, serving_tasks) : 0, now);
     }
   g_ptr_array_free (filling, TRUE);
   g_array_free (serving_tasks, TRUE);
--- a/src/sched/pace.h
+++ b/src/sched/pace.h
@@ -5,7 +5,7 @@
 
 #include <stdbool.h>
 
-/* Paces in percent: the one ordered last, and the one wanted now. */
+/* Whether to order the wanted pace, given the one ordered last; both in percent. */
 bool kq_pace_worth_order (int ordered, int wanted);
 
 #endif
--- a/src/sched/sched.h
+++ b/src/sched/sched.h
@@ -43,7 +43,7 @@
   KQ_ORDER_PACE,
   KQ_ORDER_SEEN,   /* acknowledges the ends of runs up to a number: they are stored */
   KQ_ORDER_ADVISE, /* ask the advice service about a step; runner is "" */
-  KQ_ORDER_RENEW   /* the list with that halt number was processed: grant leases again */
+  KQ_ORDER_RENEW   /* grant leases again: the list with that halt number was processed */
 } KqOrderKind;
 
 /* The kind's name, for logs. */
@@ -98,10 +98,10 @@
   } u;
 } KqOrder;
 
-/* The advice service's answer on a step. */
+/* The advice service's answer to a request for one step. */
 typedef struct
 {
-  KqStr step;
+  KqStr step; /* job.occurrence.step */
   KqAdviceReply reply;
 } KqStepAdvice;
 
@@ -114,29 +114,33 @@
   uint32_t run;
   KqOrderResult result;
   uint64_t order;
-  uint64_t assignment;   /* of the order TAKE; `order` starts again with each */
-  int64_t lease_left_ms; /* as in a list, as the runner may have restarted; -1: unknown */
+  uint64_t assignment;   /* number in the order TAKE; `order` counts from 0 after each */
+  int64_t lease_left_ms; /* as in KqRunnerList; a restarted runner may grant more; -1:
+                            unknown */
 } KqOrderOutcome;
 
+/* A runner's list of its runs, from its agent. */
 typedef struct
 {
-  int64_t started_ms;
+  int64_t started_ms;    /* start of the runner process, Unix time; 0: not given */
   int64_t lease_left_ms; /* time left of the granted lease, adjusted for clock error */
-  uint64_t order;        /* results sent before this list was requested */
-  uint64_t assignment;
+  uint64_t
+      order; /* number of results that the agent had sent when it requested the list */
+  uint64_t assignment; /* number in the order TAKE */
   uint64_t halt; /* not 0: no lease is granted until an order RENEW with this number */
   const KqRunRow *running;
   size_t n_running;
   const KqEndRow *ended;
   size_t n_ended;
-  bool more_ended;
+  bool more_ended; /* the runner has further ends: lists that follow have them */
 } KqRunnerList;
 
 typedef struct
 {
-  uint64_t epoch;   /* fencing token; jobs stored after it haven't run before */
-  uint32_t term;    /* number of this leader, from 1 */
-  int64_t lease_ms; /* length of a runner's lease */
+  uint64_t
+      epoch; /* fencing token; jobs with a higher store revision can't have run before */
+  uint32_t term;                   /* number of this leader, from 1 */
+  int64_t lease_ms;                /* length of a runner's lease */
   int64_t renew_without_leader_ms; /* for so long an agent renews leases after losing its
                                       leader */
   int64_t maintenance_ms;          /* how long a host is down for maintenance */
@@ -155,6 +159,7 @@
 /* Adds a job in its stored form (kq_spec_pack); one that is known is left alone. False:
  * it can't be read. */
 bool kq_sched_add_job (KqSched *s, KqStr stored, uint64_t revision, KqTime now);
+/* Cancels the job: stops its runs; does nothing if it is unknown or has ended. */
 void kq_sched_cancel (KqSched *s, KqStr id, KqTime now);
 /* Restores a job's progress that an earlier leader stored. False: it can't be read. */
 bool kq_sched_apply_progress (KqSched *s, KqStr id, KqStr stored, KqTime now);
@@ -164,6 +169,7 @@
 /* Restores the disturbance model of an earlier leader (kq_sched_learned_pack); before any
  * job. False: it can't be read. */
 bool kq_sched_learned (KqSched *s, KqStr stored);
+/* Appends the disturbance model in its stored form. */
 void kq_sched_learned_pack (const KqSched *s, KqBuf *out);
 /* To be called once everything stored has been passed in; scheduling begins. */
 void kq_sched_loaded (KqSched *s, KqTime now);
@@ -179,7 +185,7 @@
 
 /* Adds an agent that has connected; returns its number, -1: there are too many. */
 int kq_sched_agent_up (KqSched *s, const KqAgentInfo *info, KqTime now);
-/* The agent's share of its host's processor, in thousandths. */
+/* The share of a processor that the agent has for its calls, in thousandths. */
 int kq_sched_agent_share (const KqSched *s, int agent);
 /* The agent of that name that is up; -1: none. */
 int kq_sched_agent_find (const KqSched *s, KqStr name);
@@ -189,9 +195,9 @@
 /* Whether an agent has gone down unplanned under this leader and isn't up again. */
 bool kq_sched_agents_lost (const KqSched *s);
 
-/* These two take an agent's messages on a runner: the runner's list, the result of an
- * order. Both carry the number of the runner's assignment to the agent; those of an
- * earlier assignment may arrive late and are ignored. */
+/* kq_sched_list takes a runner's list of runs from its agent, kq_sched_outcome the result
+ * of an order to the runner. Both messages carry the number of the runner's assignment to
+ * the agent; those of an earlier assignment may arrive late and are ignored. */
 void kq_sched_list (KqSched *s, int agent, KqStr runner, const KqRunnerList *l,
                     KqTime now);
 void kq_sched_outcome (KqSched *s, int agent, KqStr runner, const KqOrderOutcome *o,
@@ -228,18 +234,21 @@
  * it can't be read. */
 bool kq_sched_waves_stored (KqSched *s, KqStr stored);
 
-/* Makes all decisions that are due; to be called after inputs, and at the time that it
- * returned. wall_ms is Unix time. */
+/* Makes all decisions that are due and returns the time of the next ones; to be called
+ * after inputs, and at the time that it returned. wall_ms is Unix time. */
 KqTime kq_sched_run (KqSched *s, KqTime now, int64_t wall_ms);
 
+/* The job's state for its client account; an end shows only once it is stored. */
 KqJobState kq_sched_state (const KqSched *s, KqStr id);
 /* The number of jobs in the queue that were accepted and have not started a task yet. */
 int64_t kq_sched_waiting (const KqSched *s, KqStr queue);
 /* Appends lines of text for operators on what the job waits for. */
 void kq_sched_explain (const KqSched *s, KqStr id, KqTime now, KqBuf *out);
+/* Sets the gauges among the counters to the present numbers of jobs, runs and runners. */
 void kq_sched_gauges (KqSched *s);
 
-/* Progress that must be stored before the runners may forget the ends of runs. */
+/* A job's progress to be stored. It must be in the store before runners may forget the
+ * ends of runs that led to it. */
 typedef struct
 {
   KqStr id;
@@ -258,8 +267,8 @@
 KqJobState kq_sched_stored_state (KqStr stored);
 /* When the next batch is due; KQ_TIME_NEVER: nothing to store. */
 KqTime kq_sched_store_due (const KqSched *s);
-/* The used runners: those on which runs of this leader may exist. A runner gets its first
- * order only when it is in the stored list of them. */
+/* The functions below concern the list of used runners: those on which runs of this
+ * leader may exist. A runner gets its first order only when it is in the stored list. */
 
 /* Whether the list has changed since it was last packed. */
 bool kq_sched_used_runners_pending (const KqSched *s);
--- a/src/sched/spent.h
+++ b/src/sched/spent.h
@@ -13,11 +13,11 @@
 
 typedef struct
 {
-  KqTime waited; /* total time in which tasks were ready and had no runner */
-  KqTime slowed; /* total time of runs below full speed */
-  uint32_t runs; /* started, or taken over from an earlier leader */
-  uint32_t failed;
-  uint32_t stopped; /* stopped before the job ended */
+  KqTime waited;    /* total time in which tasks were ready and had no runner */
+  KqTime slowed;    /* total time of runs below full speed */
+  uint32_t runs;    /* started, or taken over from an earlier leader */
+  uint32_t failed;  /* failed runs */
+  uint32_t stopped; /* runs that were stopped before the job ended */
 } KqSpent;
 
 /* Appends "waited_ms=1 slowed_ms=2 runs=3 failed=4 stopped=5". */
--- a/src/sched/state.h
+++ b/src/sched/state.h
@@ -29,68 +29,74 @@
 typedef enum
 {
   KQ_TASK_WAITING,
-  KQ_TASK_ACTIVE, /* has a run */
+  KQ_TASK_ACTIVE, /* it has a run: see KqTaskState.run */
   KQ_TASK_DONE
 } KqTaskPhase;
 
 /* The state of a task. Kept small, as tens of thousands exist at a time. */
 typedef struct
 {
-  uint8_t phase; /* KqTaskPhase */
-  uint8_t failures;
-  bool has_run;          /* of a lasting step, also under earlier leaders */
-  uint32_t last_run;     /* highest run number assigned or seen */
+  uint8_t phase;     /* KqTaskPhase */
+  uint8_t failures;  /* length of failed_runs */
+  bool has_run;      /* only of lasting tasks: it has had a run, under this or an earlier
+                        leader */
+  uint32_t last_run; /* highest run number assigned or seen */
   uint32_t *failed_runs; /* numbers of the failed runs: each counts once, though a new
                             leader hears of them in any order */
-  KqRun *run;            /* while ACTIVE */
-  char *checkpoint;      /* from an earlier run; NULL: none */
-  KqRunnerState *avoid;  /* where it failed or stalled last; NULL: nowhere */
+  KqRun *run;            /* the current run, while KQ_TASK_ACTIVE; else NULL */
+  char *checkpoint;      /* saved by an earlier run, to go on from; NULL: none */
+  KqRunnerState *avoid;  /* the runner where it failed or stalled last; NULL: none */
 } KqTaskState;
 
-/* The advice service's answer on a runner for a step. */
+/* The advice service's answer on whether a runner may run a step. */
 typedef struct
 {
   KqRunnerState *runner;
-  int64_t started_ms; /* the runner process it is for */
+  int64_t started_ms; /* start of the runner process that was asked about, Unix time */
   char *ticket;       /* NULL: refused, or no answer yet */
-  KqTime valid_until; /* without a ticket: 0 until the answer, then not 0: refused */
+  KqTime valid_until; /* end of the ticket's validity; without a ticket, 0: no answer yet,
+                         not 0: refused */
 } KqTicket;
 
+/* What the advice service has answered for one step. */
 typedef struct
 {
   KqTicket *rows;
   int32_t n_rows;
-  int agent;       /* that has an outstanding request to the advice service; -1: none */
+  int agent;       /* the agent whose request for this step is unanswered; -1: none */
   KqTime asked_at; /* when that request was sent */
   KqTime again_at; /* earliest time of the next request */
 } KqTickets;
 
 typedef struct
 {
-  int32_t done;
-  int32_t active;
-  KqTickets *tickets; /* of an advised step; NULL: never asked */
-  KqTime lost_since;  /* since when lost lasting tasks wait; 0: none */
-  KqTime waits_since; /* since when some task is ready and not started; 0: none is */
-  /* The last search of all runners that found none for a task of the step. 0 in
-   * searched_at: there was none. */
+  int32_t done;       /* number of tasks in phase KQ_TASK_DONE */
+  int32_t active;     /* number of tasks in phase KQ_TASK_ACTIVE */
+  KqTickets *tickets; /* of a step in an advised queue; NULL: the advice service was never
+                         asked */
+  KqTime lost_since; /* since when lost lasting tasks of the step wait; 0: none is lost */
+  KqTime waits_since; /* since when some task could start and has no run; 0: none could */
+  /* The last search that found no runner for a task of the step: the time of the last
+   * such search over all runners (0: none), and KqSched.changes at the last one, which
+   * may have looked at changed runners only. */
   KqTime searched_at;
-  uint64_t searched_change; /* the last change of runners (KqSched.changes) that has been
-                               searched */
-  bool searched_lost;       /* it was for lasting tasks that have run before */
-  bool open;                /* the steps it depends on are done */
-  char rack[24]; /* of a one-rack step: chosen with its first task; "": not yet */
+  uint64_t searched_change;
+  bool searched_lost; /* the search was for lasting tasks that have run before */
+  bool open;          /* the steps that it depends on are done: its tasks may start */
+  char rack[24]; /* of a one-rack step: the rack of its first placed task; "": none is
+                    placed */
   KqLoadTrend load_trend; /* of a serving step */
   KqTaskState *tasks;
 } KqStepState;
 
+/* One execution of all steps of a job; a timed job has several. */
 typedef struct KqOccurrence
 {
   KqJob *job;
   int32_t number;
   int32_t steps_done;
-  KqTime due_at; /* objectives are measured from here */
-  int64_t critical_path_ms;
+  KqTime due_at;            /* the objective's time runs from here */
+  int64_t critical_path_ms; /* estimated time of the longest chain of undone steps */
   KqStepState *steps;
   struct KqOccurrence *next;
 } KqOccurrence;
@@ -100,7 +106,7 @@
   KqSpec spec;
   KqBuf stored;      /* packed spec, which holds the strings of `spec` */
   uint64_t revision; /* store revision of its key */
-  KqPool *pool;      /* of its service */
+  KqPool *pool;      /* the runners of its service */
   KqTime learned_at; /* when this leader learned of it */
   KqJobState state;
   KqJobState stored_state; /* the last state that has been stored */
@@ -109,15 +115,15 @@
   bool dirty; /* progress differs from what is stored */
   KqTime accepted_at;
   KqTime ended_at;
-  KqSpent spent;
-  int *images;      /* per step: its image's place in the disturbance model; -1: none */
-  int32_t created;  /* number of occurrences created */
-  int32_t finished; /* number of occurrences completed */
-  KqOccurrence *occurrences; /* open ones */
+  KqSpent spent; /* totals for the log line at its end */
+  int *images; /* per step: the number of its image in the disturbance model; -1: none */
+  int32_t created;           /* number of occurrences created */
+  int32_t finished;          /* number of occurrences completed */
+  KqOccurrence *occurrences; /* those that have begun and aren't completed */
   int n_runs;                /* number of runs that may exist on runners */
   KqRun *run_list;           /* those runs, the latest first */
   KqBuf batch;               /* packed progress that is being stored */
-  KqJob *next;               /* list of open jobs (KqSched.open) */
+  KqJob *next;               /* list of open jobs (KqSched.open_jobs) */
   KqJob *prev;
 };
 
@@ -128,19 +134,21 @@
   KQ_RUN_STOPPING /* a stop order has been sent, or is due */
 } KqRunPhase;
 
-/* State from the latency reports of a serving task. */
+/* What is known of a serving task from its latency reports. */
 typedef struct
 {
   KqTime reported_at; /* 0: never */
   double slack;       /* target divided by tail, in the last report */
-  double offset; /* slack beyond what its step's load and the filling tasks explain */
+  double offset; /* mean of the slack beyond what the step's load and the filling tasks
+                    explain */
   double shares[KQ_DISTURB_IMAGES_MAX]; /* shares of the runner's cpu used by filling
                                            images at that report */
-  KqTime over_since;      /* since when its tail is over the target; 0: it isn't */
+  KqTime over_since; /* since when each report was over the target, or just below it; 0:
+                        the last wasn't */
   double tail_log_mean;   /* decaying mean of log (tail / target); 0: no report */
-  KqTime mean_over_since; /* the same by tail_log_mean */
+  KqTime mean_over_since; /* since when tail_log_mean is not below 0; 0: it is */
   uint64_t headroom_pass; /* the placing pass for which start_headroom was computed */
-  double start_headroom;  /* slack that a task starting now may take */
+  double start_headroom;  /* slack that a filling task that starts now may take */
   KqRun *next;            /* in the runner's list of serving runs */
   KqRun *prev;
 } KqServing;
@@ -156,24 +164,26 @@
   KqRunPhase phase;
   bool outcome_unknown; /* an order was not answered: it may still be carried out */
   bool order_pending;   /* the agent has an order that is not answered yet */
-  bool start_in_window; /* its start order is counted in the window */
+  bool start_in_window; /* its start order is counted in KqSched.window */
   bool resent;  /* its start order was sent more than once: one may still arrive */
   bool stopped; /* its runner has answered a stop order, and not listed the run since */
-  uint64_t confirmed; /* agent's count of results when the runner last reported the run,
-                         plus 1; 0: never */
+  uint64_t confirmed; /* 1 + the agent's count of order results (KqRunnerList.order) at
+                         the runner's last report of the run; 0: none. Only a list
+                         requested later can show that the run is gone. */
   KqTime placed_at;
   KqTime running_at;     /* when its runner first confirmed it; 0: not yet */
   KqTime last_change_at; /* last change of its progress or pace */
-  KqTime retry_at;
-  double cpu_share;   /* share of the runner's cpu that it asks for */
-  int percent;        /* progress, as in KqRunRow */
-  int load;           /* as in KqRunRow; -1: not reported yet */
+  KqTime retry_at;       /* when an order without an answer is due to be repeated */
+  double cpu_share;      /* cpu that it asks for, divided by the runner's whole cpu */
+  int percent;           /* last reported progress, as in KqRunRow */
+  int load;           /* as in KqRunRow: a serving task's tail in ms, else cpu in use in
+                         thousandths; -1: not reported yet */
   int pace;           /* last ordered pace, in percent */
   bool pace_unknown;  /* an earlier leader may have ordered another pace */
   KqTime slowed_at;   /* since when its pace is below 100; 0: it isn't */
-  bool in_list;       /* found in the list being read */
+  bool in_list;       /* kq_sched_list has found it in the list that it is reading */
   KqServing *serving; /* of a task with a latency target; else NULL */
-  char *checkpoint;
+  char *checkpoint;   /* the last that its runner has reported; NULL: none */
   KqRunnerState *runner;
   KqRun *next; /* in the runner's list */
   KqRun *prev;
@@ -185,22 +195,22 @@
 struct KqPool
 {
   char *service;
-  int64_t usable_milli; /* total cpu of the runners that may be used, in thousandths */
-  int64_t used_milli;   /* reserved of it */
-  int64_t no_lasting_milli; /* cpu of those that hold no lasting task */
+  int64_t usable_milli;     /* total cpu, in thousandths, of those that may be used */
+  int64_t used_milli;       /* the part of usable_milli that is reserved */
+  int64_t no_lasting_milli; /* usable cpu of runners that hold no lasting task */
   int64_t demand_milli; /* cpu that tasks other than lasting ones need: running ones that
                            reserve cpu, filling ones on runners without lasting tasks, and
                            waiting ones */
-  double demand_peak_milli; /* its decaying maximum */
+  double demand_peak_milli; /* decaying maximum of demand_milli */
   double kept_free_milli;   /* cpu of the runners that are kept free of lasting tasks */
-  KqTime updated_at;
+  KqTime updated_at;        /* when the peak was last updated */
 };
 
 struct KqRunnerState
 {
   char *id;
   char *service;
-  KqPool *pool; /* of the service */
+  KqPool *pool; /* the runners of its service */
   char *address;
   char *domain;
   char *rack;
@@ -208,63 +218,64 @@
   char *host;            /* its target host; "": not known */
   bool host_leaving;     /* its host will be taken down for maintenance soon */
   KqRoom room;           /* its whole capacity */
-  KqRoom used;           /* reserved by all runs that may exist there */
-  int64_t filling_milli; /* cpu that its filling runs ask for */
+  KqRoom used;           /* what runs that may exist there reserve; filling ones no cpu */
+  int64_t filling_milli; /* cpu that its filling runs ask for; not in `used` */
   int64_t started_ms;
   bool in_store;               /* it has an entry in the store now */
   bool in_stored_list;         /* it is in the stored list of runners in use */
-  bool in_sent_list;           /* it is in that list as it is being stored */
+  bool in_sent_list;           /* it is in the list that was packed last, to be stored */
   bool used_by_earlier_leader; /* an earlier leader may have started runs there */
   bool taken_down;             /* its host has been taken down for maintenance */
   bool gone;                   /* taken down and unreachable: no run is left there */
   bool draining;
-  KqTime drain_ends;    /* it doesn't leave before */
+  KqTime drain_ends;    /* while draining: it doesn't leave before this time */
   bool listed;          /* it has listed its runs to this leader since it last started */
   bool silent;          /* its agent gets no answer from it */
   bool has_unknown_run; /* it lists a run of an unknown job, whose size is unknown */
   KqTime lease_ends;    /* latest time at which a run may still exist there */
   const char *lease_from; /* where that time comes from, for logs */
   bool stale_logged;      /* a message of an earlier assignment was ignored and logged */
-  KqTime heard_at;
-  int agent;            /* -1: none */
-  uint64_t assignment;  /* number of its assignment to the agent (order TAKE) */
-  uint64_t ends_seen;   /* the highest KqEndRow.number in its lists */
-  uint64_t ends_batch;  /* the highest whose effects are stored or in the open batch */
-  uint64_t ends_stored; /* the highest whose effects are stored */
-  bool watched;         /* its agent has been told to report often */
-  /* Health. */
+  KqTime heard_at;        /* when its last list arrived */
+  int agent;              /* the agent assigned to it; -1: none */
+  uint64_t assignment;    /* number of its assignment to the agent (order TAKE) */
+  uint64_t ends_seen;     /* the highest KqEndRow.number in its lists */
+  uint64_t ends_batch;    /* the highest whose effects are stored or in the open batch */
+  uint64_t ends_stored;   /* the highest whose effects are stored */
+  bool watched;           /* its agent has been told to report often */
+  /* Its health, by the ends of tasks there. */
   double failed_count; /* failed tasks, decaying with time */
-  double done_count;   /* done tasks, decaying alike */
+  double done_count;   /* done tasks, decaying like failed_count */
   KqTime counts_at;    /* the time for which both counts hold */
   double slowness; /* actual divided by estimated run time of tasks; 1: like the others */
-  KqTime suspect_until;
-  int suspect_times;
+  KqTime suspect_until; /* no task is placed there before this time */
+  int suspect_times;    /* times it became suspect since a task was last done there */
   int n_runs;
   int n_serving;
   int64_t serving_milli; /* cpu that serving tasks reserve, as a part of `used` */
-  int n_lasting;         /* lasting tasks that aren't filling */
-  int64_t lasting_milli; /* cpu that they reserve, as a part of `used` */
+  int n_lasting;         /* number of lasting tasks there that aren't filling */
+  int64_t lasting_milli; /* cpu that the n_lasting tasks reserve, as a part of `used` */
   int serving_images[KQ_DISTURB_IMAGES_MAX];    /* serving tasks per image */
   double filling_shares[KQ_DISTURB_IMAGES_MAX]; /* share of the cpu that each filling
                                                    image asks for */
-  uint32_t filling_images;                      /* a bit for each image that has any */
-  KqRun *serving_runs;                          /* runs of tasks with a latency target */
-  uint64_t closed_pass;   /* the placing pass for which the next field was computed */
-  bool closed_to_filling; /* a serving task is over its target for too long */
-  KqTime paced_at;        /* when paces were last set by reports */
-  KqRun *runs;
-  uint64_t number;  /* rises in order of creation */
+  uint32_t filling_images; /* a bit for each image with a share above */
+  KqRun *serving_runs;     /* runs of tasks with a latency target */
+  uint64_t closed_pass;    /* the placing pass for which closed_to_filling was computed */
+  bool closed_to_filling;  /* a serving task there is over its target for too long */
+  KqTime paced_at;         /* when kq_pace_update last set paces there */
+  KqRun *runs;             /* all runs that may exist there */
+  uint64_t number;         /* its place in the order in which runners were added */
   uint64_t changed; /* KqSched.changes at its last change that may have made room */
-  KqRunnerState *changed_before; /* list of KqSched.changed_last */
+  KqRunnerState *changed_before; /* links of the list KqSched.changed_last */
   KqRunnerState *changed_after;
 };
 
-/* Progress of a host of a maintenance wave, in this order. */
+/* Progress of a host of a maintenance wave. Phases follow in this order, except that a
+ * host that was not up when called waits again. */
 typedef enum
 {
   KQ_HOST_WAITING,
   KQ_HOST_DRAINING, /* takes no new tasks, its tasks are moved */
-  KQ_HOST_CALLED,   /* the call was sent, and may have been carried out */
+  KQ_HOST_CALLED,   /* the call to take it down was sent, and may have been carried out */
   KQ_HOST_DOWN,     /* it is down for maintenance */
   KQ_HOST_BACK      /* it has a new runner, or is gone for good */
 } KqHostPhase;
@@ -282,11 +293,11 @@
 {
   int64_t number;
   bool requested; /* the operators' request has been read, not only the stored progress */
-  int32_t cap;
-  KqTime ends_at;
-  int64_t ends_wall_ms; /* the same as Unix time; 0: not known */
-  int64_t duration_ms;
-  bool completed;
+  int32_t cap;    /* most hosts that may be drained or down at once */
+  KqTime ends_at; /* the end of the time allowed for it */
+  int64_t ends_wall_ms; /* ends_at as Unix time; 0: not known */
+  int64_t duration_ms;  /* length of the time allowed for it */
+  bool completed;       /* each host was taken down, or is gone for good */
   KqWaveHost *hosts;
   size_t n_hosts;
 } KqWave;
@@ -303,17 +314,17 @@
   uint64_t runners_made; /* number of runners added so far */
   KqJob *open_jobs; /* jobs that have not ended, and ended ones that still have runs */
   bool loaded;      /* everything stored has been passed in */
-  bool settled;     /* all runs of earlier leaders are known */
+  bool settled; /* all runs of earlier leaders are known: see kq_runners_check_settled */
   bool pass_needed; /* something has changed that calls for a placing pass */
   bool in_pass; /* a placing pass is under way; values cached for one pass may be used */
   uint64_t passes;             /* number of placing passes so far */
-  uint64_t changes;            /* count of changes of runners */
+  uint64_t changes;            /* number of calls of kq_runners_note_change so far */
   KqRunnerState *changed_last; /* all runners, the last changed first */
   guint scan_from;             /* index of the runner at which the next search begins */
   bool used_runners_dirty;     /* the list of used runners has changed since it was last
                                   packed */
   bool assign_soon;            /* an agent may be able to take a runner that has none */
-  int64_t wall_minus_now_ms;
+  int64_t wall_minus_now_ms;   /* Unix time less KqTime, in ms */
   KqTime started_at;
   KqTime exclusive_until; /* no other leader before this time */
   bool job_held_back;     /* a job waits until no other leader is possible again */
@@ -322,20 +333,20 @@
   KqTime next_check_at; /* next check of progress, leases and paces */
   KqTime store_due; /* when changed progress is due to be stored; KQ_TIME_NEVER: none */
   KqTime stored_at; /* when the last batch was begun */
-  bool batch_open;
-  bool ends_dirty;      /* some received ends aren't covered by a batch yet */
+  bool batch_open;  /* kq_sched_stored has not been called for it yet */
+  bool ends_dirty;  /* some received ends aren't covered by a batch yet */
   double slowness_mean; /* as KqRunnerState.slowness, over all runners */
   KqDisturb *disturb;
   KqWindow window;
   KqTime window_logged_at; /* last log line on a closed window */
   GPtrArray *waves;        /* KqWave */
-  bool waves_dirty;        /* differ from what is stored */
-  GPtrArray *batch;        /* KqJob */
-  /* Counters. */
+  bool waves_dirty;        /* their progress differs from what was packed last */
+  GPtrArray *batch;        /* KqJob: those in the batch that is being stored */
+  /* Counters; make_counters has their names and help texts. */
   uint64_t *starts;
   uint64_t *runners_examined; /* runners examined by searches for a task's runner */
-  uint64_t *ends[6];
-  uint64_t *results[10];
+  uint64_t *ends[6];          /* listed ends of runs, by KqEndReason */
+  uint64_t *results[10];      /* results of orders, by KqOrderResult */
   uint64_t *runs_lost;
   uint64_t *stops_stalled;
   uint64_t *stops_drain;
@@ -349,12 +360,13 @@
 };
 
 /* book.c */
+/* The job with that id; NULL: none. */
 KqJob *kq_book_find (const KqSched *s, KqStr id);
-/* A task found by its name. */
+/* A task found by its name, "job.occurrence.step.index". */
 typedef struct
 {
   KqJob *job;
-  KqOccurrence *occurrence; /* NULL: over, or not begun */
+  KqOccurrence *occurrence; /* NULL: it is completed, or not created yet */
   int32_t occurrence_number;
   int32_t step;
   int32_t index;
@@ -362,13 +374,21 @@
 /* Finds a task by its name. False: there is no such job, step or index. */
 bool kq_book_find_task (const KqSched *s, KqStr name, KqTaskRef *out);
 void kq_book_task_name (const KqRun *r, char out[96]);
+/* The state of the run's task; NULL: no task needs the run any more. */
 KqTaskState *kq_book_task_state (const KqRun *r);
+/* Whether the task's run with that number has been counted as failed. */
 bool kq_book_run_has_failed (const KqTaskState *t, uint32_t run);
+/* Records a failed run, with no further effect on task or job. */
 void kq_book_add_failure (KqTaskState *t, uint32_t run);
 KqOccurrence *kq_book_add_occurrence (KqJob *j, int32_t number, KqTime due_at);
+/* Opens the steps whose earlier steps are done, and updates the critical path. */
 void kq_book_open_steps (KqOccurrence *o);
+/* Counts the task as done. If it was the last of its occurrence, frees that occurrence,
+ * and ends the job if it was the last occurrence. */
 void kq_book_finish_task (KqSched *s, KqOccurrence *o, int32_t step, int32_t index,
                           KqTime now);
+/* Counts a failed run of the task, once per run; ends the job after too many attempts.
+ * Lasting tasks count no failures. `where` is avoided next time; NULL: unknown. */
 void kq_book_fail_task (KqSched *s, KqOccurrence *o, int32_t step, int32_t index,
                         uint32_t run, KqRunnerState *where, KqTime now);
 /* Notes that a task of a lasting step runs for the first time. This is stored, since a
@@ -376,33 +396,45 @@
 void kq_book_mark_has_run (KqSched *s, KqJob *j, KqTaskState *t, KqTime now);
 /* Whether a lasting task that has run before is waiting. */
 bool kq_book_has_lost_waiting (const KqStepState *st, const KqStep *p);
+/* Ends the job in that state, stops its runs and frees its occurrences; does nothing if
+ * it has ended already. */
 void kq_book_end_job (KqSched *s, KqJob *j, KqJobState state, KqTime now);
+/* Creates the job's occurrences whose time has come. */
 void kq_book_create_due (KqSched *s, KqJob *j, KqTime now);
 void kq_book_job_free (KqJob *j);
 /* Takes the job out of the list of open jobs. */
 void kq_book_unlink (KqSched *s, KqJob *j);
+/* Removes and frees the job, which has no runs. */
 void kq_book_forget (KqSched *s, KqJob *j);
 
 /* runs.c */
+/* Records a new run on the runner and reserves its room; sends no order. It becomes the
+ * current run of its task in `o`; NULL: no task needs it. Owned by the runner. */
 KqRun *kq_run_new (KqSched *s, KqJob *j, KqOccurrence *o, int32_t step, int32_t index,
                    KqRunnerState *r, uint32_t number, KqTime now);
 /* Removes a run that has ended or was never begun, and frees its room. Its task waits
  * again if this was the task's current run. */
 void kq_run_end (KqSched *s, KqRun *run, KqTime now);
+/* Sends the run's start order, or repeats it; does nothing without an agent. */
 void kq_run_send_start (KqSched *s, KqRun *run, KqTime now);
 /* Notes that an unanswered order of the run won't be answered: it may or may not be
  * carried out. */
 void kq_run_mark_orders_lost (KqSched *s, KqRun *run);
 /* Removes the run's start order from the window, as it has been answered or won't be. */
 void kq_run_leave_window (KqSched *s, KqRun *run);
+/* Sends the first stop order and logs `why`; the room is reserved until kq_run_end. */
 void kq_run_stop (KqSched *s, KqRun *run, const char *why, KqTime now);
+/* Sends the run's stop order, or repeats it; does nothing without an agent. */
 void kq_run_send_stop (KqSched *s, KqRun *run, KqTime now);
+/* Orders a pace, in percent of full speed, unless a running run has it already. */
 void kq_run_set_pace (KqSched *s, KqRun *run, int percent, KqTime now);
+/* Stores a reported checkpoint; an empty one is ignored. */
 void kq_run_set_checkpoint (KqRun *run, KqStr checkpoint);
 const KqStep *kq_run_step (const KqRun *run);
 bool kq_run_is_serving (const KqRun *run); /* not filling, has a latency target */
-/* Its image's place in the disturbance model; -1: none. */
+/* The number of the run's image in the disturbance model; -1: none. */
 int kq_run_image (const KqRun *run);
+/* Stops all runs of the job, which has ended. */
 void kq_run_stop_all (KqSched *s, KqJob *j, KqTime now);
 
 /* runners.c */
@@ -410,16 +442,19 @@
  * search it again. What changes with time alone is found by occasional searches of all
  * runners. */
 void kq_runners_note_change (KqSched *s, KqRunnerState *r);
+/* The runner with that id; NULL: none. */
 KqRunnerState *kq_runners_find (const KqSched *s, KqStr id);
+/* Whether runs of this leader may be on the runner, or may be started there. */
 bool kq_runners_may_run (const KqRunnerState *r);
 /* Notes that the runner's host has been taken down. Once the runner is unreachable as
  * well, its runs are ended without waiting for its lease. */
 void kq_runners_note_taken_down (KqSched *s, KqStr id, KqTime now);
-/* Notes that a run may exist there until `ends`, unless a later time is known. `from`
- * says where that time comes from, for logs, and must stay valid. */
+/* Notes that a run may exist on the runner until `ends`, unless a later time is known.
+ * `from` says where that time comes from, for logs, and must stay valid. */
 void kq_runners_extend_lease (KqRunnerState *r, KqTime ends, const char *from);
-/* Whether a message on the runner belongs to its present assignment to the agent. The
- * first one of an earlier assignment is logged; they may arrive late, and are ignored. */
+/* Whether a message of that agent and assignment belongs to the runner's present
+ * assignment. If not, it is late and must be ignored; the first such message is logged,
+ * `what` naming its kind. */
 bool kq_runners_is_current_agent (const KqSched *s, KqRunnerState *r, int agent,
                                   uint64_t assignment, const char *what);
 /* Ends or stops the runs from before a restart of the runner, which was noticed by a list
@@ -427,29 +462,35 @@
 void kq_runners_handle_restart (KqSched *s, KqRunnerState *r, uint64_t order, KqTime now);
 /* Tells the runner's agent which ends are stored, and whether to report often. */
 void kq_runners_acknowledge (const KqSched *s, const KqRunnerState *r);
+/* Ends the runs on runners whose lease has expired, and frees runners that are no longer
+ * in the store and hold no run. */
 void kq_runners_check_leases (KqSched *s, KqTime now);
+/* Assigns runners without an agent to agents, and moves some from overloaded agents. */
 void kq_runners_assign (KqSched *s, KqTime now);
+/* Sets KqSched.settled once all runs of earlier leaders are accounted for. */
 void kq_runners_check_settled (KqSched *s, KqTime now);
+
 /* suspects.c */
-/* Counts a task that has ended there, done or failed; after too many failures the runner
- * isn't used for a while. */
+/* Counts a task that has ended on the runner, done or failed; after too many failures the
+ * runner isn't used for a while. */
 void kq_runners_count_end (KqRunnerState *r, bool done, KqTime now);
 
+/* runners.c */
 void kq_runners_free (KqRunnerState *r);
 
 /* place.c */
-/* What a runner's score loses, in units of its whole cpu, for a task that failed there:
- * almost any other runner is better. */
+/* What a runner's score loses, in units of its whole cpu, for a task that failed or
+ * stalled there last: almost any other runner is better. */
 #define KQ_PLACE_AVOID 2.0
-/* Whether a task of the step may go to the runner now, apart from tickets. `lost`: a
- * lasting task that has run before. */
+/* Whether a task of the step may go to the runner now, apart from tickets. `lost`: the
+ * task is a lasting one that has run before. */
 bool kq_place_may_take (const KqSched *s, KqRunnerState *r, const KqOccurrence *o,
                         int32_t step, bool lost, KqTime now);
 /* Whether the job is starved: none of its tasks has run for long, though about half of
- * the service's cpu is not reserved. `now` is the present time. */
+ * the service's cpu is not reserved. */
 bool kq_place_is_starved (const KqOccurrence *o, int32_t step, KqTime now);
-/* The score of the runner for a task of the step that has failed nowhere; higher is
- * better. */
+/* The score of the runner for a task of the step; higher is better. It doesn't count
+ * where the task has failed before (KQ_PLACE_AVOID). */
 double kq_place_score (const KqSched *s, const KqRunnerState *r, const KqOccurrence *o,
                        int32_t step);
 /* Fills `out` with up to `max` runners that may take a task of the step, apart from
@@ -461,14 +502,14 @@
 GPtrArray *kq_pools_new (void);
 /* The pool of a service, created if there is none. Owned by the scheduler. */
 KqPool *kq_pools_get (KqSched *s, KqStr service);
-/* Starts a placing pass: sums up the runners of all services. */
+/* Starts a placing pass: sums up the cpu of each service's runners anew. */
 void kq_pools_begin_pass (KqSched *s);
-/* Counts n waiting tasks of the step into the demand. */
+/* Adds n waiting tasks of the step to the pool's demand. */
 void kq_pools_add_waiting (KqPool *pool, const KqStep *p, int32_t n);
-/* Updates the peak of the demand and what is kept free, after kq_pools_add_waiting for
- * all waiting tasks. */
+/* Updates each pool's peak of demand and the cpu kept free of lasting tasks. Call after
+ * kq_pools_add_waiting for all waiting tasks. */
 void kq_pools_update_kept_free (KqSched *s, KqTime now);
-/* Whether a lasting task may be placed on the runner, by what is kept free. */
+/* Whether a lasting task on the runner leaves enough cpu free of lasting tasks. */
 bool kq_pools_may_place_lasting (const KqRunnerState *r);
 /* Whether no more than about half of the service's cpu is reserved. */
 bool kq_pools_is_half_free (const KqPool *p);
@@ -485,17 +526,19 @@
 void kq_tickets_request (KqSched *s, KqOccurrence *o, int32_t step, KqTime now);
 /* Drops the step's ticket for the runner, which has refused it. */
 void kq_tickets_drop (KqOccurrence *o, int32_t step, const KqRunnerState *r);
-/* Drops the step's rows of a runner that is about to be freed. */
+/* Drops the step's answers on a runner that is about to be freed. */
 void kq_tickets_forget_runner (KqStepState *st, const KqRunnerState *r);
-/* Ends all requests for advice outstanding at an agent that is down. */
+/* Drops all unanswered requests of an agent that is down; the steps ask again. */
 void kq_tickets_drop_requests (KqSched *s, int agent);
 void kq_tickets_free (KqTickets *a);
 
 /* maintenance.c */
 GPtrArray *kq_maintenance_new_waves (void);
+/* Drains and takes down hosts of the waves, as many as are due. */
 void kq_maintenance_update (KqSched *s, KqTime now);
 
-/* place.c: whether any runner could hold a task of the step if it were empty. */
+/* place.c */
+/* Whether any runner could hold a task of the step if that runner were empty. */
 bool kq_place_any_fits (const KqSched *s, const KqSpec *spec, int32_t step);
 
 /* placing.c */
@@ -512,41 +555,44 @@
   KqOccurrence *occurrence;
   int32_t step;
   KqTime now;
-  bool built;
-  bool lost;          /* for lost lasting tasks, which have run before */
-  bool rack_known;    /* only for the rack of the first task */
+  bool built;         /* the heap has been filled */
+  bool lost;          /* the heap is for lasting tasks that have run before */
+  bool rack_known;    /* the heap was filled after a one-rack step's rack was chosen */
   GArray *heap;       /* KqPlacingCandidate */
   bool full_search;   /* the search is over all runners, not just changed ones */
   guint n_unsearched; /* runners that aren't searched yet */
-  bool has_last;
+  bool has_last;      /* `last` holds a runner */
   KqPlacingCandidate last; /* the previous task's runner, which isn't in the heap */
 } KqPlacing;
 
 void kq_placing_begin (KqPlacing *p, KqSched *s, KqOccurrence *o, int32_t step,
                        KqTime now);
-/* The best runner for the task with that index now; NULL: none. The task must be placed
- * there before the next call. */
+/* Returns the best runner now for the task with that index; NULL: none. The task must be
+ * placed there before the next call. */
 KqRunnerState *kq_placing_next (KqPlacing *p, int32_t index);
 void kq_placing_end (KqPlacing *p);
 
 /* pass.c */
-/* Makes one placing pass. */
+/* Makes one placing pass: starts the waiting tasks for which there is room. */
 void kq_pass (KqSched *s, KqTime now);
 
 /* watch.c */
 /* Checks all runs: repeats orders, stops stalled tasks and those whose runner leaves. */
 void kq_watch_progress (KqSched *s, KqTime now);
+
 /* pace.c */
-/* Call after each list of its runs: learns from the reports (harm.h) and sets the paces
- * there. */
+/* Learns from the reports in the runner's last list (harm.h), then sets the paces of its
+ * filling tasks. Call after each list; calls that follow too soon do nothing. */
 void kq_pace_update (KqSched *s, KqRunnerState *r, KqTime now);
-/* No serving task is left there: sets all filling tasks to full speed. */
+/* Sets the runner's filling tasks to full speed; for one without serving tasks. */
 void kq_pace_release (KqSched *s, const KqRunnerState *r, KqTime now);
-/* Sets the paces of the filling tasks there by what is known. */
+/* Sets the paces of the runner's filling tasks by what was learned so far. */
 void kq_pace_set (KqSched *s, KqRunnerState *r, KqTime now);
 
 /* progress.c */
+/* Appends the job's progress in its stored form. */
 void kq_progress_pack (const KqJob *j, KqBuf *out);
+/* Restores a job's progress from its stored form. False: it can't be read. */
 bool kq_progress_apply (KqSched *s, KqJob *j, KqStr stored, KqTime now);
 
 #endif
--- a/src/sched/suspects.c
+++ b/src/sched/suspects.c
@@ -1,7 +1,8 @@
 /* suspects: takes runners on which tasks keep failing out of use for a while.
  *
- * A faulty host fails all its tasks within moments, has room again, and would be given
- * more: it would draw the work of a whole fleet. */
+ * A faulty host fails all its tasks within moments and then has room again. Without a
+ * pause it would be given more tasks all the time, and so fail the work of a whole fleet.
+ */
 
 #include "sched/state.h"
 
@@ -10,8 +11,8 @@
 /* Half-life of the counts of done and failed tasks: a runner that has been repaired is
  * used again within seconds. */
 #define COUNTS_HALF_LIFE (3.0 * KQ_SEC)
-/* A runner is suspect with at least this count of failures, if they are at least this
- * share of its ended tasks. */
+/* A runner is suspect if its decaying count of failed tasks is at least SUSPECT_FAILS and
+ * at least SUSPECT_SHARE of its decaying count of ended tasks. */
 #define SUSPECT_FAILS 1.6
 #define SUSPECT_SHARE 0.5
 /* Time for which a suspect runner isn't used; doubled each time it becomes suspect again,
@@ -20,7 +21,7 @@
 #define SUSPECT_PAUSE_MAX (8 * KQ_SEC)
 
 static void
-decay (KqRunnerState *r, KqTime now)
+decay_counts (KqRunnerState *r, KqTime now)
 {
   double factor = exp2 (-(double)(now - r->counts_at) / COUNTS_HALF_LIFE);
   r->failed_count *= factor;
@@ -32,7 +33,7 @@
 kq_runners_count_end (KqRunnerState *r, bool done, KqTime now)
 {
   KqTime pause;
-  decay (r, now);
+  decay_counts (r, now);
   if (done)
     {
       r->done_count += 1;
--- a/src/sched/window.c
+++ b/src/sched/window.c
@@ -2,7 +2,7 @@
 
 #include <assert.h>
 
-/* An answer sooner than ANSWER_SOON makes the window larger, one later than ANSWER_LATE
+/* An answer before ANSWER_SOON makes the window larger, one after ANSWER_LATE
  * smaller. ANSWER_LATE is a third of the leader's lease: renewals of the lease wait
  * behind the start orders on the link, and must still arrive in time. */
 #define ANSWER_SOON (250 * KQ_MS)
--- a/src/sched/window.h
+++ b/src/sched/window.h
@@ -17,16 +17,18 @@
 
 typedef struct
 {
-  int32_t size;
-  int32_t unanswered; /* start orders that may still be answered */
+  int32_t size;       /* most start orders that may be unanswered */
+  int32_t unanswered; /* start orders sent that may still be answered */
 } KqWindow;
 
 void kq_window_init (KqWindow *w);
+/* Whether another start order may be sent. */
 bool kq_window_is_open (const KqWindow *w);
+/* Counts a start order that has been sent. */
 void kq_window_add (KqWindow *w);
-/* The order has been answered, or won't be. */
+/* Counts an order out: it has been answered, or won't be. */
 void kq_window_remove (KqWindow *w);
-/* A start was carried out, answered after `took`. */
+/* Makes the window larger or smaller by the time that the answer to a start took. */
 void kq_window_adapt (KqWindow *w, KqTime took);
 
 #endif
