--- a/src/sched/agents.c
+++ b/src/sched/agents.c
@@ -2,16 +2,17 @@
 
 #include <string.h>
 
-/* Load of an agent in another failure domain than the runner, in thousandths of its load.
- * The preference is small because a call crosses domains either way, on the link from the
- * leader to the agent or on the one from the agent to the runner. */
+/* Factor, in thousandths, on the load of an agent in another failure domain than the
+ * runner. The preference for the runner's own domain is small because a call crosses
+ * domains either way, on the link from the leader to the agent or on the one from the
+ * agent to the runner. */
 #define REMOTE_LOAD_MILLI 1150
 /* An agent is overloaded above this percentage of its proportional number of runners. A
  * lower limit would move runners back and forth when hosts come and go. */
 #define OVERLOAD_PERCENT 150
-/* Bounds on assigned runners whose first list hasn't arrived: for all agents together,
- * and for one agent, with one more for each UNLISTED_SHARE_MILLI of its processor share.
- */
+/* Bounds on assigned runners whose first list hasn't arrived: UNLISTED_MAX for all agents
+ * together; for one agent UNLISTED_PER_AGENT, and one more for each UNLISTED_SHARE_MILLI
+ * of its processor share. */
 #define UNLISTED_MAX 128
 #define UNLISTED_PER_AGENT 8
 #define UNLISTED_SHARE_MILLI 10
--- a/src/sched/book.c
+++ b/src/sched/book.c
@@ -123,7 +123,8 @@
   free (o);
 }
 
-/* Runs can outlive the occurrence: they stay until their runner reports their end. */
+/* Detaches the occurrence's runs: they can outlive it, until their runner reports their
+ * end. */
 static void
 detach_runs (const KqOccurrence *o)
 {
@@ -132,7 +133,7 @@
       run->occurrence = NULL;
 }
 
-/* The occurrence must have been removed from its job's list. */
+/* Frees an occurrence that has been removed from its job's list. */
 static void
 end_occurrence (KqOccurrence *o)
 {
@@ -156,9 +157,9 @@
   free (j);
 }
 
-/* Time between batches of progress. Batching saves writes, but runners repeat their ends
- * until these are stored. The end of a job is stored sooner, because its client account
- * sees it only then. */
+/* Time between batches of progress. Batches save writes, but until the progress is stored
+ * runners list the same ends again. The end of a job, which is urgent, is stored sooner,
+ * because its client account sees it only then. */
 #define STORE_INTERVAL (70 * KQ_MS)
 #define STORE_INTERVAL_URGENT (15 * KQ_MS)
 
@@ -190,7 +191,7 @@
 }
 
 static void
-log_end (const KqJob *j, KqTime now)
+log_job_end (const KqJob *j, KqTime now)
 {
   KqBuf spent = { 0 };
   kq_spent_print (&j->spent, &spent);
@@ -211,7 +212,7 @@
   j->state = state;
   j->ended_at = now;
   if (s->loaded)
-    log_end (j, now);
+    log_job_end (j, now);
   if (s->loaded && !kq_spec_lasting (&j->spec))
     kq_histogram_add (&s->job_time, now - j->accepted_at);
   if (j->n_runs > 0)
@@ -308,8 +309,9 @@
     kq_book_end_job (s, o->job, KQ_JOB_FAILED, now);
 }
 
-/* Delay of an occurrence behind its due time. The leader's clock may be ahead of the
- * other hosts', and a task must not begin before its time; 0.1 s late is harmless. */
+/* Time after its due time at which an occurrence is created. The leader's clock may be
+ * ahead of the other hosts', and a task must not begin before its time; 0.1 s late is
+ * harmless. */
 #define OCCURRENCE_DELAY_MS 100
 
 void
@@ -351,7 +353,7 @@
 {
   char id[KQ_SPEC_ID_MAX + 1];
   bool fits = kq_str_copy (j->spec.id, id, sizeof id);
-  assert (fits); /* longer ids aren't accepted */
+  assert (fits); /* jobs with longer ids aren't accepted */
   (void)fits;
   kq_book_unlink (s, j);
   g_hash_table_remove (s->jobs, id);
--- a/src/sched/disturb.c
+++ b/src/sched/disturb.c
@@ -16,15 +16,16 @@
  * pairs are harmless, and the noise of many estimates would add up over the tasks of a
  * runner. */
 #define BOUND_DEVIATIONS 0.4
-/* Larger differences between report and model are cut to this: a queue can grow without
- * bound for a moment without the images being the cause. */
+/* Larger differences of slack between report and model are cut to this: for a moment a
+ * task's queue can grow without bound though no filling image is the cause. */
 #define ERROR_MAX 3.0
 
+/* The losses of one serving image, by filling image. */
 typedef struct
 {
-  double value[KQ_DISTURB_IMAGES_MAX];
+  double value[KQ_DISTURB_IMAGES_MAX]; /* estimated loss at the runner's whole cpu */
   double variance[KQ_DISTURB_IMAGES_MAX][KQ_DISTURB_IMAGES_MAX];
-  double bound[KQ_DISTURB_IMAGES_MAX]; /* of the loss, from below */
+  double bound[KQ_DISTURB_IMAGES_MAX]; /* lower bound of the loss, at least 0 */
 } ImageModel;
 
 typedef struct
@@ -66,7 +67,7 @@
 }
 
 static int
-index_of (Names *n, KqStr image)
+get_or_add_index (Names *n, KqStr image)
 {
   for (int i = 0; i < n->n; i++)
     if (kq_str_eq (kq_str (n->names[i]), image))
@@ -80,7 +81,7 @@
 int
 kq_disturb_serving (KqDisturb *d, KqStr image)
 {
-  int index = index_of (&d->serving, image);
+  int index = get_or_add_index (&d->serving, image);
   ImageModel *m = d->models[index];
   if (m != NULL)
     return index;
@@ -93,7 +94,7 @@
 int
 kq_disturb_filling (KqDisturb *d, KqStr image)
 {
-  return index_of (&d->filling, image);
+  return get_or_add_index (&d->filling, image);
 }
 
 static void
@@ -110,7 +111,7 @@
 {
   ImageModel *m = d->models[serving];
   int n = d->filling.n;
-  int present[KQ_DISTURB_IMAGES_MAX]; /* images with a share: few */
+  int present[KQ_DISTURB_IMAGES_MAX]; /* the images with a share that isn't 0: few */
   int n_present = 0;
   double gain[KQ_DISTURB_IMAGES_MAX];
   double total_variance = variance;
--- a/src/sched/harm.c
+++ b/src/sched/harm.c
@@ -13,10 +13,10 @@
 #include <math.h>
 #include <string.h>
 
-/* Slack to keep; at 1 the tail is at its target. The rest is a margin for noise in the
- * reports. */
+/* Slack that a serving task must keep. At 1 its tail is at its target; what is above 1 is
+ * a margin for noise in the reports. */
 #define SLACK_KEPT 1.18
-/* A report covers the time of this length that ends with it. */
+/* A report covers the time of this length before it. */
 #define REPORT_SPAN (500 * KQ_MS)
 /* Weight of a new report in the mean of a task's offset from its step's slack. */
 #define OFFSET_WEIGHT 0.1
@@ -31,18 +31,20 @@
 #define SLACK_SATURATED 0.4
 /* Longest time over its target before a serving task stops all filling tasks beside it,
  * whichever of them is the cause: by then its callers have noticed for some seconds. A
- * report counts as over from a little below the target, as reports are noisy. */
+ * report counts as over from OVER_RATIO times the target, as reports are noisy. */
 #define OVER_TARGET_MAX (1200 * KQ_MS)
 #define OVER_RATIO 0.95
 /* Weight of a new report in the mean of a task's tails; the mean covers about 1.5 s. */
 #define TAIL_MEAN_WEIGHT 0.3
 /* A filling task that is placed will run for some seconds. So the headroom beside it is
- * predicted for this much later, and averaged with the headroom at the load's peak, which
- * has this weight. */
+ * predicted for PLACE_AHEAD later, and averaged with the headroom at the load's peak,
+ * which has the weight PEAK_WEIGHT. */
 #define PLACE_AHEAD (1500 * KQ_MS)
 #define PEAK_WEIGHT 0.5
 /* Additional slack that must be left where a filling task starts. */
 #define START_SLACK_MARGIN 0.4
+
+/* The runner's cpu in thousandths, at least 1 as it is divided by. */
 static double
 whole_cpu (const KqRunnerState *r)
 {
@@ -51,7 +53,7 @@
 
 /* Computes the share of the runner's cpu that each filling image uses. */
 static void
-shares_in_use (const KqRunnerState *r, double shares[KQ_DISTURB_IMAGES_MAX])
+compute_shares_in_use (const KqRunnerState *r, double shares[KQ_DISTURB_IMAGES_MAX])
 {
   for (int i = 0; i < KQ_DISTURB_IMAGES_MAX; i++)
     shares[i] = 0;
@@ -100,9 +102,9 @@
     *since = now;
 }
 
-/* A filling task begins at full speed and is slowed only at the next report. If new ones
- * could start while those already there are stopped, they would keep the tail over its
- * target, as seen for 4 s. */
+/* A filling task begins at full speed and is slowed only at the next report. If filling
+ * tasks could start while those already beside the serving task are at pace 0, the new
+ * ones would keep the tail over its target, as seen for 4 s. */
 bool
 kq_harm_closed_to_filling (const KqSched *s, KqRunnerState *r, KqTime now)
 {
@@ -126,9 +128,9 @@
          && run->serving->slack >= SLACK_SATURATED;
 }
 
-/* Updates the disturbance model by the task's last report. All tasks of a step are under
- * the same load: if one has less slack than the others at the same time, the filling
- * tasks beside it are the cause. */
+/* Updates the disturbance model by the serving task's last report. All tasks of a step
+ * are under the same load: if one has less slack than the others at the same time, the
+ * filling tasks beside it are the cause. */
 static void
 learn_disturbance (KqSched *s, const KqRun *run, KqTime now)
 {
@@ -162,7 +164,8 @@
                     shares);
 }
 
-/* Updates the load of the task's step by its last report. */
+/* Updates the load trend of the serving task's step by its last report. A report below
+ * SLACK_SATURATED is ignored if even less slack was expected. */
 static void
 learn_load (KqSched *s, const KqRun *run, KqTime now)
 {
@@ -233,13 +236,12 @@
 kq_harm_learn (KqSched *s, KqRunnerState *r, KqTime now)
 {
   double shares[KQ_DISTURB_IMAGES_MAX];
-  shares_in_use (r, shares);
+  compute_shares_in_use (r, shares);
   for (KqRun *run = r->runs; run != NULL; run = run->next)
     if (kq_harm_has_report (run))
       learn_report (s, run, shares, now);
 }
 
-/* The slack that the serving task can lose at time `at`. */
 double
 kq_harm_headroom (const KqRun *serving, KqTime at)
 {
@@ -247,7 +249,7 @@
          - SLACK_KEPT;
 }
 
-/* The slack that it can lose at the peak of its load. */
+/* The slack that the serving task can lose at the peak of its load. */
 static double
 headroom_at_peak (const KqRun *serving, KqTime now)
 {
@@ -267,8 +269,8 @@
   return loss;
 }
 
-/* The slack that it can lose to a filling task that starts beside it. Computed once per
- * placing pass. */
+/* The slack that the serving task can lose to a filling task that starts beside it.
+ * Computed once per placing pass. */
 static double
 start_headroom (const KqSched *s, const KqRun *serving, KqTime now)
 {
--- a/src/sched/lists.c
+++ b/src/sched/lists.c
@@ -1,5 +1,5 @@
-/* lists: applies the lists that runners report of their running and ended runs, and the
- * results of orders to them. */
+/* lists: applies what agents report of runners: lists of running and ended runs, and the
+ * results of orders. */
 
 #include "sched/state.h"
 
@@ -19,7 +19,7 @@
  * its start order was delivered late. It becomes the task's run if the task is waiting
  * and may still run; otherwise it is stopped. */
 static KqRun *
-adopt (KqSched *s, KqRunnerState *r, const KqTaskRef *t, uint32_t number, KqTime now)
+adopt_run (KqSched *s, KqRunnerState *r, const KqTaskRef *t, uint32_t number, KqTime now)
 {
   KqOccurrence *o = t->occurrence;
   KqTaskState *state = o != NULL ? &o->steps[t->step].tasks[t->index] : NULL;
@@ -68,7 +68,7 @@
     }
   run = find_run (r, &t, row->run);
   if (run == NULL)
-    run = adopt (s, r, &t, row->run, now);
+    run = adopt_run (s, r, &t, row->run, now);
   run->in_list = true;
   run->outcome_unknown = run->stopped = false;
   run->confirmed = order + 1;
@@ -97,7 +97,7 @@
   s->slowness_mean += 0.01 * (ratio - s->slowness_mean);
 }
 
-/* All tasks of a gang are done as soon as one of them is. */
+/* Completes all tasks of a gang step: they are done as soon as one of them is. */
 static void
 complete_gang (KqSched *s, KqOccurrence *o, int32_t step, KqTime now)
 {
@@ -143,8 +143,8 @@
     kq_book_finish_task (s, o, t->step, t->index, now);
 }
 
-/* Whether a start order of the run may still reach its runner: it is unanswered, or no
- * answer will come. */
+/* Whether a start order of the run may still reach its runner: it has no answer yet, or
+ * will never have one. */
 static bool
 start_may_arrive (const KqRun *run)
 {
@@ -177,7 +177,7 @@
    * stop for this run. */
   if (run != NULL && start_may_arrive (run))
     {
-      run->confirmed = 0; /* else drop_unlisted removes it with this same list */
+      run->confirmed = 0; /* else drop_unlisted would end it by this same list */
       kq_run_stop (s, run, "ended while a start is under way", now);
     }
   else if (run != NULL)
@@ -291,15 +291,15 @@
     kq_runners_count_end (r, false, now);
   if (result == KQ_ORDER_NO_ROOM)
     ++*s->no_room;
-  /* Only this repeat of the start was refused: the runner accepted an earlier one and
-   * lists the run, or a stop has been sent. */
+  /* In another phase only this repeat of the start was refused: the runner accepted an
+   * earlier one and lists the run, or a stop has been sent. */
   if (run->phase != KQ_RUN_SENDING)
     return;
   if (t != NULL)
     t->avoid = r;
   if (result == KQ_ORDER_NO_TICKET)
     {
-      /* Its queue became advised after the job was accepted. */
+      /* The job's queue became advised after the job was accepted. */
       run->job->spec.advised = true;
       if (run->occurrence != NULL)
         kq_tickets_drop (run->occurrence, run->step, r);
--- a/src/sched/maintenance.c
+++ b/src/sched/maintenance.c
@@ -14,20 +14,21 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Time for which one host is unavailable, from the first stop of its runs to its new
- * runner's entry in the store: 4.1 s in a fleet of 48 hosts, of which the maintenance
- * takes 2 s; rounded up. */
+/* Time for which a host is expected to be unavailable, from the first stop of its runs to
+ * its new runner's entry in the store: 4.1 s in a fleet of 48 hosts, of which the
+ * maintenance takes 2 s; rounded up. */
 #define HOST_DURATION (5 * KQ_SEC)
 /* The wave should be completed this long before its time is over. */
 #define WAVE_RESERVE (2 * KQ_SEC)
-/* While a host is drained, tasks that can't save their progress may go on this long. */
+/* Longest drain of a host: tasks that can't save their progress may go on so long. Tasks
+ * that must not be interrupted now make it longer. */
 #define DRAIN_MAX (2 * KQ_SEC)
 /* A task that is expected to end within this time isn't stopped. */
 #define ENDS_SOON_MS 500
 /* After this time a host counts as back, also without a new runner. */
 #define DOWN_MAX (10 * KQ_SEC)
 /* A runner that still lists its runs this long after the maintenance began wasn't ended
- * by it. */
+ * by the maintenance. */
 #define STILL_ALIVE_AFTER KQ_SEC
 /* A new leader waits this long before its first maintenance call, so that it doesn't
  * interleave with calls of the earlier leader for the same host. */
@@ -40,8 +41,9 @@
 /* How much the clocks of hosts may differ. */
 #define CLOCK_SKEW_MS 5000
 
+/* Whether the host has been taken down, or is gone for good. */
 static bool
-has_begun (const KqWaveHost *h)
+has_gone_down (const KqWaveHost *h)
 {
   return h->phase >= KQ_HOST_DOWN;
 }
@@ -142,8 +144,8 @@
   return NULL;
 }
 
-/* Whether the run may be stopped without exceeding the number of tasks of its step that
- * may be away at once because of the scheduler. */
+/* Whether the run may be stopped without exceeding max_unavailable, the number of tasks
+ * of its step that may be away at once because of the scheduler. */
 static bool
 may_interrupt (const KqRun *run)
 {
@@ -190,7 +192,7 @@
   KqTime time = w->ends_at - WAVE_RESERVE - now;
   int64_t wanted;
   for (size_t i = 0; i < w->n_hosts; i++)
-    left += !has_begun (&w->hosts[i]);
+    left += !has_gone_down (&w->hosts[i]);
   if (time < HOST_DURATION)
     return w->cap;
   wanted = (left * HOST_DURATION + time - 1) / time;
@@ -271,9 +273,9 @@
   s->config.maintenance (s->config.arg, kq_str (h->host), w->number);
 }
 
-/* Whether the runner isn't the one that was on the host when it was taken down. */
+/* Whether the runner came to the host after the host was taken down. */
 static bool
-is_new (const KqRunnerState *r, const KqWaveHost *h)
+is_new_runner (const KqRunnerState *r, const KqWaveHost *h)
 {
   return r != NULL && (h->old_runner == NULL || strcmp (r->id, h->old_runner) != 0);
 }
@@ -294,14 +296,14 @@
  * runner proves nothing: it may belong to an earlier maintenance and have registered just
  * before this one began. After that time either a new runner proves it, or the old one if
  * it still answers: the call also succeeds if an earlier leader has had the maintenance
- * done, and then this runner isn't ended. Otherwise such runners stay unused while
- * lasting tasks wait for room (5 of 66 runners). */
+ * done, and then the old runner isn't ended. Without the second proof such runners stay
+ * unused while lasting tasks wait for room (5 of 66 runners). */
 static bool
 is_back (const KqSched *s, const KqWaveHost *h, const KqRunnerState *r, KqTime now)
 {
   if (now - h->since < s->config.maintenance_ms * KQ_MS)
     return false;
-  return now - h->since >= DOWN_MAX || is_new (r, h)
+  return now - h->since >= DOWN_MAX || is_new_runner (r, h)
          || (r != NULL && !r->silent && r->heard_at >= h->since + STILL_ALIVE_AFTER);
 }
 
@@ -339,7 +341,7 @@
   for (size_t i = 0; i < w->n_hosts; i++)
     update_host (s, w, &w->hosts[i], now);
   if (w->completed)
-    return; /* only waiting for its last hosts to come back */
+    return; /* its last hosts have yet to come back */
   for (int32_t n = count_unavailable (s, w); n < wanted; n++)
     {
       KqWaveHost *h = next_host (s, w, now);
@@ -348,7 +350,7 @@
       begin_drain (s, w, h, now);
     }
   for (size_t i = 0; i < w->n_hosts; i++)
-    if (!has_begun (&w->hosts[i]))
+    if (!has_gone_down (&w->hosts[i]))
       return;
   w->completed = true;
   s->waves_dirty = true;
@@ -369,9 +371,9 @@
     }
 }
 
-/* Whether the runner that the call was for started before the wave, so that the
- * maintenance has ended it. One that started later may have come up after an earlier call
- * whose answer was lost, and then it goes on. */
+/* Whether the runner that was on the host at the call started before the wave, so that
+ * the maintenance has ended it. A runner that started later may have come up after an
+ * earlier call whose answer was lost, and then it goes on. */
 static bool
 started_before_wave (const KqSched *s, const KqWave *w, const KqWaveHost *h)
 {
@@ -441,13 +443,13 @@
       const KqWave *w = g_ptr_array_index (s->waves, i);
       size_t begun = 0;
       for (size_t k = 0; k < w->n_hosts; k++)
-        begun += has_begun (&w->hosts[k]);
+        begun += has_gone_down (&w->hosts[k]);
       kq_pack_array (&p, 3 + begun);
       kq_pack_i64 (&p, w->number);
       kq_pack_i64 (&p, w->ends_wall_ms);
       kq_pack_bool (&p, w->completed);
       for (size_t k = 0; k < w->n_hosts; k++)
-        if (has_begun (&w->hosts[k]))
+        if (has_gone_down (&w->hosts[k]))
           kq_pack_str (&p, kq_str (w->hosts[k].host));
     }
   s->waves_dirty = false;
--- a/src/sched/pass.c
+++ b/src/sched/pass.c
@@ -16,22 +16,22 @@
 /* Ranks, served in this order. */
 enum
 {
-  RANK_LOST, /* a lasting task that has run before and has waited for too long */
+  RANK_LOST, /* a lost lasting task that has waited for LOST_WAIT_MAX */
   RANK_IN_TIME,
   RANK_LASTING,
   RANK_LATE,    /* can end within HOPELESS_RATIO times the objective */
   RANK_HOPELESS /* must still be run, but after all others */
 };
 #define HOPELESS_RATIO 3
-/* A lasting task that has lost its runner goes first after this time. When many hosts
- * went down, short jobs in time kept the room from these tasks for 14 s, during which
- * their callers had no service. */
+/* A lasting task that has lost its run goes first after waiting for this time. When many
+ * hosts went down, short jobs in time kept the room from these tasks for 14 s, during
+ * which their callers had no service. */
 #define LOST_WAIT_MAX (2 * KQ_SEC)
 /* A pass follows at the latest after this time while tasks wait, even if nothing has
  * happened: ranks change with time, and so does what a waiting task accepts. */
 #define PASS_INTERVAL_MAX (500 * KQ_MS)
-/* Run numbers of a leader's term begin at a multiple of this; no task is started so often
- * in one term. */
+/* The run numbers of term N begin above N - 1 times this; no task is started so often in
+ * one term. */
 #define RUNS_PER_TERM 1000
 
 typedef struct
@@ -40,20 +40,20 @@
   int32_t step;
   int rank;
   KqTime due; /* when the objective ends */
-  bool lost;  /* only for those lasting tasks of the step that have run before */
+  bool lost;  /* stands only for the step's lasting tasks that have run before */
 } WaitingStep;
 
-/* Which room a task may use. */
+/* The room that a task may use. */
 typedef enum
 {
-  FOR_FILLING,
-  FOR_RESERVED,
-  FOR_LASTING, /* as FOR_RESERVED, less what is kept free of lasting tasks */
-  FOR_ANY      /* any room, also what is kept free of lasting tasks */
+  FOR_FILLING,  /* cpu that other tasks leave unused */
+  FOR_RESERVED, /* cpu that isn't reserved */
+  FOR_LASTING,  /* as FOR_RESERVED, less what is kept free of lasting tasks */
+  FOR_ANY       /* any room, also what is kept free of lasting tasks */
 } RoomKind;
 
-/* The size of a step that found no room in this pass: steps of the same kind that are at
- * least as large aren't tried. */
+/* The task size of a step that found no room in this pass: steps that need the same kind
+ * of room, with tasks at least as large, aren't tried. */
 typedef struct
 {
   const KqPool *pool;
@@ -126,19 +126,20 @@
 }
 
 static void
-record_wait_end (KqJob *j, KqStepState *st, KqTime now)
+end_wait (KqJob *j, KqStepState *st, KqTime now)
 {
   if (st->waits_since != 0)
     j->spent.waited += now - st->waits_since;
   st->lost_since = st->waits_since = 0;
 }
 
-/* Whether the job's tasks may not be started yet. Either another leader may have taken
+/* Returns whether the job's tasks may not be started yet, and notes in job_held_back if a
+ * later exclusive_until would permit it. Either another leader may have taken
  * over when this one learned of the job: the job may then be stored after that leader's
  * epoch, and that leader would start it, certain that nobody else has. Or runs of an
  * earlier leader may still be unknown, and the job is old enough to have some. */
 static bool
-start_forbidden (KqSched *s, const KqJob *j)
+hold_back (KqSched *s, const KqJob *j)
 {
   bool leader_uncertain = j->learned_at >= s->exclusive_until;
   s->job_held_back = s->job_held_back || leader_uncertain;
@@ -150,7 +151,7 @@
 {
   for (KqJob *j = s->open_jobs; j != NULL; j = j->next)
     {
-      if (j->state >= KQ_JOB_COMPLETED || start_forbidden (s, j))
+      if (j->state >= KQ_JOB_COMPLETED || hold_back (s, j))
         continue;
       for (KqOccurrence *o = j->occurrences; o != NULL; o = o->next)
         for (int32_t i = 0; i < j->spec.n_steps; i++)
@@ -158,7 +159,7 @@
             KqStepState *st = &o->steps[i];
             WaitingStep t;
             if (st->done + st->active >= j->spec.steps[i].width)
-              record_wait_end (j, st, now);
+              end_wait (j, st, now);
             if (!st->open || st->done + st->active >= j->spec.steps[i].width)
               continue;
             if (st->waits_since == 0)
@@ -211,7 +212,7 @@
   if (o->job->spec.steps[step].lasting)
     {
       kq_pools_count_lasting (r, o->job->spec.steps[step].cpu_milli);
-      kq_runners_note_change (s, r); /* lasting tasks may use it from now on */
+      kq_runners_note_change (s, r); /* further lasting tasks may be placed there now */
     }
   if (!o->job->begun)
     kq_histogram_add (&s->first_start, now - o->due_at);
@@ -222,7 +223,7 @@
   return run;
 }
 
-/* Runs of a step that start in one pass share a log line, up to this length in bytes. */
+/* Runs of a step that start in one pass are logged in lines of about this many bytes. */
 #define STARTS_LINE_MAX 1500
 
 static void
@@ -335,6 +336,7 @@
   return n == p->width;
 }
 
+/* Least time between two log lines on a closed window. */
 #define WINDOW_LOG_INTERVAL KQ_SEC
 
 static void
--- a/src/sched/place.c
+++ b/src/sched/place.c
@@ -11,22 +11,23 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A filling task needs this share of its cpu to be unused. With less it would run slowly,
- * slow down the other filling tasks there, and hold memory all that time. */
+/* A filling task starts only where this share of its cpu is unused. With less it would
+ * run slowly, slow down the other filling tasks there, and hold memory all that time. */
 #define FILLING_UNUSED_MIN_PERCENT 60
-/* Share of their reserved cpu that serving tasks are taken to use, which is about their
- * peak: reports show 42% on average, and the load varies by half of that. */
+/* Share of their reserved cpu that serving tasks are assumed to use, about what they use
+ * at their peak: reports show 42% on average, and the load varies by half of that. */
 #define SERVING_USE_PERCENT 60
 /* Weights of a runner's score. A score is in units of the runner's whole cpu. */
 #define W_OTHER_RACK 1.0 /* the step's data is on another rack */
-#define W_SLOW 0.6       /* times the relative excess over the mean run time */
-#define W_FAILS 0.25     /* per recent failed task */
+#define W_SLOW 0.6       /* times the excess of its tasks' run times over the mean */
+#define W_FAILS 0.25     /* times the decaying count of failed tasks there */
 /* A runner counts as slow if its tasks take this many times as long as the mean over all
  * runners. Estimates of run times are off by half, so smaller differences say nothing. */
 #define SLOW_RATIO_MIN 1.3
+/* The mean is taken to be at least this, as it is divided by. */
 #define SLOWNESS_MEAN_MIN 0.1
-/* For each unit of slack (target by tail) that a serving task would lose to the filling
- * tasks there. */
+/* Subtracted for each unit of slack (target divided by tail) that a serving task would
+ * lose to the filling tasks there. */
 #define W_SLACK_LOSS 0.5
 /* Serving tasks of the same image are placed together. A filling image disturbs one or
  * two serving images out of several, so a runner with few serving images suits more
@@ -50,8 +51,8 @@
  * its full speed. Tasks that start at once where they are slowed push tail latencies over
  * their targets until the first report. */
 #define HALF_SPEED_WAIT_LENGTHS 30
-/* A job of which nothing runs, while half of the room is free, waits no longer than this
- * before the limits on placing filling and lasting tasks are dropped for it. */
+/* A job is starved if it has no run, has waited for this long, and about half of the room
+ * is free. Most limits on placing its filling and lasting tasks are then dropped. */
 #define STARVED_AFTER (2 * KQ_SEC)
 
 /* Cpu of the runner in thousandths that is left after the filling tasks already there. */
@@ -62,8 +63,9 @@
          - r->serving_milli * SERVING_USE_PERCENT / 100 - r->filling_milli;
 }
 
-/* Whether the task fits beside what is reserved, and, for a filling task, whether enough
- * cpu is unused. A starved job's filling task may go beside others without unused cpu. */
+/* Whether a task of the step fits beside what is reserved, and, for a filling task,
+ * whether enough cpu is unused. A starved job's filling task may go beside others without
+ * unused cpu. */
 static bool
 fits_now (const KqRunnerState *r, const KqStep *p, bool starved)
 {
@@ -85,6 +87,7 @@
          && (p->filling || p->cpu_milli <= r->room.cpu_milli);
 }
 
+/* Whether the runner is of the kind, or on the rack, that the label names; "": any. */
 static bool
 has_label (const KqRunnerState *r, KqStr label)
 {
@@ -147,7 +150,7 @@
   return unused + (r->n_serving > 0 ? W_BESIDE_SERVING : 0);
 }
 
-/* The part that is subtracted for every kind of task. */
+/* The part of the score that is subtracted for every kind of task. */
 static double
 score_penalty (const KqSched *s, const KqRunnerState *r, const KqOccurrence *o,
                int32_t step)
@@ -226,7 +229,7 @@
 } Candidate;
 
 static int
-by_score (const void *a, const void *b)
+compare_scores (const void *a, const void *b)
 {
   double x = ((const Candidate *)a)->score;
   double y = ((const Candidate *)b)->score;
@@ -245,7 +248,7 @@
       if (kq_place_may_take (s, r, o, step, o->steps[step].lost_since != 0, now))
         list[n++] = (Candidate){ r, kq_place_score (s, r, o, step) };
     }
-  qsort (list, (size_t)n, sizeof *list, by_score);
+  qsort (list, (size_t)n, sizeof *list, compare_scores);
   n = n < max ? n : max;
   for (int32_t i = 0; i < n; i++)
     out[i] = list[i].runner;
--- a/src/sched/placing.c
+++ b/src/sched/placing.c
@@ -2,9 +2,9 @@
  *
  * A step may have tens of tasks to place at once, the fleet thousands of runners, and
  * hundreds of steps may wait for room. All tasks of a step have the same requirements, so
- * the runners are scored once per step and kept in a heap; placing a task changes the
- * score of its own runner only. A step that found no runner looks only at runners that
- * have changed since. */
+ * the runners are scored once per step and kept in a heap; placing a task changes
+ * only the score of the runner that gets it. A step that found no runner looks only at
+ * runners that have changed since. */
 
 #include "sched/state.h"
 
@@ -12,9 +12,9 @@
  * accepts, and what is kept free, change with time without any change of a runner. */
 #define FULL_SEARCH_INTERVAL (100 * KQ_MS)
 /* In a large fleet with much room the search ends after CANDIDATES_BASE suitable runners,
- * plus CANDIDATES_PER_TASK for each waiting task: the best of them is hardly worse than
- * the best of all. For gangs, and for lasting tasks, which stay for long, all runners are
- * searched. */
+ * plus CANDIDATES_PER_TASK for each waiting task: the best of these is hardly worse
+ * than the best of all. For gangs, and for lasting tasks, which stay for long, all
+ * runners are searched. */
 #define CANDIDATES_BASE 128
 #define CANDIDATES_PER_TASK 4
 
@@ -24,7 +24,8 @@
   return &g_array_index (p->heap, KqPlacingCandidate, i);
 }
 
-/* Whether `a` has the higher score; among equals the runner that was created first. */
+/* Whether `a` has the higher score, or the same score and the runner that was created
+ * first. */
 static bool
 better (const KqPlacingCandidate *a, const KqPlacingCandidate *b)
 {
@@ -121,8 +122,8 @@
          || p->now - st->searched_at >= FULL_SEARCH_INTERVAL;
 }
 
-/* Searches on until there are enough candidates. Begins where the previous step's search
- * ended, so that all runners get used. */
+/* Examines further runners until there are enough candidates. Begins where the previous
+ * step's search ended, so that all runners get used. */
 static void
 search_further (KqPlacing *p)
 {
@@ -137,8 +138,9 @@
     add_if_suitable (p, g_ptr_array_index (s->runner_list, s->scan_from++ % n));
 }
 
+/* Fills the heap anew, for tasks that are lost or for others. */
 static void
-build (KqPlacing *p, bool lost)
+fill_heap (KqPlacing *p, bool lost)
 {
   const KqSched *s = p->sched;
   const KqStepState *st = &p->occurrence->steps[p->step];
@@ -166,7 +168,8 @@
   st->searched_lost = p->lost;
 }
 
-/* Takes the best candidate out of the heap; false if there is none. */
+/* Takes the best candidate that may still take the task out of the heap; false if there
+ * is none. */
 static bool
 take_best (const KqPlacing *p, KqPlacingCandidate *out)
 {
@@ -181,8 +184,8 @@
   return false;
 }
 
-/* Replaces the runner on which the task failed or stalled last by the next best one,
- * unless that has a score lower by more than KQ_PLACE_AVOID. */
+/* Replaces the best candidate, on whose runner the task failed or stalled last, by the
+ * next best one, unless the latter's score is lower by more than KQ_PLACE_AVOID. */
 static void
 avoid_last_failure (const KqPlacing *p, KqPlacingCandidate *best)
 {
@@ -216,7 +219,7 @@
   bool rack_chosen = step->one_rack && p->has_last && !p->rack_known;
   KqPlacingCandidate best;
   if (!p->built || rack_chosen || (step->lasting && t->has_run != p->lost))
-    build (p, t->has_run);
+    fill_heap (p, t->has_run);
   else if (p->has_last && may_take (p, p->last.runner))
     {
       p->last.score = kq_place_score (p->sched, p->last.runner, p->occurrence, p->step);
--- a/src/sched/pools.c
+++ b/src/sched/pools.c
@@ -1,4 +1,4 @@
-/* pools: how much of a service's room is kept free of lasting tasks.
+/* pools: decides how much of a service's room is kept free of lasting tasks.
  *
  * Lasting tasks would take all free room one after the other, and hold it for longer than
  * any other task. What is left on each runner is then smaller than a lasting task, and
@@ -15,9 +15,9 @@
 
 /* Time constant with which the recorded peak decays. */
 #define PEAK_DECAY (30.0 * KQ_SEC)
-/* Until other tasks have been seen, this share of the room is kept free of lasting tasks.
- * It decays with this time constant: lasting tasks that were placed first could be moved
- * only by ending them. */
+/* After a leader's start KEEP_INITIAL_PERCENT of the room is kept free of lasting tasks,
+ * also if no other tasks have been seen: lasting tasks that were placed first could be
+ * moved only by ending them. This share decays with the time constant INITIAL_DECAY. */
 #define KEEP_INITIAL_PERCENT 28
 #define INITIAL_DECAY (30.0 * KQ_SEC)
 /* At most this share of the room is kept free of lasting tasks. */
@@ -105,8 +105,8 @@
     }
 }
 
-/* The room kept free is rounded to whole runners: a small fleet keeps none rather than a
- * third of its runners. */
+/* The room kept free is rounded to whole runners: a small fleet keeps no runner free
+ * rather than a third of them. */
 bool
 kq_pools_may_place_lasting (const KqRunnerState *r)
 {
--- a/src/sched/progress.c
+++ b/src/sched/progress.c
@@ -13,6 +13,7 @@
 /* Version of the stored format, its first field. */
 #define FORMAT_VERSION 1
 
+/* Whether the task has failures or a checkpoint to be stored. */
 static bool
 needs_row (const KqTaskState *t)
 {
@@ -31,7 +32,7 @@
   return t->has_run;
 }
 
-/* A bit for each task; an empty string if none is set. */
+/* Appends a bit for each task, set if `holds` does; an empty string if none is set. */
 static void
 pack_bits (KqPacker *p, const KqStepState *st, int32_t width,
            bool (*holds) (const KqTaskState *t))
@@ -175,6 +176,7 @@
   kq_book_open_steps (o);
 }
 
+/* Whether the restored progress shows that some task was started. */
 static bool
 has_started (const KqJob *j)
 {
--- a/src/sched/runners.c
+++ b/src/sched/runners.c
@@ -5,7 +5,8 @@
 
 #include <stdlib.h>
 
-/* Added to the computed end of a lease, for late timers and answers in flight. */
+/* Time after a lease's computed end before it counts as expired: timers may be late, and
+ * answers in flight. */
 #define LEASE_MARGIN (300 * KQ_MS)
 /* How much a runner's clock may run slow. */
 #define CLOCK_DRIFT_PERCENT 2
@@ -85,9 +86,9 @@
   return s->config.lease_ms * KQ_MS * (100 + CLOCK_DRIFT_PERCENT) / 100;
 }
 
-/* Latest end of a lease that may still be granted by an agent that this leader gets no
- * reports from: one of an earlier leader, or one that was lost or replaced now. Such an
- * agent goes on renewing for renew_without_leader_ms. */
+/* Latest end of a lease granted by an agent from which this leader gets no reports: one
+ * of an earlier leader, or one that was lost or replaced now. Such an agent goes on
+ * renewing for renew_without_leader_ms. */
 static KqTime
 latest_unseen_lease_end (const KqSched *s, KqTime now)
 {
@@ -130,7 +131,7 @@
 }
 
 /* Takes the runner from its agent. The agent goes on renewing the lease until the order
- * arrives or it counts the leader as lost, and its last lists may be in flight. */
+ * arrives or it counts the leader as lost; its last lists may be in flight. */
 static void
 drop_agent (KqSched *s, KqRunnerState *r, KqTime now)
 {
@@ -243,7 +244,7 @@
   r->in_store = false;
 }
 
-/* Ends all runs there as lost; the runner hasn't reported their ends. */
+/* Ends all runs of the runner as lost: it hasn't reported their ends. */
 static void
 end_lost_runs (KqSched *s, KqRunnerState *r, const char *why, KqTime now)
 {
@@ -267,7 +268,7 @@
   r->has_unknown_run = false;
 }
 
-/* All runs from before the restart are over, with two exceptions. An unanswered start may
+/* Runs from before the restart are over, with two exceptions. An unanswered start may
  * still reach the restarted runner, which has lost its run numbers and fencing tokens:
  * the run is stopped there first, so that the runner refuses the start, and only then
  * started elsewhere. And a start that was answered after the request for this list was
@@ -319,7 +320,7 @@
   o.u.take.address = kq_str (r->address);
   o.u.take.assignment = r->assignment;
   s->config.order (s->config.arg, agent, &o);
-  /* The new agent doesn't know the orders that the earlier one was given. */
+  /* The new agent doesn't know the orders that the earlier agent was given. */
   for (KqRun *run = r->runs; run != NULL; run = run->next)
     {
       kq_run_mark_orders_lost (s, run);
@@ -515,10 +516,9 @@
         }
 }
 
-/* Whether runs of this leader may be there or may be started there. If not, the runner is
- * left out of the stored list, so that a later leader doesn't wait for its lease. That
- * holds for a draining runner without runs, but not while its ends aren't all stored: a
- * later leader must hear of them, or it would start those tasks again. */
+/* If not, the runner is left out of the stored list, so that a later leader doesn't wait
+ * for its lease. A draining runner without runs is left out only once all its ends are
+ * stored: a later leader would not hear of the others, and start those tasks again. */
 bool
 kq_runners_may_run (const KqRunnerState *r)
 {
@@ -533,7 +533,7 @@
   for (guint i = 0; i < s->runner_list->len; i++)
     {
       KqRunnerState *r = g_ptr_array_index (s->runner_list, i);
-      /* An agent that hasn't reported yet may be renewing the lease. */
+      /* An agent that has yet to report may be renewing the lease. */
       bool unreachable = r->agent < 0 || r->silent;
       if (r->in_sent_list != kq_runners_may_run (r))
         s->used_runners_dirty = true;
--- a/src/sched/runs.c
+++ b/src/sched/runs.c
@@ -30,7 +30,7 @@
   return run->job->images[run->step];
 }
 
-/* Adds the run to its runner's reservations (sign 1), or removes it (sign -1). */
+/* Adds the run's resources to its runner's totals (sign 1), or removes them (sign -1). */
 static void
 update_reservations (const KqRun *run, int sign)
 {
@@ -127,8 +127,8 @@
     v->next->serving->prev = v->prev;
 }
 
-/* Adds the time for which the run has been slowed to its job's totals; called before each
- * change of its pace. */
+/* Adds the time for which the run has been slowed to its job's totals, and notes whether
+ * the new pace slows it. Call before each change of its pace, and at its end. */
 static void
 account_slowed_time (KqRun *run, int percent, KqTime now)
 {
@@ -208,8 +208,8 @@
   s->config.order (s->config.arg, run->runner->agent, o);
 }
 
-/* Also used to repeat a start whose outcome is unknown: without repeats the task and its
- * reservation would be held until the runner's lease expires. */
+/* A start whose outcome is unknown is repeated: else its task would wait, and its room be
+ * reserved, until the runner's lease expires. */
 void
 kq_run_send_start (KqSched *s, KqRun *run, KqTime now)
 {
--- a/src/sched/sched.c
+++ b/src/sched/sched.c
@@ -129,9 +129,10 @@
   s->job_held_back = false;
 }
 
-/* Looks up the place of each step's image in the disturbance model. */
+/* Sets the number of each step's image in the disturbance model; adds new images to it.
+ */
 static void
-find_images (KqSched *s, KqJob *j)
+set_images (KqSched *s, KqJob *j)
 {
   j->images = kq_alloc ((size_t)j->spec.n_steps * sizeof *j->images);
   for (int32_t i = 0; i < j->spec.n_steps; i++)
@@ -143,7 +144,7 @@
     }
 }
 
-/* The kind of the job by its first step, for logs. */
+/* The kind of the tasks of the job's first step, for logs. */
 static const char *
 job_kind (const KqSpec *p)
 {
@@ -163,6 +164,7 @@
   return n;
 }
 
+/* The cpu of the job's largest task. */
 static int32_t
 largest_task_milli (const KqSpec *p)
 {
@@ -195,7 +197,7 @@
   j->revision = revision;
   j->learned_at = now;
   j->pool = kq_pools_get (s, j->spec.service);
-  find_images (s, j);
+  set_images (s, j);
   age = wall - j->spec.accepted_ms;
   j->accepted_at = now - (age > 0 && s->wall_minus_now_ms != 0 ? age : 0) * KQ_MS;
   j->next = s->open_jobs;
@@ -225,7 +227,7 @@
   j->cancelled = true;
   kq_book_end_job (s, j, KQ_JOB_CANCELLED, now);
   if (j->state == KQ_JOB_CANCELLED)
-    j->stored_state = j->state; /* the cancellation itself is in the store */
+    j->stored_state = j->state; /* stored already, as the cancellation */
 }
 
 bool
@@ -351,7 +353,8 @@
   const KqJob *j = kq_book_find (s, id);
   if (j == NULL)
     return KQ_JOB_UNKNOWN;
-  /* An end is reported only once it is stored; until then a new leader wouldn't know. */
+  /* An end is reported only once it is stored: a new leader wouldn't know of it before.
+   */
   if (j->stored_state >= KQ_JOB_COMPLETED)
     return j->stored_state;
   return j->begun ? KQ_JOB_RUNNING : KQ_JOB_WAITING;
--- a/src/sched/store.c
+++ b/src/sched/store.c
@@ -1,4 +1,5 @@
-/* store: batches of progress for the store, and the acknowledgement of ends after each.
+/* store: packs progress in batches for the store, and acknowledges the ends of runs after
+ * each batch.
  *
  * A runner forgets its ends once they are acknowledged. They are acknowledged only when
  * the progress that follows from them is stored; otherwise the next leader would start a
@@ -10,9 +11,11 @@
 
 #include <stdlib.h>
 
-/* Time between acknowledgements of ends, including ends that changed no progress. */
+/* Time from one batch to the next if only ends are to be acknowledged, or the last batch
+ * left changes unstored. */
 #define ACKNOWLEDGE_INTERVAL (70 * KQ_MS)
-/* Keys of a job in the store, all removed with it: job, cancellation, progress. */
+/* Number of a job's keys in the store, all removed with it: job, cancellation, progress.
+ */
 #define KEYS_PER_JOB 3
 
 size_t
@@ -64,8 +67,9 @@
   return n;
 }
 
+/* Acknowledges all ends whose effects are stored now. */
 static void
-acknowledge (KqSched *s)
+acknowledge_stored_ends (KqSched *s)
 {
   for (guint i = 0; i < s->runner_list->len; i++)
     {
@@ -100,7 +104,7 @@
   g_ptr_array_set_size (s->batch, 0);
   s->batch_open = false;
   if (whole)
-    acknowledge (s);
+    acknowledge_stored_ends (s);
   else
     for (guint i = 0; i < s->runner_list->len; i++)
       {
--- a/src/sched/tickets.c
+++ b/src/sched/tickets.c
@@ -13,15 +13,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Runners named in one request: a third of a small fleet. With fewer a wide step needs
- * several requests; with more each answer takes longer. */
+/* Most runners named in one request: a third of a small fleet. With fewer a wide step
+ * needs several requests; with more each answer takes longer. */
 #define RUNNERS_PER_REQUEST 30
-/* Outstanding requests per host: one that is being answered and the next. */
+/* Most unanswered requests per host: the one that is being answered, and the next. */
 #define REQUESTS_PER_HOST_MAX 2
 /* A request without an answer after this time is repeated, by another host if
  * possible. */
 #define ANSWER_TIMEOUT (2500 * KQ_MS)
-/* Time to the next request after a failed one. */
+/* Time from a failed request to the next. */
 #define RETRY_DELAY (100 * KQ_MS)
 /* A ticket isn't used in this last part of its validity, as the start order has yet to
  * arrive. */
@@ -67,7 +67,8 @@
     }
 }
 
-/* Drops the rows of a request that failed: nothing is known of their runners. */
+/* Ends a request that failed: drops the rows of its runners, of which nothing is known.
+ */
 static void
 drop_request (KqTickets *a)
 {
@@ -184,8 +185,8 @@
   order.u.advise.step = kq_str (name);
   order.u.advise.runners = ids;
   order.u.advise.n_runners = (size_t)n;
-  /* The rows count as refused until the answer; those that it doesn't name stay refused.
-   */
+  /* Rows without a ticket permit nothing. The answer names only runners that get a
+   * ticket; the other rows then count as refused. */
   for (int32_t i = 0; i < n; i++)
     {
       KqRunnerState *r = kq_runners_find (s, ids[i]);
@@ -203,7 +204,8 @@
   s->config.order (s->config.arg, agent, &order);
 }
 
-/* The step of that name (job.occurrence.step); NULL if it is over. */
+/* The step of that name (job.occurrence.step); NULL: unknown, or its occurrence is over.
+ */
 static KqStepState *
 find_step (const KqSched *s, KqStr name)
 {
@@ -217,7 +219,7 @@
   return found ? &t.occurrence->steps[t.step] : NULL;
 }
 
-/* Marks the rows that are still without a ticket as refused, not as being asked about. */
+/* Marks the rows for which the answer brought no ticket as refused. */
 static void
 mark_refused (KqTickets *a)
 {
--- a/src/sched/watch.c
+++ b/src/sched/watch.c
@@ -12,9 +12,11 @@
 #define STALL_MIN (3 * KQ_SEC)
 /* A lasting task that isn't ready after this time counts as stalled. */
 #define LASTING_START_MAX (4 * KQ_SEC)
-/* A task that ends this long before its runner leaves, by its progress, isn't moved. */
+/* A task isn't moved if by its progress it ends at least this long before its runner
+ * leaves. */
 #define LEAVE_MARGIN_MS 400
-/* A filling task at this pace or below for so long is moved to another runner. */
+/* A filling task that has been at THROTTLED_PACE_PERCENT or below for THROTTLED_MAX is
+ * moved to another runner. */
 #define THROTTLED_MAX (3 * KQ_SEC)
 #define THROTTLED_PACE_PERCENT 10
 
@@ -30,8 +32,8 @@
            && now - run->last_change_at > LASTING_START_MAX;
   if (run->pace < 100 || p->filling)
     bound *= 3;
-  /* Measured to the last report rather than to now: a late report says nothing of the
-   * task. */
+  /* The time without progress counts up to the last report rather than to now: a late
+   * report says nothing of the task. */
   return run->runner->heard_at - run->last_change_at
          > (bound > STALL_MIN ? bound : STALL_MIN);
 }
@@ -54,11 +56,11 @@
   return needs + LEAVE_MARGIN_MS > left;
 }
 
-/* Starts a second run of a task if its step permits copies and the first one's runner is
- * silent, rather than wait for the end of that runner's lease. Whichever run ends first
- * counts. */
+/* Lets a task wait for a second run, a copy, if its step permits copies and the runner of
+ * the first run is silent, rather than wait for the end of that runner's lease. Whichever
+ * run ends first counts. Returns whether it did. */
 static bool
-start_copy (KqSched *s, KqRun *run)
+request_copy (KqSched *s, KqRun *run)
 {
   KqTaskState *t = kq_book_task_state (run);
   if (!kq_run_step (run)->speculative || !run->runner->silent || t == NULL
@@ -92,15 +94,15 @@
 check_run (KqSched *s, KqRun *run, KqTime now)
 {
   KqRunnerState *r = run->runner;
-  if (r->agent < 0 || start_copy (s, run))
+  if (r->agent < 0 || request_copy (s, run))
     return;
   if (run->occurrence == NULL && !r->silent && r->listed)
-    kq_run_stop (s, run, "no longer wanted", now); /* unless it is stopping already */
+    kq_run_stop (s, run, "no longer wanted", now); /* nothing if it is stopping already */
   if (run->phase == KQ_RUN_SENDING && !run->order_pending && now >= run->retry_at
       && run->confirmed == 0 && !r->silent && r->listed)
     repeat_start (s, run, now);
-  /* Not if the runner has answered a stop: the answer to a repeat would count as newer
-   * than each list on its way, and no list could end the run. */
+  /* A stop isn't repeated once the runner has answered one: the answer to a repeat would
+   * count as newer than each list on its way, and no list could end the run. */
   else if (run->phase == KQ_RUN_STOPPING && !run->order_pending && !run->stopped
            && !r->silent && r->listed
            && now >= run->retry_at + (run->outcome_unknown ? 0 : STOP_REPEAT_DELAY))
@@ -129,6 +131,7 @@
     }
 }
 
+/* Has the runner's agent report often while serving and other tasks share the runner. */
 static void
 update_report_rate (KqSched *s, KqRunnerState *r)
 {
