--- a/src/sched/pools.c
+++ b/src/sched/pools.c
@@ -16,8 +16,9 @@
 /* Time constant with which the recorded peak decays. */
 #define PEAK_DECAY (30.0 * KQ_SEC)
 /* After a leader's start KEEP_INITIAL_PERCENT of the room is kept free of lasting tasks,
- * also if no other tasks have been seen: lasting tasks that were placed first could be
- * moved only by ending them. This share decays with the time constant INITIAL_DECAY. */
+ * also if no other tasks have been seen yet: lasting tasks that were placed first could
+ * be moved only by ending them. This share decays with the time constant INITIAL_DECAY.
+ */
 #define KEEP_INITIAL_PERCENT 28
 #define INITIAL_DECAY (30.0 * KQ_SEC)
 /* At most this share of the room is kept free of lasting tasks. */
--- a/src/sched/state.h
+++ b/src/sched/state.h
@@ -94,7 +94,7 @@
 {
   KqJob *job;
   int32_t number;
-  int32_t steps_done;
+  int32_t steps_done;       /* number of steps all of whose tasks are done */
   KqTime due_at;            /* the objective's time runs from here */
   int64_t critical_path_ms; /* estimated time of the longest chain of undone steps */
   KqStepState *steps;
@@ -123,7 +123,7 @@
   int n_runs;                /* number of runs that may exist on runners */
   KqRun *run_list;           /* those runs, the latest first */
   KqBuf batch;               /* packed progress that is being stored */
-  KqJob *next;               /* list of open jobs (KqSched.open_jobs) */
+  KqJob *next;               /* links of the list KqSched.open_jobs */
   KqJob *prev;
 };
 
@@ -159,7 +159,7 @@
   KqOccurrence *occurrence; /* NULL: no task needs this run any more */
   int32_t occurrence_number;
   int32_t step;
-  int32_t index;
+  int32_t index; /* of its task, in the step */
   uint32_t number;
   KqRunPhase phase;
   bool outcome_unknown; /* an order was not answered: it may still be carried out */
@@ -167,11 +167,11 @@
   bool start_in_window; /* its start order is counted in KqSched.window */
   bool resent;  /* its start order was sent more than once: one may still arrive */
   bool stopped; /* its runner has answered a stop order, and not listed the run since */
-  uint64_t confirmed; /* 1 + the agent's count of order results (KqRunnerList.order) at
-                         the runner's last report of the run; 0: none. Only a list
-                         requested later can show that the run is gone. */
-  KqTime placed_at;
-  KqTime running_at;     /* when its runner first confirmed it; 0: not yet */
+  uint64_t confirmed;    /* 1 + the agent's count of order results (KqRunnerList.order) at
+                            the runner's last report of the run; 0: none. Only a list
+                            requested later can show that the run is gone. */
+  KqTime placed_at;      /* when the run was recorded here */
+  KqTime running_at;     /* when its runner first confirmed that it runs; 0: not yet */
   KqTime last_change_at; /* last change of its progress or pace */
   KqTime retry_at;       /* when an order without an answer is due to be repeated */
   double cpu_share;      /* cpu that it asks for, divided by the runner's whole cpu */
@@ -220,10 +220,10 @@
   KqRoom room;           /* its whole capacity */
   KqRoom used;           /* what runs that may exist there reserve; filling ones no cpu */
   int64_t filling_milli; /* cpu that its filling runs ask for; not in `used` */
-  int64_t started_ms;
-  bool in_store;               /* it has an entry in the store now */
-  bool in_stored_list;         /* it is in the stored list of runners in use */
-  bool in_sent_list;           /* it is in the list that was packed last, to be stored */
+  int64_t started_ms;    /* start of its process, Unix time; 0: not known */
+  bool in_store;         /* it has an entry in the store now */
+  bool in_stored_list;   /* it is in the stored list of runners in use */
+  bool in_sent_list;     /* it is in the list that was packed last, to be stored */
   bool used_by_earlier_leader; /* an earlier leader may have started runs there */
   bool taken_down;             /* its host has been taken down for maintenance */
   bool gone;                   /* taken down and unreachable: no run is left there */
@@ -247,10 +247,10 @@
   double done_count;   /* done tasks, decaying like failed_count */
   KqTime counts_at;    /* the time for which both counts hold */
   double slowness; /* actual divided by estimated run time of tasks; 1: like the others */
-  KqTime suspect_until; /* no task is placed there before this time */
-  int suspect_times;    /* times it became suspect since a task was last done there */
-  int n_runs;
-  int n_serving;
+  KqTime suspect_until;  /* no task is placed there before this time */
+  int suspect_times;     /* times it became suspect since a task was last done there */
+  int n_runs;            /* number of all runs that may exist there */
+  int n_serving;         /* number of runs of serving tasks there */
   int64_t serving_milli; /* cpu that serving tasks reserve, as a part of `used` */
   int n_lasting;         /* number of lasting tasks there that aren't filling */
   int64_t lasting_milli; /* cpu that the n_lasting tasks reserve, as a part of `used` */
@@ -286,7 +286,7 @@
   KqHostPhase phase;
   KqTime since;     /* start of the phase */
   KqTime again_at;  /* earliest time of the next attempt */
-  char *old_runner; /* on the host when the call was made; NULL: none */
+  char *old_runner; /* id of the runner there when the call was made; NULL: none */
 } KqWaveHost;
 
 typedef struct
@@ -326,19 +326,19 @@
   bool assign_soon;            /* an agent may be able to take a runner that has none */
   int64_t wall_minus_now_ms;   /* Unix time less KqTime, in ms */
   KqTime started_at;
-  KqTime exclusive_until; /* no other leader before this time */
+  KqTime exclusive_until; /* no other node can be leader before this time */
   bool job_held_back;     /* a job waits until no other leader is possible again */
   KqTime
       next_pass_at; /* the next placing pass is due then at the latest; 0: none is due */
-  KqTime next_check_at; /* next check of progress, leases and paces */
+  KqTime next_check_at; /* next check of runs, leases, agents, jobs and waves */
   KqTime store_due; /* when changed progress is due to be stored; KQ_TIME_NEVER: none */
   KqTime stored_at; /* when the last batch was begun */
-  bool batch_open;  /* kq_sched_stored has not been called for it yet */
+  bool batch_open;  /* a batch has been begun and not ended by kq_sched_stored */
   bool ends_dirty;  /* some received ends aren't covered by a batch yet */
   double slowness_mean; /* as KqRunnerState.slowness, over all runners */
   KqDisturb *disturb;
   KqWindow window;
-  KqTime window_logged_at; /* last log line on a closed window */
+  KqTime window_logged_at; /* time of the last log line on a closed window */
   GPtrArray *waves;        /* KqWave */
   bool waves_dirty;        /* their progress differs from what was packed last */
   GPtrArray *batch;        /* KqJob: those in the batch that is being stored */
