--- a/src/sched/book.c
+++ b/src/sched/book.c
@@ -117,13 +117,14 @@
           free (o->steps[i].tasks[k].failed_runs);
         }
       free (o->steps[i].tasks);
-      kq_tickets_free (o->steps[i].advice);
+      kq_tickets_free (o->steps[i].tickets);
     }
   free (o->steps);
   free (o);
 }
 
-/* Runs can outlive the occurrence: they stay until their runner reports their end. */
+/* Detaches the occurrence's runs: they can outlive it, until their runner reports their
+ * end. */
 static void
 detach_runs (const KqOccurrence *o)
 {
@@ -132,7 +133,7 @@
       run->occurrence = NULL;
 }
 
-/* The occurrence must have been removed from its job's list. */
+/* Frees an occurrence that has been removed from its job's list. */
 static void
 end_occurrence (KqOccurrence *o)
 {
@@ -156,9 +157,9 @@
   free (j);
 }
 
-/* Time between batches of progress. Batching saves writes, but runners repeat their ends
- * until these are stored. The end of a job is stored sooner, because its client account
- * sees it only then. */
+/* Time between batches of progress. Batches save writes, but until the progress is stored
+ * runners list the same ends again. The end of a job, which is urgent, is stored sooner,
+ * because its client account sees it only then. */
 #define STORE_INTERVAL (70 * KQ_MS)
 #define STORE_INTERVAL_URGENT (15 * KQ_MS)
 
@@ -190,7 +191,7 @@
 }
 
 static void
-log_end (const KqJob *j, KqTime now)
+log_job_end (const KqJob *j, KqTime now)
 {
   KqBuf spent = { 0 };
   kq_spent_print (&j->spent, &spent);
@@ -199,7 +200,7 @@
           KQ_STR_ARG (j->spec.id), kq_job_state_name (j->state),
           (long long)((now - j->accepted_at) / KQ_MS),
           (long long)kq_spec_objective_ms (&j->spec), KQ_STR_ARG (kq_buf_str (&spent)),
-          j->runs);
+          j->n_runs);
   kq_buf_free (&spent);
 }
 
@@ -211,11 +212,11 @@
   j->state = state;
   j->ended_at = now;
   if (s->loaded)
-    log_end (j, now);
+    log_job_end (j, now);
   if (s->loaded && !kq_spec_lasting (&j->spec))
     kq_histogram_add (&s->job_time, now - j->accepted_at);
-  if (j->runs > 0)
-    kq_run_cancel_all (s, j, now);
+  if (j->n_runs > 0)
+    kq_run_stop_all (s, j, now);
   while (j->occurrences != NULL)
     {
       KqOccurrence *o = j->occurrences;
@@ -241,7 +242,7 @@
 }
 
 void
-kq_book_task_done (KqSched *s, KqOccurrence *o, int32_t step, int32_t index, KqTime now)
+kq_book_finish_task (KqSched *s, KqOccurrence *o, int32_t step, int32_t index, KqTime now)
 {
   KqStepState *p = &o->steps[step];
   KqTaskState *t = &p->tasks[index];
@@ -266,7 +267,7 @@
 }
 
 bool
-kq_book_has_failed (const KqTaskState *t, uint32_t run)
+kq_book_run_has_failed (const KqTaskState *t, uint32_t run)
 {
   for (int i = 0; i < t->failures; i++)
     if (t->failed_runs[i] == run)
@@ -287,12 +288,12 @@
 }
 
 void
-kq_book_task_failed (KqSched *s, KqOccurrence *o, int32_t step, int32_t index,
-                     uint32_t run, KqRunnerState *where, KqTime now)
+kq_book_fail_task (KqSched *s, KqOccurrence *o, int32_t step, int32_t index, uint32_t run,
+                   KqRunnerState *where, KqTime now)
 {
   KqTaskState *t = &o->steps[step].tasks[index];
   const KqSpec *spec = &o->job->spec;
-  if (t->phase == KQ_TASK_DONE || kq_book_has_failed (t, run))
+  if (t->phase == KQ_TASK_DONE || kq_book_run_has_failed (t, run))
     return;
   t->avoid = where;
   if (spec->steps[step].lasting)
@@ -308,8 +309,9 @@
     kq_book_end_job (s, o->job, KQ_JOB_FAILED, now);
 }
 
-/* Delay of an occurrence behind its due time. The leader's clock may be ahead of the
- * other hosts', and a task must not begin before its time; 0.1 s late is harmless. */
+/* Time after its due time at which an occurrence is created. The leader's clock may be
+ * ahead of the other hosts', and a task must not begin before its time; 0.1 s late is
+ * harmless. */
 #define OCCURRENCE_DELAY_MS 100
 
 void
@@ -335,12 +337,12 @@
 void
 kq_book_unlink (KqSched *s, KqJob *j)
 {
-  if (j->prev == NULL && s->open != j)
+  if (j->prev == NULL && s->open_jobs != j)
     return;
   if (j->prev != NULL)
     j->prev->next = j->next;
   else
-    s->open = j->next;
+    s->open_jobs = j->next;
   if (j->next != NULL)
     j->next->prev = j->prev;
   j->next = j->prev = NULL;
@@ -351,7 +353,7 @@
 {
   char id[KQ_SPEC_ID_MAX + 1];
   bool fits = kq_str_copy (j->spec.id, id, sizeof id);
-  assert (fits); /* longer ids aren't accepted */
+  assert (fits); /* jobs with longer ids aren't accepted */
   (void)fits;
   kq_book_unlink (s, j);
   g_hash_table_remove (s->jobs, id);
--- a/src/sched/sched.c
+++ b/src/sched/sched.c
@@ -69,7 +69,7 @@
                                   "Runners whose lease ended while they were silent.");
   s->no_room
       = kq_counter (c, "kq_run_no_room_total", "", "Starts refused for want of room.");
-  s->paces = kq_counter (c, "kq_run_paces_total", "", "Changes of a task's pace.");
+  s->pace_orders = kq_counter (c, "kq_run_paces_total", "", "Changes of a task's pace.");
   for (int i = 0; i <= KQ_ADVICE_UNKNOWN; i++)
     s->advices[i] = advice_counter (c, i);
 }
@@ -129,9 +129,10 @@
   s->job_held_back = false;
 }
 
-/* Looks up the place of each step's image in the disturbance model. */
+/* Sets the number of each step's image in the disturbance model; adds new images to it.
+ */
 static void
-find_images (KqSched *s, KqJob *j)
+set_images (KqSched *s, KqJob *j)
 {
   j->images = kq_alloc ((size_t)j->spec.n_steps * sizeof *j->images);
   for (int32_t i = 0; i < j->spec.n_steps; i++)
@@ -143,7 +144,7 @@
     }
 }
 
-/* The kind of the job by its first step, for logs. */
+/* The kind of the tasks of the job's first step, for logs. */
 static const char *
 job_kind (const KqSpec *p)
 {
@@ -163,6 +164,7 @@
   return n;
 }
 
+/* The cpu of the job's largest task. */
 static int32_t
 largest_task_milli (const KqSpec *p)
 {
@@ -195,13 +197,13 @@
   j->revision = revision;
   j->learned_at = now;
   j->pool = kq_pools_get (s, j->spec.service);
-  find_images (s, j);
+  set_images (s, j);
   age = wall - j->spec.accepted_ms;
   j->accepted_at = now - (age > 0 && s->wall_minus_now_ms != 0 ? age : 0) * KQ_MS;
-  j->next = s->open;
-  if (s->open != NULL)
-    s->open->prev = j;
-  s->open = j;
+  j->next = s->open_jobs;
+  if (s->open_jobs != NULL)
+    s->open_jobs->prev = j;
+  s->open_jobs = j;
   g_hash_table_insert (s->jobs, kq_str_dup (j->spec.id), j);
   if (s->loaded)
     {
@@ -225,7 +227,7 @@
   j->cancelled = true;
   kq_book_end_job (s, j, KQ_JOB_CANCELLED, now);
   if (j->state == KQ_JOB_CANCELLED)
-    j->stored_state = j->state; /* the cancellation itself is in the store */
+    j->stored_state = j->state; /* stored already, as the cancellation */
 }
 
 bool
@@ -292,10 +294,10 @@
 {
   s->loaded = true;
   s->pass_needed = true;
-  for (KqJob *j = s->open; j != NULL; j = j->next)
+  for (KqJob *j = s->open_jobs; j != NULL; j = j->next)
     if (j->created == 0 || j->spec.n_occurrences > 0)
       kq_book_create_due (s, j, now);
-  for (KqJob *j = s->open; j != NULL; j = j->next)
+  for (KqJob *j = s->open_jobs; j != NULL; j = j->next)
     if (j->state < KQ_JOB_COMPLETED && j->finished == kq_spec_occurrences (&j->spec))
       kq_book_end_job (s, j, KQ_JOB_COMPLETED, now);
   kq_log (KQ_LOG_INFO, PART, "Loaded the stored state. jobs=%u runners=%u after_ms=%lld",
@@ -307,12 +309,12 @@
 update_jobs (KqSched *s, KqTime now)
 {
   KqJob *next;
-  for (KqJob *j = s->open; j != NULL; j = next)
+  for (KqJob *j = s->open_jobs; j != NULL; j = next)
     {
       next = j->next;
       if (j->spec.n_occurrences > 0)
         kq_book_create_due (s, j, now);
-      if (j->state < KQ_JOB_COMPLETED || j->runs > 0)
+      if (j->state < KQ_JOB_COMPLETED || j->n_runs > 0)
         continue;
       kq_book_unlink (s, j);
     }
@@ -351,7 +353,8 @@
   const KqJob *j = kq_book_find (s, id);
   if (j == NULL)
     return KQ_JOB_UNKNOWN;
-  /* An end is reported only once it is stored; until then a new leader wouldn't know. */
+  /* An end is reported only once it is stored: a new leader wouldn't know of it before.
+   */
   if (j->stored_state >= KQ_JOB_COMPLETED)
     return j->stored_state;
   return j->begun ? KQ_JOB_RUNNING : KQ_JOB_WAITING;
@@ -361,7 +364,7 @@
 kq_sched_waiting (const KqSched *s, KqStr queue)
 {
   int64_t n = 0;
-  for (const KqJob *j = s->open; j != NULL; j = j->next)
+  for (const KqJob *j = s->open_jobs; j != NULL; j = j->next)
     n += j->state < KQ_JOB_COMPLETED && !j->begun && kq_str_eq (j->spec.queue, queue);
   return n;
 }
@@ -373,10 +376,10 @@
   uint64_t *gauge;
   uint64_t open = 0;
   uint64_t runs = 0;
-  for (const KqJob *j = s->open; j != NULL; j = j->next)
+  for (const KqJob *j = s->open_jobs; j != NULL; j = j->next)
     {
       open++;
-      runs += (uint64_t)j->runs;
+      runs += (uint64_t)j->n_runs;
     }
   gauge = kq_counter (c, "kq_jobs_open", "", "Jobs that aren't ended.");
   *gauge = open;
