--- a/src/job/classes.c
+++ b/src/job/classes.c
@@ -1,7 +1,7 @@
 #include "job/classes.h"
 
 uint16_t
-kq_classes_index (KqClasses *c, const KqName *name)
+kq_classes_find_or_add (KqClasses *c, const KqName *name)
 {
   for (uint16_t i = 0; i < c->n; i++)
     if (kq_name_eq (&c->names[i], name))
--- a/src/job/classes.h
+++ b/src/job/classes.h
@@ -18,6 +18,6 @@
 
 /* The index of the class, which is added if it is new; the last index once the table is
  * full. */
-uint16_t kq_classes_index (KqClasses *c, const KqName *name);
+uint16_t kq_classes_find_or_add (KqClasses *c, const KqName *name);
 
 #endif
--- a/src/job/evict.c
+++ b/src/job/evict.c
@@ -26,7 +26,7 @@
 }
 
 static double
-covered (int64_t freed, int64_t missing)
+covered_fraction (int64_t freed, int64_t missing)
 {
   if (missing <= 0)
     return 0;
@@ -35,15 +35,15 @@
 
 /* The parts of the missing resources that evicting the job frees, summed: 0 to 3. */
 static double
-covered_sum (const KqJob *job, KqSize missing)
+covered_fractions_sum (const KqJob *job, KqSize missing)
 {
-  return covered (job->charged.cpu_milli, missing.cpu_milli)
-         + covered (job->charged.memory_mb, missing.memory_mb)
-         + covered (job->charged.accelerators, missing.accelerators);
+  return covered_fraction (job->charged.cpu_milli, missing.cpu_milli)
+         + covered_fraction (job->charged.memory_mb, missing.memory_mb)
+         + covered_fraction (job->charged.accelerators, missing.accelerators);
 }
 
 static bool
-chosen (const KqEviction *e, const KqJob *job)
+is_victim (const KqEviction *e, const KqJob *job)
 {
   for (int i = 0; i < e->n; i++)
     if (e->victims[i] == job)
@@ -61,8 +61,8 @@
   for (KqJob *job = w->jobs; job != NULL; job = job->next_on_worker)
     {
       double cost;
-      double freed = covered_sum (job, missing);
-      if (freed <= 0 || !may_evict (job, rule) || chosen (e, job))
+      double freed = covered_fractions_sum (job, missing);
+      if (freed <= 0 || !may_evict (job, rule) || is_victim (e, job))
         continue;
       cost = kq_evict_cost (job, now) / freed;
       if (best == NULL || cost < best_cost)
--- a/src/job/health.c
+++ b/src/job/health.c
@@ -5,11 +5,11 @@
 
 #define BAD_WORKER_FAILURE_RATE 0.9
 /* A likelihood ratio of 150 to 1. From 0 it takes two failures in a row of a class that
- * fails 1 in 50, and nine of one that fails every other time; FAILED_JOBS_MIN applies,
- * too. */
+ * fails 1 in 50, and nine of one that fails every other time; FAILED_JOBS_TO_HOLD
+ * applies, too. */
 #define EVIDENCE_TO_HOLD 5.0
 #define EVIDENCE_MIN (-3.0)
-#define FAILED_JOBS_MIN 3
+#define FAILED_JOBS_TO_HOLD 3
 #define FAILURE_RATE_SMOOTHING 0.02
 #define FAILURE_RATE_MIN 0.02
 #define FAILURE_RATE_MAX 0.8
@@ -48,8 +48,9 @@
 }
 
 void
-kq_health_outcome (KqFleetHealth *f, KqHealth *h, uint16_t class_index, uint64_t job,
-                   bool failed, uint32_t n_workers, int64_t held_percent, KqTime now)
+kq_health_record_outcome (KqFleetHealth *f, KqHealth *h, uint16_t class_index,
+                          uint64_t job, bool failed, uint32_t n_workers,
+                          int64_t held_percent, KqTime now)
 {
   double *class_rate = &f->failure_rate[class_index];
   double rate = fmin (fmax (*class_rate, FAILURE_RATE_MIN), FAILURE_RATE_MAX);
@@ -72,12 +73,13 @@
   h->n_failed_jobs++;
   h->evidence += log (BAD_WORKER_FAILURE_RATE / rate);
   if (h->state == KQ_HEALTH_GOOD && h->evidence > EVIDENCE_TO_HOLD
-      && h->n_failed_jobs >= FAILED_JOBS_MIN && f->n_held < (held_max > 0 ? held_max : 1))
+      && h->n_failed_jobs >= FAILED_JOBS_TO_HOLD
+      && f->n_held < (held_max > 0 ? held_max : 1))
     hold_worker (f, h, now);
 }
 
 int
-kq_health_task_limit (KqFleetHealth *f, KqHealth *h, KqTime now)
+kq_health_update_task_limit (KqFleetHealth *f, KqHealth *h, KqTime now)
 {
   (void)f;
   if (h->state == KQ_HEALTH_GOOD)
--- a/src/job/health.h
+++ b/src/job/health.h
@@ -48,12 +48,12 @@
 
 /* Records the end of a task on the worker. At most `held_percent` of `n_workers` are
  * held, but one may always be. */
-void kq_health_outcome (KqFleetHealth *f, KqHealth *h, uint16_t class_index, uint64_t job,
-                        bool failed, uint32_t n_workers, int64_t held_percent,
-                        KqTime now);
+void kq_health_record_outcome (KqFleetHealth *f, KqHealth *h, uint16_t class_index,
+                               uint64_t job, bool failed, uint32_t n_workers,
+                               int64_t held_percent, KqTime now);
 /* How many tasks the worker may run at `now`. Begins to probe a held worker whose pause
  * is over. */
-int kq_health_task_limit (KqFleetHealth *f, KqHealth *h, KqTime now);
+int kq_health_update_task_limit (KqFleetHealth *f, KqHealth *h, KqTime now);
 /* Whether a failure on the worker counts against the job. */
 bool kq_health_blames_job (const KqHealth *h);
 
--- a/src/job/history.c
+++ b/src/job/history.c
@@ -1,8 +1,8 @@
 #include "job/history.h"
 
 void
-kq_history_change (KqHistory *h, uint16_t class_index, double n, int64_t cpu_milli,
-                   KqTime now)
+kq_history_record_change (KqHistory *h, uint16_t class_index, double n, int64_t cpu_milli,
+                          KqTime now)
 {
   kq_mix_add (&h->mix, class_index, n);
   h->cpu_milli += cpu_milli;
--- a/src/job/history.h
+++ b/src/job/history.h
@@ -30,8 +30,8 @@
 } KqHistory;
 
 /* Records a change of the mix and of the allocated processors. */
-void kq_history_change (KqHistory *h, uint16_t class_index, double n, int64_t cpu_milli,
-                        KqTime now);
+void kq_history_record_change (KqHistory *h, uint16_t class_index, double n,
+                               int64_t cpu_milli, KqTime now);
 /* The mix and the allocated processors at a past time. False when the ring doesn't reach
  * back so far. */
 bool kq_history_at (const KqHistory *h, KqTime at, KqMix *mix, int64_t *cpu_milli);
--- a/src/job/interference.c
+++ b/src/job/interference.c
@@ -6,7 +6,7 @@
 static const double default_effect[KQ_BANDS] = { 0.01, 0.02, 0.04 };
 /* Services answer short requests and disturb little. With the prior of batch tasks they
  * avoided each other before the first reports and spread over the whole fleet. */
-#define QUIET_FACTOR 0.005
+#define SERVICE_PRIOR_FACTOR 0.005
 #define GAIN_MAX 0.5
 #define GAIN_MIN 0.04 /* above 0 to follow a class that changes */
 #define PRIOR_GAIN 0.05
@@ -45,7 +45,8 @@
   const KqCell *c = &f->prior[other][band];
   double weight = c->evidence / (c->evidence + 4);
   return weight * c->effect
-         + (1 - weight) * default_effect[band] * (f->low_prior[other] ? QUIET_FACTOR : 1);
+         + (1 - weight) * default_effect[band]
+               * (f->low_prior[other] ? SERVICE_PRIOR_FACTOR : 1);
 }
 
 double
@@ -93,7 +94,7 @@
   c->evidence = fminf (c->evidence + fminf (p->n, 1), EVIDENCE_MAX);
   if (prior->evidence <= 0)
     prior->effect = (float)(default_effect[band]
-                            * (f->low_prior[p->class_index] ? QUIET_FACTOR : 1));
+                            * (f->low_prior[p->class_index] ? SERVICE_PRIOR_FACTOR : 1));
   prior->effect += (float)PRIOR_GAIN * (c->effect - prior->effect);
   prior->evidence = fminf (prior->evidence + 0.2F, EVIDENCE_MAX);
 }
--- a/src/job/jobs.c
+++ b/src/job/jobs.c
@@ -14,7 +14,7 @@
   j->times.renew_without_store = c->renew_without_store;
   j->log = log;
   j->rand = kq_rand (c->seed);
-  j->draws = kq_rand_next (&j->rand);
+  j->place_rand_state = kq_rand_next (&j->rand);
   kq_buf_init (&j->buf);
   kq_job_set_init (&j->set);
   kq_workers_init (&j->workers);
@@ -58,7 +58,7 @@
 }
 
 KqClassRow
-kq_jobs_class (const KqJobs *j, const KqName *name)
+kq_jobs_class_row (const KqJobs *j, const KqName *name)
 {
   const KqRow *row = NULL;
   if (j->table != NULL)
@@ -78,15 +78,15 @@
                      .interference = &j->interference,
                      .classes = &j->classes,
                      .spread = &j->spread,
-                     .rand_state = &j->draws,
+                     .rand_state = &j->place_rand_state,
                      .now = now };
 }
 
 KqSize
-kq_jobs_declared (const KqJobs *j, const KqJobSpec *spec)
+kq_jobs_declared_size (const KqJobs *j, const KqJobSpec *spec)
 {
   KqSize s = spec->size;
-  KqClassRow row = kq_jobs_class (j, &spec->class_name);
+  KqClassRow row = kq_jobs_class_row (j, &spec->class_name);
   if (s.cpu_milli == 0)
     s.cpu_milli = row.size.cpu_milli;
   if (s.memory_mb == 0)
@@ -128,7 +128,7 @@
   for (uint32_t i = 0; i < j->workers.n; i++)
     {
       KqWorker *w = j->workers.all[i];
-      kq_lease_open (&w->lease, &j->times, now);
+      kq_lease_init (&w->lease, &j->times, now);
       kq_workers_schedule (&j->workers, w);
       for (KqJob *job = w->jobs; job != NULL; job = job->next_on_worker)
         job->command_at = now;
@@ -175,7 +175,7 @@
 update_declared_size (KqJobs *j, KqJob *job, KqTime now)
 {
   KqTeam *team = &j->quota.teams[job->team];
-  KqSize want = kq_jobs_declared (j, &job->spec);
+  KqSize want = kq_jobs_declared_size (j, &job->spec);
   kq_job_queue_remove (&j->queue, job);
   team->own_wanted = kq_size_sub (team->own_wanted, job->declared_size);
   job->declared_size = want;
@@ -198,7 +198,7 @@
       if (!job->in_queue)
         continue;
       update_declared_size (j, job, now);
-      kq_jobs_check_possible (j, job, now);
+      kq_jobs_update_unplaceable (j, job, now);
     }
 }
 
@@ -244,7 +244,7 @@
 static void
 set_host (KqJobs *j, const KqHost *h, KqTime now)
 {
-  KqWorker *w = kq_workers_get (&j->workers, h->id);
+  KqWorker *w = kq_workers_find_or_add (&j->workers, h->id);
   bool is_new = w->name.len == 0;
   bool returned = w->host == KQ_HOST_GONE && h->state != KQ_HOST_GONE;
   const KqRow *row = NULL;
@@ -259,7 +259,7 @@
     w->capacity = h->capacity;
   if (j->open && ((is_new && w->lease.next_call_at == 0) || returned))
     {
-      kq_lease_open (&w->lease, &j->times, now);
+      kq_lease_init (&w->lease, &j->times, now);
       kq_workers_schedule (&j->workers, w);
     }
   if (j->open && w->host == KQ_HOST_GONE)
--- a/src/job/jobs_call.c
+++ b/src/job/jobs_call.c
@@ -35,7 +35,7 @@
     return KQ_ERR_TABLE_NONE;
   if (kq_table_find (j->table, KQ_ROW_TEAM, kq_name_str (&m->spec.team)) == NULL)
     return KQ_ERR_TEAM_UNKNOWN;
-  size = kq_jobs_declared (j, &m->spec);
+  size = kq_jobs_declared_size (j, &m->spec);
   if (size.cpu_milli <= 0 || size.memory_mb <= 0)
     return KQ_ERR_JOB_BAD;
   if (!j->store_ok || kq_log_port_lag (j->log, now) > JOURNAL_LAG_MAX)
@@ -74,7 +74,8 @@
   if (code != KQ_OK)
     goto answer;
   job = kq_jobs_accept (j, m->job, &m->spec, now);
-  if (!kq_jobs_check_possible (j, job, now) && j->queue.n <= IMMEDIATE_START_QUEUE_MAX)
+  if (!kq_jobs_update_unplaceable (j, job, now)
+      && j->queue.n <= IMMEDIATE_START_QUEUE_MAX)
     kq_jobs_schedule (j, 1, now, out);
 
 answer:
@@ -85,7 +86,7 @@
 }
 
 static KqResult
-cancel (KqJobs *j, KqJob *job, KqTime now, KqOutbox *out)
+cancel_job (KqJobs *j, KqJob *job, KqTime now, KqOutbox *out)
 {
   kq_jobs_send_after (j, job->seq);
   /* Not yet in the other shard: the caller has to try again. */
@@ -101,7 +102,7 @@
       return KQ_OK;
     }
   kq_jobs_request_cancel (j, job, now);
-  kq_jobs_stop (j, job, now, out);
+  kq_jobs_send_stop (j, job, now, out);
   return KQ_OK;
 }
 
@@ -114,7 +115,7 @@
 }
 
 static json_t *
-list (KqJobs *j, const KqMsgJobCall *m, KqTime now)
+list_jobs (KqJobs *j, const KqMsgJobCall *m, KqTime now)
 {
   size_t n = 0;
   size_t count_max = m->limit > 0 ? MIN (m->limit, LIST_MAX) : LIST_MAX;
@@ -141,7 +142,7 @@
 /* The job belongs to another shard now: this node passes the call on to that shard's
  * owner, which answers the asker. */
 static void
-forward (const KqJobs *j, const KqMsgJobCall *m, const KqJob *job, KqOutbox *out)
+forward_call (const KqJobs *j, const KqMsgJobCall *m, const KqJob *job, KqOutbox *out)
 {
   KqMsg f = { .kind = KQ_MSG_JOB_CALL, .u.job_call = *m };
   f.u.job_call.shard = job->to_shard;
@@ -167,7 +168,7 @@
   if (job != NULL && m->kind != KQ_JOB_LIST && job->state == KQ_JOB_STATE_MOVED)
     {
       kq_jobs_send_after (j, job->seq);
-      forward (j, m, job, out);
+      forward_call (j, m, job, out);
       return j->send_after;
     }
   switch (m->kind)
@@ -177,11 +178,11 @@
       json = kq_jobs_job_json (j, job, now);
       break;
     case KQ_JOB_CANCEL:
-      code = cancel (j, job, now, out);
+      code = cancel_job (j, job, now, out);
       json = kq_jobs_job_json (j, job, now);
       break;
     case KQ_JOB_LIST:
-      json = list (j, m, now);
+      json = list_jobs (j, m, now);
       break;
     case KQ_JOB_EXPLAIN:
       kq_jobs_send_after (j, job->seq);
--- a/src/job/jobs_change.c
+++ b/src/job/jobs_change.c
@@ -37,10 +37,10 @@
     }
   if (w == NULL)
     return;
-  kq_worker_remove (w, job);
+  kq_worker_remove_job (w, job);
   kq_quota_release (&j->quota, job->team, job->charged);
-  kq_history_change (&w->history, job->class_index, -job->throttle_percent / 100.0,
-                     -job->size.cpu_milli, now);
+  kq_history_record_change (&w->history, job->class_index, -job->throttle_percent / 100.0,
+                            -job->size.cpu_milli, now);
   if (job->service)
     kq_spread_add (&j->spread, w, job->class_index, -1);
   j->n_evicting -= job->phase == KQ_JOB_PHASE_EVICTING;
@@ -64,12 +64,12 @@
     }
   if (job->state != KQ_JOB_STATE_ASSIGNED)
     return;
-  w = kq_workers_get (&j->workers, job->worker);
+  w = kq_workers_find_or_add (&j->workers, job->worker);
   job->charged = job->size;
   job->throttle_percent = 100;
   job->slow_reports = 0;
-  kq_worker_add (w, job);
-  kq_history_change (&w->history, job->class_index, 1, job->size.cpu_milli, now);
+  kq_worker_add_job (w, job);
+  kq_history_record_change (&w->history, job->class_index, 1, job->size.cpu_milli, now);
   if (job->service)
     kq_spread_add (&j->spread, w, job->class_index, 1);
   kq_quota_charge (&j->quota, job->team, job->charged);
@@ -84,8 +84,8 @@
   job->team = (uint16_t)kq_quota_team (&j->quota, &job->spec.team);
   job->queued_at = now;
   job->throttle_percent = 100;
-  job->class_index = kq_classes_index (&j->classes, &job->spec.class_name);
-  job->declared_size = kq_jobs_declared (j, &job->spec);
+  job->class_index = kq_classes_find_or_add (&j->classes, &job->spec.class_name);
+  job->declared_size = kq_jobs_declared_size (j, &job->spec);
   kq_jobs_update_traits (j, job);
 }
 
@@ -161,11 +161,11 @@
   job->phase = KQ_JOB_PHASE_STARTING;
   job->blocked_reason = KQ_OK;
   job->assigned_at = job->command_at = now;
-  kq_jobs_command (j, KQ_WORKER_START, w, (KqTaskKey){ job->id, job->attempt }, out);
+  kq_jobs_send_command (j, KQ_WORKER_START, w, (KqTaskKey){ job->id, job->attempt }, out);
 }
 
 static KqTime
-backoff (KqJobs *j, uint32_t failures)
+backoff_delay (KqJobs *j, uint32_t failures)
 {
   KqTime t = BACKOFF_FIRST;
   for (uint32_t i = 1; i < failures && t < BACKOFF_MAX; i++)
@@ -186,7 +186,7 @@
   if (checkpoint != NULL)
     e.checkpoint = *checkpoint;
   if (why == KQ_RETRY_JOB_FAILED)
-    job->not_before = now + backoff (j, job->failures + 1);
+    job->not_before = now + backoff_delay (j, job->failures + 1);
   job->queued_at = now;
   if (j->c.counters != NULL)
     kq_counter_result (j->c.counters, why);
--- a/src/job/jobs_impl.h
+++ b/src/job/jobs_impl.h
@@ -52,10 +52,10 @@
   KqInterference interference;
   KqFleetHealth health;
   KqSpread spread;
-  uint64_t draws;          /* random state of placement */
-  uint32_t n_live;         /* workers that the host list names and that aren't gone */
-  KqSize largest;          /* maximum over these workers, for each resource */
-  uint32_t n_reservations; /* workers with room reserved for one job */
+  uint64_t place_rand_state; /* random state of placement */
+  uint32_t n_live;           /* workers that the host list names and that aren't gone */
+  KqSize largest;            /* maximum over these workers, for each resource */
+  uint32_t n_reservations;   /* workers with room reserved for one job */
   uint32_t n_evicting;
   KqTime next_reclaim;
   KqJobId large_job; /* job for which a worker is kept until enough tasks end there */
@@ -75,10 +75,10 @@
 };
 
 const KqPolicyRow *kq_jobs_policy (const KqJobs *j);
-KqClassRow kq_jobs_class (const KqJobs *j, const KqName *name);
+KqClassRow kq_jobs_class_row (const KqJobs *j, const KqName *name);
 KqPlacer kq_jobs_placer (KqJobs *j, KqTime now);
 /* The declared size; a resource that isn't declared is taken from the class's row. */
-KqSize kq_jobs_declared (const KqJobs *j, const KqJobSpec *spec);
+KqSize kq_jobs_declared_size (const KqJobs *j, const KqJobSpec *spec);
 
 /* jobs_change.c: the functions that change a job's recorded state append the record,
  * apply it and update the indexes. kq_jobs_replay only applies one. */
@@ -141,17 +141,17 @@
 void kq_jobs_record_learned (KqJobs *j, KqTime now);
 
 /* jobs_tick.c */
-void kq_jobs_command (KqJobs *j, KqWorkerCallKind kind, KqWorker *w, KqTaskKey task,
-                      KqOutbox *out);
+void kq_jobs_send_command (KqJobs *j, KqWorkerCallKind kind, KqWorker *w, KqTaskKey task,
+                           KqOutbox *out);
 /* Sends STOP to the job's task. */
-void kq_jobs_stop (KqJobs *j, KqJob *job, KqTime now, KqOutbox *out);
+void kq_jobs_send_stop (KqJobs *j, KqJob *job, KqTime now, KqOutbox *out);
 /* Sends CHECKPOINT, which also stops the task. */
 void kq_jobs_evict (KqJobs *j, KqJob *job, KqTime now, KqOutbox *out);
 /* Starts queued jobs where there is room, at most `max`; returns how many. */
 int kq_jobs_schedule (KqJobs *j, int max, KqTime now, KqOutbox *out);
 /* Marks the job as unplaceable if no worker can ever hold it, otherwise as placeable.
  * Returns whether it is unplaceable. */
-bool kq_jobs_check_possible (KqJobs *j, KqJob *job, KqTime now);
+bool kq_jobs_update_unplaceable (KqJobs *j, KqJob *job, KqTime now);
 /* The learned size of the job's class, or the declared one. */
 KqSize kq_jobs_required_size (const KqJobs *j, const KqJob *job);
 /* Updates the index of free room after a change of the worker. */
--- a/src/job/jobs_move.c
+++ b/src/job/jobs_move.c
@@ -202,7 +202,7 @@
     return 0;
   job = kq_jobs_accept_moved (j, &e.full_state, now);
   send_moved (j, m, &e.full_state, job->seq, out);
-  kq_jobs_check_possible (j, job, now);
+  kq_jobs_update_unplaceable (j, job, now);
   return j->send_after;
 }
 
--- a/src/job/jobs_policy.c
+++ b/src/job/jobs_policy.c
@@ -33,7 +33,7 @@
 void
 kq_jobs_update_traits (KqJobs *j, KqJob *job)
 {
-  KqClassRow row = kq_jobs_class (j, &job->spec.class_name);
+  KqClassRow row = kq_jobs_class_row (j, &job->spec.class_name);
   job->movable = row.movable;
   job->checkpoint_us = row.checkpoint_ms * KQ_MS;
   if (job->assigned_worker == NULL)
@@ -64,7 +64,7 @@
   int64_t cpu;
   if (job == NULL || job->worker != w->id || job->attempt != u->task.attempt)
     return;
-  kq_sizes_report (&j->sizes, job->class_index, u);
+  kq_sizes_record_report (&j->sizes, job->class_index, u);
   if (job->assigned_worker == w)
     {
       charge_growth (j, w, job, u);
@@ -99,7 +99,7 @@
 {
   w->task_limit = INT_MAX;
   if (kq_jobs_policy (j)->bad_workers)
-    w->task_limit = kq_health_task_limit (&j->health, &w->health, now);
+    w->task_limit = kq_health_update_task_limit (&j->health, &w->health, now);
 }
 
 void
@@ -108,21 +108,22 @@
   const KqPolicyRow *p = kq_jobs_policy (j);
   if (!p->bad_workers)
     return;
-  kq_health_outcome (&j->health, &w->health, job->class_index, job->id, failed, j->n_live,
-                     p->held_percent, now);
+  kq_health_record_outcome (&j->health, &w->health, job->class_index, job->id, failed,
+                            j->n_live, p->held_percent, now);
   kq_jobs_update_task_limit (j, w, now);
 }
 
 static void
-throttle (KqJobs *j, KqJob *job, int percent, KqTime now, KqOutbox *out)
+set_throttle (KqJobs *j, KqJob *job, int percent, KqTime now, KqOutbox *out)
 {
   KqWorker *w = job->assigned_worker;
   double change = (percent - job->throttle_percent) / 100.0;
-  kq_history_change (&w->history, job->class_index, change, 0, now);
+  kq_history_record_change (&w->history, job->class_index, change, 0, now);
   job->throttle_percent = percent;
   job->throttle_at = now;
   j->throttles++;
-  kq_jobs_command (j, KQ_WORKER_THROTTLE, w, (KqTaskKey){ job->id, job->attempt }, out);
+  kq_jobs_send_command (j, KQ_WORKER_THROTTLE, w, (KqTaskKey){ job->id, job->attempt },
+                        out);
 }
 
 void
@@ -134,7 +135,7 @@
     case KQ_REMEDY_NONE:
       return;
     case KQ_REMEDY_THROTTLE:
-      throttle (j, r.job, r.percent, now, out);
+      set_throttle (j, r.job, r.percent, now, out);
       break;
     case KQ_REMEDY_MOVE:
       if (kq_fit_tree_find (&j->workers.room, 0, &r.job->size) == KQ_FIT_NONE)
@@ -215,7 +216,7 @@
 
 /* Whether the job has waited long while its team started a younger, smaller one. */
 static bool
-overtaken (const KqJobs *j, const KqJob *job, const KqSize *need, KqTime now)
+was_overtaken (const KqJobs *j, const KqJob *job, const KqSize *need, KqTime now)
 {
   const KqTeam *t = &j->quota.teams[job->team];
   return now - job->queued_at > OVERTAKEN_TIME && t->last_number > job->number
@@ -246,7 +247,8 @@
   KqWorker *best = NULL;
   uint32_t n = j->workers.n;
   uint32_t at = n > 0 ? (uint32_t)kq_rand_below (&j->rand, n) : 0;
-  if ((other != NULL && other->reserved_worker != NULL) || !overtaken (j, job, need, now))
+  if ((other != NULL && other->reserved_worker != NULL)
+      || !was_overtaken (j, job, need, now))
     return;
   for (uint32_t i = 0; i < n && i < ROOM_WORKERS_MAX; i++)
     {
--- a/src/job/jobs_reply.c
+++ b/src/job/jobs_reply.c
@@ -6,12 +6,12 @@
 
 /* Time without further starts on a worker that refused one. The reason becomes known with
  * the worker's next list; until then other starts would be refused as well. */
-#define REFUSED_PAUSE (4 * KQ_SEC)
+#define START_REFUSED_PAUSE (4 * KQ_SEC)
 /* A STOP without an answer is repeated when a list arrives after at least this time. */
 #define STOP_RETRY_TIME (2 * KQ_SEC)
 /* Failures attributed to workers count against the job once there are this many times
  * attempts_max of them. */
-#define EXCUSED_FACTOR 2
+#define EXCUSED_MAX_FACTOR 2
 
 /* The job, if the key names its current attempt on this worker; otherwise NULL. */
 static KqJob *
@@ -25,15 +25,15 @@
 }
 
 static void
-task_failed (KqJobs *j, KqJob *job, const KqTaskReport *t, KqTime now)
+handle_failed_task (KqJobs *j, KqJob *job, const KqTaskReport *t, KqTime now)
 {
-  KqClassRow row = kq_jobs_class (j, &job->spec.class_name);
+  KqClassRow row = kq_jobs_class_row (j, &job->spec.class_name);
   uint32_t attempts_max = (uint32_t)row.attempts_max;
   bool blame;
   kq_jobs_record_outcome (j, job->assigned_worker, job, true, now);
   /* A limited number of failures on bad workers doesn't use up the job's attempts. */
   blame = kq_health_blames_job (&job->assigned_worker->health)
-          || job->excused >= EXCUSED_FACTOR * attempts_max;
+          || job->excused >= EXCUSED_MAX_FACTOR * attempts_max;
   if (job->cancel_wanted)
     kq_jobs_end (j, job, KQ_JOB_STATE_CANCELLED, KQ_OK, t->run_us, now);
   else if (blame && job->failures + 1 >= attempts_max)
@@ -57,7 +57,7 @@
         kq_jobs_end (j, job, KQ_JOB_STATE_FINISHED, KQ_OK, t->run_us, now);
       break;
     case KQ_TASK_FAILED:
-      task_failed (j, job, t, now);
+      handle_failed_task (j, job, t, now);
       break;
     case KQ_TASK_CHECKPOINTED:
       kq_jobs_attempt_stopped (j, job, KQ_RETRY_EVICTED, &t->checkpoint, now);
@@ -79,7 +79,7 @@
   if (!job->cancel_wanted)
     return;
   if (job->phase != KQ_JOB_PHASE_STOPPING || now - job->command_at > STOP_RETRY_TIME)
-    kq_jobs_stop (j, job, now, out);
+    kq_jobs_send_stop (j, job, now, out);
 }
 
 static void
@@ -111,7 +111,7 @@
   /* A closed attempt, or a job that this shard doesn't have: a later attempt may be
    * running elsewhere, so this task must stop. */
   w->unknown_used = kq_size_add (w->unknown_used, t->size);
-  kq_jobs_command (j, KQ_WORKER_STOP, w, t->task, out);
+  kq_jobs_send_command (j, KQ_WORKER_STOP, w, t->task, out);
 }
 
 /* The worker's list, requested at `sent_at`, doesn't name the job's task. */
@@ -127,12 +127,13 @@
     case KQ_JOB_PHASE_UNKNOWN:
       /* The START may still arrive. Once the worker has answered a STOP for the attempt
        * it refuses the START, and its next list proves whether the task runs. */
-      kq_jobs_command (j, KQ_WORKER_STOP, w, (KqTaskKey){ job->id, job->attempt }, out);
+      kq_jobs_send_command (j, KQ_WORKER_STOP, w, (KqTaskKey){ job->id, job->attempt },
+                            out);
       break;
     case KQ_JOB_PHASE_STOPPING:
       /* The STOP may have been lost, and the START may still arrive. */
       if (now - job->command_at > STOP_RETRY_TIME)
-        kq_jobs_stop (j, job, now, out);
+        kq_jobs_send_stop (j, job, now, out);
       break;
     case KQ_JOB_PHASE_ADOPTING:
     case KQ_JOB_PHASE_RUNNING:
@@ -144,10 +145,11 @@
 }
 
 static void
-lease_answer (KqJobs *j, KqWorker *w, const KqWorkerReply *r, KqTime now, KqOutbox *out)
+handle_lease_answer (KqJobs *j, KqWorker *w, const KqWorkerReply *r, KqTime now,
+                     KqOutbox *out)
 {
   bool could_start = kq_worker_may_start (w, &j->times, now);
-  if (!kq_lease_reply (&w->lease, &j->times, r, now))
+  if (!kq_lease_handle_reply (&w->lease, &j->times, r, now))
     {
       if (w->lease.state == KQ_LEASE_SHUT_OUT)
         kq_log (KQ_LOG_WARN, "job", "A worker obeys a higher epoch. worker=%.*s",
@@ -181,7 +183,7 @@
 }
 
 static void
-start_answer (KqJobs *j, KqWorker *w, const KqWorkerReply *r, KqTime now)
+handle_start_answer (KqJobs *j, KqWorker *w, const KqWorkerReply *r, KqTime now)
 {
   KqJob *job = current_attempt (j, w, r->task);
   if (job == NULL)
@@ -198,7 +200,7 @@
     case KQ_ERR_NO_LEASE:
       if (job->phase == KQ_JOB_PHASE_RUNNING || job->phase == KQ_JOB_PHASE_EVICTING)
         break;
-      w->start_not_before = now + REFUSED_PAUSE;
+      w->start_not_before = now + START_REFUSED_PAUSE;
       if (r->result == KQ_ERR_WORKER_REFUSED)
         kq_jobs_record_outcome (j, w, job, true, now);
       kq_jobs_attempt_stopped (j, job, KQ_RETRY_NOT_RUN, NULL, now);
@@ -213,12 +215,12 @@
 }
 
 static void
-stop_answer (KqJobs *j, KqWorker *w, const KqWorkerReply *r, KqTime now)
+handle_stop_answer (KqJobs *j, KqWorker *w, const KqWorkerReply *r, KqTime now)
 {
   KqJob *job = current_attempt (j, w, r->task);
   if (r->result != KQ_OK)
     return;
-  kq_worker_unfence (w, r->task);
+  kq_worker_remove_fence (w, r->task);
   if (w->n_fences == 0 && w->lease.state == KQ_LEASE_ASKED)
     w->lease.next_call_at = now;
   if (job == NULL)
@@ -232,7 +234,7 @@
 }
 
 static void
-checkpoint_answer (KqJobs *j, KqWorker *w, const KqWorkerReply *r, KqTime now)
+handle_checkpoint_answer (KqJobs *j, KqWorker *w, const KqWorkerReply *r, KqTime now)
 {
   KqJob *job = current_attempt (j, w, r->task);
   if (job == NULL || job->phase != KQ_JOB_PHASE_EVICTING)
@@ -253,16 +255,16 @@
   switch (r->kind)
     {
     case KQ_WORKER_LEASE:
-      lease_answer (j, w, r, now, out);
+      handle_lease_answer (j, w, r, now, out);
       break;
     case KQ_WORKER_START:
-      start_answer (j, w, r, now);
+      handle_start_answer (j, w, r, now);
       break;
     case KQ_WORKER_STOP:
-      stop_answer (j, w, r, now);
+      handle_stop_answer (j, w, r, now);
       break;
     case KQ_WORKER_CHECKPOINT:
-      checkpoint_answer (j, w, r, now);
+      handle_checkpoint_answer (j, w, r, now);
       break;
     case KQ_WORKER_THROTTLE:
       break;
--- a/src/job/jobs_tick.c
+++ b/src/job/jobs_tick.c
@@ -9,12 +9,12 @@
 #define RENEW_BATCH 64
 /* Starts in one tick, and jobs tried for them. The rest follows in the next tick, so that
  * a long queue doesn't delay renewals and answers. */
-#define START_BATCH 64
-#define TRY_BATCH 4096
+#define STARTS_MAX 64
+#define TRIES_MAX 4096
 /* Period of scan_workers. */
 #define SCAN_PERIOD (250 * KQ_MS)
 /* Sizes for which no worker had room, remembered during one scheduling round. */
-#define FAILED_SIZES_MAX 8
+#define NO_ROOM_SIZES_MAX 8
 /* Unplaceable jobs checked in one scan. */
 #define UNPLACEABLE_BATCH 64
 
@@ -36,8 +36,8 @@
 }
 
 void
-kq_jobs_command (KqJobs *j, KqWorkerCallKind kind, KqWorker *w, KqTaskKey task,
-                 KqOutbox *out)
+kq_jobs_send_command (KqJobs *j, KqWorkerCallKind kind, KqWorker *w, KqTaskKey task,
+                      KqOutbox *out)
 {
   KqWorkerCall call = new_call (j, kind, w);
   const KqJob *job = kq_job_find (&j->set, task.job);
@@ -59,26 +59,26 @@
 }
 
 void
-kq_jobs_stop (KqJobs *j, KqJob *job, KqTime now, KqOutbox *out)
+kq_jobs_send_stop (KqJobs *j, KqJob *job, KqTime now, KqOutbox *out)
 {
   kq_jobs_set_phase (j, job, KQ_JOB_PHASE_STOPPING, now);
-  kq_jobs_command (j, KQ_WORKER_STOP, job->assigned_worker,
-                   (KqTaskKey){ job->id, job->attempt }, out);
+  kq_jobs_send_command (j, KQ_WORKER_STOP, job->assigned_worker,
+                        (KqTaskKey){ job->id, job->attempt }, out);
 }
 
 void
 kq_jobs_evict (KqJobs *j, KqJob *job, KqTime now, KqOutbox *out)
 {
   kq_jobs_set_phase (j, job, KQ_JOB_PHASE_EVICTING, now);
-  kq_jobs_command (j, KQ_WORKER_CHECKPOINT, job->assigned_worker,
-                   (KqTaskKey){ job->id, job->attempt }, out);
+  kq_jobs_send_command (j, KQ_WORKER_CHECKPOINT, job->assigned_worker,
+                        (KqTaskKey){ job->id, job->attempt }, out);
 }
 
 /* Collects the acknowledgements whose records are committed; the others wait for the next
  * call. An end that is acknowledged before its commit would be lost if this process
  * died. */
 static size_t
-committed_acks (const KqJobs *j, const KqWorker *w, KqTaskKey *keys)
+collect_committed_acks (const KqJobs *j, const KqWorker *w, KqTaskKey *keys)
 {
   KqSeq committed = kq_log_port_committed (j->log);
   size_t n = 0;
@@ -94,11 +94,11 @@
   KqSeq committed = kq_log_port_committed (j->log);
   for (size_t i = 0; i < w->n_fences; i++)
     if (w->fences[i].seq <= committed)
-      kq_jobs_command (j, KQ_WORKER_STOP, w, w->fences[i].task, out);
+      kq_jobs_send_command (j, KQ_WORKER_STOP, w, w->fences[i].task, out);
 }
 
 static void
-renew_one (KqJobs *j, KqWorker *w, KqTime now, KqOutbox *out)
+renew_lease (KqJobs *j, KqWorker *w, KqTime now, KqOutbox *out)
 {
   KqWorkerCall call = new_call (j, KQ_WORKER_LEASE, w);
   /* Before a worker whose lease has lapsed gets a new one, it must be told to refuse the
@@ -110,14 +110,14 @@
       send_fences (j, w, out);
     }
   call.acks = kq_alloc ((w->n_acks + 1) * sizeof *call.acks);
-  call.n_acks = committed_acks (j, w, call.acks);
-  kq_lease_send (&w->lease, &j->times, call.token, now, &call);
+  call.n_acks = collect_committed_acks (j, w, call.acks);
+  kq_lease_prepare_call (&w->lease, &j->times, call.token, now, &call);
   kq_outbox_worker (out, &call);
   free (call.acks);
 }
 
 static int
-renew (KqJobs *j, KqTime now, KqOutbox *out)
+renew_leases (KqJobs *j, KqTime now, KqOutbox *out)
 {
   int n = 0;
   while (n < RENEW_BATCH && j->workers.first_due != NULL
@@ -128,7 +128,7 @@
         w->lease.next_call_at = KQ_TIME_NEVER;
       else
         {
-          renew_one (j, w, now, out);
+          renew_lease (j, w, now, out);
           n++;
         }
       kq_workers_schedule (&j->workers, w);
@@ -148,7 +148,7 @@
       bool started
           = job->phase == KQ_JOB_PHASE_RUNNING || job->phase == KQ_JOB_PHASE_EVICTING;
       if (!started)
-        kq_worker_fence (w, (KqTaskKey){ job->id, job->attempt }, job->seq);
+        kq_worker_add_fence (w, (KqTaskKey){ job->id, job->attempt }, job->seq);
       kq_jobs_attempt_stopped (j, job, KQ_RETRY_WORKER_LOST, NULL, now);
     }
 }
@@ -162,7 +162,7 @@
        job = next)
     {
       next = job->next;
-      if (!kq_jobs_check_possible (j, job, now))
+      if (!kq_jobs_update_unplaceable (j, job, now))
         j->dirty = true;
     }
 }
@@ -197,7 +197,7 @@
 }
 
 bool
-kq_jobs_check_possible (KqJobs *j, KqJob *job, KqTime now)
+kq_jobs_update_unplaceable (KqJobs *j, KqJob *job, KqTime now)
 {
   KqPlacer p = kq_jobs_placer (j, now);
   KqSize need = kq_jobs_required_size (j, job);
@@ -223,8 +223,8 @@
   KqOutbox *out;
   int starts_left;
   int tries_left;
-  KqSize failed[FAILED_SIZES_MAX]; /* sizes for which no worker has room */
-  int n_failed;
+  KqSize no_room_sizes[NO_ROOM_SIZES_MAX]; /* sizes for which no worker has room */
+  int n_no_room_sizes;
   /* Bit set of class indexes: classes that would slow down services on every worker with
    * room. */
   uint64_t disturbing_classes;
@@ -233,8 +233,8 @@
 static bool
 known_not_to_fit (const SchedulingRound *r, const KqSize *need)
 {
-  for (int i = 0; i < r->n_failed; i++)
-    if (kq_size_fits (&r->failed[i], need))
+  for (int i = 0; i < r->n_no_room_sizes; i++)
+    if (kq_size_fits (&r->no_room_sizes[i], need))
       return true;
   return false;
 }
@@ -298,7 +298,8 @@
     }
   if (w == NULL)
     {
-      r->failed[r->n_failed < FAILED_SIZES_MAX ? r->n_failed++ : FAILED_SIZES_MAX - 1]
+      r->no_room_sizes[r->n_no_room_sizes < NO_ROOM_SIZES_MAX ? r->n_no_room_sizes++
+                                                              : NO_ROOM_SIZES_MAX - 1]
           = need;
       make_or_reserve_room (r, job, &need);
       return false;
@@ -356,7 +357,7 @@
 kq_jobs_schedule (KqJobs *j, int max, KqTime now, KqOutbox *out)
 {
   SchedulingRound r
-      = { .j = j, .now = now, .out = out, .starts_left = max, .tries_left = TRY_BATCH };
+      = { .j = j, .now = now, .out = out, .starts_left = max, .tries_left = TRIES_MAX };
   if (j->n_cursors < j->quota.n)
     {
       j->cursors = kq_realloc ((void *)j->cursors, j->quota.n * sizeof (KqJob *));
@@ -389,7 +390,7 @@
   update_store_state (j, store_ok, now);
   /* Renewals are sent by a tick of their own, which returns 0. Behind starts that wait
    * for a slow store they would be sent too late, and all leases would lapse. */
-  if (j->renewing && renew (j, now, out) > 0)
+  if (j->renewing && renew_leases (j, now, out) > 0)
     return 0;
   if (now >= j->next_scan)
     scan_workers (j, now);
@@ -400,7 +401,7 @@
   if (!store_ok)
     return j->send_after;
   if (j->dirty)
-    kq_jobs_schedule (j, START_BATCH, now, out);
+    kq_jobs_schedule (j, STARTS_MAX, now, out);
   kq_jobs_evacuate (j, now, out);
   kq_jobs_move_away (j, now, out);
   return j->send_after;
--- a/src/job/learn_record.c
+++ b/src/job/learn_record.c
@@ -76,7 +76,7 @@
       float evidence = (float)kq_read_double (&sub);
       if (!sub.bad && band < KQ_BANDS && plausible (effect, -ESTIMATE_MAX)
           && plausible (evidence, 0))
-        f->cells[victim][kq_classes_index (c, &other)][band]
+        f->cells[victim][kq_classes_find_or_add (c, &other)][band]
             = (KqCell){ effect, evidence, now };
     }
   kq_read_array_end (r, &sub);
@@ -101,7 +101,7 @@
   l.memory.estimate = kq_read_double (&r);
   if (!r.bad)
     {
-      uint16_t i = kq_classes_index (c, &name);
+      uint16_t i = kq_classes_find_or_add (c, &name);
       if (plausible (l.cpu.estimate, 0) && plausible (l.memory.estimate, 0))
         s->classes[i] = l;
       read_cells (&r, c, f, i, now);
--- a/src/job/learn_size.c
+++ b/src/job/learn_size.c
@@ -36,7 +36,7 @@
 }
 
 static void
-add (KqSizeHistogram *h, double v, double p)
+add_sample (KqSizeHistogram *h, double v, double p)
 {
   double quantile;
   if (h->total > 2 * HALF_LIFE_REPORTS)
@@ -57,12 +57,12 @@
 }
 
 void
-kq_sizes_report (KqSizes *s, uint16_t class_index, const KqUsageReport *u)
+kq_sizes_record_report (KqSizes *s, uint16_t class_index, const KqUsageReport *u)
 {
   KqLearnedSize *l = &s->classes[class_index];
   double slowdown = fmin (fmax (u->slowdown, 1), SLOWDOWN_MAX);
-  add (&l->cpu, (double)u->cpu_milli * slowdown, CPU_PERCENTILE);
-  add (&l->memory, (double)u->memory_mb, MEMORY_PERCENTILE);
+  add_sample (&l->cpu, (double)u->cpu_milli * slowdown, CPU_PERCENTILE);
+  add_sample (&l->memory, (double)u->memory_mb, MEMORY_PERCENTILE);
   l->reports++;
 }
 
--- a/src/job/learn_size.h
+++ b/src/job/learn_size.h
@@ -41,7 +41,7 @@
   KqLearnedSize classes[KQ_CLASSES_MAX];
 } KqSizes;
 
-void kq_sizes_report (KqSizes *s, uint16_t class_index, const KqUsageReport *u);
+void kq_sizes_record_report (KqSizes *s, uint16_t class_index, const KqUsageReport *u);
 /* What a task of the class needs: the estimate once there are enough reports, else the
  * declared size. Accelerators are always as declared. An estimate is capped at `largest`
  * (of a worker) in each resource in which the declared size is within it. */
--- a/src/job/lease.c
+++ b/src/job/lease.c
@@ -3,7 +3,7 @@
 #include <assert.h>
 
 void
-kq_lease_open (KqLease *l, const KqLeaseTimes *t, KqTime now)
+kq_lease_init (KqLease *l, const KqLeaseTimes *t, KqTime now)
 {
   *l = (KqLease){ .state = KQ_LEASE_UNKNOWN, .next_call_at = now };
   l->expired_by = now + t->lease + t->renew_without_store + KQ_LEASE_MARGIN;
@@ -16,8 +16,8 @@
 }
 
 void
-kq_lease_send (KqLease *l, const KqLeaseTimes *t, uint64_t token, KqTime now,
-               KqWorkerCall *call)
+kq_lease_prepare_call (KqLease *l, const KqLeaseTimes *t, uint64_t token, KqTime now,
+                       KqWorkerCall *call)
 {
   assert (token != 0);
   l->in_flight = true;
@@ -60,7 +60,8 @@
 }
 
 bool
-kq_lease_reply (KqLease *l, const KqLeaseTimes *t, const KqWorkerReply *r, KqTime now)
+kq_lease_handle_reply (KqLease *l, const KqLeaseTimes *t, const KqWorkerReply *r,
+                       KqTime now)
 {
   if (!l->in_flight || r->token != l->token)
     return false;
--- a/src/job/lease.h
+++ b/src/job/lease.h
@@ -52,14 +52,14 @@
 } KqLease;
 
 /* A lease of unknown state, whose first call is due at once. */
-void kq_lease_open (KqLease *l, const KqLeaseTimes *t, KqTime now);
+void kq_lease_init (KqLease *l, const KqLeaseTimes *t, KqTime now);
 /* Fills the LEASE call's kind, echo_stamp, lease_ms and token, which isn't 0. */
-void kq_lease_send (KqLease *l, const KqLeaseTimes *t, uint64_t token, KqTime now,
-                    KqWorkerCall *call);
+void kq_lease_prepare_call (KqLease *l, const KqLeaseTimes *t, uint64_t token, KqTime now,
+                            KqWorkerCall *call);
 /* Handles the answer to a LEASE call. False when it is late, a duplicate or an error: its
  * lists must not be used. */
-bool kq_lease_reply (KqLease *l, const KqLeaseTimes *t, const KqWorkerReply *r,
-                     KqTime now);
+bool kq_lease_handle_reply (KqLease *l, const KqLeaseTimes *t, const KqWorkerReply *r,
+                            KqTime now);
 /* True once, when the lease has certainly ended; the state is LAPSED from then on. */
 bool kq_lease_check_expired (KqLease *l, KqTime now);
 /* Whether a START sent now is certain to find the lease alive: it lives for at least a
--- a/src/job/place.c
+++ b/src/job/place.c
@@ -32,7 +32,7 @@
 #define SERVICE_SLOWDOWN_MAX 0.2
 
 static uint16_t
-index_of (KqName **names, uint16_t *n, const KqName *name)
+find_or_add_name (KqName **names, uint16_t *n, const KqName *name)
 {
   for (uint16_t i = 0; i < *n; i++)
     if (kq_name_eq (&(*names)[i], name))
@@ -47,8 +47,8 @@
 {
   uint16_t racks = s->n_racks;
   uint16_t depots = s->n_depots;
-  w->rack_index = index_of (&s->racks, &s->n_racks, &w->rack);
-  w->depot_index = index_of (&s->depots, &s->n_depots, &w->depot);
+  w->rack_index = find_or_add_name (&s->racks, &s->n_racks, &w->rack);
+  w->depot_index = find_or_add_name (&s->depots, &s->n_depots, &w->depot);
   if (s->n_racks > racks)
     {
       s->by_rack = kq_realloc (s->by_rack, s->n_racks * sizeof *s->by_rack);
@@ -91,7 +91,8 @@
 
 /* Weighted slowdown expected for the job, and for its neighbours because of it. */
 static double
-disturbance (const KqPlacer *p, const KqWorker *w, const KqJob *job, const KqSize *need)
+disturbance_cost (const KqPlacer *p, const KqWorker *w, const KqJob *job,
+                  const KqSize *need)
 {
   const KqMix *mix = &w->history.mix;
   int band = kq_load_band (w->used.cpu_milli + need->cpu_milli, w->capacity.cpu_milli);
@@ -153,7 +154,8 @@
 }
 
 static double
-cost_of (const KqPlacer *p, const KqWorker *w, const KqJob *job, const KqSize *need)
+placement_cost (const KqPlacer *p, const KqWorker *w, const KqJob *job,
+                const KqSize *need)
 {
   bool service = p->classes->latency_critical[job->class_index];
   double cost = (service ? SERVICE_FREE_ROOM_COST : FREE_ROOM_COST) * free_share (w);
@@ -163,7 +165,7 @@
     {
       if (!service && !p->ignore_disturbance && slows_a_service (p, w, job, need))
         return INFINITY;
-      cost += disturbance (p, w, job, need);
+      cost += disturbance_cost (p, w, job, need);
     }
   if (p->policy->spread && service)
     cost += colocation_cost (p, w, job);
@@ -197,7 +199,7 @@
   double best_cost;
   if (best == NULL || p->rule == KQ_PLACE_FIRST_FIT)
     return best;
-  best_cost = cost_of (p, best, job, need);
+  best_cost = placement_cost (p, best, job, need);
   for (int i = 1; i < KQ_PLACE_SAMPLES; i++)
     {
       KqWorker *w
@@ -205,7 +207,7 @@
       double cost;
       if (w == NULL || w == best)
         continue;
-      cost = cost_of (p, w, job, need);
+      cost = placement_cost (p, w, job, need);
       if (cost < best_cost)
         {
           best = w;
--- a/src/job/policy_test.c
+++ b/src/job/policy_test.c
@@ -21,7 +21,7 @@
 {
   KqUsageReport u = { .slowdown = slowdown, .cpu_milli = cpu, .memory_mb = memory };
   for (int i = 0; i < n; i++)
-    kq_sizes_report (s, 0, &u);
+    kq_sizes_record_report (s, 0, &u);
 }
 
 /* Declared sizes may be wrong by ten times: after enough reports the need follows what
@@ -104,15 +104,15 @@
   KqMix mix;
   int64_t cpu;
   (void)state;
-  kq_history_change (&h, 1, 1, 1000, 10 * KQ_SEC);
-  kq_history_change (&h, 2, 1, 500, 30 * KQ_SEC);
-  kq_history_change (&h, 1, -1, -1000, 35 * KQ_SEC);
+  kq_history_record_change (&h, 1, 1, 1000, 10 * KQ_SEC);
+  kq_history_record_change (&h, 2, 1, 500, 30 * KQ_SEC);
+  kq_history_record_change (&h, 1, -1, -1000, 35 * KQ_SEC);
   assert_true (kq_history_at (&h, 20 * KQ_SEC, &mix, &cpu));
   assert_int_equal (cpu, 1000);
   assert_int_equal (mix.n, 1);
   assert_int_equal (mix.parts[0].class_index, 1);
   for (int i = 0; i < KQ_HISTORY_MAX; i++)
-    kq_history_change (&h, 3, 1, 1, 40 * KQ_SEC);
+    kq_history_record_change (&h, 3, 1, 1, 40 * KQ_SEC);
   assert_false (kq_history_at (&h, 20 * KQ_SEC, &mix, &cpu)); /* older than the ring */
 }
 
@@ -130,19 +130,20 @@
   while (bad.state == KQ_HEALTH_GOOD)
     {
       assert_true (++job <= 3);
-      kq_health_outcome (&f, &bad, 0, job, true, 50, 10, 0);
-      kq_health_outcome (&f, &good, 0, 100 + job, false, 50, 10, 0);
+      kq_health_record_outcome (&f, &bad, 0, job, true, 50, 10, 0);
+      kq_health_record_outcome (&f, &good, 0, 100 + job, false, 50, 10, 0);
     }
   assert_int_equal (good.state, KQ_HEALTH_GOOD);
-  assert_int_equal (kq_health_task_limit (&f, &bad, 10 * KQ_SEC), 0);
-  assert_int_equal (kq_health_task_limit (&f, &bad, 31 * KQ_SEC), 1);
-  kq_health_outcome (&f, &bad, 0, 9, true, 50, 10, 32 * KQ_SEC);
-  assert_int_equal (kq_health_task_limit (&f, &bad, 90 * KQ_SEC), 0); /* pause doubled */
-  assert_int_equal (kq_health_task_limit (&f, &bad, 93 * KQ_SEC), 1);
+  assert_int_equal (kq_health_update_task_limit (&f, &bad, 10 * KQ_SEC), 0);
+  assert_int_equal (kq_health_update_task_limit (&f, &bad, 31 * KQ_SEC), 1);
+  kq_health_record_outcome (&f, &bad, 0, 9, true, 50, 10, 32 * KQ_SEC);
+  assert_int_equal (kq_health_update_task_limit (&f, &bad, 90 * KQ_SEC),
+                    0); /* pause doubled */
+  assert_int_equal (kq_health_update_task_limit (&f, &bad, 93 * KQ_SEC), 1);
   while (bad.state != KQ_HEALTH_GOOD)
     {
-      assert_int_equal (kq_health_task_limit (&f, &bad, 94 * KQ_SEC), allowed);
-      kq_health_outcome (&f, &bad, 0, 10, false, 50, 10, 94 * KQ_SEC);
+      assert_int_equal (kq_health_update_task_limit (&f, &bad, 94 * KQ_SEC), allowed);
+      kq_health_record_outcome (&f, &bad, 0, 10, false, 50, 10, 94 * KQ_SEC);
       allowed *= 2;
     }
   assert_int_equal (f.n_held, 0);
@@ -160,14 +161,14 @@
   for (int i = 0; i < 20; i++)
     for (int k = 0; k < 5; k++)
       {
-        kq_health_outcome (&f, &w[i], 0, 1, true, 20, 10, 0);
-        kq_health_outcome (&f, &w[i], 0, 50 + (uint64_t)k, false, 20, 10, 0);
+        kq_health_record_outcome (&f, &w[i], 0, 1, true, 20, 10, 0);
+        kq_health_record_outcome (&f, &w[i], 0, 50 + (uint64_t)k, false, 20, 10, 0);
       }
   for (int i = 0; i < 20; i++)
     assert_int_equal (w[i].state, KQ_HEALTH_GOOD);
   for (uint64_t job = 100; job < 120; job++)
     for (int i = 0; i < 20; i++)
-      kq_health_outcome (&f, &w[i], 1, job, true, 20, 10, 0);
+      kq_health_record_outcome (&f, &w[i], 1, job, true, 20, 10, 0);
   for (int i = 0; i < 20; i++)
     held += w[i].state != KQ_HEALTH_GOOD;
   assert_in_range (held, 1, 2);
@@ -202,7 +203,7 @@
   jobs[2].evictions = 3;
   jobs[3].service = true;
   for (int i = 0; i < 4; i++)
-    kq_worker_add (&w, &jobs[i]);
+    kq_worker_add_job (&w, &jobs[i]);
   assert_true (kq_evict_plan (&w, &need, &rule, 610 * KQ_SEC, &e));
   assert_int_equal (e.n, 1);
   assert_ptr_equal (e.victims[0], &jobs[1]);
@@ -248,7 +249,7 @@
   for (int i = 0; i < 3; i++)
     {
       jobs[i].class_index = (uint16_t)i;
-      kq_worker_add (&w, &jobs[i]);
+      kq_worker_add_job (&w, &jobs[i]);
     }
   jobs[0].service = true;
   for (int band = 0; band < KQ_BANDS; band++)
--- a/src/job/quota.c
+++ b/src/job/quota.c
@@ -65,7 +65,7 @@
 }
 
 static double
-part (int64_t used, int64_t whole)
+fraction (int64_t used, int64_t whole)
 {
   return whole > 0 ? (double)used / (double)whole : 0;
 }
@@ -73,9 +73,9 @@
 static double
 dominant_share (KqSize used, KqSize whole)
 {
-  double a = part (used.cpu_milli, whole.cpu_milli);
-  double b = part (used.memory_mb, whole.memory_mb);
-  double c = part (used.accelerators, whole.accelerators);
+  double a = fraction (used.cpu_milli, whole.cpu_milli);
+  double b = fraction (used.memory_mb, whole.memory_mb);
+  double c = fraction (used.accelerators, whole.accelerators);
   return MAX (a, MAX (b, c));
 }
 
--- a/src/job/remedy.c
+++ b/src/job/remedy.c
@@ -47,7 +47,7 @@
 }
 
 static bool
-may_act_on (const KqJob *job, KqTime now)
+may_throttle_or_move (const KqJob *job, KqTime now)
 {
   return !job->service && job->phase == KQ_JOB_PHASE_RUNNING && !job->cancel_wanted
          && now - job->assigned_at >= SETTLE_TIME;
@@ -65,7 +65,7 @@
   for (KqJob *job = w->jobs; job != NULL; job = job->next_on_worker)
     {
       double harm;
-      if (!may_act_on (job, now))
+      if (!may_throttle_or_move (job, now))
         continue;
       if (movable && (!job->movable || (int64_t)job->evictions >= evictions_max))
         continue;
@@ -83,7 +83,7 @@
 }
 
 static int
-next_step (int percent, int direction)
+next_throttle_step (int percent, int direction)
 {
   int n = sizeof throttle_steps_percent / sizeof throttle_steps_percent[0];
   for (int i = 0; i < n; i++)
@@ -100,7 +100,8 @@
   if (policy->throttle)
     job = worst_neighbour (w, victim, f, false, 0, now);
   if (job != NULL)
-    return (KqRemedy){ KQ_REMEDY_THROTTLE, job, next_step (job->throttle_percent, 1) };
+    return (KqRemedy){ KQ_REMEDY_THROTTLE, job,
+                       next_throttle_step (job->throttle_percent, 1) };
   if (policy->eviction)
     job = worst_neighbour (w, victim, f, true, policy->evictions_max, now);
   if (job != NULL)
@@ -109,7 +110,7 @@
 }
 
 static KqRemedy
-lift_throttle (const KqWorker *w)
+choose_throttle_to_lift (const KqWorker *w)
 {
   KqJob *oldest = NULL;
   for (KqJob *job = w->jobs; job != NULL; job = job->next_on_worker)
@@ -119,7 +120,7 @@
   if (oldest == NULL)
     return (KqRemedy){ KQ_REMEDY_NONE, NULL, 0 };
   return (KqRemedy){ KQ_REMEDY_THROTTLE, oldest,
-                     next_step (oldest->throttle_percent, -1) };
+                     next_throttle_step (oldest->throttle_percent, -1) };
 }
 
 KqRemedy
@@ -136,5 +137,5 @@
     w->calm_since = now;
   if (now - w->calm_since < CALM_TIME)
     return (KqRemedy){ KQ_REMEDY_NONE, NULL, 0 };
-  return lift_throttle (w);
+  return choose_throttle_to_lift (w);
 }
--- a/src/job/workers.c
+++ b/src/job/workers.c
@@ -39,7 +39,7 @@
 }
 
 KqWorker *
-kq_workers_get (KqWorkers *ws, KqWorkerId id)
+kq_workers_find_or_add (KqWorkers *ws, KqWorkerId id)
 {
   KqWorker *w = kq_workers_find (ws, id);
   if (w != NULL)
@@ -101,7 +101,7 @@
 }
 
 void
-kq_worker_add (KqWorker *w, KqJob *job)
+kq_worker_add_job (KqWorker *w, KqJob *job)
 {
   assert (job->assigned_worker == NULL);
   job->assigned_worker = w;
@@ -115,7 +115,7 @@
 }
 
 void
-kq_worker_remove (KqWorker *w, KqJob *job)
+kq_worker_remove_job (KqWorker *w, KqJob *job)
 {
   assert (job->assigned_worker == w);
   if (job->prev_on_worker != NULL)
@@ -132,14 +132,14 @@
 }
 
 void
-kq_worker_fence (KqWorker *w, KqTaskKey task, KqSeq seq)
+kq_worker_add_fence (KqWorker *w, KqTaskKey task, KqSeq seq)
 {
   w->fences = kq_realloc (w->fences, (w->n_fences + 1) * sizeof *w->fences);
   w->fences[w->n_fences++] = (KqFence){ task, seq };
 }
 
 void
-kq_worker_unfence (KqWorker *w, KqTaskKey task)
+kq_worker_remove_fence (KqWorker *w, KqTaskKey task)
 {
   for (size_t i = 0; i < w->n_fences; i++)
     if (w->fences[i].task.job == task.job && w->fences[i].task.attempt == task.attempt)
--- a/src/job/workers.h
+++ b/src/job/workers.h
@@ -89,7 +89,8 @@
 void kq_workers_init (KqWorkers *ws);
 void kq_workers_clear (KqWorkers *ws);
 KqWorker *kq_workers_find (const KqWorkers *ws, KqWorkerId id);
-KqWorker *kq_workers_get (KqWorkers *ws, KqWorkerId id); /* creates it if necessary */
+KqWorker *kq_workers_find_or_add (KqWorkers *ws,
+                                  KqWorkerId id); /* creates it if necessary */
 /* Reserves room for the job, or ends that. A worker and a job have one reservation at
  * most. */
 void kq_worker_reserve (KqWorker *w, KqJob *job, KqSize size, KqTime until);
@@ -100,11 +101,11 @@
 /* Updates the worker's room in the index. */
 void kq_workers_refresh (KqWorkers *ws, KqWorker *w, const KqLeaseTimes *t, KqTime now);
 /* Charges the job's attempt to the worker, or ends that. */
-void kq_worker_add (KqWorker *w, KqJob *job);
-void kq_worker_remove (KqWorker *w, KqJob *job);
+void kq_worker_add_job (KqWorker *w, KqJob *job);
+void kq_worker_remove_job (KqWorker *w, KqJob *job);
 /* Adds or removes the fence of an attempt. */
-void kq_worker_fence (KqWorker *w, KqTaskKey task, KqSeq seq);
-void kq_worker_unfence (KqWorker *w, KqTaskKey task);
+void kq_worker_add_fence (KqWorker *w, KqTaskKey task, KqSeq seq);
+void kq_worker_remove_fence (KqWorker *w, KqTaskKey task);
 /* Moves the worker in the list of renewals to its lease.next_call_at; O(1) for the
  * latest. */
 void kq_workers_schedule (KqWorkers *ws, KqWorker *w);
--- a/src/steps/queues.c
+++ b/src/steps/queues.c
@@ -15,7 +15,7 @@
 
 /* The Host header may contain a port, which is ignored. */
 static bool
-same_host (KqStr configured, KqStr given)
+host_matches (KqStr configured, KqStr given)
 {
   KqStr name = kq_str_cut (&given, ':');
   return configured.len == 0 || kq_str_eq (configured, name);
@@ -28,7 +28,7 @@
   for (size_t i = 0; i < t->n_queues; i++)
     {
       const KqQueue *q = &t->queues[i];
-      if (!same_host (q->host, host) || !kq_str_has_prefix (path, q->prefix))
+      if (!host_matches (q->host, host) || !kq_str_has_prefix (path, q->prefix))
         continue;
       if (best == NULL || q->prefix.len > best->prefix.len)
         best = q;
--- a/src/table/commit.c
+++ b/src/table/commit.c
@@ -30,7 +30,7 @@
 }
 
 static void
-reset (KqCommit *c)
+reset_commit (KqCommit *c)
 {
   kq_head_free (&c->head);
   kq_table_unref (c->next);
@@ -43,14 +43,14 @@
 }
 
 static void
-finish (KqTableDist *d, KqResult code, uint64_t revision, size_t which)
+finish_change (KqTableDist *d, KqResult code, uint64_t revision, size_t which)
 {
   KqPendingChange *p = d->pending;
   add_result (d, code, revision, which);
   d->pending = p->next;
   free (p->changes);
   free (p);
-  reset (&d->commit);
+  reset_commit (&d->commit);
   d->commit.state = KQ_COMMIT_IDLE;
   d->commit.call = 0;
 }
@@ -59,7 +59,7 @@
 kq_commit_free (KqTableDist *d)
 {
   while (d->pending != NULL)
-    finish (d, KQ_ERR_STORE_UNREACHABLE, 0, 0);
+    finish_change (d, KQ_ERR_STORE_UNREACHABLE, 0, 0);
   kq_buf_free (&d->commit.base_bytes);
   free (d->results);
 }
@@ -165,7 +165,7 @@
 /* Prepares a new base under a new key. It holds the table before the change if the change
  * goes to the tail, otherwise the table after it. */
 static void
-plan_base (KqTableDist *d, bool in_tail)
+prepare_base (KqTableDist *d, bool in_tail)
 {
   KqCommit *c = &d->commit;
   const KqTable *t = in_tail ? d->table : c->next;
@@ -184,7 +184,7 @@
  * table in force here, because the store has lost writes. Accepted changes must not be
  * undone, so the new head then refers to a base with the whole table of this node. */
 static void
-plan_head (KqTableDist *d, bool store_lost_writes)
+prepare_head (KqTableDist *d, bool store_lost_writes)
 {
   KqCommit *c = &d->commit;
   KqBuf changes = { 0 };
@@ -200,7 +200,7 @@
   if (store_lost_writes)
     kq_tail_clear (&c->head.tail, revision - 1);
   if (full || store_lost_writes || !in_tail)
-    plan_base (d, in_tail);
+    prepare_base (d, in_tail);
   if (full)
     kq_tail_cut (&c->head.tail, KQ_TAIL_KEEP_BYTES);
   if (in_tail)
@@ -213,7 +213,7 @@
 /* Computes the new table from the known head, and starts to write the new base, or the
  * head if no new base is needed. */
 static void
-prepare (KqTableDist *d, KqTime now, KqOutbox *out)
+prepare_commit (KqTableDist *d, KqTime now, KqOutbox *out)
 {
   KqCommit *c = &d->commit;
   KqPendingChange *p = d->pending;
@@ -226,7 +226,7 @@
       c->state = KQ_COMMIT_WAIT_TABLE;
       return;
     }
-  reset (c);
+  reset_commit (c);
   c->next = kq_table_change (d->table, ours + 1, p->changes, p->n, &why, &which);
   /* This node's table may be out of date, and another node may have written the row that
    * the operator saw: read the head before refusing the change. */
@@ -237,14 +237,14 @@
     }
   if (c->next == NULL)
     {
-      finish (d, why, ours, which);
+      finish_change (d, why, ours, which);
       return;
     }
   if (store_lost_writes)
     kq_log (KQ_LOG_ERROR, "table",
             "The store's table is older than ours; writing ours. store=%llu ours=%llu",
             (unsigned long long)d->head.revision, (unsigned long long)ours);
-  plan_head (d, store_lost_writes);
+  prepare_head (d, store_lost_writes);
   if (c->rebase)
     put_part (d, now, out);
   else
@@ -299,7 +299,7 @@
       send_change_to_peers (d, now, out);
     }
   delete_base (d, &c->obsolete_base, out);
-  finish (d, KQ_OK, revision, 0);
+  finish_change (d, KQ_OK, revision, 0);
 }
 
 /* The head in the store isn't the expected one: other nodes have committed, either after
@@ -313,22 +313,22 @@
   KqTableBase base = c->rebase ? c->head.base : (KqTableBase){ 0 };
   if (!kq_dist_apply_head (d, value, head_store_revision, now, out))
     {
-      finish (d, KQ_ERR_PLATFORM_FORMAT, 0, 0);
+      finish_change (d, KQ_ERR_PLATFORM_FORMAT, 0, 0);
       return;
     }
   if (kq_head_has_id (&d->head, revision, c->id))
     {
-      finish (d, KQ_OK, revision, 0);
+      finish_change (d, KQ_OK, revision, 0);
       return;
     }
   if (d->head.revision >= revision && !kq_head_keeps_id (&d->head, revision))
     {
-      finish (d, KQ_ERR_STORE_UNREACHABLE, 0, 0);
+      finish_change (d, KQ_ERR_STORE_UNREACHABLE, 0, 0);
       return;
     }
   delete_base (d, &base, out);
   c->head_read = true;
-  prepare (d, now, out);
+  prepare_commit (d, now, out);
 }
 
 static void
@@ -368,7 +368,7 @@
       handle_other_head (d, r->value, r->revision, now, out);
       break;
     case KQ_ERR_STORE_TOO_LARGE:
-      finish (d, KQ_ERR_TABLE_TOO_LARGE, 0, 0);
+      finish_change (d, KQ_ERR_TABLE_TOO_LARGE, 0, 0);
       break;
     case KQ_ERR_STORE_BUSY: /* the call wasn't sent */
       wait_and_retry (&d->commit, now);
@@ -406,9 +406,9 @@
     }
   d->commit.head_read = true;
   if (kq_dist_apply_head (d, r->value, r->result == KQ_OK ? r->revision : 0, now, out))
-    prepare (d, now, out);
+    prepare_commit (d, now, out);
   else
-    finish (d, KQ_ERR_PLATFORM_FORMAT, 0, 0);
+    finish_change (d, KQ_ERR_PLATFORM_FORMAT, 0, 0);
 }
 
 bool
@@ -442,18 +442,18 @@
 }
 
 static void
-begin (KqTableDist *d, KqTime now, KqOutbox *out)
+begin_change (KqTableDist *d, KqTime now, KqOutbox *out)
 {
   d->commit.head_read = false;
   if (d->head_known)
-    prepare (d, now, out);
+    prepare_commit (d, now, out);
   else
     read_head (d, KQ_COMMIT_READ, now, out);
 }
 
 /* Repeats the call that failed. */
 static void
-retry (KqTableDist *d, KqTime now, KqOutbox *out)
+retry_call (KqTableDist *d, KqTime now, KqOutbox *out)
 {
   switch (d->commit.state)
     {
@@ -468,7 +468,7 @@
       put_head (d, now, out);
       break;
     case KQ_COMMIT_WAIT_TABLE:
-      prepare (d, now, out);
+      prepare_commit (d, now, out);
       break;
     case KQ_COMMIT_IDLE:
     case KQ_COMMIT_STATES:
@@ -496,13 +496,13 @@
         {
           if (c->state == KQ_COMMIT_PARTS)
             delete_base (d, &c->head.base, out);
-          finish (d, KQ_ERR_STORE_UNREACHABLE, 0, 0);
+          finish_change (d, KQ_ERR_STORE_UNREACHABLE, 0, 0);
         }
       else if (c->state == KQ_COMMIT_IDLE)
-        begin (d, now, out);
+        begin_change (d, now, out);
       else if (now >= c->retry_at)
         {
-          retry (d, now, out);
+          retry_call (d, now, out);
           if (c->state == KQ_COMMIT_WAIT_TABLE)
             return;
         }
--- a/src/table/dist.c
+++ b/src/table/dist.c
@@ -135,7 +135,7 @@
 }
 
 static void
-load_base (KqTableDist *d, KqTime now, KqOutbox *out)
+start_loading_base (KqTableDist *d, KqTime now, KqOutbox *out)
 {
   if (d->loading && d->load_base.id == d->head.base.id)
     return;
@@ -148,7 +148,7 @@
 
 /* Brings the table up to the last head that was read. */
 static void
-catch_up (KqTableDist *d, KqTime now, KqOutbox *out)
+update_table_to_head (KqTableDist *d, KqTime now, KqOutbox *out)
 {
   if (!d->head_known)
     return;
@@ -167,7 +167,7 @@
       return;
     }
   if (d->head.base.id != 0)
-    load_base (d, now, out);
+    start_loading_base (d, now, out);
 }
 
 bool
@@ -185,16 +185,16 @@
   d->head = head;
   d->head_known = true;
   d->head_store_revision = head_store_revision;
-  catch_up (d, now, out);
+  update_table_to_head (d, now, out);
   return true;
 }
 
 static void
-load_failed (KqTableDist *d, KqTime now)
+handle_load_failure (KqTableDist *d, KqTime now)
 {
   d->load_call = 0;
   d->loading = false;
-  d->load_next = now + LIST_WAIT;
+  d->next_load_at = now + LIST_WAIT;
   d->watch_revision = 0; /* the base may be deleted: read the head again */
 }
 
@@ -207,7 +207,7 @@
     return;
   if (r->result != KQ_OK)
     {
-      load_failed (d, now);
+      handle_load_failure (d, now);
       return;
     }
   kq_buf_add_str (&d->load_bytes, r->value);
@@ -223,10 +223,10 @@
     {
       kq_log (KQ_LOG_ERROR, "table", "The table in the store is damaged. base=%llu",
               (unsigned long long)d->load_base.revision);
-      load_failed (d, now);
+      handle_load_failure (d, now);
     }
   else if (!apply_tail (d, &d->head.tail, base, false))
-    load_failed (d, now);
+    handle_load_failure (d, now);
   kq_table_unref (base);
 }
 
@@ -234,11 +234,11 @@
 tick_load (KqTableDist *d, KqTime now, KqOutbox *out)
 {
   if (d->load_call != 0 && now >= d->load_deadline)
-    load_failed (d, now);
-  if (d->loading || now < d->load_next || !d->head_known)
+    handle_load_failure (d, now);
+  if (d->loading || now < d->next_load_at || !d->head_known)
     return;
   if (d->table == NULL || kq_dist_revision (d) < d->head.revision)
-    catch_up (d, now, out);
+    update_table_to_head (d, now, out);
 }
 
 static void
@@ -250,7 +250,7 @@
       d->watch_call = 0;
       d->watch_revision = 0;
     }
-  if (d->watch_call != 0 || now < d->watch_next)
+  if (d->watch_call != 0 || now < d->next_watch_at)
     return;
   op.kind = d->watch_revision == 0 ? KQ_STORE_LIST : KQ_STORE_WATCH;
   op.expect = d->watch_revision;
@@ -269,22 +269,22 @@
   d->watch_call = 0;
   if (r->result != KQ_OK)
     {
-      KqTime wait = LIST_WAIT << d->failures;
-      if (d->failures < LIST_DOUBLINGS)
-        d->failures++;
+      KqTime wait = LIST_WAIT << d->watch_failures;
+      if (d->watch_failures < LIST_DOUBLINGS)
+        d->watch_failures++;
       d->watch_revision = 0;
-      d->watch_next = now + wait / 2;
-      d->watch_next += (KqTime)kq_rand_below (&d->rand, (uint64_t)(wait / 2));
+      d->next_watch_at = now + wait / 2;
+      d->next_watch_at += (KqTime)kq_rand_below (&d->rand, (uint64_t)(wait / 2));
       return;
     }
-  d->failures = 0;
-  d->watch_next = now;
+  d->watch_failures = 0;
+  d->next_watch_at = now;
   d->watch_revision = r->revision > 0 ? r->revision : 1;
   uint64_t at = r->n_items > 0 ? r->items[0].revision : 0;
   KqStr value = r->n_items > 0 ? r->items[0].value : KQ_STR ("");
   /* The answer is out of date if this node has committed since the call was sent. */
   if (d->head_known && at <= d->head_store_revision)
-    catch_up (d, now, out);
+    update_table_to_head (d, now, out);
   else
     kq_dist_apply_head (d, value, at, now, out);
 }
@@ -340,11 +340,11 @@
 request_changes (KqTableDist *d, KqTime now, KqOutbox *out)
 {
   KqMsg m = { .kind = KQ_MSG_TABLE_REQUEST };
-  KqTime wait = d->lag_far ? d->far_wait : NEAR_LAG_WAIT;
-  if (d->lag_since == 0 || now < d->request_next || now - d->lag_since < wait)
+  KqTime wait = d->lag_peer_far ? d->far_lag_wait : NEAR_LAG_WAIT;
+  if (d->lag_since == 0 || now < d->next_request_at || now - d->lag_since < wait)
     return;
   m.u.table_request.above_revision = kq_dist_revision (d);
-  d->request_next = now + REQUEST_INTERVAL;
+  d->next_request_at = now + REQUEST_INTERVAL;
   kq_outbox_send (out, d->lag_peer, &m);
 }
 
@@ -360,13 +360,13 @@
   if (d->lag_since == 0)
     {
       d->lag_since = now;
-      d->lag_far = true;
-      d->far_wait = FAR_LAG_WAIT + (KqTime)kq_rand_below (&d->rand, FAR_LAG_SPREAD);
+      d->lag_peer_far = true;
+      d->far_lag_wait = FAR_LAG_WAIT + (KqTime)kq_rand_below (&d->rand, FAR_LAG_SPREAD);
     }
-  if (!far || d->lag_far)
+  if (!far || d->lag_peer_far)
     {
       d->lag_peer = peer;
-      d->lag_far = far;
+      d->lag_peer_far = far;
     }
   request_changes (d, now, out);
 }
--- a/src/table/dist_state.h
+++ b/src/table/dist_state.h
@@ -76,13 +76,13 @@
   uint64_t head_store_revision; /* its revision in the store; 0: there is none */
   uint64_t watch_call;
   KqTime watch_deadline;
-  KqTime watch_next;
+  KqTime next_watch_at;
   uint64_t watch_revision; /* the store's revision to watch from; 0: list first */
-  int failures;
+  int watch_failures;
   /* The base being read. */
   uint64_t load_call;
   KqTime load_deadline;
-  KqTime load_next;
+  KqTime next_load_at;
   bool loading;
   KqTableBase load_base;
   size_t load_part;
@@ -92,10 +92,10 @@
   size_t n_peers;
   size_t peers_capacity;
   KqTime lag_since; /* since when a peer has had a higher revision; 0: none */
-  KqTime far_wait;
+  KqTime far_lag_wait;
   KqNodeId lag_peer; /* a peer with a higher revision, of this region if there is one */
-  bool lag_far;
-  KqTime request_next;
+  bool lag_peer_far;
+  KqTime next_request_at;
   /* Changes. */
   KqPendingChange *pending;
   KqCommit commit;
--- a/src/table/row.c
+++ b/src/table/row.c
@@ -112,7 +112,7 @@
 
 /* Whether `low` is within `high`, where a member of 0 means no limit. */
 static bool
-check_limits (const KqSize *low, const KqSize *high)
+within_limits (const KqSize *low, const KqSize *high)
 {
   return (high->cpu_milli == 0 || low->cpu_milli <= high->cpu_milli)
          && (high->memory_mb == 0 || low->memory_mb <= high->memory_mb)
@@ -130,7 +130,7 @@
   else if (row->kind == KQ_ROW_POLICY && !kq_str_eq (name, KQ_STR ("default")))
     set_fault (fault, KQ_ERR_TABLE_ROW, KQ_STR ("name"), "the policy row is \"default\"");
   else if (row->kind == KQ_ROW_TEAM
-           && !check_limits (&row->u.team.guaranteed, &row->u.team.limit))
+           && !within_limits (&row->u.team.guaranteed, &row->u.team.limit))
     set_fault (fault, KQ_ERR_TABLE_ROW, KQ_STR ("guaranteed"),
                "at most the limit where there is one");
   else
@@ -237,7 +237,7 @@
 /* Accepts the members that kq_row_to_json adds to the fields, so that its object can be
  * written back. */
 static KqResult
-set_meta (const KqRow *row, KqStr key, const json_t *v, KqRowFault *fault)
+check_meta_member (const KqRow *row, KqStr key, const json_t *v, KqRowFault *fault)
 {
   KqStr have = kq_str (kq_row_kind_name (row->kind));
   if (kq_str_eq (key, KQ_STR ("revision")) || kq_str_eq (key, KQ_STR ("has_token")))
@@ -270,7 +270,7 @@
   {
     const KqRowField *f = kq_row_field (row->kind, kq_str (key));
     KqResult r = f != NULL ? set_json (row, f, v, &fault)
-                           : set_meta (row, kq_str (key), v, &fault);
+                           : check_meta_member (row, kq_str (key), v, &fault);
     if (r == KQ_OK)
       continue;
     if (n < max)
--- a/src/table/table.c
+++ b/src/table/table.c
@@ -77,7 +77,7 @@
 }
 
 static int
-compare (KqRowKind kind, KqStr name, const KqRow *row)
+compare_to_row (KqRowKind kind, KqStr name, const KqRow *row)
 {
   if (kind != row->kind)
     return kind < row->kind ? -1 : 1;
@@ -94,7 +94,7 @@
   while (low < high)
     {
       size_t mid = low + (high - low) / 2;
-      int c = compare (kind, name, &t->rows[mid]);
+      int c = compare_to_row (kind, name, &t->rows[mid]);
       if (c == 0)
         {
           *found = true;
@@ -160,7 +160,7 @@
 }
 
 static KqResult
-apply (KqTable *t, const KqRowChange *c)
+apply_row_change (KqTable *t, const KqRowChange *c)
 {
   bool found;
   size_t at = find_index (t, c->row.kind, kq_name_str (&c->row.name), &found);
@@ -194,7 +194,7 @@
   next->n_rows = t->n_rows;
   for (size_t i = 0; i < n; i++)
     {
-      *why = apply (next, &c[i]);
+      *why = apply_row_change (next, &c[i]);
       *which = i;
       if (*why != KQ_OK)
         {
@@ -235,7 +235,7 @@
       KqRow *row = &t->rows[t->n_rows];
       bool ok = kq_row_unpack (&a, row) && row->revision <= revision;
       if (ok && t->n_rows > 0)
-        ok = compare (row->kind, kq_name_str (&row->name), row - 1) > 0;
+        ok = compare_to_row (row->kind, kq_name_str (&row->name), row - 1) > 0;
       if (!ok)
         {
           kq_table_unref (t);
