--- a/src/job/evict.c
+++ b/src/job/evict.c
@@ -1,6 +1,6 @@
 #include "job/evict.h"
 
-/* Time to load the image, start and warm up. */
+/* Time that an evicted task needs to load its image, start and warm up again. */
 #define RESTART_S 5.0
 
 double
@@ -33,7 +33,8 @@
   return (double)MIN (freed, missing) / (double)missing;
 }
 
-/* The parts of the missing resources that evicting the job frees, summed: 0 to 3. */
+/* For each of the three resources, the fraction of the missing amount that evicting the
+ * job frees; returns the sum of the fractions, 0 to 3. */
 static double
 covered_fractions_sum (const KqJob *job, KqSize missing)
 {
@@ -51,7 +52,8 @@
   return false;
 }
 
-/* The task with the least cost for what it frees. */
+/* The task with the lowest cost per fraction of the missing resources that it frees; NULL
+ * if the rule allows none. */
 static KqJob *
 next_victim (const KqWorker *w, const KqEvictRule *rule, KqSize missing,
              const KqEviction *e, KqTime now)
--- a/src/job/evict.h
+++ b/src/job/evict.h
@@ -21,21 +21,24 @@
 {
   KqPriority priority_below; /* victims have a lower priority */
   int64_t evictions_max;     /* victims have been evicted fewer times */
-  const KqQuota *quota;      /* not NULL: victims only of teams that have borrowed */
-  uint16_t team; /* that needs the room; with `quota`, its own tasks are no victims */
+  const KqQuota *quota;      /* not NULL: victims are only tasks of teams that borrow */
+  uint16_t team; /* team of the job that needs the room; if `quota` is set, tasks of this
+                    team aren't evicted */
 } KqEvictRule;
 
 typedef struct
 {
   KqJob *victims[KQ_VICTIMS_MAX];
   int n;
-  double cost; /* seconds of work */
+  double cost; /* sum of the victims' kq_evict_cost */
 } KqEviction;
 
-/* Seconds of work that evicting the job now may lose, weighted by past evictions. */
+/* The cost of evicting the job's task now: seconds of lost work and restart, times the
+ * weight for earlier evictions. */
 double kq_evict_cost (const KqJob *job, KqTime now);
-/* Chooses victims until `need` fits. False when the rule allows too few, or when more
- * than KQ_VICTIMS_MAX are needed. */
+/* Chooses tasks of the worker whose eviction makes room for `need`, and writes them to
+ * `out`; evicts none. False if the rule allows too few victims, or if more than
+ * KQ_VICTIMS_MAX are needed. */
 bool kq_evict_plan (const KqWorker *w, const KqSize *need, const KqEvictRule *rule,
                     KqTime now, KqEviction *out);
 
--- a/src/job/fit_tree.h
+++ b/src/job/fit_tree.h
@@ -3,12 +3,12 @@
 
 /* fit_tree: an index that finds workers with enough room without scanning all of them.
  *
- * A scan looks at every worker for each decision: 2.6 million looks a second at 4,100
- * workers and 640 starts a second. Here each node of a binary tree over the workers'
- * indices holds the componentwise maximum of the room below it, and a search skips every
- * subtree whose maximum is too small. It may still visit a subtree where one worker has
- * the memory and another one the processors, so a search isn't strictly O(log n);
- * bench-place measures it. */
+ * A scan would examine every worker for each start: 2.6 million workers a second with
+ * 4,100 workers and 640 starts a second. Here each node of a binary tree over the
+ * workers' indices holds the componentwise maximum of the room below it, and a search
+ * skips every subtree whose maximum is too small. It may still visit a subtree where one
+ * worker has the memory and another one the processors, so a search isn't strictly O(log
+ * n); bench-place measures it. */
 
 #include "job/job.h"
 
@@ -18,9 +18,9 @@
 
 typedef struct
 {
-  KqSize *nodes; /* 2 * width; leaves from width on */
-  uint32_t width;
-  uint32_t n;
+  KqSize *nodes;  /* 2 * width nodes; node 1 is the root, node width + i worker i */
+  uint32_t width; /* number of leaves, a power of two */
+  uint32_t n;     /* number of workers */
 } KqFitTree;
 
 void kq_fit_tree_init (KqFitTree *t);
@@ -30,7 +30,7 @@
 void kq_fit_tree_set (KqFitTree *t, uint32_t i, KqSize room);
 /* The first worker at or after `from` with room for `need`, or KQ_FIT_NONE. */
 uint32_t kq_fit_tree_find (const KqFitTree *t, uint32_t from, const KqSize *need);
-/* The componentwise maximum over all workers; negative when there is none. */
+/* The componentwise maximum of the room of all workers; negative if no worker was set. */
 KqSize kq_fit_tree_largest (const KqFitTree *t);
 
 #endif
--- a/src/job/health.c
+++ b/src/job/health.c
@@ -3,19 +3,22 @@
 #include <limits.h>
 #include <math.h>
 
+/* Fraction of all tasks that fail on a bad worker. */
 #define BAD_WORKER_FAILURE_RATE 0.9
 /* A likelihood ratio of 150 to 1. From 0 it takes two failures in a row of a class that
  * fails 1 in 50, and nine of one that fails every other time; FAILED_JOBS_TO_HOLD
  * applies, too. */
 #define EVIDENCE_TO_HOLD 5.0
+/* Bounds how long earlier successes hide that a worker has become bad. */
 #define EVIDENCE_MIN (-3.0)
 #define FAILED_JOBS_TO_HOLD 3
+/* Weight of one outcome in a class's failure rate. */
 #define FAILURE_RATE_SMOOTHING 0.02
 #define FAILURE_RATE_MIN 0.02
 #define FAILURE_RATE_MAX 0.8
 #define HOLD_TIME_MIN (30 * KQ_SEC)
 #define HOLD_TIME_MAX (900 * KQ_SEC)
-#define PROBE_LIMIT_END 16 /* a worker that reaches it is good again */
+#define PROBE_LIMIT_END 16 /* a worker whose probe_limit reaches it is GOOD again */
 
 static void
 hold_worker (KqFleetHealth *f, KqHealth *h, KqTime now)
--- a/src/job/health.h
+++ b/src/job/health.h
@@ -26,35 +26,38 @@
 {
   KQ_HEALTH_GOOD,
   KQ_HEALTH_HELD,  /* gets no tasks */
-  KQ_HEALTH_PROBED /* gets some, to see whether they succeed */
+  KQ_HEALTH_PROBED /* gets a few tasks, to see whether they succeed */
 } KqHealthState;
 
 typedef struct
 {
   KqHealthState state;
-  double evidence; /* sum of the log ratios; above 0: rather a bad worker */
+  double evidence; /* sum of the log likelihood ratios; above 0: more likely bad */
   uint64_t last_failed_job;
-  int n_failed_jobs; /* distinct ones, since the last success */
-  KqTime held_until; /* HELD */
+  int n_failed_jobs; /* jobs that failed since the last success */
+  KqTime held_until; /* HELD: end of the pause */
   KqTime hold_time;  /* length of the last pause */
-  int probe_limit;   /* PROBED: tasks at a time */
+  int probe_limit;   /* PROBED: most tasks at a time */
 } KqHealth;
 
 typedef struct
 {
-  double failure_rate[KQ_CLASSES_MAX]; /* over the fleet */
-  uint32_t n_held;
+  /* By class: smoothed fraction of its tasks that fail, on workers in state GOOD. */
+  double failure_rate[KQ_CLASSES_MAX];
+  uint32_t n_held; /* workers that are HELD or PROBED */
 } KqFleetHealth;
 
-/* Records the end of a task on the worker. At most `held_percent` of `n_workers` are
- * held, but one may always be. */
+/* Records that a task of `job` ended on the worker, and holds the worker if the evidence
+ * suffices. At most `held_percent` percent of `n_workers`, but at least one worker, may
+ * be held at a time. */
 void kq_health_record_outcome (KqFleetHealth *f, KqHealth *h, uint16_t class_index,
                                uint64_t job, bool failed, uint32_t n_workers,
                                int64_t held_percent, KqTime now);
-/* How many tasks the worker may run at `now`. Begins to probe a held worker whose pause
- * is over. */
+/* Begins to probe a held worker whose pause is over. Returns how many tasks the worker
+ * may run at `now`. */
 int kq_health_update_task_limit (KqFleetHealth *f, KqHealth *h, KqTime now);
-/* Whether a failure on the worker counts against the job. */
+/* Whether a failure of a task on the worker counts as a failure of its job: true if the
+ * worker is in state GOOD. */
 bool kq_health_blames_job (const KqHealth *h);
 
 #endif
--- a/src/job/interference.c
+++ b/src/job/interference.c
@@ -2,18 +2,24 @@
 
 #include <math.h>
 
-/* Effect of a neighbour before there is any evidence, by load band. */
+/* Slowdown that a batch task adds to a neighbour, by load band, as assumed before there
+ * is evidence. */
 static const double default_effect[KQ_BANDS] = { 0.01, 0.02, 0.04 };
-/* Services answer short requests and disturb little. With the prior of batch tasks they
- * avoided each other before the first reports and spread over the whole fleet. */
+/* Factor on default_effect for services, which answer short requests and disturb little.
+ * Without the factor, services avoided each other before the first reports and spread
+ * over the whole fleet. */
 #define SERVICE_PRIOR_FACTOR 0.005
+/* Part of a report's error by which a cell is corrected: GAIN_MAX without evidence,
+ * falling to GAIN_MIN, which is above 0 so that the cell follows a class that changes. */
 #define GAIN_MAX 0.5
-#define GAIN_MIN 0.04 /* above 0 to follow a class that changes */
+#define GAIN_MIN 0.04
+/* The same for the prior, which follows the cells. */
 #define PRIOR_GAIN 0.05
 #define EVIDENCE_MAX 100.0F
 #define EVIDENCE_HALF_LIFE (1800 * KQ_SEC)
 #define EFFECT_MAX 3.0
-/* Bounds what one report can do to a cell: the task may have hung for a minute. */
+/* Largest error taken from one report: a task that hung for a minute must not change a
+ * cell by more. */
 #define ERROR_MAX 1.0
 
 void
--- a/src/job/interference.h
+++ b/src/job/interference.h
@@ -23,7 +23,7 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/* Load bands; see kq_load_band. */
+/* Number of load bands; see kq_load_band. */
 #define KQ_BANDS 3
 
 /* How many tasks of a class run on a worker; a throttled one counts as a fraction. */
@@ -33,8 +33,9 @@
   float n;
 } KqMixPart;
 
-#define KQ_MIX_MAX 16
+#define KQ_MIX_MAX 16 /* classes in one mix */
 
+/* The tasks that run on one worker, by class. */
 typedef struct
 {
   KqMixPart parts[KQ_MIX_MAX];
@@ -43,25 +44,26 @@
 
 typedef struct
 {
-  float effect;   /* slowdown added by one neighbour; 0.1: a tenth */
-  float evidence; /* reports, decayed up to `at` */
+  float effect;   /* slowdown added by one neighbour; 0.1: a tenth slower */
+  float evidence; /* number of reports, decayed by age up to time `at` */
   KqTime at;
 } KqCell;
 
 typedef struct
 {
   KqCell cells[KQ_CLASSES_MAX][KQ_CLASSES_MAX][KQ_BANDS];
-  KqCell prior[KQ_CLASSES_MAX][KQ_BANDS]; /* by the other class */
-  bool low_prior[KQ_CLASSES_MAX];         /* services: lower prior */
+  KqCell prior[KQ_CLASSES_MAX][KQ_BANDS]; /* by the neighbour's class */
+  bool low_prior[KQ_CLASSES_MAX];         /* classes of services have a lower prior */
 } KqInterference;
 
-/* Adds n tasks; n below 0 removes. A class beyond KQ_MIX_MAX is left out. */
+/* Adds n tasks of the class; a negative n removes tasks. A new class is ignored if the
+ * mix has KQ_MIX_MAX classes already. */
 void kq_mix_add (KqMix *m, uint16_t class_index, double n);
-/* Returns 0 if less than half of the processors are allocated, 1 if less than four fifths
- * are, otherwise 2. */
+/* The load band of a worker of whose `whole` processors `used` are allocated: 0 below
+ * half, 1 below four fifths, otherwise 2. */
 int kq_load_band (int64_t used, int64_t whole);
-/* Learns from a report: `slowdown` (1.0: undisturbed) of a task of class `victim` beside
- * `others`. */
+/* Learns from one report: a task of class `victim` that ran beside `others` had this
+ * `slowdown` (1.0: undisturbed). */
 void kq_interference_learn (KqInterference *f, uint16_t victim, const KqMix *others,
                             int band, double slowdown, KqTime now);
 /* The slowdown that one task of `other` adds to one of `victim`. */
--- a/src/job/learn_record.c
+++ b/src/job/learn_record.c
@@ -3,12 +3,13 @@
 #include "wire/pack.h"
 
 #define VERSION 1
-/* No task uses more: a million cores in thousandths, or a petabyte in MB. */
+/* Largest estimate accepted from a record: a million cores in thousandths, or a petabyte
+ * in MB. */
 #define ESTIMATE_MAX 1e9
 
 /* A cell with less evidence is close to the prior and isn't stored. */
 #define EVIDENCE_MIN 3.0F
-#define CELL_FIELDS 4
+#define CELL_FIELDS 4 /* packed values per cell */
 
 /* A NaN or a negative number would become a size that fits everywhere, and a worker would
  * be given more than it holds. Such a value is skipped; a damaged hint is no reason to
--- a/src/job/learn_size.c
+++ b/src/job/learn_size.c
@@ -6,12 +6,16 @@
 #define BUCKET_RATIO 1.25
 #define CPU_PERCENTILE 0.95
 #define MEMORY_PERCENTILE 0.99
-/* Half an hour of a class with ten tasks that report every 10 s is 1,800 reports. */
+/* About half an hour of reports: a class with ten tasks that report every 10 s sends
+ * 1,800 in that time. */
 #define HALF_LIFE_REPORTS 2000.0
+/* Largest part by which one report lowers an estimate. */
 #define SHRINK_PER_REPORT 0.01
-/* With fewer reports a high percentile is just the maximum of a handful. */
+/* Reports of a class before its estimates are used. A high percentile of fewer reports is
+ * just their maximum. */
 #define REPORTS_MIN 30
-/* A larger slowdown says more about the neighbours than about the need. */
+/* Largest slowdown by which processor use is multiplied. A larger one says more about the
+ * neighbours than about what the task needs. */
 #define SLOWDOWN_MAX 3.0
 
 static int
--- a/src/job/learn_size.h
+++ b/src/job/learn_size.h
@@ -18,22 +18,22 @@
 #include "job/classes.h"
 #include "port/worker.h"
 
-/* Each bucket is a quarter larger than the one before: 50 to 1.8 million, for processors
- * (thousandths of a core) and memory (MB) alike. */
+/* Number of buckets. Each bound is a quarter larger than the one before: 50 to 1.8
+ * million, both for processors (thousandths of a core) and for memory (MB). */
 #define KQ_SIZE_BUCKETS 48
 
 typedef struct
 {
-  float count[KQ_SIZE_BUCKETS];
-  float total;
-  double estimate; /* 0: none yet */
+  float count[KQ_SIZE_BUCKETS]; /* reports in the bucket, decayed */
+  float total;                  /* sum of `count` */
+  double estimate;              /* of the percentile, as used for sizes; 0: none yet */
 } KqSizeHistogram;
 
 typedef struct
 {
   KqSizeHistogram cpu;
   KqSizeHistogram memory;
-  uint32_t reports;
+  uint32_t reports; /* number of reports so far */
 } KqLearnedSize;
 
 typedef struct
@@ -41,10 +41,12 @@
   KqLearnedSize classes[KQ_CLASSES_MAX];
 } KqSizes;
 
+/* Adds a usage report to the histograms of the class, and updates its estimates. */
 void kq_sizes_record_report (KqSizes *s, uint16_t class_index, const KqUsageReport *u);
-/* What a task of the class needs: the estimate once there are enough reports, else the
- * declared size. Accelerators are always as declared. An estimate is capped at `largest`
- * (of a worker) in each resource in which the declared size is within it. */
+/* The size that a task of the class needs: the estimate once there are enough reports,
+ * otherwise the declared size; accelerators always as declared. In each resource in which
+ * the declared size fits the largest worker (`largest`), the estimate is capped at that.
+ */
 KqSize kq_sizes_need (const KqSizes *s, uint16_t class_index, KqSize declared,
                       KqSize largest);
 
--- a/src/job/lease.c
+++ b/src/job/lease.c
@@ -33,11 +33,12 @@
   call->lease_ms = (int)(t->lease / KQ_MS);
 }
 
-/* The worker answered, perhaps without a live lease. */
+/* Handles an answer without an error. The worker's lease may be live or not. */
 static void
 handle_answer (KqLease *l, const KqLeaseTimes *t, const KqWorkerReply *r, KqTime now)
 {
-  /* From now on it refuses the previous owner, which last echoed an older stamp. */
+  /* From now on the worker refuses renewals by the previous owner, which last echoed an
+   * older stamp: a lease granted by it ends within the lease time. */
   if (l->state == KQ_LEASE_UNKNOWN)
     l->expired_by = now + t->lease + KQ_LEASE_MARGIN;
   if (r->lease_live && l->stamp != 0)
@@ -47,7 +48,8 @@
     }
   else
     {
-      /* Its jobs were given up when the lease lapsed: no further proof is needed. */
+      /* The worker's jobs were requeued when the lease lapsed: the margin for stopping
+       * its tasks isn't needed again. */
       if (l->state == KQ_LEASE_LAPSED)
         l->expired_by = now + t->lease;
       l->state = KQ_LEASE_ASKED;
--- a/src/job/lease.h
+++ b/src/job/lease.h
@@ -31,39 +31,44 @@
 typedef enum
 {
   KQ_LEASE_UNKNOWN, /* the worker hasn't answered under our epoch */
-  KQ_LEASE_ASKED,   /* it has; the second call of the handshake is due */
+  KQ_LEASE_ASKED,   /* the worker has answered and sent a stamp, but has no lease yet; the
+                       call that echoes the stamp is due */
   KQ_LEASE_LIVE,
-  KQ_LEASE_LAPSED,  /* it has certainly ended */
-  KQ_LEASE_SHUT_OUT /* it has seen a higher epoch: we aren't the owner any more */
+  KQ_LEASE_LAPSED,  /* the lease has certainly ended */
+  KQ_LEASE_SHUT_OUT /* the worker has seen a higher epoch: this node isn't the shard's
+                       owner any more */
 } KqLeaseState;
 
 typedef struct
 {
   KqLeaseState state;
-  uint64_t stamp;            /* of the worker's last answer; 0: none to echo */
-  KqTime stamp_call_sent_at; /* when the call that brought it was sent */
-  KqTime stamp_received_at;
-  KqTime echoed_call_sent_at; /* stamp_call_sent_at of the stamp being echoed */
-  KqTime live_until;          /* it certainly lives until then */
-  KqTime expired_by;          /* it has certainly ended by then */
-  bool in_flight;
-  uint64_t token;      /* of the call in flight */
-  KqTime next_call_at; /* when the next call is due */
+  uint64_t stamp;             /* from the worker's last answer; 0: none to echo */
+  KqTime stamp_call_sent_at;  /* when the call was sent whose answer brought `stamp` */
+  KqTime stamp_received_at;   /* when that answer arrived */
+  KqTime echoed_call_sent_at; /* stamp_call_sent_at of the stamp that the call in flight
+                                 echoes */
+  KqTime live_until;          /* the lease certainly lives until this time */
+  KqTime expired_by;          /* the lease has certainly ended by this time */
+  bool in_flight;             /* a LEASE call hasn't been answered yet */
+  uint64_t token;             /* of the call in flight */
+  KqTime next_call_at;        /* when the next call is due */
 } KqLease;
 
-/* A lease of unknown state, whose first call is due at once. */
+/* Sets the lease to state UNKNOWN; its first call is due at once. */
 void kq_lease_init (KqLease *l, const KqLeaseTimes *t, KqTime now);
-/* Fills the LEASE call's kind, echo_stamp, lease_ms and token, which isn't 0. */
+/* Fills the kind, token (not 0), echo_stamp and lease_ms of the next LEASE call, and
+ * records the call as in flight. The caller sends it. */
 void kq_lease_prepare_call (KqLease *l, const KqLeaseTimes *t, uint64_t token, KqTime now,
                             KqWorkerCall *call);
-/* Handles the answer to a LEASE call. False when it is late, a duplicate or an error: its
- * lists must not be used. */
+/* Handles the answer to a LEASE call. False if the answer is late, a duplicate or an
+ * error: its lists of tasks and usage must not be used. */
 bool kq_lease_handle_reply (KqLease *l, const KqLeaseTimes *t, const KqWorkerReply *r,
                             KqTime now);
-/* True once, when the lease has certainly ended; the state is LAPSED from then on. */
+/* If the lease has certainly ended, sets its state to LAPSED and returns true; later
+ * calls return false. */
 bool kq_lease_check_expired (KqLease *l, KqTime now);
-/* Whether a START sent now is certain to find the lease alive: it lives for at least a
- * third of the renewal period more. */
+/* Whether a START may be sent now: the lease is certain to live for a third of the
+ * renewal period more, the time that the START has to arrive. */
 bool kq_lease_usable (const KqLease *l, const KqLeaseTimes *t, KqTime now);
 
 #endif
