--- a/src/job/job.c
+++ b/src/job/job.c
@@ -45,7 +45,7 @@
                    MIN (a.accelerators, b.accelerators) };
 }
 
-/* Keys are unique within a team. */
+/* An idempotency key is unique within its team only, so both are hashed. */
 static guint
 key_hash (gconstpointer p)
 {
@@ -162,8 +162,8 @@
   return job;
 }
 
-/* Counts the ended job, and frees the one that ended KQ_JOB_ENDED_MAX ends before.
- * Without a bound the memory and the snapshot would grow for ever. */
+/* Counts the ended job and keeps it in the ring; frees the job that it replaces there.
+ * Without a bound on ended jobs, memory and snapshots would grow for ever. */
 static void
 retain_ended_job (KqJobSet *s, KqJob *job)
 {
@@ -213,8 +213,8 @@
   return add_job (s, &job);
 }
 
-/* A job that had moved to another shard comes back: the entry that forwarded its calls
- * holds the job again. */
+/* A job that had moved to another shard comes back: its MOVED entry, which served to
+ * forward calls, takes over the job's recorded state again. */
 static void
 restore_moved_job (KqJobSet *s, KqJob *job, const KqJob *full_state)
 {
--- a/src/job/job.h
+++ b/src/job/job.h
@@ -14,12 +14,12 @@
  *   ASSIGNED n QUEUED     -> ASSIGNED, when n is the attempt after the last one
  *   REQUEUED n ASSIGNED   -> QUEUED, when n is the current attempt
  *   ENDED n    ASSIGNED   -> FINISHED, FAILED or CANCELLED, when n is the current attempt
- *              QUEUED     -> the same
- *   CANCEL     ASSIGNED   -> ASSIGNED, with cancel_wanted set; it will end as CANCELLED
- *   MOVING     QUEUED     -> MOVING, to another shard; it is no longer started here
+ *              QUEUED     -> the same, when n is the last attempt (0: none)
+ *   CANCEL     ASSIGNED   -> ASSIGNED, with cancel_wanted set; the job will be CANCELLED
+ *   MOVING     QUEUED     -> MOVING, to another shard; the job is no longer started here
  *   MOVED      MOVING     -> MOVED: the other shard has it; calls are forwarded there
  *   ARRIVED    (unknown)  -> QUEUED, from another shard
- *              MOVED      -> the same, when the job comes back
+ *              MOVED      -> QUEUED, when the job comes back
  *   FULL_STATE (unknown)  -> any; only in snapshots
  *
  * Whether an ASSIGNED job's task is running or being evicted is known for certain only
@@ -93,9 +93,9 @@
   bool cancel_wanted;
   KqWorkerId worker; /* of the current or last attempt */
   KqSize size;       /* size with which the attempt was started */
-  KqName checkpoint;
-  KqResult why; /* reason of the last requeue or end */
-  int64_t run_us;
+  KqName checkpoint; /* name of the last checkpoint; "": none */
+  KqResult why;      /* reason of the last requeue or end */
+  int64_t run_us;    /* run time of the task that ended the job */
   uint32_t moves;    /* number of moves between shards so far */
   uint32_t to_shard; /* MOVING, MOVED: the destination */
 
@@ -105,26 +105,28 @@
   uint16_t team;        /* index in KqQuota */
   uint16_t class_index; /* index in KqClasses */
   bool in_queue;
-  bool delayed;
-  KqResult blocked_reason; /* why it wasn't started; KQ_OK: it wasn't tried yet */
-  KqSize declared_size; /* declared size, completed from the class; the queue sums it */
-  KqSize charged; /* taken from the worker's room: the size, or more if it uses more */
+  bool delayed;            /* in KqJobQueue.delayed, until not_before */
+  KqResult blocked_reason; /* why the job wasn't started; KQ_OK: not tried yet */
+  KqSize
+      declared_size; /* resources that aren't declared are taken from the class's row */
+  KqSize charged;    /* taken from the worker's room: `size`, with more memory if the task
+                        uses more */
   KqTime queued_at;
   KqTime not_before; /* end of the backoff after a failure */
   KqTime assigned_at;
-  KqTime command_at; /* time of the last command or of its answer */
-  int throttle_percent;
-  KqTime throttle_at;
+  KqTime command_at;        /* time of the last command or of its answer */
+  int throttle_percent;     /* speed that the task is allowed; 100: not throttled */
+  KqTime throttle_at;       /* time of the last change of throttle_percent */
   bool service;             /* latency-critical, as declared by the job or its class */
   bool movable;             /* may be evicted for others, from the class's row */
   int64_t checkpoint_us;    /* checkpoint period, from the class's row; 0: none */
   double smoothed_slowdown; /* smoothed slowdown since the last remedy on its worker */
-  int slow_reports;
-  KqWorkerId avoid; /* the worker from which a remedy moved it */
+  int slow_reports; /* number of slowdown reports since the last remedy on its worker */
+  KqWorkerId avoid; /* the worker from which a remedy moved the job */
   KqTime avoid_until;
-  struct KqWorker *reserved_worker; /* worker on which room is reserved for it */
-  uint64_t seen_in_list;            /* number of the worker's last list that named it */
-  struct KqWorker *assigned_worker; /* worker to which it is assigned */
+  struct KqWorker *reserved_worker; /* worker on which room is reserved for the job */
+  uint64_t seen_in_list; /* list_number of the last worker's list with the task */
+  struct KqWorker *assigned_worker; /* worker to which the job is assigned */
   KqJob *next_on_worker;            /* list of the jobs on that worker */
   KqJob *prev_on_worker;
   KqJob *next; /* list of the queue */
@@ -143,8 +145,8 @@
   KqSize size;       /* ASSIGNED */
   KqJobState state;  /* ENDED */
   KqResult why;      /* REQUEUED, ENDED */
-  KqName checkpoint; /* REQUEUED */
-  bool blame;        /* REQUEUED: counts as a failure of the job */
+  KqName checkpoint; /* REQUEUED; "": no new one */
+  bool blame;        /* REQUEUED: the attempt counts as a failure of the job */
   int64_t run_us;    /* ENDED */
   KqJob full_state;  /* FULL_STATE, ARRIVED: all recorded fields */
 } KqJobEvent;
@@ -155,8 +157,9 @@
   GHashTable *by_id;
   GHashTable *by_key;
   uint64_t last_number;
-  KqJob *ended[KQ_JOB_ENDED_MAX]; /* a ring, in order of their ends */
-  uint64_t n_ended;
+  KqJob *ended[KQ_JOB_ENDED_MAX]; /* ring of ended jobs, in order of their ends */
+  uint64_t n_ended;               /* jobs put into `ended` so far */
+  /* Numbers of jobs, since the first record of the shard's journal or its snapshot. */
   uint64_t accepted;
   uint64_t finished;
   uint64_t failed;
@@ -172,7 +175,9 @@
 void kq_job_set_clear (KqJobSet *s);
 KqJob *kq_job_find (const KqJobSet *s, KqJobId id);
 KqJob *kq_job_find_key (const KqJobSet *s, const KqName *team, const KqName *key);
+/* Whether the job is FINISHED, FAILED, CANCELLED or MOVED. */
 bool kq_job_ended (const KqJob *job);
+/* Whether a submission with `b` repeats one with `a`: all their fields are equal. */
 bool kq_job_spec_eq (const KqJobSpec *a, const KqJobSpec *b);
 /* Whether the event fits the job's current state. */
 bool kq_job_event_fits (const KqJobSet *s, const KqJobEvent *e);
@@ -183,12 +188,14 @@
 
 /* Packs the event as a record; its body points into `b`. */
 KqRecord kq_job_event_pack (const KqJobEvent *e, KqBuf *b);
-/* KQ_OK, KQ_ERR_JOURNAL_VERSION (unknown type or version, as a newer program may write)
- * or KQ_ERR_JOURNAL_DAMAGED. */
+/* Reads a record back. Returns KQ_OK, KQ_ERR_JOURNAL_VERSION (a type or version that only
+ * a newer program writes) or KQ_ERR_JOURNAL_DAMAGED. */
 KqResult kq_job_event_unpack (const KqRecord *r, KqJobEvent *e);
 
+/* Whether `need` is at most `room` in every resource. */
 bool kq_size_fits (const KqSize *need, const KqSize *room);
 bool kq_size_is_zero (const KqSize *s);
+/* These work on each resource by itself. */
 KqSize kq_size_add (KqSize a, KqSize b);
 KqSize kq_size_sub (KqSize a, KqSize b);
 KqSize kq_size_max (KqSize a, KqSize b);
--- a/src/job/job_record.c
+++ b/src/job/job_record.c
@@ -1,8 +1,9 @@
 #include "job/job.h"
 #include "wire/pack.h"
 
-/* Fields are packed in the order of these functions. A newer version may add fields at
- * the end of the outer array; a change of meaning needs a new version number. */
+/* The functions below define the order of the packed fields. A newer program may add
+ * fields at the end of a record's outer array; if the meaning of a field changes,
+ * KQ_JOB_RECORD_VERSION must be raised. */
 
 static void
 pack_size (KqPacker *p, const KqSize *s)
--- a/src/job/lease.c
+++ b/src/job/lease.c
@@ -48,8 +48,8 @@
     }
   else
     {
-      /* The worker's jobs were requeued when the lease lapsed: the margin for stopping
-       * its tasks isn't needed again. */
+      /* The worker's jobs were given up when the lease lapsed, so that no margin for
+       * stopping their tasks is needed. */
       if (l->state == KQ_LEASE_LAPSED)
         l->expired_by = now + t->lease;
       l->state = KQ_LEASE_ASKED;
--- a/src/job/place.c
+++ b/src/job/place.c
@@ -9,25 +9,27 @@
 /* Weight of a service's slowdown relative to a batch task's. Operators put services
  * first; a batch task that loses a tenth of its speed still finishes by morning. */
 #define SERVICE_WEIGHT 8.0
-/* Costs of the share of a service's replicas that would be lost with the worker, the rack
- * or the depot. One replica of two on a worker costs as much as slowing the service down
- * by a half. Racks fail a tenth as often as workers, depots seldom. Shares, not numbers:
- * a service of 3,000 replicas may well have two on a worker. Costs by number spread it
- * over the whole fleet and left no worker to batch work alone. */
+/* Costs per share of a service's replicas that would be lost with the worker, the rack or
+ * the depot. Half of the replicas on one worker cost as much as slowing the service down
+ * by a half. Racks fail a tenth as often as workers, depots seldom. The costs are by
+ * share and not by number of replicas, because a service of 3,000 replicas may well have
+ * two on a worker. Costs by number spread it over the whole fleet and left no worker to
+ * batch work alone. */
 #define SAME_WORKER_COST 8.0
 #define SAME_RACK_COST 0.8
 #define SAME_DEPOT_COST 0.2
-/* Costs of the part of a worker that is free, so that otherwise equal workers are filled
- * one after the other. Higher for services: together on fewer workers (each with few
- * replicas on one) they leave other workers to batch work alone. With 0.05 the target's
- * services ran on 2,700 of 4,100 workers, and batch work done was 0.95 of first
- * fit's; with 0.2 on 1,500 workers, and it was 1.23 of first fit's. */
+/* Costs of a worker that is entirely free, in proportion for one that is partly free, so
+ * that otherwise equal workers are filled one after the other. The cost is higher for
+ * services: packed on fewer workers (with few replicas of each service on one worker)
+ * they leave other workers to batch work alone. With 0.05 the target's services ran on
+ * 2,700 of 4,100 workers, and batch work done was 0.95 of first fit's; with 0.2 on 1,500
+ * workers, and it was 1.23 of first fit's. */
 #define FREE_ROOM_COST 0.05
 #define SERVICE_FREE_ROOM_COST 0.2
-/* Cost of the worker from which a remedy has moved the job. */
+/* Additional cost of the worker from which a remedy has moved the job. */
 #define AVOIDED_WORKER_COST 4.0
-/* A batch job isn't placed where it would raise a service's expected slowdown above this.
- * 5% (the noise of reports) less than the 25% above which remedy.c throttles the
+/* A batch job isn't placed where it would raise a service's expected slowdown above this
+ * value. It is 5% (the noise of reports) below the 25% above which remedy.c throttles the
  * service's neighbours. */
 #define SERVICE_SLOWDOWN_MAX 0.2
 
@@ -89,7 +91,8 @@
   return p->classes->latency_critical[class_index] ? SERVICE_WEIGHT : 1.0;
 }
 
-/* Weighted slowdown expected for the job, and for its neighbours because of it. */
+/* The slowdown expected for the job, plus the slowdown that it adds to its neighbours,
+ * each times its class's weight. */
 static double
 disturbance_cost (const KqPlacer *p, const KqWorker *w, const KqJob *job,
                   const KqSize *need)
@@ -122,7 +125,8 @@
   return sum / (p->spread->total[c] + 1);
 }
 
-/* Whether the job would slow some service on the worker by more than is accepted. */
+/* Whether some service on the worker would be slowed down by more than
+ * SERVICE_SLOWDOWN_MAX if the job ran there. */
 static bool
 slows_a_service (const KqPlacer *p, const KqWorker *w, const KqJob *job,
                  const KqSize *need)
@@ -174,8 +178,9 @@
   return cost;
 }
 
-/* The next worker with room at or after `from`. The index is corrected for workers that
- * may not start tasks any more, such as those whose lease has ended. */
+/* Finds the next worker at or after index `from` that has room and may start tasks.
+ * Updates the index for workers that may not start tasks any more, such as those whose
+ * lease has ended. */
 static KqWorker *
 find_worker (KqPlacer *p, KqFitTree *t, uint32_t from, const KqSize *need)
 {
--- a/src/job/place.h
+++ b/src/job/place.h
@@ -18,8 +18,9 @@
 
 #include "job/workers.h"
 
-/* Workers compared in a decision. The best of 8 random ones is in the best eighth of all
- * 2 times in 3, the best of 12 4 times in 5; bench-place shows no gain beyond. */
+/* Workers compared in a decision. The best of 8 random workers is among the best eighth
+ * of all workers in 2 of 3 decisions, the best of 12 in 4 of 5; bench-place shows no gain
+ * with more. */
 #define KQ_PLACE_SAMPLES 12
 
 typedef enum
@@ -30,7 +31,7 @@
   KQ_PLACE_LEAST_LOADED
 } KqPlaceRule;
 
-/* Tasks of services by class and rack, and by class and depot. */
+/* Numbers of tasks of services, by class and rack and by class and depot. */
 typedef struct
 {
   KqName *racks;
@@ -39,7 +40,7 @@
   uint16_t n_depots;
   int32_t (*by_rack)[KQ_CLASSES_MAX];
   int32_t (*by_depot)[KQ_CLASSES_MAX];
-  int32_t total[KQ_CLASSES_MAX];
+  int32_t total[KQ_CLASSES_MAX]; /* by class */
 } KqSpread;
 
 void kq_spread_clear (KqSpread *s);
@@ -60,11 +61,12 @@
   uint64_t *rand_state; /* state of the random numbers */
   KqTime now;
   bool ignore_disturbance; /* no limit on the slowdown of services: for urgent jobs */
-  bool only_disturbing;    /* out: had room only beside services it slows too much */
+  bool only_disturbing; /* out: all examined workers with room run a service that the job
+                           would slow down too much */
 } KqPlacer;
 
-/* A worker with room for `need`, or NULL. Only urgent jobs get workers that are kept for
- * them. */
+/* Chooses a worker with room for `need`; NULL if there is none. Workers that are kept for
+ * urgent jobs are chosen only for these, when no other worker has room. */
 KqWorker *kq_place_choose (KqPlacer *p, const KqJob *job, const KqSize *need);
 /* Whether any of the shard's workers could hold `need` if nothing else ran there. If not,
  * `reason` says which resource is short and what the largest worker has; `elsewhere` is
--- a/src/job/queue.c
+++ b/src/job/queue.c
@@ -16,8 +16,9 @@
   free (q->teams);
 }
 
-/* Most jobs are the youngest of their list and go to its end. One that comes back is
- * among the oldest, so its place is searched from the front. */
+/* Inserts the job by its number. Most jobs are the youngest of their list and go to its
+ * end. A job that comes back after an attempt is among the oldest, so its place is
+ * searched from the front. */
 static void
 insert (KqJobList *l, KqJob *job)
 {
--- a/src/job/queue.h
+++ b/src/job/queue.h
@@ -5,8 +5,8 @@
  *
  * The links of the lists are in the jobs, so that a cancelled job is removed in O(1): a
  * wave of 20,000 cancellations costs 20,000 steps, not 20,000 scans. A job whose retry
- * isn't due yet is in `delayed`. One that no worker can hold is in `unplaceable`, where
- * it doesn't block others. */
+ * isn't due yet is in the list `delayed`. A job that no worker can hold is in the list
+ * `unplaceable`, where it doesn't block other jobs. */
 
 #include "job/job.h"
 
@@ -17,12 +17,12 @@
   KqJob *first;
   KqJob *last;
   size_t n;
-  KqSize wanted;
+  KqSize wanted; /* sum of the jobs' declared sizes */
 } KqJobList;
 
 typedef struct
 {
-  KqJobList (*teams)[KQ_PRIORITIES];
+  KqJobList (*teams)[KQ_PRIORITIES]; /* by team and priority */
   size_t n_teams;
   KqJobList delayed;
   KqJobList unplaceable;
@@ -38,7 +38,8 @@
 KqJobList *kq_job_queue_list (KqJobQueue *q, size_t team, KqPriority p);
 /* The total size of a team's waiting jobs, except delayed and unplaceable ones. */
 KqSize kq_job_queue_wanted (const KqJobQueue *q, size_t team);
-/* Moves delayed jobs that are due to their team's list; true when there were any. */
+/* Moves the delayed jobs that are due to the lists of their teams; returns whether any
+ * job was moved. */
 bool kq_job_queue_move_due (KqJobQueue *q, KqTime now);
 /* When the next delayed job is due, or KQ_TIME_NEVER. */
 KqTime kq_job_queue_next_due_time (const KqJobQueue *q);
--- a/src/job/quota.c
+++ b/src/job/quota.c
@@ -49,7 +49,8 @@
       team->others_used = team->others_wanted = team->charged_since_digests
           = (KqSize){ 0 };
     }
-  /* At each round it is another shard's turn, if all count the rounds alike. */
+  /* Shards count rounds from their own number, so that at each round it is the turn of
+   * another shard as long as all get the same rounds. */
   q->digest_rounds = q->n_others == 0 ? self : q->digest_rounds + 1;
   q->n_others = 0;
   for (size_t i = 0; i < n; i++)
@@ -91,7 +92,7 @@
   return dominant_share (total_used (&q->teams[team]), q->fleet);
 }
 
-/* Below the guarantee: -1 (nothing used) to 0. Beyond: the share over the weight. */
+/* Within the guarantee: -1 (nothing used) to 0. Beyond it: the share over the weight. */
 double
 kq_quota_rank (const KqQuota *q, size_t team)
 {
@@ -107,15 +108,15 @@
 typedef struct
 {
   int64_t limit;
-  int64_t own;
-  int64_t others;
-  int64_t charged; /* here since the digests came */
-  int64_t wanted;
+  int64_t own;     /* used in this shard */
+  int64_t others;  /* used in the others */
+  int64_t charged; /* charged in this shard since the last digests */
+  int64_t wanted;  /* in this shard */
   int64_t others_wanted;
 } ResourceLimit;
 
-/* How much of its part of the room under a limit a shard uses until the next digests; see
- * quota.h. */
+/* The fraction of its part of the room under a limit that a shard may use until the next
+ * digests; see quota.h. */
 #define PART_PER_ROUND 0.5
 
 /* Whether the team may be charged with `more` of the resource. */
--- a/src/job/remedy.c
+++ b/src/job/remedy.c
@@ -1,16 +1,18 @@
 #include "job/remedy.h"
 
-/* A remedy is sought for a service a quarter slower than undisturbed; one less than a
- * twelfth slower is calm. The noise of reports, about 5 percent, fits in between. */
+/* A remedy is sought for a service that is more than a quarter slower than undisturbed. A
+ * service that is less than a twelfth slower is calm. The noise of reports, about 5
+ * percent, fits between the two. */
 #define SLOWDOWN_HIGH 1.25
 #define SLOWDOWN_LOW 1.08
-#define REPORTS_MIN 2
-#define SMOOTHING 0.5
+#define REPORTS_MIN 2 /* reports about a service before its slowdown counts */
+#define SMOOTHING 0.5 /* weight of the newest report */
 #define CALM_TIME (30 * KQ_SEC)
-/* A task that started less than this ago isn't acted on: reports may be about the time
- * before it. */
+/* A task that started less than this time ago isn't throttled or moved: the reports may
+ * be about the time before its start. */
 #define SETTLE_TIME (20 * KQ_SEC)
-/* Added slowdown below which a remedy costs more than it gains. */
+/* A task that adds less slowdown isn't throttled or moved: the remedy would cost more
+ * than it gains. */
 #define HARM_MIN 0.02
 
 static const int throttle_steps_percent[] = { 100, 50, 25 };
@@ -53,8 +55,10 @@
          && now - job->assigned_at >= SETTLE_TIME;
 }
 
-/* The batch task that slows the victim most at its present throttle. With `movable`: of
- * those that may be moved, as if unthrottled. */
+/* The batch task to act on: the one that slows the victim most; NULL if none does
+ * notably. To throttle (`movable` false): at the tasks' present throttles, without tasks
+ * at the last step. To move (`movable` true): as if unthrottled, only tasks that may be
+ * moved. */
 static KqJob *
 worst_neighbour (const KqWorker *w, const KqJob *victim, const KqInterference *f,
                  bool movable, int64_t evictions_max, KqTime now)
--- a/src/job/workers.c
+++ b/src/job/workers.c
@@ -164,7 +164,8 @@
 }
 
 /* The renewal period is the same for all workers, so the new time usually belongs at the
- * end of the list; a few are due at once. */
+ * end of the list, which is searched from there. A worker that is due at once belongs at
+ * the front. */
 void
 kq_workers_schedule (KqWorkers *ws, KqWorker *w)
 {
--- a/src/job/workers.h
+++ b/src/job/workers.h
@@ -43,16 +43,16 @@
   KqName rack;
   KqHostState host;
   bool in_hosts; /* it is in the host list */
-  bool answered; /* has answered under this owner's epoch */
-  bool leaving;  /* reported by the worker itself */
+  bool answered; /* the worker has answered under this owner's epoch */
+  bool leaving;  /* the worker has reported that it is about to leave */
   KqWorkerRow row;
   KqSize capacity;     /* the worker's size */
   KqSize used;         /* charged for attempts of our jobs */
-  KqSize unknown_used; /* listed tasks of no job here */
+  KqSize unknown_used; /* size of the listed tasks that belong to no job of this shard */
   KqLease lease;
   KqHealth health;
   int task_limit;          /* set by health.c */
-  KqTime start_not_before; /* it refused a START: no other before then */
+  KqTime start_not_before; /* after a refused START: no other START before this time */
   uint16_t rack_index;
   uint16_t depot_index;
   bool urgent_only; /* kept free for urgent jobs */
@@ -62,17 +62,18 @@
   KqTime reserved_until;
   KqHistory history;
   KqTime remedy_at;  /* time of the last remedy; see remedy.c */
-  KqTime calm_since; /* no service was slow and no remedy chosen since */
+  KqTime calm_since; /* since then no service was slow and no remedy was applied */
   KqJob *jobs;
   int n_jobs;
-  uint64_t list_number; /* of task lists received */
+  uint64_t list_number; /* number of task lists received */
   KqAck *acks;
   size_t n_acks;
   KqFence *fences;
   size_t n_fences;
   struct KqWorker *next_due; /* links of the list of renewals */
   struct KqWorker *prev_due;
-  KqTime scheduled_at; /* its time in that list; 0: it isn't in it */
+  KqTime scheduled_at; /* time at which the worker is in the list of renewals; 0: it isn't
+                          in the list */
 } KqWorker;
 
 typedef struct
@@ -80,8 +81,9 @@
   KqWorker **all;
   uint32_t n;
   GHashTable *by_id;
-  KqFitTree room;        /* room of the workers that may start tasks */
-  KqFitTree urgent_room; /* the same, of those kept for urgent jobs */
+  KqFitTree room; /* room of the workers that may start tasks, except those kept for
+                     urgent jobs; negative for the others */
+  KqFitTree urgent_room; /* room of the workers that are kept for urgent jobs */
   KqWorker *first_due;   /* list of renewals by time */
   KqWorker *last_due;
 } KqWorkers;
@@ -91,23 +93,25 @@
 KqWorker *kq_workers_find (const KqWorkers *ws, KqWorkerId id);
 KqWorker *kq_workers_find_or_add (KqWorkers *ws,
                                   KqWorkerId id); /* creates it if necessary */
-/* Reserves room for the job, or ends that. A worker and a job have one reservation at
- * most. */
+/* Reserve room on the worker for the job until a time, or cancel the reservation. A
+ * worker has room reserved for at most one job, a job on at most one worker. */
 void kq_worker_reserve (KqWorker *w, KqJob *job, KqSize size, KqTime until);
 void kq_worker_cancel_reservation (KqWorker *w, KqJob *job);
 /* Free resources, whether or not the worker may start tasks. */
 KqSize kq_worker_free (const KqWorker *w);
+/* Whether the worker may be sent a START now: its lease is usable, its host is live, it
+ * isn't drained, leaving or held, and hasn't refused a START lately. */
 bool kq_worker_may_start (const KqWorker *w, const KqLeaseTimes *t, KqTime now);
-/* Updates the worker's room in the index. */
+/* Updates the worker's entries in `room` and `urgent_room`. */
 void kq_workers_refresh (KqWorkers *ws, KqWorker *w, const KqLeaseTimes *t, KqTime now);
-/* Charges the job's attempt to the worker, or ends that. */
+/* Add the job to the worker's jobs and charge its attempt to the worker, or undo both. */
 void kq_worker_add_job (KqWorker *w, KqJob *job);
 void kq_worker_remove_job (KqWorker *w, KqJob *job);
-/* Adds or removes the fence of an attempt. */
+/* Add or remove the fence of an attempt. */
 void kq_worker_add_fence (KqWorker *w, KqTaskKey task, KqSeq seq);
 void kq_worker_remove_fence (KqWorker *w, KqTaskKey task);
-/* Moves the worker in the list of renewals to its lease.next_call_at; O(1) for the
- * latest. */
+/* Moves the worker in the list of renewals to the place of its lease.next_call_at. O(1)
+ * if that is the latest time of the list. */
 void kq_workers_schedule (KqWorkers *ws, KqWorker *w);
 
 #endif
