--- a/src/job/health.c
+++ b/src/job/health.c
@@ -5,9 +5,9 @@
 
 /* Fraction of all tasks that fail on a bad worker. */
 #define BAD_WORKER_FAILURE_RATE 0.9
-/* A likelihood ratio of 150 to 1. From 0 it takes two failures in a row of a class that
- * fails 1 in 50, and nine of one that fails every other time; FAILED_JOBS_TO_HOLD
- * applies, too. */
+/* Log of a likelihood ratio of 150 to 1. From evidence 0 it is reached by two failures in
+ * a row of a class of which 1 task in 50 fails, or by nine of a class of which every
+ * other task fails. FAILED_JOBS_TO_HOLD jobs must have failed as well. */
 #define EVIDENCE_TO_HOLD 5.0
 /* Bounds how long earlier successes hide that a worker has become bad. */
 #define EVIDENCE_MIN (-3.0)
--- a/src/job/jobs.c
+++ b/src/job/jobs.c
@@ -110,8 +110,8 @@
   return code;
 }
 
-/* After a takeover every worker starts in state UNKNOWN; a lease that the predecessor
- * granted may still be live. */
+/* After a takeover the lease of every worker starts in state UNKNOWN, because a lease
+ * that the predecessor granted may still be live. */
 KqSeq
 kq_jobs_recovered (KqJobs *j, uint64_t epoch, KqTime now, KqOutbox *out)
 {
@@ -122,7 +122,7 @@
   j->store_ok = j->renewing = true;
   j->store_lost_at = now;
   j->dirty = true;
-  /* A random delay spreads the shards' records over time. */
+  /* A random delay, so that the shards don't all append their learned records at once. */
   j->next_learned_record
       = now + 60 * KQ_SEC + (KqTime)kq_rand_below (&j->rand, 540 * KQ_SEC);
   for (uint32_t i = 0; i < j->workers.n; i++)
@@ -145,7 +145,8 @@
   add (arg, &r);
 }
 
-/* Ended jobs come first, in the order of their ends, in which they are freed later. */
+/* Ended jobs come first, in the order of their ends, because that is the order in which
+ * the ring frees them later. */
 void
 kq_jobs_snapshot (const KqJobs *j, void (*add) (void *arg, const KqRecord *r), void *arg)
 {
@@ -155,7 +156,7 @@
   uint64_t n = j->set.n_ended;
   kq_buf_init (&b);
   for (uint64_t i = n > KQ_JOB_ENDED_MAX ? n - KQ_JOB_ENDED_MAX : 0; i < n; i++)
-    if (j->set.ended[i % KQ_JOB_ENDED_MAX] != NULL) /* NULL: moved back here */
+    if (j->set.ended[i % KQ_JOB_ENDED_MAX] != NULL) /* NULL: the job moved back */
       add_full_state (j->set.ended[i % KQ_JOB_ENDED_MAX], add, arg, &b);
   g_hash_table_iter_init (&it, j->set.by_id);
   while (g_hash_table_iter_next (&it, NULL, &value))
@@ -170,7 +171,8 @@
   kq_buf_free (&b);
 }
 
-/* Computes the job's declared size again, after its class's row may have changed. */
+/* Computes the queued job's declared size again, because its class's row may have
+ * changed. */
 static void
 update_declared_size (KqJobs *j, KqJob *job, KqTime now)
 {
@@ -289,7 +291,7 @@
   return j->send_after;
 }
 
-/* The sum is the fleet's size, of which the quotas compute shares. */
+/* Quotas compute shares of the fleet's size: the sum over all shards. */
 void
 kq_jobs_sum_workers (KqJobs *j)
 {
--- a/src/job/jobs_call.c
+++ b/src/job/jobs_call.c
@@ -2,17 +2,20 @@
 
 #include <stdlib.h>
 
-/* Jobs in one list. The answer must fit into one frame; a job takes about 600 bytes. */
+/* Most jobs in one answer to a list call. The answer must fit into one frame; a job takes
+ * about 600 bytes. */
 #define LIST_MAX 1000
-/* If at most so many jobs are queued, a new one is scheduled at once, so that its
- * ACCEPTED and ASSIGNED records share a commit; otherwise it waits for the next tick. */
+/* If at most this many jobs are queued, a new job is scheduled at once, so that its
+ * ACCEPTED and ASSIGNED records share a commit; otherwise the job waits for the next
+ * tick. */
 #define IMMEDIATE_START_QUEUE_MAX 16
 
-/* New jobs are refused while the journal lags behind by more. The store counts as
- * unreachable only after seconds without an answer; jobs accepted until then would wait
- * for their commit, and their callers for an answer that may never come, although they
- * could be told at once that the job isn't run. The bound is twice what a group commit
- * takes if the store answers in 100 ms, including the wait for the commit rate limit. */
+/* New jobs are refused while the journal's commits lag behind by more than this. The
+ * store counts as unreachable only after seconds without an answer; jobs accepted until
+ * then would wait for their commit, and their callers for an answer that may never come,
+ * although they could be told at once that the job isn't run. The bound is twice what a
+ * group commit takes if the store answers in 100 ms, including the wait for the commit
+ * rate limit. */
 #define JOURNAL_LAG_MAX KQ_SEC
 
 static bool
@@ -23,7 +26,8 @@
          && s->priority <= KQ_PRIORITY_URGENT && s->class_name.len > 0;
 }
 
-/* Whether a new job is accepted. Repeated submissions are found before. */
+/* Returns KQ_OK if the new job can be accepted, or why not. The caller has already
+ * handled repeated submissions. */
 static KqResult
 check_submission (const KqJobs *j, const KqMsgJobSubmit *m, KqTime now)
 {
@@ -89,7 +93,8 @@
 cancel_job (KqJobs *j, KqJob *job, KqTime now, KqOutbox *out)
 {
   kq_jobs_send_after (j, job->seq);
-  /* Not yet in the other shard: the caller has to try again. */
+  /* The move hasn't been confirmed, so either shard may have the job: the caller has to
+   * try again. */
   if (job->state == KQ_JOB_STATE_MOVING)
     return KQ_ERR_NO_OWNER;
   if (kq_job_ended (job))
@@ -139,8 +144,8 @@
   return json;
 }
 
-/* The job belongs to another shard now: this node passes the call on to that shard's
- * owner, which answers the asker. */
+/* Passes a call about a job that now belongs to another shard on to that shard's owner,
+ * which answers the asker. */
 static void
 forward_call (const KqJobs *j, const KqMsgJobCall *m, const KqJob *job, KqOutbox *out)
 {
--- a/src/job/jobs_change.c
+++ b/src/job/jobs_change.c
@@ -2,8 +2,9 @@
 
 #include <assert.h>
 
-/* Exponential backoff after failures. A job that fails because something it depends on is
- * unavailable is retried for a while, and a job that always fails costs little. */
+/* Bounds of the exponential backoff after a job's failures. With it, a job that fails
+ * because something it depends on is unavailable is retried over some minutes, and a job
+ * that always fails costs little. */
 #define BACKOFF_FIRST KQ_SEC
 #define BACKOFF_MAX (60 * KQ_SEC)
 
@@ -22,7 +23,8 @@
   job->command_at = now;
 }
 
-/* Removes the job from the queue or its worker, from sums and from its reservation. */
+/* Removes the job from the queue or from its worker, subtracts it from all sums, and
+ * cancels its reservation. */
 static void
 detach (KqJobs *j, KqJob *job, KqTime now)
 {
@@ -50,7 +52,8 @@
   kq_jobs_refresh_worker (j, w, now);
 }
 
-/* Puts the job into the queue or onto its worker, by its state. */
+/* Puts a QUEUED job into the queue or an ASSIGNED job onto its worker, and adds it to the
+ * sums. */
 static void
 attach (KqJobs *j, KqJob *job, KqTime now)
 {
@@ -77,7 +80,7 @@
   kq_jobs_refresh_worker (j, w, now);
 }
 
-/* Sets the fields of a new job that aren't recorded. */
+/* Sets those fields of a new job that aren't recorded in the journal. */
 static void
 init_new_job (KqJobs *j, KqJob *job, KqTime now)
 {
--- a/src/job/jobs_impl.h
+++ b/src/job/jobs_impl.h
@@ -56,7 +56,7 @@
   KqSpread spread;
   uint64_t place_rand_state; /* state of the random numbers of placement */
   uint32_t n_live;           /* workers in the host list that aren't GONE */
-  KqSize largest;            /* maximum over these workers, for each resource */
+  KqSize largest;            /* maximum over the live workers, for each resource */
   uint32_t n_reservations;   /* workers with room reserved for one job */
   uint32_t n_evicting;       /* jobs in phase EVICTING */
   KqTime next_reclaim;       /* earliest next eviction for a team's guarantee */
--- a/src/job/jobs_move.c
+++ b/src/job/jobs_move.c
@@ -3,29 +3,31 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Moves queued jobs that can't run in this shard to another shard of the region.
+/* Moves of queued jobs that can't run in this shard to another shard of the region.
  *
  * Without moves, jobs would wait for workers that may never return when a rack or all
  * workers of a shard are lost, or behind a full queue while another shard is idle.
  *
- * The steps are records: MOVING here, ARRIVED there, MOVED here. Each message is sent
- * only after its step is committed. The message JOB_MOVE is repeated until the other
- * shard confirms it, so that a lost message loses no job. From MOVING on the job isn't
- * started here, so that it never runs in both shards. The other shard never refuses a
- * job: a refusal that crossed a repeated JOB_MOVE could leave the job in both. */
+ * Each step of a move is a record: MOVING in this shard, ARRIVED in the other, MOVED in
+ * this one. The message about a step is sent only after its record is committed. The
+ * message JOB_MOVE is repeated until the other shard confirms it, so that a lost message
+ * loses no job. From MOVING on the job isn't started here, so that it never runs in both
+ * shards. The other shard never refuses a job: a refusal that crossed a repeated JOB_MOVE
+ * could leave the job in both. */
 
-/* Period of moves. Digests arrive twice a second. */
+/* Time between two rounds of moves. Digests arrive twice a second, so that each round has
+ * new ones. */
 #define MOVE_PERIOD KQ_SEC
-/* Moves begun in one period. More could all go to the shard that is the emptiest by the
- * last digests. */
+/* Most moves begun in one round. If there were more, all could go to the shard that is
+ * the emptiest by the last digests. */
 #define MOVE_BATCH 16
-/* Unplaceable jobs tried in one period. */
+/* Most unplaceable jobs for which another shard is sought in one round. */
 #define MOVE_UNPLACEABLE_BATCH 128
-/* Wait for room after which a job moves: the time of several digests, and longer than it
- * takes under normal load until ending tasks free enough room. */
+/* A job that has waited for room longer than this may move. In that time several digests
+ * arrive, and under normal load enough tasks end to free the room here. */
 #define MOVE_WAIT (5 * KQ_SEC)
-/* Moves of one job at most. Otherwise it could move for ever between shards none of which
- * has room for long. */
+/* Most moves of one job. Without a limit the job could move for ever between shards none
+ * of which has room for long. */
 #define MOVES_MAX 8
 
 void
@@ -48,10 +50,10 @@
     }
 }
 
-/* The shard with the shortest queue among those that can start the job now; if there is
- * none and `allow_waiting` is set, among those whose largest worker can hold it. NULL:
- * none. The job is added to the shard's digest, so that the moves of one period aren't
- * all directed there. */
+/* Chooses the shard with the shortest queue among those that can start the job now; if
+ * there is none and `allow_waiting` is set, among those whose largest worker can hold the
+ * job. NULL if there is none. Adds the job to the chosen shard's digest, so that the
+ * moves of one round aren't all directed there. */
 static KqShardDigest *
 choose_shard (KqJobs *j, const KqSize *need, bool allow_waiting)
 {
@@ -139,7 +141,8 @@
   return n;
 }
 
-/* Moves the oldest job of each list that has waited for room longer than MOVE_WAIT. */
+/* Of each team and priority, moves the oldest job if it has waited for room longer than
+ * MOVE_WAIT. Returns the number of moves begun. */
 static int
 move_waiting (KqJobs *j, int count_max, KqTime now)
 {
@@ -192,7 +195,7 @@
   if (!j->open || kq_job_event_unpack (&r, &e) != KQ_OK || e.job != m->job)
     return 0;
   job = kq_job_find (&j->set, m->job);
-  /* A repeated message: the job is here, or has moved on since. */
+  /* A repeated message: the job has arrived already, and may have moved on since. */
   if (job != NULL && job->moves >= e.full_state.moves)
     {
       send_moved (j, m, &e.full_state, job->seq, out);
--- a/src/job/jobs_policy.c
+++ b/src/job/jobs_policy.c
@@ -3,29 +3,33 @@
 #include <limits.h>
 #include <stdlib.h>
 
-/* Workers examined when room is made for a job. A shard normally has fewer, so that all
- * are examined. */
+/* Most workers examined when room is made for a job. A shard normally has fewer workers,
+ * so that all are examined. */
 #define ROOM_WORKERS_MAX 64
 /* Evicted tasks must have stopped within this time, or the reserved room is given up. */
 #define RESERVATION_TIME (10 * KQ_SEC)
-#define RESERVATIONS_MAX 16
-/* Time between evictions for a team's guarantee: one job at a time, so that a team whose
- * demand returns doesn't evict as many tasks as it has jobs queued at once. */
+#define RESERVATIONS_MAX 16 /* workers with reserved room at a time */
+/* Time between two jobs for which tasks are evicted because of a team's guarantee.
+ * Without it, a team whose demand returns would at once evict tasks for all its queued
+ * jobs. */
 #define RECLAIM_PERIOD (2 * KQ_SEC)
-/* Concurrent evictions while workers are evacuated. Bounds the network load of
+/* Most concurrent evictions while workers are evacuated. This bounds the network load of
  * checkpoints, and lets tasks restart elsewhere before more are evicted. */
 #define EVACUATING_MAX 8
-/* With fewer workers none is kept for urgent jobs, which then rely on evictions alone:
- * one worker would be too large a part of the shard, an eighth with 8 workers. */
+/* If a shard has fewer workers, none is kept for urgent jobs, which then rely on
+ * evictions alone: one worker would be too large a part of the shard, an eighth with 8
+ * workers. */
 #define URGENT_RESERVE_WORKERS_MIN 10
 /* Without a reservation a large job would wait for ever while small jobs fill all room
- * that becomes free. After OVERTAKEN_TIME a worker is reserved, which starts nothing else
- * until the job fits; one such job per shard at a time. After LARGE_JOB_RESERVATION_TIME
- * the tasks there are unlikely to end soon, and another job or worker is tried. */
+ * that becomes free. When the job has waited for OVERTAKEN_TIME, a worker is reserved for
+ * it, which starts nothing in the reserved room until the job fits; only one job per
+ * shard has such a reservation at a time. After LARGE_JOB_RESERVATION_TIME the tasks on
+ * the worker are unlikely to end soon: the reservation ends, and another job or worker is
+ * tried. */
 #define OVERTAKEN_TIME (60 * KQ_SEC)
 #define LARGE_JOB_RESERVATION_TIME (600 * KQ_SEC)
-/* Period of recording what was learned. 16 classes of 1 KB in 64 shards every ten minutes
- * are less than 2 KB/s for the whole fleet. */
+/* Period of recording learned sizes and interference. With 16 classes of 1 KB in each of
+ * 64 shards, the records take less than 2 KB/s for the whole fleet. */
 #define LEARNED_PERIOD (600 * KQ_SEC)
 /* How long a job that a remedy moved isn't placed on the same worker again. */
 #define AVOID_TIME (600 * KQ_SEC)
@@ -43,7 +47,8 @@
         = j->interference.low_prior[job->class_index] = true;
 }
 
-/* Charges memory used beyond the task's size to the worker and to the team's quota. */
+/* Charges memory that the task uses beyond its size to the worker and to the team's
+ * quota. */
 static void
 charge_growth (KqJobs *j, KqWorker *w, KqJob *job, const KqUsageReport *u)
 {
@@ -157,8 +162,9 @@
   kq_jobs_refresh_worker (j, w, now);
 }
 
-/* The worker with the cheapest plan, among up to ROOM_WORKERS_MAX from a random one on.
- * NULL: none can make room. */
+/* Finds the worker on which room for `need` can be made by the cheapest evictions, and
+ * writes these to `best`. Examines ROOM_WORKERS_MAX workers, from a random one on. NULL:
+ * none of them can make room. */
 static KqWorker *
 plan_room (KqJobs *j, const KqSize *need, const KqEvictRule *rule, KqTime now,
            KqEviction *best)
@@ -214,7 +220,8 @@
   return true;
 }
 
-/* Whether the job has waited long while its team started a younger, smaller one. */
+/* Whether the job has waited longer than OVERTAKEN_TIME, and the job that its team
+ * started last is younger and smaller. */
 static bool
 was_overtaken (const KqJobs *j, const KqJob *job, const KqSize *need, KqTime now)
 {
@@ -229,7 +236,8 @@
   return need > 0 ? (double)room / (double)need : 1;
 }
 
-/* The part of `need` for which there is room, by the scarcest resource; at most 1. */
+/* The fraction of `need` for which the worker has room, in the scarcest resource; at most
+ * 1. */
 static double
 fit_fraction (const KqWorker *w, const KqSize *need)
 {
@@ -276,8 +284,8 @@
          && w->lease.state == KQ_LEASE_LIVE;
 }
 
-/* Services first, then by priority, then by age, so that the most important tasks restart
- * first. */
+/* The order in which a worker's jobs are evicted: services first, then by priority, then
+ * by age, so that the most important tasks restart first. */
 static bool
 evacuates_before (const KqJob *a, const KqJob *b)
 {
@@ -315,8 +323,9 @@
     }
 }
 
-/* Keeps the part of the workers that the policy sets. They are chosen by a hash of their
- * ids, so that a new owner of the shard chooses the same ones. */
+/* Keeps the policy's urgent_percent of the workers for urgent jobs. The workers are
+ * chosen by a hash of their ids, so that a new owner of the shard chooses the same ones.
+ */
 void
 kq_jobs_select_urgent_workers (KqJobs *j, KqTime now)
 {
--- a/src/job/jobs_reply.c
+++ b/src/job/jobs_reply.c
@@ -4,16 +4,17 @@
 
 #include <stdlib.h>
 
-/* Time without further starts on a worker that refused one. The reason becomes known with
- * the worker's next list; until then other starts would be refused as well. */
+/* Time without further starts on a worker that refused a START. The worker's next list
+ * shows the reason; until then other starts would be refused as well. */
 #define START_REFUSED_PAUSE (4 * KQ_SEC)
-/* A STOP without an answer is repeated when a list arrives after at least this time. */
+/* A STOP without an answer is repeated when a list of the worker's tasks arrives at least
+ * this long after it. */
 #define STOP_RETRY_TIME (2 * KQ_SEC)
-/* Failures attributed to workers count against the job once there are this many times
- * attempts_max of them. */
+/* A job's failures are excused while the worker is taken to be the cause, but at most
+ * this many times attempts_max of them; further ones count as failures of the job. */
 #define EXCUSED_MAX_FACTOR 2
 
-/* The job, if the key names its current attempt on this worker; otherwise NULL. */
+/* The job whose current attempt, on this worker, the key names; NULL if there is none. */
 static KqJob *
 current_attempt (const KqJobs *j, const KqWorker *w, KqTaskKey key)
 {
@@ -31,7 +32,7 @@
   uint32_t attempts_max = (uint32_t)row.attempts_max;
   bool blame;
   kq_jobs_record_outcome (j, job->assigned_worker, job, true, now);
-  /* A limited number of failures on bad workers doesn't use up the job's attempts. */
+  /* Failures on bad workers don't use up the job's attempts, up to a limit. */
   blame = kq_health_blames_job (&job->assigned_worker->health)
           || job->excused >= EXCUSED_MAX_FACTOR * attempts_max;
   if (job->cancel_wanted)
@@ -108,13 +109,14 @@
       handle_running_task (j, job, now, out);
       return;
     }
-  /* A closed attempt, or a job that this shard doesn't have: a later attempt may be
-   * running elsewhere, so this task must stop. */
+  /* The task belongs to an attempt that has been closed, or to a job that this shard
+   * doesn't have. A later attempt may be running elsewhere, so the task must stop. */
   w->unknown_used = kq_size_add (w->unknown_used, t->size);
   kq_jobs_send_command (j, KQ_WORKER_STOP, w, t->task, out);
 }
 
-/* The worker's list, requested at `sent_at`, doesn't name the job's task. */
+/* Handles a job whose task isn't in the worker's list, which was requested at `sent_at`.
+ */
 static void
 reconcile_missing (KqJobs *j, KqWorker *w, KqJob *job, KqTime sent_at, KqTime now,
                    KqOutbox *out)
@@ -157,8 +159,8 @@
       return;
     }
   w->answered = true;
-  /* The second step of the handshake waits for the answers to the STOPs. Repeating the
-   * first at once would be a busy loop. */
+  /* The second call of the lease handshake waits until the worker has answered the STOPs
+   * of its fences. Repeating the first call at once would be a busy loop. */
   if (w->n_fences > 0 && w->lease.state == KQ_LEASE_ASKED)
     w->lease.next_call_at = now + STOP_RETRY_TIME / 4;
   w->leaving = r->leaving;
@@ -206,7 +208,7 @@
       kq_jobs_attempt_stopped (j, job, KQ_RETRY_NOT_RUN, NULL, now);
       break;
     case KQ_ERR_OLD_EPOCH:
-      break; /* the shard has a new owner; this one's next commit will fail */
+      break; /* the shard has a new owner: this node's next commit will fail */
     default:
       if (job->phase == KQ_JOB_PHASE_STARTING)
         job->phase = KQ_JOB_PHASE_UNKNOWN;
--- a/src/job/jobs_tick.c
+++ b/src/job/jobs_tick.c
@@ -4,18 +4,18 @@
 
 #include <stdlib.h>
 
-/* Leases renewed in one tick. A node has fewer than 100 workers at the intended load;
- * larger batches would fill the socket buffers in bursts. */
+/* Most leases renewed in one tick. A node has fewer than 100 workers at the intended
+ * load; larger batches would fill the socket buffers in bursts. */
 #define RENEW_BATCH 64
-/* Starts in one tick, and jobs tried for them. The rest follows in the next tick, so that
- * a long queue doesn't delay renewals and answers. */
+/* Most jobs started in one tick, and most jobs tried in one scheduling round. The rest
+ * follows in the next tick, so that a long queue doesn't delay renewals and answers. */
 #define STARTS_MAX 64
 #define TRIES_MAX 4096
 /* Period of scan_workers. */
 #define SCAN_PERIOD (250 * KQ_MS)
-/* Sizes for which no worker had room, remembered during one scheduling round. */
+/* Most sizes without room that are remembered during one scheduling round. */
 #define NO_ROOM_SIZES_MAX 8
-/* Unplaceable jobs checked in one scan. */
+/* Most unplaceable jobs checked in one scan. */
 #define UNPLACEABLE_BATCH 64
 
 void
@@ -42,8 +42,8 @@
   KqWorkerCall call = new_call (j, kind, w);
   const KqJob *job = kq_job_find (&j->set, task.job);
   call.task = task;
-  /* Names the lease on which the command relies, so that the worker refuses a START that
-   * arrives after this lease has ended. */
+  /* The stamp names the lease on which the command relies, so that the worker refuses a
+   * START that arrives after this lease has ended. */
   call.echo_stamp = w->lease.stamp;
   if (job != NULL && job->attempt == task.attempt)
     {
@@ -74,9 +74,9 @@
                         (KqTaskKey){ job->id, job->attempt }, out);
 }
 
-/* Collects the acknowledgements whose records are committed; the others wait for the next
- * call. An end that is acknowledged before its commit would be lost if this process
- * died. */
+/* Writes the tasks whose ends are committed to `keys`, for the next LEASE call to
+ * acknowledge; the others wait for a later call. The end of a task that is acknowledged
+ * before its commit would be lost if this process died. Returns the number of tasks. */
 static size_t
 collect_committed_acks (const KqJobs *j, const KqWorker *w, KqTaskKey *keys)
 {
@@ -153,7 +153,8 @@
     }
 }
 
-/* An unplaceable job may become placeable as the sizes of its class are learned. */
+/* Checks unplaceable jobs again: a job may become placeable as the size of its class is
+ * learned. */
 static void
 check_unplaceable (KqJobs *j, KqTime now)
 {
@@ -181,7 +182,7 @@
       kq_jobs_refresh_worker (j, w, now);
     }
   check_unplaceable (j, now);
-  kq_jobs_account (j); /* asserts that every accepted job is counted */
+  kq_jobs_account (j); /* for its assertion that every accepted job is counted */
   /* A job that was held back because it would disturb a service may start once its
    * interference has been learned anew. */
   j->dirty = true;
@@ -239,7 +240,8 @@
   return false;
 }
 
-/* Starts a job for which room is reserved, once enough tasks there have stopped. */
+/* Starts a job for which room is reserved, if enough tasks on that worker have stopped.
+ * Returns whether the job was started. */
 static bool
 start_reserved (SchedulingRound *r, KqJob *job)
 {
@@ -309,8 +311,9 @@
   return true;
 }
 
-/* The team whose turn it is, among those with jobs left to try in this round; SIZE_MAX:
- * none. */
+/* The team whose job is tried next: of the teams with jobs left to try in this round, the
+ * first by quota, or without quotas the one with the oldest job. SIZE_MAX: none is left.
+ */
 static size_t
 next_team (const KqJobs *j)
 {
@@ -369,9 +372,9 @@
   return max - r.starts_left;
 }
 
-/* While the store is unreachable, leases are renewed for limits.blind_ms and no longer.
- * A successor relies on that bound for workers that it can't reach: once it has passed,
- * it starts their tasks again. */
+/* While the store is unreachable, leases are renewed for limits.blind_ms and no longer. A
+ * successor relies on that bound for workers that it can't reach: once the bound and the
+ * lease time have passed, the successor starts the tasks of these workers again. */
 static void
 update_store_state (KqJobs *j, bool store_ok, KqTime now)
 {
@@ -388,8 +391,9 @@
   if (!j->open)
     return 0;
   update_store_state (j, store_ok, now);
-  /* Renewals are sent by a tick of their own, which returns 0. Behind starts that wait
-   * for a slow store they would be sent too late, and all leases would lapse. */
+  /* A tick that sends renewals does nothing else and returns 0, so that they are sent at
+   * once. Held back together with starts that wait for a slow store, they would be sent
+   * too late, and all leases would lapse. */
   if (j->renewing && renew_leases (j, now, out) > 0)
     return 0;
   if (now >= j->next_scan)
--- a/src/job/lease.h
+++ b/src/job/lease.h
@@ -67,8 +67,8 @@
 /* If the lease has certainly ended, sets its state to LAPSED and returns true; later
  * calls return false. */
 bool kq_lease_check_expired (KqLease *l, KqTime now);
-/* Whether a START may be sent now: the lease is certain to live for a third of the
- * renewal period more, the time that the START has to arrive. */
+/* Whether the lease is certain to live for at least a third of the renewal period more,
+ * so that a START sent now finds it alive. */
 bool kq_lease_usable (const KqLease *l, const KqLeaseTimes *t, KqTime now);
 
 #endif
--- a/src/steps/queues.c
+++ b/src/steps/queues.c
@@ -13,7 +13,7 @@
   free (t);
 }
 
-/* The Host header may contain a port, which is ignored. */
+/* Whether a queue's host matches a Host header, whose port is ignored. */
 static bool
 host_matches (KqStr configured, KqStr given)
 {
--- a/src/steps/queues.h
+++ b/src/steps/queues.h
@@ -3,8 +3,8 @@
 
 /* queues: one version of the operators' configuration of queues and services.
  *
- * A table isn't changed once it is built. Only a newer version replaces it, as a whole.
- */
+ * A KqQueueTable isn't changed once it is built; it is replaced as a whole by a newer
+ * version. */
 
 #include "base/str.h"
 
@@ -14,9 +14,9 @@
 {
   KqStr name;
   KqStr host;   /* value of the Host header; "" matches any */
-  KqStr prefix; /* of the path */
+  KqStr prefix; /* the path of a request must begin with this */
   KqStr service;
-  int32_t priority; /* this and the following as in KqSpec */
+  int32_t priority; /* priority, attempts, stretch_percent and slo_ms: as in KqSpec */
   int32_t attempts;
   int32_t stretch_percent;
   int32_t slo_ms;
@@ -37,13 +37,13 @@
   size_t n_queues;
   KqService *services;
   size_t n_services;
-  int64_t body_max; /* bytes of a request's body */
-  KqBuf bytes;      /* the strings point into it */
+  int64_t body_max; /* most bytes of a request's body */
+  KqBuf bytes;      /* holds the strings of queues and services */
 } KqQueueTable;
 
 void kq_queue_table_free (KqQueueTable *t);
-/* Returns the queue of that Host header value with the longest prefix of path; NULL:
- * none. */
+/* Of the queues whose host matches the Host header's value, returns the one whose prefix
+ * of the path is longest; NULL: none. */
 const KqQueue *kq_queue_find (const KqQueueTable *t, KqStr host, KqStr path);
 /* NULL: no queue has that name. */
 const KqQueue *kq_queue_by_name (const KqQueueTable *t, KqStr name);
--- a/src/steps/spec.c
+++ b/src/steps/spec.c
@@ -4,7 +4,7 @@
 
 #include <stdlib.h>
 
-/* First field of a stored job. */
+/* Version of the stored form; the first field of a stored job. */
 #define FORMAT_VERSION 1
 
 static const char *
@@ -225,7 +225,7 @@
   out->interval_ms = kq_read_i64 (&r);
   out->n_occurrences = (int32_t)kq_read_i64 (&r);
   read_steps (&r, out);
-  /* Jobs stored by a version without the advice service have no such field. */
+  /* Jobs stored by a program version without the advice service lack this field. */
   out->advised = r.left > 0 && kq_read_bool (&r);
   valid = valid && !r.bad && kq_spec_check (out, &why) == KQ_OK;
   kq_unpacked_close (&u);
--- a/src/steps/spec.h
+++ b/src/steps/spec.h
@@ -16,8 +16,8 @@
 #define KQ_SPEC_STEPS_MAX 256
 #define KQ_SPEC_TASKS_MAX 20000        /* over all steps of one occurrence */
 #define KQ_SPEC_TEXT_MAX 4000          /* bytes of the text passed to each task */
-#define KQ_SPEC_OCCURRENCES_MAX 100000 /* occurrences */
-#define KQ_SPEC_ID_MAX 40              /* bytes */
+#define KQ_SPEC_OCCURRENCES_MAX 100000 /* of a timed job */
+#define KQ_SPEC_ID_MAX 40              /* bytes of the job's id */
 
 typedef struct
 {
@@ -34,7 +34,7 @@
   bool speculative; /* a second run of a task may be started; the first to end counts */
   bool lasting;     /* runs until the job is cancelled; restarted however it ends */
   bool filling;     /* its cpu isn't reserved: it uses what others leave unused */
-  int32_t per_runner_max;  /* most tasks of the step on one runner; 0: any */
+  int32_t per_runner_max;  /* most tasks of the step on one runner; 0: no limit */
   int32_t max_unavailable; /* lasting: no task is stopped for maintenance while this many
                         are down; -1: no limit */
   int32_t target_ms;       /* serving: bound on the tail latency; 0: none */
@@ -56,13 +56,14 @@
   bool advised;            /* starts need a ticket of the advice service */
   int64_t accepted_ms;     /* Unix time */
   int64_t first_ms;        /* Unix time at which occurrence 0 is due */
-  int64_t interval_ms;
-  int32_t n_occurrences; /* number of occurrences; 0: one, due at acceptance */
+  int64_t interval_ms;     /* time between the due times of two occurrences */
+  int32_t n_occurrences;   /* number of occurrences; 0: one, due at acceptance */
   KqStep *steps;
   int32_t n_steps;
 } KqSpec;
 
-/* Returns KQ_OK, or KQ_ERR_JOB_BAD with *why set to a static text. */
+/* Checks a job. Returns KQ_OK with *why NULL, or KQ_ERR_JOB_BAD with *why set to a static
+ * text. */
 KqResult kq_spec_check (const KqSpec *s, const char **why);
 /* Returns the estimated duration of the longest chain of dependent steps, in ms. */
 int64_t kq_spec_critical_path_ms (const KqSpec *s);
@@ -72,10 +73,11 @@
 int32_t kq_spec_occurrences (const KqSpec *s); /* at least 1 */
 bool kq_spec_lasting (const KqSpec *s);        /* whether some step is lasting */
 
-/* Appends the stored form to out. */
+/* Appends the job's stored form to out. */
 void kq_spec_pack (const KqSpec *s, KqBuf *out);
-/* Decodes and checks a stored job. Strings point into `bytes`; the steps are allocated
- * and freed by kq_spec_clear. False: invalid, nothing to be freed. */
+/* Decodes and checks a stored job. The strings of `out` point into `bytes`; its steps are
+ * allocated, and the caller frees them with kq_spec_clear. Returns false if the job is
+ * invalid; then there is nothing to free. */
 bool kq_spec_unpack (KqStr bytes, KqSpec *out);
 void kq_spec_clear (KqSpec *s);
 
--- a/src/table/commit.c
+++ b/src/table/commit.c
@@ -7,9 +7,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Time limit of a change. After it the result is "unknown", not "failed": the
- * compare-and-swap may still take effect. Below the 5 s timeout of the operators'
- * interface, so that the operator gets "unknown" from the node that sent the swap. */
+/* Time limit of a change. When it has passed, the result is "unknown", not "failed": the
+ * compare-and-swap may still take effect. The limit is below the 5 s timeout of the
+ * operators' interface, so that the operator gets "unknown" from the node that sent the
+ * swap. */
 #define CHANGE_TIMEOUT (4 * KQ_SEC)
 #define RETRY_DELAY (200 * KQ_MS)
 /* Peers without a heartbeat for longer than this aren't sent changes. */
@@ -180,9 +181,9 @@
       = (c->base_bytes.len + KQ_BASE_PART_BYTES - 1) / KQ_BASE_PART_BYTES;
 }
 
-/* Prepares the head to be written. store_lost_writes: the store's head is older than the
- * table in force here, because the store has lost writes. Accepted changes must not be
- * undone, so the new head then refers to a base with the whole table of this node. */
+/* Prepares the new head. store_lost_writes: the store's head is older than the table in
+ * force here, because the store has lost writes. Accepted changes must not be undone, so
+ * in that case the new head refers to a base with the whole table of this node. */
 static void
 prepare_head (KqTableDist *d, bool store_lost_writes)
 {
@@ -228,8 +229,9 @@
     }
   reset_commit (c);
   c->next = kq_table_change (d->table, ours + 1, p->changes, p->n, &why, &which);
-  /* This node's table may be out of date, and another node may have written the row that
-   * the operator saw: read the head before refusing the change. */
+  /* The change doesn't apply to this node's table, but that may be out of date, and
+   * another node may have written the row that the operator saw: read the head before
+   * refusing the change. */
   if ((c->next == NULL || store_lost_writes) && !c->head_read)
     {
       read_head (d, KQ_COMMIT_READ, now, out);
@@ -276,7 +278,8 @@
   kq_buf_free (&b);
 }
 
-/* The compare-and-swap took effect, and the head hasn't changed since. */
+/* Finishes the change after its compare-and-swap took effect: puts the new table in
+ * force, sends the change to peers and deletes the obsolete base. */
 static void
 commit_succeeded (KqTableDist *d, uint64_t head_store_revision, KqTime now, KqOutbox *out)
 {
@@ -302,8 +305,8 @@
   finish_change (d, KQ_OK, revision, 0);
 }
 
-/* The head in the store isn't the expected one: other nodes have committed, either after
- * this commit took effect or instead of it. */
+/* Handles a head in the store that isn't the expected one: other nodes have committed,
+ * either after this commit took effect or instead of it. */
 static void
 handle_other_head (KqTableDist *d, KqStr value, uint64_t head_store_revision, KqTime now,
                    KqOutbox *out)
@@ -380,10 +383,10 @@
     }
 }
 
-/* After a lost answer. If the head is unchanged, the swap may still take effect later:
- * the same value is sent again with the same expected revision, so at most one of the two
- * takes effect. If the head has changed, its write ids show whether the swap took effect;
- * if not, it never will. */
+/* Handles the head that was read back after a lost answer. If the head is unchanged, the
+ * swap may still take effect later: the same value is sent again with the same expected
+ * revision, so at most one of the two takes effect. If the head has changed, its write
+ * ids show whether the swap took effect; if not, it never will. */
 static void
 handle_verify_reply (KqTableDist *d, const KqStoreReply *r, KqTime now, KqOutbox *out)
 {
@@ -451,7 +454,7 @@
     read_head (d, KQ_COMMIT_READ, now, out);
 }
 
-/* Repeats the call that failed. */
+/* Repeats the store call that failed; in state WAIT_TABLE, checks for the table again. */
 static void
 retry_call (KqTableDist *d, KqTime now, KqOutbox *out)
 {
@@ -482,7 +485,7 @@
   KqCommit *c = &d->commit;
   if (c->call != 0 && now >= c->call_deadline)
     {
-      /* Treated like a lost answer. */
+      /* A call without an answer in time is treated like a lost answer. */
       c->call = 0;
       c->retry_at = now;
       if (c->state == KQ_COMMIT_PUT)
--- a/src/table/dist.c
+++ b/src/table/dist.c
@@ -7,10 +7,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Duration of a watch: one store call a minute per node. Not shorter, since each answer
- * carries the head (a few KB) even if nothing has changed. If a watch fails to report a
- * change, peers do. */
+/* Duration of a watch, which makes one store call a minute per node. It isn't shorter
+ * since each answer carries the head (a few KB) even if nothing has changed. If a watch
+ * fails to report a change, peers do. */
 #define WATCH_WAIT (60 * KQ_SEC)
+/* Time limit of a list call, and of a watch's answer after the end of the watch. */
 #define WATCH_GRACE (5 * KQ_SEC)
 /* Wait after a failed list or watch; doubled at each failure, LIST_DOUBLINGS times at
  * most. */
@@ -19,13 +20,14 @@
 /* How long a peer of this region may have a higher revision before this node requests the
  * changes from it: by then this node's own watch should have reported them. */
 #define NEAR_LAG_WAIT (300 * KQ_MS)
-/* The same for a peer in another region: longer, and with a random part, so that one node
- * requests the change across the region link and the others get it from that node. */
+/* The same time for a peer in another region: FAR_LAG_WAIT plus a random part of
+ * FAR_LAG_SPREAD, so that one node requests the change across the region link and the
+ * others get it from that node. */
 #define FAR_LAG_WAIT (700 * KQ_MS)
 #define FAR_LAG_SPREAD (1500 * KQ_MS)
-/* Between two requests. */
+/* Time between two requests for missing changes. */
 #define REQUEST_INTERVAL (1 * KQ_SEC)
-/* The entry of a peer without a heartbeat for longer may be reused. */
+/* If a peer has sent no heartbeat for longer than this, its entry may be reused. */
 #define PEER_REUSE_AFTER (60 * KQ_SEC)
 
 KqTableDist *
@@ -86,7 +88,7 @@
 void
 kq_dist_set_table (KqTableDist *d, KqTable *table, bool from_peer)
 {
-  /* Invariant of this module: the revision in force never decreases. */
+  /* Invariant of this module: each new table in force has a higher revision. */
   assert (d->table == NULL || kq_table_revision (table) > kq_table_revision (d->table));
   kq_table_unref (d->table);
   d->table = table;
@@ -146,7 +148,8 @@
   read_part (d, now, out);
 }
 
-/* Brings the table up to the last head that was read. */
+/* Brings the table up to the revision of the last head that was read: applies the head's
+ * tail, or starts to read the base if the tail doesn't reach back to the table. */
 static void
 update_table_to_head (KqTableDist *d, KqTime now, KqOutbox *out)
 {
@@ -195,7 +198,7 @@
   d->load_call = 0;
   d->loading = false;
   d->next_load_at = now + LIST_WAIT;
-  d->watch_revision = 0; /* the base may be deleted: read the head again */
+  d->watch_revision = 0; /* the base may have been deleted: read the head again */
 }
 
 static void
@@ -312,7 +315,8 @@
   kq_table_dist_tick (d, now, out);
 }
 
-/* The entry of the peer; if it has none, one that may be reused, or a new one. */
+/* Returns the entry of the peer; if there is none, an entry that may be reused, or else a
+ * new one. */
 static KqTablePeer *
 find_peer_entry (KqTableDist *d, KqNodeId id, KqTime now)
 {
--- a/src/table/dist_state.h
+++ b/src/table/dist_state.h
@@ -17,7 +17,7 @@
 {
   KqNodeId id;
   bool far;
-  KqTime heard_at;
+  KqTime heard_at; /* time of the last heartbeat */
 } KqTablePeer;
 
 typedef enum
@@ -45,17 +45,18 @@
 {
   KqCommitState state;
   bool head_read;   /* the head was read since this change was started */
-  uint64_t id;      /* random; the new head lists it, which shows that it was written */
-  KqTableHead head; /* to be written */
-  uint64_t expect;  /* the store's revision of the head on which this one is based. Not
+  uint64_t id;      /* random write id; a head in the store that lists it shows that this
+                       commit took effect */
+  KqTableHead head; /* the new head, to be written */
+  uint64_t expect;  /* the store's revision of the head that the new head replaces. Not
                        d->head_store_revision: a watch may raise that while an answer is
                        awaited, and a swap against it would undo the changes in between */
   KqTableBase obsolete_base; /* unused once the new head is written */
-  KqTable *next;
-  bool rebase; /* the head refers to a new base */
-  KqBuf base_bytes;
-  size_t part;
-  uint64_t call; /* in flight; 0: none */
+  KqTable *next;             /* the table with the change */
+  bool rebase;               /* the new head refers to a new base */
+  KqBuf base_bytes;          /* the new base, packed */
+  size_t part;               /* next part of the new base to write */
+  uint64_t call;             /* token of the store call in flight; 0: none */
   KqTime call_deadline;
   KqTime retry_at;
 } KqCommit;
@@ -64,12 +65,12 @@
 {
   KqNodeId self;
   KqRand rand;
-  uint64_t token;
+  uint64_t token; /* of the last store call */
   /* The table in force at this node. */
   KqTable *table;
-  bool changed;
-  bool from_peer;
-  KqTableTail recent; /* the changes that led to it, for peers that lack them */
+  bool changed;       /* since kq_table_dist_take_changed */
+  bool from_peer;     /* it came from a peer, and the store hasn't confirmed it yet */
+  KqTableTail recent; /* the last changes of the table, for peers that lack them */
   /* The head in the store as last read. */
   KqTableHead head;
   bool head_known;
@@ -78,7 +79,7 @@
   KqTime watch_deadline;
   KqTime next_watch_at;
   uint64_t watch_revision; /* the store's revision to watch from; 0: list first */
-  int watch_failures;
+  int watch_failures;      /* failed lists and watches in a row, at most LIST_DOUBLINGS */
   /* The base being read. */
   uint64_t load_call;
   KqTime load_deadline;
@@ -91,10 +92,10 @@
   KqTablePeer *peers;
   size_t n_peers;
   size_t peers_capacity;
-  KqTime lag_since; /* since when a peer has had a higher revision; 0: none */
-  KqTime far_lag_wait;
-  KqNodeId lag_peer; /* a peer with a higher revision, of this region if there is one */
-  bool lag_peer_far;
+  KqTime lag_since;    /* since when a peer has had a higher revision; 0: none */
+  KqTime far_lag_wait; /* wait before requesting changes from a peer of another region */
+  KqNodeId lag_peer;   /* a peer with a higher revision, of this region if there is one */
+  bool lag_peer_far;   /* lag_peer is in another region */
   KqTime next_request_at;
   /* Changes. */
   KqPendingChange *pending;
@@ -104,18 +105,20 @@
   size_t results_capacity;
 };
 
-/* Stores a head read from the store, and brings the table up to it. False if the head is
- * damaged. */
+/* Keeps a head that was read from the store as the current one, and brings the table up
+ * to its revision, at once or by reading the base. False if the head is damaged. */
 bool kq_dist_apply_head (KqTableDist *d, KqStr value, uint64_t head_store_revision,
                          KqTime now, KqOutbox *out);
-/* Puts a table of a higher revision in force. Takes ownership of the reference. */
+/* Puts a table of a higher revision in force. Takes over the caller's reference. */
 void kq_dist_set_table (KqTableDist *d, KqTable *table, bool from_peer);
 /* The revision of the table in force, 0 if there is none. kq_table_dist_revision is the
  * same for other modules. */
 uint64_t kq_dist_revision (const KqTableDist *d);
 
+/* Starts the next pending change, and repeats or gives up calls that are due. */
 void kq_commit_tick (KqTableDist *d, KqTime now, KqOutbox *out);
-/* False if the reply isn't for the commit's call. */
+/* Handles the reply to the commit's store call; returns false if the reply is to another
+ * call. */
 bool kq_commit_reply (KqTableDist *d, const KqStoreReply *r, KqTime now, KqOutbox *out);
 void kq_commit_free (KqTableDist *d);
 
--- a/src/table/head.c
+++ b/src/table/head.c
@@ -215,7 +215,8 @@
   kq_digest_end (out, at);
 }
 
-/* Checks the invariants between the members of a head. */
+/* Whether the members of a head are consistent: the tail ends at the head's revision and
+ * reaches back to the base. */
 static bool
 head_consistent (const KqTableHead *h)
 {
--- a/src/table/row.c
+++ b/src/table/row.c
@@ -110,7 +110,8 @@
   return set_fault (fault, code, kq_str (f->name), allowed);
 }
 
-/* Whether `low` is within `high`, where a member of 0 means no limit. */
+/* Whether `low` is at most `high` in every resource; a resource of 0 in `high` means no
+ * limit. */
 static bool
 within_limits (const KqSize *low, const KqSize *high)
 {
@@ -181,7 +182,7 @@
   return field_fault (fault, KQ_ERR_TABLE_RANGE, f);
 }
 
-/* Returns 1, 0, or -1 if the text is neither. */
+/* Returns 1 for "true", 0 for "false", and -1 for any other text. */
 static int
 parse_bool (KqStr s)
 {
@@ -234,8 +235,8 @@
   return field_fault (fault, KQ_ERR_TABLE_TYPE, f);
 }
 
-/* Accepts the members that kq_row_to_json adds to the fields, so that its object can be
- * written back. */
+/* Checks a member that isn't a field of the row. Those that kq_row_to_json adds to the
+ * fields are accepted, so that its object can be written back. */
 static KqResult
 check_meta_member (const KqRow *row, KqStr key, const json_t *v, KqRowFault *fault)
 {
--- a/src/table/table.c
+++ b/src/table/table.c
@@ -9,8 +9,8 @@
 /* Version of the packed table: a digest, then [version, revision, [row...]]. */
 #define PACK_VERSION 1
 
-/* Rows are unique and sorted by kind and name; their revisions are at most the table's.
- * Immutable once created. */
+/* The rows are unique and sorted by kind and name, and their revisions are at most the
+ * table's. A table isn't changed once it has been returned to a caller. */
 struct KqTable
 {
   int refs;
@@ -84,7 +84,8 @@
   return kq_str_cmp (name, kq_name_str (&row->name));
 }
 
-/* The index of the row, or the index at which it would be inserted. */
+/* Returns the index of the row, or the index at which it would be inserted (*found is
+ * false). */
 static size_t
 find_index (const KqTable *t, KqRowKind kind, KqStr name, bool *found)
 {
@@ -168,7 +169,7 @@
   KqResult r = check_expected (c, found ? &t->rows[at] : NULL);
   if (r != KQ_OK)
     return r;
-  /* The row occurs twice in the change: it isn't known which one is meant. */
+  /* The row occurs twice in the change: it isn't known which of the two is meant. */
   if (found && t->rows[at].revision == t->revision)
     return KQ_ERR_TABLE_CONFLICT;
   if (c->remove)
--- a/src/table/table.h
+++ b/src/table/table.h
@@ -28,16 +28,17 @@
 typedef struct
 {
   int64_t weight;         /* share of slots against other services; 1-1000 */
-  int64_t deadline_ms;    /* of a request that names none */
-  int64_t queue_max;      /* requests waiting per owner */
-  int64_t in_flight_max;  /* sent to runners per owner; 0: only slots limit */
+  int64_t deadline_ms;    /* deadline of a request that names none */
+  int64_t queue_max;      /* most requests waiting at one owner */
+  int64_t in_flight_max;  /* most requests of one owner at runners; 0: only slots limit */
   int64_t caller_percent; /* most of the queue one caller may fill */
   int64_t short_percent;  /* slots kept free of long requests */
   int64_t retry_percent;  /* retries in percent of first tries */
   int64_t claim_ttl_s;    /* how long an idempotency key is remembered */
   int64_t silent_ms;      /* a response without a byte for so long counts as lost */
   int64_t body_max_mb;
-  bool non_idempotent; /* of every method, not only POST and PATCH */
+  bool non_idempotent; /* requests of every method aren't idempotent, not only POST and
+                          PATCH */
   bool far;            /* requests may be sent to another region */
   KqName home;         /* region of its claims; "": the first one of the settings */
   /* Safeguards; each can be disabled, to compare the results. */
@@ -52,8 +53,8 @@
 
 typedef struct
 {
-  KqSize size;           /* of a job that declares none */
-  int64_t run_ms;        /* expected; 0: unknown */
+  KqSize size;           /* size of a job that declares none */
+  int64_t run_ms;        /* expected run time; 0: unknown */
   int64_t checkpoint_ms; /* how often tasks of the class checkpoint; 0: never */
   int64_t attempts_max;  /* failures before the job fails */
   bool latency_critical;
@@ -89,7 +90,7 @@
 typedef struct
 {
   int64_t urgent_percent; /* capacity reserved for urgent jobs */
-  int64_t evictions_max;  /* of one job */
+  int64_t evictions_max;  /* most evictions of one job */
   int64_t held_percent;   /* most workers that may be excluded as bad at a time */
   bool learned_sizes;
   bool interference;
@@ -104,7 +105,7 @@
 {
   KqRowKind kind;
   KqName name;
-  uint64_t revision; /* of the table in which the row last changed */
+  uint64_t revision; /* revision of the table in which the row last changed */
   union
   {
     KqServiceRow service;
@@ -163,7 +164,8 @@
 /* Sets the fields of *row that the JSON object names; if all are valid, checks the row.
  * Returns the number of errors; the first `max` of them are written to `faults`. */
 int kq_row_set (KqRow *row, const json_t *fields, KqRowFault *faults, int max);
-/* The same for one field given as text (command line, CSV). */
+/* Sets one field from its value as text (command line, CSV). Returns KQ_OK, or the result
+ * that is also set in *fault; doesn't check the row. */
 KqResult kq_row_set_text (KqRow *row, KqStr field, KqStr value, KqRowFault *fault);
 /* Checks the row's name, the range of every field, and the consistency between fields.
  * Returns false and sets *fault at the first error. */
@@ -173,20 +175,20 @@
  * "has_token", so that the object may be written back. */
 json_t *kq_row_to_json (const KqRow *row, bool secrets);
 
-/* Upper bound of the number of rows: the packed table must fit into a few values of
- * the store. */
+/* Most rows of a table: the packed table must fit into a few values of the store. */
 #define KQ_TABLE_ROWS_MAX 10000
 
 KqTable *kq_table_new (uint64_t revision); /* empty; the caller holds one reference */
 KqTable *kq_table_ref (KqTable *t);
 void kq_table_unref (KqTable *t);
 uint64_t kq_table_revision (const KqTable *t);
-/* NULL if there is no such row. O(log rows). */
+/* Returns the row, which lives as long as the table; NULL if there is no such row.
+ * O(log rows). */
 const KqRow *kq_table_find (const KqTable *t, KqRowKind kind, KqStr name);
-/* The policy row, or the defaults. */
+/* The policy row, or the defaults if the table has none. */
 const KqPolicyRow *kq_table_policy (const KqTable *t);
-/* Rows sorted by kind and name. */
-size_t kq_table_size (const KqTable *t);
+size_t kq_table_size (const KqTable *t); /* number of rows */
+/* The i-th row, in order of kind and name. */
 const KqRow *kq_table_row (const KqTable *t, size_t i);
 
 /* The change of one row. All changes of one call take effect, or none. */
