--- a/src/job/jobs.c
+++ b/src/job/jobs.c
@@ -128,7 +128,7 @@
   for (uint32_t i = 0; i < j->workers.n; i++)
     {
       KqWorker *w = j->workers.all[i];
-      kq_lease_init (&w->lease, &j->times, now);
+      kq_lease_set_unknown (&w->lease, &j->times, now);
       kq_workers_schedule (&j->workers, w);
       for (KqJob *job = w->jobs; job != NULL; job = job->next_on_worker)
         job->command_at = now;
@@ -261,7 +261,7 @@
     w->capacity = h->capacity;
   if (j->open && ((is_new && w->lease.next_call_at == 0) || returned))
     {
-      kq_lease_init (&w->lease, &j->times, now);
+      kq_lease_set_unknown (&w->lease, &j->times, now);
       kq_workers_schedule (&j->workers, w);
     }
   if (j->open && w->host == KQ_HOST_GONE)
--- a/src/job/lease.c
+++ b/src/job/lease.c
@@ -3,7 +3,7 @@
 #include <assert.h>
 
 void
-kq_lease_init (KqLease *l, const KqLeaseTimes *t, KqTime now)
+kq_lease_set_unknown (KqLease *l, const KqLeaseTimes *t, KqTime now)
 {
   *l = (KqLease){ .state = KQ_LEASE_UNKNOWN, .next_call_at = now };
   l->expired_by = now + t->lease + t->renew_without_store + KQ_LEASE_MARGIN;
--- a/src/job/lease.h
+++ b/src/job/lease.h
@@ -55,7 +55,7 @@
 } KqLease;
 
 /* Sets the lease to state UNKNOWN; its first call is due at once. */
-void kq_lease_init (KqLease *l, const KqLeaseTimes *t, KqTime now);
+void kq_lease_set_unknown (KqLease *l, const KqLeaseTimes *t, KqTime now);
 /* Fills the kind, token (not 0), echo_stamp and lease_ms of the next LEASE call, and
  * records the call as in flight. The caller sends it. */
 void kq_lease_prepare_call (KqLease *l, const KqLeaseTimes *t, uint64_t token, KqTime now,
--- a/src/table/commit.c
+++ b/src/table/commit.c
@@ -229,9 +229,9 @@
     }
   reset_commit (c);
   c->next = kq_table_change (d->table, ours + 1, p->changes, p->n, &why, &which);
-  /* The change doesn't apply to this node's table, but that may be out of date, and
-   * another node may have written the row that the operator saw: read the head before
-   * refusing the change. */
+  /* The known head may be out of date, for example because another node has written the
+   * row that the operator saw. So it is read again before the change is refused, or
+   * before the store is taken to have lost writes. */
   if ((c->next == NULL || store_lost_writes) && !c->head_read)
     {
       read_head (d, KQ_COMMIT_READ, now, out);
