--- a/src/job/job.h
+++ b/src/job/job.h
@@ -91,8 +91,8 @@
   uint32_t losses;  /* attempts ended by the loss of their worker */
   uint32_t excused; /* failures attributed to the worker, not to the job */
   bool cancel_wanted;
-  KqWorkerId worker; /* of the current or last attempt */
-  KqSize size;       /* size with which the attempt was started */
+  KqWorkerId worker; /* worker of the current or last attempt */
+  KqSize size;       /* size with which the current or last attempt was started */
   KqName checkpoint; /* name of the last checkpoint; "": none */
   KqResult why;      /* reason of the last requeue or end */
   int64_t run_us;    /* run time of the task that ended the job */
@@ -107,11 +107,10 @@
   bool in_queue;
   bool delayed;            /* in KqJobQueue.delayed, until not_before */
   KqResult blocked_reason; /* why the job wasn't started; KQ_OK: not tried yet */
-  KqSize
-      declared_size; /* resources that aren't declared are taken from the class's row */
+  KqSize declared_size;    /* as declared; undeclared resources from the class's row */
   KqSize charged;    /* taken from the worker's room: `size`, with more memory if the task
                         uses more */
-  KqTime queued_at;
+  KqTime queued_at;  /* time of acceptance here or of the last requeue */
   KqTime not_before; /* end of the backoff after a failure */
   KqTime assigned_at;
   KqTime command_at;        /* time of the last command or of its answer */
@@ -125,7 +124,7 @@
   KqWorkerId avoid; /* the worker from which a remedy moved the job */
   KqTime avoid_until;
   struct KqWorker *reserved_worker; /* worker on which room is reserved for the job */
-  uint64_t seen_in_list; /* list_number of the last worker's list with the task */
+  uint64_t seen_in_list; /* KqWorker.list_number of the last list that had its task */
   struct KqWorker *assigned_worker; /* worker to which the job is assigned */
   KqJob *next_on_worker;            /* list of the jobs on that worker */
   KqJob *prev_on_worker;
--- a/src/job/jobs_impl.h
+++ b/src/job/jobs_impl.h
@@ -44,7 +44,8 @@
                  queued job start */
   uint64_t epoch;
   uint64_t last_token; /* token of the last call to a worker */
-  KqSeq send_after; /* record that must be committed before this call's items are sent */
+  KqSeq send_after; /* record that must be committed before the items of the present call
+                       are sent */
   KqJobSet set;
   KqWorkers workers;
   KqJobQueue queue;
@@ -61,13 +62,13 @@
   uint32_t n_evicting;       /* jobs in phase EVICTING */
   KqTime next_reclaim;       /* earliest next eviction for a team's guarantee */
   KqJobId large_job; /* job for which a worker is reserved until enough tasks end there */
-  KqTime next_evacuation;
-  uint64_t throttles;     /* number of THROTTLE calls */
-  size_t n_running;       /* jobs in state ASSIGNED */
-  KqSize others_largest;  /* largest worker of the other shards, for each resource */
-  KqSize others_capacity; /* sum over the other shards' workers */
-  KqTeamDigest *digest_teams;
-  KqJob **cursors; /* next job to try in a scheduling round, by team */
+  KqTime next_evacuation;     /* earliest next eviction for an evacuation */
+  uint64_t throttles;         /* number of THROTTLE calls */
+  size_t n_running;           /* jobs in state ASSIGNED */
+  KqSize others_largest;      /* largest worker of the other shards, for each resource */
+  KqSize others_capacity;     /* sum over the other shards' workers */
+  KqTeamDigest *digest_teams; /* the array of teams in the last digest */
+  KqJob **cursors;            /* next job to try in a scheduling round, by team */
   size_t n_cursors;
   KqTime next_scan;
   KqTime next_learned_record;
@@ -88,8 +89,10 @@
 /* Applies a recorded event while recovering, and updates the indexes. An event that
  * doesn't fit the job's state is ignored. */
 void kq_jobs_replay (KqJobs *j, const KqJobEvent *e, KqTime now);
-/* The functions below change a job's recorded state: they append the record, apply it and
- * update the indexes. The items of this call wait for the record's commit. */
+/* kq_jobs_accept, _assign, _requeue, _end, _request_cancel, _start_move, _end_move and
+ * _accept_moved change a job's recorded state: they append a record, apply it and update
+ * the indexes. All items that the present call of `jobs` appends wait for the record's
+ * commit. */
 KqJob *kq_jobs_accept (KqJobs *j, KqJobId id, const KqJobSpec *spec, KqTime now);
 void kq_jobs_assign (KqJobs *j, KqJob *job, KqWorker *w, KqSize size, KqTime now,
                      KqOutbox *out);
--- a/src/job/learn_size.h
+++ b/src/job/learn_size.h
@@ -26,7 +26,7 @@
 {
   float count[KQ_SIZE_BUCKETS]; /* reports in the bucket, decayed */
   float total;                  /* sum of `count` */
-  double estimate;              /* of the percentile, as used for sizes; 0: none yet */
+  double estimate;              /* smoothed percentile, used as the size; 0: none yet */
 } KqSizeHistogram;
 
 typedef struct
--- a/src/job/lease.h
+++ b/src/job/lease.h
@@ -50,7 +50,7 @@
   KqTime live_until;          /* the lease certainly lives until this time */
   KqTime expired_by;          /* the lease has certainly ended by this time */
   bool in_flight;             /* a LEASE call hasn't been answered yet */
-  uint64_t token;             /* of the call in flight */
+  uint64_t token;             /* token of the call in flight */
   KqTime next_call_at;        /* when the next call is due */
 } KqLease;
 
--- a/src/job/quota.c
+++ b/src/job/quota.c
@@ -111,7 +111,7 @@
   int64_t own;     /* used in this shard */
   int64_t others;  /* used in the others */
   int64_t charged; /* charged in this shard since the last digests */
-  int64_t wanted;  /* in this shard */
+  int64_t wanted;  /* wanted by jobs that wait in this shard */
   int64_t others_wanted;
 } ResourceLimit;
 
--- a/src/job/workers.h
+++ b/src/job/workers.h
@@ -42,31 +42,32 @@
   KqName depot;
   KqName rack;
   KqHostState host;
-  bool in_hosts; /* it is in the host list */
+  bool in_hosts; /* the host list names the worker */
   bool answered; /* the worker has answered under this owner's epoch */
   bool leaving;  /* the worker has reported that it is about to leave */
   KqWorkerRow row;
   KqSize capacity;     /* the worker's size */
-  KqSize used;         /* charged for attempts of our jobs */
+  KqSize used;         /* charged for attempts of this shard's jobs */
   KqSize unknown_used; /* size of the listed tasks that belong to no job of this shard */
   KqLease lease;
   KqHealth health;
-  int task_limit;          /* set by health.c */
+  int task_limit;          /* most tasks that the worker may run; see health.h */
   KqTime start_not_before; /* after a refused START: no other START before this time */
   uint16_t rack_index;
   uint16_t depot_index;
   bool urgent_only; /* kept free for urgent jobs */
-  /* Room reserved for one job while it is being made free; 0: for none. */
+  /* Room reserved for one job while tasks that use it are ending; reserved_for 0: none.
+   */
   KqJobId reserved_for;
   KqSize reserved_size;
   KqTime reserved_until;
   KqHistory history;
   KqTime remedy_at;  /* time of the last remedy; see remedy.c */
   KqTime calm_since; /* since then no service was slow and no remedy was applied */
-  KqJob *jobs;
+  KqJob *jobs;       /* jobs assigned to the worker */
   int n_jobs;
   uint64_t list_number; /* number of task lists received */
-  KqAck *acks;
+  KqAck *acks;          /* ends of tasks to acknowledge, from the last list */
   size_t n_acks;
   KqFence *fences;
   size_t n_fences;
--- a/src/steps/spec.h
+++ b/src/steps/spec.h
@@ -16,7 +16,7 @@
 #define KQ_SPEC_STEPS_MAX 256
 #define KQ_SPEC_TASKS_MAX 20000        /* over all steps of one occurrence */
 #define KQ_SPEC_TEXT_MAX 4000          /* bytes of the text passed to each task */
-#define KQ_SPEC_OCCURRENCES_MAX 100000 /* of a timed job */
+#define KQ_SPEC_OCCURRENCES_MAX 100000 /* occurrences of a timed job */
 #define KQ_SPEC_ID_MAX 40              /* bytes of the job's id */
 
 typedef struct
@@ -70,7 +70,7 @@
 /* Returns the time within which an occurrence should complete, in ms from acceptance or
  * from when it is due. */
 int64_t kq_spec_objective_ms (const KqSpec *s);
-int32_t kq_spec_occurrences (const KqSpec *s); /* at least 1 */
+int32_t kq_spec_occurrences (const KqSpec *s); /* number of occurrences, at least 1 */
 bool kq_spec_lasting (const KqSpec *s);        /* whether some step is lasting */
 
 /* Appends the job's stored form to out. */
--- a/src/table/dist_state.h
+++ b/src/table/dist_state.h
@@ -34,7 +34,7 @@
 typedef struct KqPendingChange
 {
   struct KqPendingChange *next;
-  uint64_t call;
+  uint64_t call; /* as given to kq_table_dist_change */
   KqRowChange *changes;
   size_t n;
   KqTime deadline;
@@ -51,7 +51,7 @@
   uint64_t expect;  /* the store's revision of the head that the new head replaces. Not
                        d->head_store_revision: a watch may raise that while an answer is
                        awaited, and a swap against it would undo the changes in between */
-  KqTableBase obsolete_base; /* unused once the new head is written */
+  KqTableBase obsolete_base; /* base to delete once the new head is written */
   KqTable *next;             /* the table with the change */
   bool rebase;               /* the new head refers to a new base */
   KqBuf base_bytes;          /* the new base, packed */
@@ -65,23 +65,23 @@
 {
   KqNodeId self;
   KqRand rand;
-  uint64_t token; /* of the last store call */
+  uint64_t token; /* token of the last store call */
   /* The table in force at this node. */
   KqTable *table;
-  bool changed;       /* since kq_table_dist_take_changed */
-  bool from_peer;     /* it came from a peer, and the store hasn't confirmed it yet */
+  bool changed;       /* replaced since the last kq_table_dist_take_changed */
+  bool from_peer;     /* the table came from a peer; the store hasn't confirmed it yet */
   KqTableTail recent; /* the last changes of the table, for peers that lack them */
   /* The head in the store as last read. */
   KqTableHead head;
   bool head_known;
-  uint64_t head_store_revision; /* its revision in the store; 0: there is none */
-  uint64_t watch_call;
+  uint64_t head_store_revision; /* the head's revision in the store; 0: no head there */
+  uint64_t watch_call;          /* token of the list or watch in flight; 0: none */
   KqTime watch_deadline;
   KqTime next_watch_at;
   uint64_t watch_revision; /* the store's revision to watch from; 0: list first */
   int watch_failures;      /* failed lists and watches in a row, at most LIST_DOUBLINGS */
   /* The base being read. */
-  uint64_t load_call;
+  uint64_t load_call; /* token of the call in flight; 0: none */
   KqTime load_deadline;
   KqTime next_load_at;
   bool loading;
--- a/src/table/table.h
+++ b/src/table/table.h
@@ -134,7 +134,7 @@
   KqRowKind kind;
   const char *name;
   KqFieldType type;
-  size_t offset; /* in KqRow */
+  size_t offset; /* offset of the field in KqRow */
   int64_t min;
   int64_t max;
   int64_t fallback; /* default of INT, BOOL and MODE; names default to "" */
