--- a/src/job/evict.c
+++ b/src/job/evict.c
@@ -1,6 +1,6 @@
 #include "job/evict.h"
 
-/* Time to load the image, start and warm up. */
+/* Time that an evicted task needs to load its image, start and warm up again. */
 #define RESTART_S 5.0
 
 double
@@ -26,24 +26,25 @@
 }
 
 static double
-covered (int64_t freed, int64_t missing)
+covered_fraction (int64_t freed, int64_t missing)
 {
   if (missing <= 0)
     return 0;
   return (double)MIN (freed, missing) / (double)missing;
 }
 
-/* The parts of the missing resources that evicting the job frees, summed: 0 to 3. */
+/* For each of the three resources, the fraction of the missing amount that evicting the
+ * job frees; returns the sum of the fractions, 0 to 3. */
 static double
-covered_sum (const KqJob *job, KqSize missing)
+covered_fractions_sum (const KqJob *job, KqSize missing)
 {
-  return covered (job->charged.cpu_milli, missing.cpu_milli)
-         + covered (job->charged.memory_mb, missing.memory_mb)
-         + covered (job->charged.accelerators, missing.accelerators);
+  return covered_fraction (job->charged.cpu_milli, missing.cpu_milli)
+         + covered_fraction (job->charged.memory_mb, missing.memory_mb)
+         + covered_fraction (job->charged.accelerators, missing.accelerators);
 }
 
 static bool
-chosen (const KqEviction *e, const KqJob *job)
+is_victim (const KqEviction *e, const KqJob *job)
 {
   for (int i = 0; i < e->n; i++)
     if (e->victims[i] == job)
@@ -51,7 +52,8 @@
   return false;
 }
 
-/* The task with the least cost for what it frees. */
+/* The task with the lowest cost per fraction of the missing resources that it frees; NULL
+ * if the rule allows none. */
 static KqJob *
 next_victim (const KqWorker *w, const KqEvictRule *rule, KqSize missing,
              const KqEviction *e, KqTime now)
@@ -61,8 +63,8 @@
   for (KqJob *job = w->jobs; job != NULL; job = job->next_on_worker)
     {
       double cost;
-      double freed = covered_sum (job, missing);
-      if (freed <= 0 || !may_evict (job, rule) || chosen (e, job))
+      double freed = covered_fractions_sum (job, missing);
+      if (freed <= 0 || !may_evict (job, rule) || is_victim (e, job))
         continue;
       cost = kq_evict_cost (job, now) / freed;
       if (best == NULL || cost < best_cost)
--- a/src/job/health.c
+++ b/src/job/health.c
@@ -3,19 +3,22 @@
 #include <limits.h>
 #include <math.h>
 
+/* Fraction of all tasks that fail on a bad worker. */
 #define BAD_WORKER_FAILURE_RATE 0.9
-/* A likelihood ratio of 150 to 1. From 0 it takes two failures in a row of a class that
- * fails 1 in 50, and nine of one that fails every other time; FAILED_JOBS_MIN applies,
- * too. */
+/* Log of a likelihood ratio of 150 to 1. From evidence 0 it is reached by two failures in
+ * a row of a class of which 1 task in 50 fails, or by nine of a class of which every
+ * other task fails. FAILED_JOBS_TO_HOLD jobs must have failed as well. */
 #define EVIDENCE_TO_HOLD 5.0
+/* Bounds how long earlier successes hide that a worker has become bad. */
 #define EVIDENCE_MIN (-3.0)
-#define FAILED_JOBS_MIN 3
+#define FAILED_JOBS_TO_HOLD 3
+/* Weight of one outcome in a class's failure rate. */
 #define FAILURE_RATE_SMOOTHING 0.02
 #define FAILURE_RATE_MIN 0.02
 #define FAILURE_RATE_MAX 0.8
 #define HOLD_TIME_MIN (30 * KQ_SEC)
 #define HOLD_TIME_MAX (900 * KQ_SEC)
-#define PROBE_LIMIT_END 16 /* a worker that reaches it is good again */
+#define PROBE_LIMIT_END 16 /* a worker whose probe_limit reaches it is GOOD again */
 
 static void
 hold_worker (KqFleetHealth *f, KqHealth *h, KqTime now)
@@ -48,8 +51,9 @@
 }
 
 void
-kq_health_outcome (KqFleetHealth *f, KqHealth *h, uint16_t class_index, uint64_t job,
-                   bool failed, uint32_t n_workers, int64_t held_percent, KqTime now)
+kq_health_record_outcome (KqFleetHealth *f, KqHealth *h, uint16_t class_index,
+                          uint64_t job, bool failed, uint32_t n_workers,
+                          int64_t held_percent, KqTime now)
 {
   double *class_rate = &f->failure_rate[class_index];
   double rate = fmin (fmax (*class_rate, FAILURE_RATE_MIN), FAILURE_RATE_MAX);
@@ -72,12 +76,13 @@
   h->n_failed_jobs++;
   h->evidence += log (BAD_WORKER_FAILURE_RATE / rate);
   if (h->state == KQ_HEALTH_GOOD && h->evidence > EVIDENCE_TO_HOLD
-      && h->n_failed_jobs >= FAILED_JOBS_MIN && f->n_held < (held_max > 0 ? held_max : 1))
+      && h->n_failed_jobs >= FAILED_JOBS_TO_HOLD
+      && f->n_held < (held_max > 0 ? held_max : 1))
     hold_worker (f, h, now);
 }
 
 int
-kq_health_task_limit (KqFleetHealth *f, KqHealth *h, KqTime now)
+kq_health_update_task_limit (KqFleetHealth *f, KqHealth *h, KqTime now)
 {
   (void)f;
   if (h->state == KQ_HEALTH_GOOD)
--- a/src/job/lease.c
+++ b/src/job/lease.c
@@ -3,7 +3,7 @@
 #include <assert.h>
 
 void
-kq_lease_open (KqLease *l, const KqLeaseTimes *t, KqTime now)
+kq_lease_set_unknown (KqLease *l, const KqLeaseTimes *t, KqTime now)
 {
   *l = (KqLease){ .state = KQ_LEASE_UNKNOWN, .next_call_at = now };
   l->expired_by = now + t->lease + t->renew_without_store + KQ_LEASE_MARGIN;
@@ -16,8 +16,8 @@
 }
 
 void
-kq_lease_send (KqLease *l, const KqLeaseTimes *t, uint64_t token, KqTime now,
-               KqWorkerCall *call)
+kq_lease_prepare_call (KqLease *l, const KqLeaseTimes *t, uint64_t token, KqTime now,
+                       KqWorkerCall *call)
 {
   assert (token != 0);
   l->in_flight = true;
@@ -33,11 +33,12 @@
   call->lease_ms = (int)(t->lease / KQ_MS);
 }
 
-/* The worker answered, perhaps without a live lease. */
+/* Handles an answer without an error. The worker's lease may be live or not. */
 static void
 handle_answer (KqLease *l, const KqLeaseTimes *t, const KqWorkerReply *r, KqTime now)
 {
-  /* From now on it refuses the previous owner, which last echoed an older stamp. */
+  /* From now on the worker refuses renewals by the previous owner, which last echoed an
+   * older stamp: a lease granted by it ends within the lease time. */
   if (l->state == KQ_LEASE_UNKNOWN)
     l->expired_by = now + t->lease + KQ_LEASE_MARGIN;
   if (r->lease_live && l->stamp != 0)
@@ -47,7 +48,8 @@
     }
   else
     {
-      /* Its jobs were given up when the lease lapsed: no further proof is needed. */
+      /* The worker's jobs were given up when the lease lapsed, so that no margin for
+       * stopping their tasks is needed. */
       if (l->state == KQ_LEASE_LAPSED)
         l->expired_by = now + t->lease;
       l->state = KQ_LEASE_ASKED;
@@ -60,7 +62,8 @@
 }
 
 bool
-kq_lease_reply (KqLease *l, const KqLeaseTimes *t, const KqWorkerReply *r, KqTime now)
+kq_lease_handle_reply (KqLease *l, const KqLeaseTimes *t, const KqWorkerReply *r,
+                       KqTime now)
 {
   if (!l->in_flight || r->token != l->token)
     return false;
--- a/src/job/place.c
+++ b/src/job/place.c
@@ -9,30 +9,32 @@
 /* Weight of a service's slowdown relative to a batch task's. Operators put services
  * first; a batch task that loses a tenth of its speed still finishes by morning. */
 #define SERVICE_WEIGHT 8.0
-/* Costs of the share of a service's replicas that would be lost with the worker, the rack
- * or the depot. One replica of two on a worker costs as much as slowing the service down
- * by a half. Racks fail a tenth as often as workers, depots seldom. Shares, not numbers:
- * a service of 3,000 replicas may well have two on a worker. Costs by number spread it
- * over the whole fleet and left no worker to batch work alone. */
+/* Costs per share of a service's replicas that would be lost with the worker, the rack or
+ * the depot. Half of the replicas on one worker cost as much as slowing the service down
+ * by a half. Racks fail a tenth as often as workers, depots seldom. The costs are by
+ * share and not by number of replicas, because a service of 3,000 replicas may well have
+ * two on a worker. Costs by number spread it over the whole fleet and left no worker to
+ * batch work alone. */
 #define SAME_WORKER_COST 8.0
 #define SAME_RACK_COST 0.8
 #define SAME_DEPOT_COST 0.2
-/* Costs of the part of a worker that is free, so that otherwise equal workers are filled
- * one after the other. Higher for services: together on fewer workers (each with few
- * replicas on one) they leave other workers to batch work alone. With 0.05 the target's
- * services ran on 2,700 of 4,100 workers, and batch work done was 0.95 of first
- * fit's; with 0.2 on 1,500 workers, and it was 1.23 of first fit's. */
+/* Costs of a worker that is entirely free, in proportion for one that is partly free, so
+ * that otherwise equal workers are filled one after the other. The cost is higher for
+ * services: packed on fewer workers (with few replicas of each service on one worker)
+ * they leave other workers to batch work alone. With 0.05 the target's services ran on
+ * 2,700 of 4,100 workers, and batch work done was 0.95 of first fit's; with 0.2 on 1,500
+ * workers, and it was 1.23 of first fit's. */
 #define FREE_ROOM_COST 0.05
 #define SERVICE_FREE_ROOM_COST 0.2
-/* Cost of the worker from which a remedy has moved the job. */
+/* Additional cost of the worker from which a remedy has moved the job. */
 #define AVOIDED_WORKER_COST 4.0
-/* A batch job isn't placed where it would raise a service's expected slowdown above this.
- * 5% (the noise of reports) less than the 25% above which remedy.c throttles the
+/* A batch job isn't placed where it would raise a service's expected slowdown above this
+ * value. It is 5% (the noise of reports) below the 25% above which remedy.c throttles the
  * service's neighbours. */
 #define SERVICE_SLOWDOWN_MAX 0.2
 
 static uint16_t
-index_of (KqName **names, uint16_t *n, const KqName *name)
+find_or_add_name (KqName **names, uint16_t *n, const KqName *name)
 {
   for (uint16_t i = 0; i < *n; i++)
     if (kq_name_eq (&(*names)[i], name))
@@ -47,8 +49,8 @@
 {
   uint16_t racks = s->n_racks;
   uint16_t depots = s->n_depots;
-  w->rack_index = index_of (&s->racks, &s->n_racks, &w->rack);
-  w->depot_index = index_of (&s->depots, &s->n_depots, &w->depot);
+  w->rack_index = find_or_add_name (&s->racks, &s->n_racks, &w->rack);
+  w->depot_index = find_or_add_name (&s->depots, &s->n_depots, &w->depot);
   if (s->n_racks > racks)
     {
       s->by_rack = kq_realloc (s->by_rack, s->n_racks * sizeof *s->by_rack);
@@ -89,9 +91,11 @@
   return p->classes->latency_critical[class_index] ? SERVICE_WEIGHT : 1.0;
 }
 
-/* Weighted slowdown expected for the job, and for its neighbours because of it. */
+/* The slowdown expected for the job, plus the slowdown that it adds to its neighbours,
+ * each times its class's weight. */
 static double
-disturbance (const KqPlacer *p, const KqWorker *w, const KqJob *job, const KqSize *need)
+disturbance_cost (const KqPlacer *p, const KqWorker *w, const KqJob *job,
+                  const KqSize *need)
 {
   const KqMix *mix = &w->history.mix;
   int band = kq_load_band (w->used.cpu_milli + need->cpu_milli, w->capacity.cpu_milli);
@@ -121,7 +125,8 @@
   return sum / (p->spread->total[c] + 1);
 }
 
-/* Whether the job would slow some service on the worker by more than is accepted. */
+/* Whether some service on the worker would be slowed down by more than
+ * SERVICE_SLOWDOWN_MAX if the job ran there. */
 static bool
 slows_a_service (const KqPlacer *p, const KqWorker *w, const KqJob *job,
                  const KqSize *need)
@@ -153,7 +158,8 @@
 }
 
 static double
-cost_of (const KqPlacer *p, const KqWorker *w, const KqJob *job, const KqSize *need)
+placement_cost (const KqPlacer *p, const KqWorker *w, const KqJob *job,
+                const KqSize *need)
 {
   bool service = p->classes->latency_critical[job->class_index];
   double cost = (service ? SERVICE_FREE_ROOM_COST : FREE_ROOM_COST) * free_share (w);
@@ -163,7 +169,7 @@
     {
       if (!service && !p->ignore_disturbance && slows_a_service (p, w, job, need))
         return INFINITY;
-      cost += disturbance (p, w, job, need);
+      cost += disturbance_cost (p, w, job, need);
     }
   if (p->policy->spread && service)
     cost += colocation_cost (p, w, job);
@@ -172,8 +178,9 @@
   return cost;
 }
 
-/* The next worker with room at or after `from`. The index is corrected for workers that
- * may not start tasks any more, such as those whose lease has ended. */
+/* Finds the next worker at or after index `from` that has room and may start tasks.
+ * Updates the index for workers that may not start tasks any more, such as those whose
+ * lease has ended. */
 static KqWorker *
 find_worker (KqPlacer *p, KqFitTree *t, uint32_t from, const KqSize *need)
 {
@@ -197,7 +204,7 @@
   double best_cost;
   if (best == NULL || p->rule == KQ_PLACE_FIRST_FIT)
     return best;
-  best_cost = cost_of (p, best, job, need);
+  best_cost = placement_cost (p, best, job, need);
   for (int i = 1; i < KQ_PLACE_SAMPLES; i++)
     {
       KqWorker *w
@@ -205,7 +212,7 @@
       double cost;
       if (w == NULL || w == best)
         continue;
-      cost = cost_of (p, w, job, need);
+      cost = placement_cost (p, w, job, need);
       if (cost < best_cost)
         {
           best = w;
--- a/src/job/remedy.c
+++ b/src/job/remedy.c
@@ -1,16 +1,18 @@
 #include "job/remedy.h"
 
-/* A remedy is sought for a service a quarter slower than undisturbed; one less than a
- * twelfth slower is calm. The noise of reports, about 5 percent, fits in between. */
+/* A remedy is sought for a service that is more than a quarter slower than undisturbed. A
+ * service that is less than a twelfth slower is calm. The noise of reports, about 5
+ * percent, fits between the two. */
 #define SLOWDOWN_HIGH 1.25
 #define SLOWDOWN_LOW 1.08
-#define REPORTS_MIN 2
-#define SMOOTHING 0.5
+#define REPORTS_MIN 2 /* reports about a service before its slowdown counts */
+#define SMOOTHING 0.5 /* weight of the newest report */
 #define CALM_TIME (30 * KQ_SEC)
-/* A task that started less than this ago isn't acted on: reports may be about the time
- * before it. */
+/* A task that started less than this time ago isn't throttled or moved: the reports may
+ * be about the time before its start. */
 #define SETTLE_TIME (20 * KQ_SEC)
-/* Added slowdown below which a remedy costs more than it gains. */
+/* A task that adds less slowdown isn't throttled or moved: the remedy would cost more
+ * than it gains. */
 #define HARM_MIN 0.02
 
 static const int throttle_steps_percent[] = { 100, 50, 25 };
@@ -47,14 +49,16 @@
 }
 
 static bool
-may_act_on (const KqJob *job, KqTime now)
+may_throttle_or_move (const KqJob *job, KqTime now)
 {
   return !job->service && job->phase == KQ_JOB_PHASE_RUNNING && !job->cancel_wanted
          && now - job->assigned_at >= SETTLE_TIME;
 }
 
-/* The batch task that slows the victim most at its present throttle. With `movable`: of
- * those that may be moved, as if unthrottled. */
+/* The batch task to act on: the one that slows the victim most; NULL if none does
+ * notably. To throttle (`movable` false): at the tasks' present throttles, without tasks
+ * at the last step. To move (`movable` true): as if unthrottled, only tasks that may be
+ * moved. */
 static KqJob *
 worst_neighbour (const KqWorker *w, const KqJob *victim, const KqInterference *f,
                  bool movable, int64_t evictions_max, KqTime now)
@@ -65,7 +69,7 @@
   for (KqJob *job = w->jobs; job != NULL; job = job->next_on_worker)
     {
       double harm;
-      if (!may_act_on (job, now))
+      if (!may_throttle_or_move (job, now))
         continue;
       if (movable && (!job->movable || (int64_t)job->evictions >= evictions_max))
         continue;
@@ -83,7 +87,7 @@
 }
 
 static int
-next_step (int percent, int direction)
+next_throttle_step (int percent, int direction)
 {
   int n = sizeof throttle_steps_percent / sizeof throttle_steps_percent[0];
   for (int i = 0; i < n; i++)
@@ -100,7 +104,8 @@
   if (policy->throttle)
     job = worst_neighbour (w, victim, f, false, 0, now);
   if (job != NULL)
-    return (KqRemedy){ KQ_REMEDY_THROTTLE, job, next_step (job->throttle_percent, 1) };
+    return (KqRemedy){ KQ_REMEDY_THROTTLE, job,
+                       next_throttle_step (job->throttle_percent, 1) };
   if (policy->eviction)
     job = worst_neighbour (w, victim, f, true, policy->evictions_max, now);
   if (job != NULL)
@@ -109,7 +114,7 @@
 }
 
 static KqRemedy
-lift_throttle (const KqWorker *w)
+choose_throttle_to_lift (const KqWorker *w)
 {
   KqJob *oldest = NULL;
   for (KqJob *job = w->jobs; job != NULL; job = job->next_on_worker)
@@ -119,7 +124,7 @@
   if (oldest == NULL)
     return (KqRemedy){ KQ_REMEDY_NONE, NULL, 0 };
   return (KqRemedy){ KQ_REMEDY_THROTTLE, oldest,
-                     next_step (oldest->throttle_percent, -1) };
+                     next_throttle_step (oldest->throttle_percent, -1) };
 }
 
 KqRemedy
@@ -136,5 +141,5 @@
     w->calm_since = now;
   if (now - w->calm_since < CALM_TIME)
     return (KqRemedy){ KQ_REMEDY_NONE, NULL, 0 };
-  return lift_throttle (w);
+  return choose_throttle_to_lift (w);
 }
--- a/src/table/dist.c
+++ b/src/table/dist.c
@@ -7,10 +7,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Duration of a watch: one store call a minute per node. Not shorter, since each answer
- * carries the head (a few KB) even if nothing has changed. If a watch fails to report a
- * change, peers do. */
+/* Duration of a watch, which makes one store call a minute per node. It isn't shorter
+ * since each answer carries the head (a few KB) even if nothing has changed. If a watch
+ * fails to report a change, peers do. */
 #define WATCH_WAIT (60 * KQ_SEC)
+/* Time limit of a list call, and of a watch's answer after the end of the watch. */
 #define WATCH_GRACE (5 * KQ_SEC)
 /* Wait after a failed list or watch; doubled at each failure, LIST_DOUBLINGS times at
  * most. */
@@ -19,13 +20,14 @@
 /* How long a peer of this region may have a higher revision before this node requests the
  * changes from it: by then this node's own watch should have reported them. */
 #define NEAR_LAG_WAIT (300 * KQ_MS)
-/* The same for a peer in another region: longer, and with a random part, so that one node
- * requests the change across the region link and the others get it from that node. */
+/* The same time for a peer in another region: FAR_LAG_WAIT plus a random part of
+ * FAR_LAG_SPREAD, so that one node requests the change across the region link and the
+ * others get it from that node. */
 #define FAR_LAG_WAIT (700 * KQ_MS)
 #define FAR_LAG_SPREAD (1500 * KQ_MS)
-/* Between two requests. */
+/* Time between two requests for missing changes. */
 #define REQUEST_INTERVAL (1 * KQ_SEC)
-/* The entry of a peer without a heartbeat for longer may be reused. */
+/* If a peer has sent no heartbeat for longer than this, its entry may be reused. */
 #define PEER_REUSE_AFTER (60 * KQ_SEC)
 
 KqTableDist *
@@ -86,7 +88,7 @@
 void
 kq_dist_set_table (KqTableDist *d, KqTable *table, bool from_peer)
 {
-  /* Invariant of this module: the revision in force never decreases. */
+  /* Invariant of this module: each new table in force has a higher revision. */
   assert (d->table == NULL || kq_table_revision (table) > kq_table_revision (d->table));
   kq_table_unref (d->table);
   d->table = table;
@@ -135,7 +137,7 @@
 }
 
 static void
-load_base (KqTableDist *d, KqTime now, KqOutbox *out)
+start_loading_base (KqTableDist *d, KqTime now, KqOutbox *out)
 {
   if (d->loading && d->load_base.id == d->head.base.id)
     return;
@@ -146,9 +148,10 @@
   read_part (d, now, out);
 }
 
-/* Brings the table up to the last head that was read. */
+/* Brings the table up to the revision of the last head that was read: applies the head's
+ * tail, or starts to read the base if the tail doesn't reach back to the table. */
 static void
-catch_up (KqTableDist *d, KqTime now, KqOutbox *out)
+update_table_to_head (KqTableDist *d, KqTime now, KqOutbox *out)
 {
   if (!d->head_known)
     return;
@@ -167,7 +170,7 @@
       return;
     }
   if (d->head.base.id != 0)
-    load_base (d, now, out);
+    start_loading_base (d, now, out);
 }
 
 bool
@@ -185,17 +188,17 @@
   d->head = head;
   d->head_known = true;
   d->head_store_revision = head_store_revision;
-  catch_up (d, now, out);
+  update_table_to_head (d, now, out);
   return true;
 }
 
 static void
-load_failed (KqTableDist *d, KqTime now)
+handle_load_failure (KqTableDist *d, KqTime now)
 {
   d->load_call = 0;
   d->loading = false;
-  d->load_next = now + LIST_WAIT;
-  d->watch_revision = 0; /* the base may be deleted: read the head again */
+  d->next_load_at = now + LIST_WAIT;
+  d->watch_revision = 0; /* the base may have been deleted: read the head again */
 }
 
 static void
@@ -207,7 +210,7 @@
     return;
   if (r->result != KQ_OK)
     {
-      load_failed (d, now);
+      handle_load_failure (d, now);
       return;
     }
   kq_buf_add_str (&d->load_bytes, r->value);
@@ -223,10 +226,10 @@
     {
       kq_log (KQ_LOG_ERROR, "table", "The table in the store is damaged. base=%llu",
               (unsigned long long)d->load_base.revision);
-      load_failed (d, now);
+      handle_load_failure (d, now);
     }
   else if (!apply_tail (d, &d->head.tail, base, false))
-    load_failed (d, now);
+    handle_load_failure (d, now);
   kq_table_unref (base);
 }
 
@@ -234,11 +237,11 @@
 tick_load (KqTableDist *d, KqTime now, KqOutbox *out)
 {
   if (d->load_call != 0 && now >= d->load_deadline)
-    load_failed (d, now);
-  if (d->loading || now < d->load_next || !d->head_known)
+    handle_load_failure (d, now);
+  if (d->loading || now < d->next_load_at || !d->head_known)
     return;
   if (d->table == NULL || kq_dist_revision (d) < d->head.revision)
-    catch_up (d, now, out);
+    update_table_to_head (d, now, out);
 }
 
 static void
@@ -250,7 +253,7 @@
       d->watch_call = 0;
       d->watch_revision = 0;
     }
-  if (d->watch_call != 0 || now < d->watch_next)
+  if (d->watch_call != 0 || now < d->next_watch_at)
     return;
   op.kind = d->watch_revision == 0 ? KQ_STORE_LIST : KQ_STORE_WATCH;
   op.expect = d->watch_revision;
@@ -269,22 +272,22 @@
   d->watch_call = 0;
   if (r->result != KQ_OK)
     {
-      KqTime wait = LIST_WAIT << d->failures;
-      if (d->failures < LIST_DOUBLINGS)
-        d->failures++;
+      KqTime wait = LIST_WAIT << d->watch_failures;
+      if (d->watch_failures < LIST_DOUBLINGS)
+        d->watch_failures++;
       d->watch_revision = 0;
-      d->watch_next = now + wait / 2;
-      d->watch_next += (KqTime)kq_rand_below (&d->rand, (uint64_t)(wait / 2));
+      d->next_watch_at = now + wait / 2;
+      d->next_watch_at += (KqTime)kq_rand_below (&d->rand, (uint64_t)(wait / 2));
       return;
     }
-  d->failures = 0;
-  d->watch_next = now;
+  d->watch_failures = 0;
+  d->next_watch_at = now;
   d->watch_revision = r->revision > 0 ? r->revision : 1;
   uint64_t at = r->n_items > 0 ? r->items[0].revision : 0;
   KqStr value = r->n_items > 0 ? r->items[0].value : KQ_STR ("");
   /* The answer is out of date if this node has committed since the call was sent. */
   if (d->head_known && at <= d->head_store_revision)
-    catch_up (d, now, out);
+    update_table_to_head (d, now, out);
   else
     kq_dist_apply_head (d, value, at, now, out);
 }
@@ -312,7 +315,8 @@
   kq_table_dist_tick (d, now, out);
 }
 
-/* The entry of the peer; if it has none, one that may be reused, or a new one. */
+/* Returns the entry of the peer; if there is none, an entry that may be reused, or else a
+ * new one. */
 static KqTablePeer *
 find_peer_entry (KqTableDist *d, KqNodeId id, KqTime now)
 {
@@ -340,11 +344,11 @@
 request_changes (KqTableDist *d, KqTime now, KqOutbox *out)
 {
   KqMsg m = { .kind = KQ_MSG_TABLE_REQUEST };
-  KqTime wait = d->lag_far ? d->far_wait : NEAR_LAG_WAIT;
-  if (d->lag_since == 0 || now < d->request_next || now - d->lag_since < wait)
+  KqTime wait = d->lag_peer_far ? d->far_lag_wait : NEAR_LAG_WAIT;
+  if (d->lag_since == 0 || now < d->next_request_at || now - d->lag_since < wait)
     return;
   m.u.table_request.above_revision = kq_dist_revision (d);
-  d->request_next = now + REQUEST_INTERVAL;
+  d->next_request_at = now + REQUEST_INTERVAL;
   kq_outbox_send (out, d->lag_peer, &m);
 }
 
@@ -360,13 +364,13 @@
   if (d->lag_since == 0)
     {
       d->lag_since = now;
-      d->lag_far = true;
-      d->far_wait = FAR_LAG_WAIT + (KqTime)kq_rand_below (&d->rand, FAR_LAG_SPREAD);
+      d->lag_peer_far = true;
+      d->far_lag_wait = FAR_LAG_WAIT + (KqTime)kq_rand_below (&d->rand, FAR_LAG_SPREAD);
     }
-  if (!far || d->lag_far)
+  if (!far || d->lag_peer_far)
     {
       d->lag_peer = peer;
-      d->lag_far = far;
+      d->lag_peer_far = far;
     }
   request_changes (d, now, out);
 }
--- a/src/table/row.c
+++ b/src/table/row.c
@@ -110,9 +110,10 @@
   return set_fault (fault, code, kq_str (f->name), allowed);
 }
 
-/* Whether `low` is within `high`, where a member of 0 means no limit. */
+/* Whether `low` is at most `high` in every resource; a resource of 0 in `high` means no
+ * limit. */
 static bool
-check_limits (const KqSize *low, const KqSize *high)
+within_limits (const KqSize *low, const KqSize *high)
 {
   return (high->cpu_milli == 0 || low->cpu_milli <= high->cpu_milli)
          && (high->memory_mb == 0 || low->memory_mb <= high->memory_mb)
@@ -130,7 +131,7 @@
   else if (row->kind == KQ_ROW_POLICY && !kq_str_eq (name, KQ_STR ("default")))
     set_fault (fault, KQ_ERR_TABLE_ROW, KQ_STR ("name"), "the policy row is \"default\"");
   else if (row->kind == KQ_ROW_TEAM
-           && !check_limits (&row->u.team.guaranteed, &row->u.team.limit))
+           && !within_limits (&row->u.team.guaranteed, &row->u.team.limit))
     set_fault (fault, KQ_ERR_TABLE_ROW, KQ_STR ("guaranteed"),
                "at most the limit where there is one");
   else
@@ -181,7 +182,7 @@
   return field_fault (fault, KQ_ERR_TABLE_RANGE, f);
 }
 
-/* Returns 1, 0, or -1 if the text is neither. */
+/* Returns 1 for "true", 0 for "false", and -1 for any other text. */
 static int
 parse_bool (KqStr s)
 {
@@ -234,10 +235,10 @@
   return field_fault (fault, KQ_ERR_TABLE_TYPE, f);
 }
 
-/* Accepts the members that kq_row_to_json adds to the fields, so that its object can be
- * written back. */
+/* Checks a member that isn't a field of the row. Those that kq_row_to_json adds to the
+ * fields are accepted, so that its object can be written back. */
 static KqResult
-set_meta (const KqRow *row, KqStr key, const json_t *v, KqRowFault *fault)
+check_meta_member (const KqRow *row, KqStr key, const json_t *v, KqRowFault *fault)
 {
   KqStr have = kq_str (kq_row_kind_name (row->kind));
   if (kq_str_eq (key, KQ_STR ("revision")) || kq_str_eq (key, KQ_STR ("has_token")))
@@ -270,7 +271,7 @@
   {
     const KqRowField *f = kq_row_field (row->kind, kq_str (key));
     KqResult r = f != NULL ? set_json (row, f, v, &fault)
-                           : set_meta (row, kq_str (key), v, &fault);
+                           : check_meta_member (row, kq_str (key), v, &fault);
     if (r == KQ_OK)
       continue;
     if (n < max)
--- a/src/table/table.c
+++ b/src/table/table.c
@@ -9,8 +9,8 @@
 /* Version of the packed table: a digest, then [version, revision, [row...]]. */
 #define PACK_VERSION 1
 
-/* Rows are unique and sorted by kind and name; their revisions are at most the table's.
- * Immutable once created. */
+/* The rows are unique and sorted by kind and name, and their revisions are at most the
+ * table's. A table isn't changed once it has been returned to a caller. */
 struct KqTable
 {
   int refs;
@@ -77,14 +77,15 @@
 }
 
 static int
-compare (KqRowKind kind, KqStr name, const KqRow *row)
+compare_to_row (KqRowKind kind, KqStr name, const KqRow *row)
 {
   if (kind != row->kind)
     return kind < row->kind ? -1 : 1;
   return kq_str_cmp (name, kq_name_str (&row->name));
 }
 
-/* The index of the row, or the index at which it would be inserted. */
+/* Returns the index of the row, or the index at which it would be inserted (*found is
+ * false). */
 static size_t
 find_index (const KqTable *t, KqRowKind kind, KqStr name, bool *found)
 {
@@ -94,7 +95,7 @@
   while (low < high)
     {
       size_t mid = low + (high - low) / 2;
-      int c = compare (kind, name, &t->rows[mid]);
+      int c = compare_to_row (kind, name, &t->rows[mid]);
       if (c == 0)
         {
           *found = true;
@@ -160,7 +161,7 @@
 }
 
 static KqResult
-apply (KqTable *t, const KqRowChange *c)
+apply_row_change (KqTable *t, const KqRowChange *c)
 {
   bool found;
   size_t at = find_index (t, c->row.kind, kq_name_str (&c->row.name), &found);
@@ -168,7 +169,7 @@
   KqResult r = check_expected (c, found ? &t->rows[at] : NULL);
   if (r != KQ_OK)
     return r;
-  /* The row occurs twice in the change: it isn't known which one is meant. */
+  /* The row occurs twice in the change: it isn't known which of the two is meant. */
   if (found && t->rows[at].revision == t->revision)
     return KQ_ERR_TABLE_CONFLICT;
   if (c->remove)
@@ -194,7 +195,7 @@
   next->n_rows = t->n_rows;
   for (size_t i = 0; i < n; i++)
     {
-      *why = apply (next, &c[i]);
+      *why = apply_row_change (next, &c[i]);
       *which = i;
       if (*why != KQ_OK)
         {
@@ -235,7 +236,7 @@
       KqRow *row = &t->rows[t->n_rows];
       bool ok = kq_row_unpack (&a, row) && row->revision <= revision;
       if (ok && t->n_rows > 0)
-        ok = compare (row->kind, kq_name_str (&row->name), row - 1) > 0;
+        ok = compare_to_row (row->kind, kq_name_str (&row->name), row - 1) > 0;
       if (!ok)
         {
           kq_table_unref (t);
