--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -116,10 +116,10 @@
     kq_agent_leader_heard (a, epoch, at);
 }
 
-/* An agent that kept its runners would renew the lease of one that the leader has since
- * assigned to another agent and whose lease the leader takes for expired. Nine tasks ran
- * twice that way: a node's connections were reset, and 13 s later the runner's next agent
- * couldn't reach the runner. */
+/* An agent that kept its runners would also renew the lease of a runner that the leader
+ * has since assigned to another agent, and whose lease the leader takes for expired. Nine
+ * tasks ran twice that way: a node's connections were reset, and 13 s later the runner's
+ * next agent couldn't reach the runner. */
 void
 kq_agent_release_all (KqAgent *a)
 {
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -22,28 +22,29 @@
   int64_t renew_without_leader_ms; /* how long leases are renewed without a message of a
                                       leader */
   KqCounters *counters;
-  /* An item for the leader of that epoch. */
+  /* Sends an item to the leader of that epoch. */
   void (*notice) (void *arg, uint64_t epoch, const KqAgentItem *i);
   void *arg;
 } KqAgentConfig;
 
 KqAgent *kq_agent_new (const KqAgentConfig *c);
 void kq_agent_free (KqAgent *a);
-/* Orders of a leader with a lower epoch than the highest known are ignored. */
+/* Carries out an order of the leader of that epoch. Ignored if a leader of a higher epoch
+ * is known. */
 void kq_agent_order (KqAgent *a, uint64_t epoch, const KqOrder *o, KqTime now);
-/* The leader of that epoch has sent something. */
+/* Records that the leader of that epoch has sent something. */
 void kq_agent_leader_heard (KqAgent *a, uint64_t epoch, KqTime now);
-/* The leader of that epoch knows this node as alive at `at` or later: it has answered a
- * heartbeat sent then, or a connection was opened. The leader waits for leases granted
- * here until renew_without_leader_ms after `at`; other messages don't extend that, as
- * they may have been delayed. Also counts as a message of the leader. */
+/* Records that the leader of that epoch knows that this node was alive at `at`: it has
+ * answered a heartbeat sent then, or a connection was opened. The leader waits for leases
+ * granted here until renew_without_leader_ms after `at`; other messages don't extend
+ * that, as they may have been delayed. Also counts as a message of the leader. */
 void kq_agent_leader_confirmed (KqAgent *a, uint64_t epoch, KqTime at);
 /* Releases all runners: the connection to a leader is new, or this node leads from now
  * on. The leader that assigned them has assigned them to other agents, or will assign
  * them again. */
 void kq_agent_release_all (KqAgent *a);
-/* Whether the leader understands KQ_AGENT_ITEM_CHANGES; false at first and after a
- * release. */
+/* Sets whether the leader understands KQ_AGENT_ITEM_CHANGES; false at first and after
+ * kq_agent_release_all. */
 void kq_agent_use_changes (KqAgent *a, bool known);
 /* Number of runners that are assigned to this agent. */
 size_t kq_agent_n_runners (const KqAgent *a);
--- a/src/agent/agent_runner.c
+++ b/src/agent/agent_runner.c
@@ -84,7 +84,7 @@
 {
   KqLeaseReply n = { r->clock_ms, r->started_ms, r->called_at };
   /* A runner that restarts numbers the ends of its runs from 1 again. It must not get an
-   * acknowledgement of the earlier numbers, by which it would drop ends not yet read. */
+   * acknowledgement of the earlier numbers: it would drop ends that weren't read yet. */
   if (!kq_lease_update (&runner->lease, &n, runner->agent->config.lease_ms, now))
     return;
   runner->ends_acked = runner->ends_reported = 0;
@@ -109,10 +109,11 @@
   return now - a->leader_confirmed_at <= a->config.renew_without_leader_ms * KQ_MS;
 }
 
-/* Nothing is granted to a runner that doesn't answer: it may still receive the calls, and
- * its lease has to expire at some time, or its tasks could never be started elsewhere.
- * Nor before the leader has acknowledged a runner that was just assigned or unreachable:
- * the leader may take its lease for expired. */
+/* No lease is granted to a runner that doesn't answer: it may still receive the calls,
+ * and its lease has to expire at some time, or its tasks could never be started
+ * elsewhere. Nor is a lease granted to a runner that was just assigned or unreachable
+ * before the leader has sent RENEW for it: the leader may take the runner's lease for
+ * expired. */
 int64_t
 kq_agent_runner_grant_lease (KqAgentRunner *runner, KqTime now)
 {
--- a/src/agent/conns.h
+++ b/src/agent/conns.h
@@ -20,10 +20,12 @@
 {
   int in_use;         /* calls in flight, each on a connection of its own */
   int verified;       /* connections known to lead to the process that answered last */
-  KqTime verified_at; /* these were open then; 0: none is verified */
+  KqTime verified_at; /* the verified connections were open at this time; 0: none is
+                         verified */
 } KqConns;
 
-/* A call is made; returns the number of calls in flight, this one included. */
+/* Records that a call is made; returns the number of calls in flight, this one included.
+ */
 int kq_conns_call_began (KqConns *c);
 
 typedef enum
@@ -33,11 +35,12 @@
   KQ_CONN_UNSENT  /* the call wasn't sent: no connection was usable */
 } KqConnEnd;
 
+/* Records that a call has ended, and what became of its connection. */
 void kq_conns_call_ended (KqConns *c, KqConnEnd end);
-/* The runner has answered a call that was sent at sent_at, while in_use calls were in
- * flight. */
+/* Records that the runner has answered a call that was sent at sent_at, while in_use
+ * calls were in flight: as many connections are verified. */
 void kq_conns_verified (KqConns *c, int in_use, KqTime sent_at);
-/* The runner's process has restarted: no connection is verified. */
+/* Records that the runner's process has restarted: no connection is verified any more. */
 void kq_conns_runner_restarted (KqConns *c);
 /* Whether a start may be sent now. */
 bool kq_conns_start_allowed (const KqConns *c);
--- a/src/agent/frame.c
+++ b/src/agent/frame.c
@@ -286,7 +286,8 @@
     }
 }
 
-/* The number of fields after kind and runner: an array is preceded by its length. */
+/* The number of the item's fields after kind and runner. It is needed before they are
+ * packed, as an array is preceded by its length. */
 static size_t
 count_fields (const KqAgentItem *i)
 {
--- a/src/agent/frame_rows.c
+++ b/src/agent/frame_rows.c
@@ -2,7 +2,7 @@
 
 #include <stdlib.h>
 
-/* Most rows of one list; more means a damaged message. */
+/* Maximum number of rows of one list; more means a damaged message. */
 #define ROWS_MAX 100000
 
 void
@@ -120,8 +120,8 @@
   kq_read_array_end (r, &rows);
 }
 
-/* The number of a row's fields says what it holds: slot, percent and load; also the
- * checkpoint; also task and run. */
+/* Number of fields of a packed KqRunDeltaRow, by which the reader knows what it holds:
+ * slot, percent and load; then the checkpoint too; then task and run too. */
 enum
 {
   ROW_FIELDS_LOAD = 3,
--- a/src/agent/frame_rows.h
+++ b/src/agent/frame_rows.h
@@ -7,8 +7,8 @@
 #include "agent/frame.h"
 #include "wire/pack.h"
 
-/* Opens an array of rows and returns their number; too many: returns 0 and sets `bad` in
- * both readers. */
+/* Opens the array of rows that r reads next, and returns the number of rows. If there are
+ * too many, returns 0 and sets `bad` in both readers. */
 size_t kq_agent_item_open_rows (KqReader *r, KqReader *rows);
 void kq_agent_item_pack_list_head (KqPacker *p, const KqRunnerList *l);
 void kq_agent_item_read_list_head (KqReader *r, KqRunnerList *l);
--- a/src/agent/lease.c
+++ b/src/agent/lease.c
@@ -2,7 +2,7 @@
 
 #include <assert.h>
 
-/* A runner's clock may be 2% slow. */
+/* Lowest rate of a runner's clock against this node's: the runner's may be 2% slow. */
 #define MIN_CLOCK_RATE 0.98
 
 void
@@ -13,7 +13,7 @@
 
 /* A lower bound of the runner's clock now, in ms. */
 static int64_t
-estimate_clock_ms (const KqLease *l, KqTime now)
+least_clock_ms (const KqLease *l, KqTime now)
 {
   return l->clock_ms + (int64_t)((double)(now - l->clock_at) / KQ_MS * MIN_CLOCK_RATE);
 }
@@ -25,7 +25,7 @@
     return false;
   if (n->started_ms != 0 && l->started_ms != 0 && n->started_ms != l->started_ms)
     return true;
-  return n->clock_ms < estimate_clock_ms (l, now) - length_ms;
+  return n->clock_ms < least_clock_ms (l, now) - length_ms;
 }
 
 bool
@@ -44,10 +44,10 @@
   if (n->started_ms != 0)
     l->started_ms = n->started_ms;
   if (!first && !restarted && n->clock_ms < l->clock_ms)
-    return false; /* a newer answer has arrived before */
+    return false; /* an answer to a later call has arrived already */
   l->clock_ms = n->clock_ms;
   l->clock_at = now;
-  /* Another agent may have granted a whole lease. */
+  /* Another agent may have granted a lease of full length just before. */
   if (first || restarted)
     l->end_ms = n->clock_ms + length_ms;
   return restarted;
@@ -59,7 +59,7 @@
   int64_t left;
   if (l->clock_ms < 0)
     return -1;
-  left = l->end_ms - estimate_clock_ms (l, now);
+  left = l->end_ms - least_clock_ms (l, now);
   return left < 0 ? 0 : (int64_t)((double)left / MIN_CLOCK_RATE) + 1;
 }
 
@@ -68,7 +68,7 @@
 {
   int64_t end;
   assert (l->clock_ms >= 0);
-  end = estimate_clock_ms (l, now) + length_ms;
+  end = least_clock_ms (l, now) + length_ms;
   if (end > l->end_ms)
     l->end_ms = end;
   return l->end_ms;
--- a/src/agent/lease.h
+++ b/src/agent/lease.h
@@ -31,14 +31,14 @@
 } KqLeaseReply;
 
 void kq_lease_init (KqLease *l);
-/* Takes in an answer; length_ms: of a whole lease. True: the runner has restarted, and
- * numbers its ends from 1 again. */
+/* Updates *l from a runner's answer. length_ms: the full length of a lease. True: the
+ * runner has restarted, and numbers its ends from 1 again. */
 bool kq_lease_update (KqLease *l, const KqLeaseReply *n, int64_t length_ms, KqTime now);
 /* Time until the lease has certainly ended, in ms of this node's clock, also if the
  * runner's clock is slow; -1: the runner's clock isn't known. */
 int64_t kq_lease_left_ms (const KqLease *l, KqTime now);
-/* Grants a whole lease from now on and returns its end on the runner's clock, which is
- * never before the end of an earlier grant. The clock must be known. */
+/* Grants a lease of length_ms from now on and returns its end on the runner's clock,
+ * which is never before the end of an earlier grant. The clock must be known. */
 int64_t kq_lease_grant (KqLease *l, int64_t length_ms, KqTime now);
 
 #endif
--- a/src/agent/renew.c
+++ b/src/agent/renew.c
@@ -17,7 +17,7 @@
  * (the store may be unavailable). Without the wait there are three polls for each end
  * (37,000 for 11,000 tasks). */
 #define ACK_TIMEOUT (200 * KQ_MS)
-/* Delays the next poll, so that ends close together are fetched with one call. */
+/* Delay of the next poll, so that ends close together are fetched with one call. */
 #define END_BATCH_DELAY (20 * KQ_MS)
 #define RETRY_DELAY (150 * KQ_MS)
 /* Failed polls in a row after which a runner is reported as unreachable. */
@@ -79,7 +79,8 @@
     kq_agent_runner_notify (runner, &i);
 }
 
-/* The delay from a list to the next poll. at_once: the last poll didn't wait for ends. */
+/* The delay from a list to the next poll. at_once: the runner answered the last poll at
+ * once, because the poll had a wait of 0. */
 static KqTime
 poll_delay (const KqAgentRunner *runner, bool at_once)
 {
--- a/src/agent/run_delta.c
+++ b/src/agent/run_delta.c
@@ -8,7 +8,7 @@
 {
   bool used;
   bool listed;   /* in the list being encoded */
-  uint64_t hash; /* of task and run */
+  uint64_t hash; /* of task and run, to compare faster */
   char *task;
   uint32_t run;
   char *checkpoint;
--- a/src/agent/run_delta.h
+++ b/src/agent/run_delta.h
@@ -35,13 +35,14 @@
 
 KqRunDeltaState *kq_run_delta_state_new (void);
 void kq_run_delta_state_free (KqRunDeltaState *t);
-/* Number of lists encoded or applied so far. */
+/* Number of lists encoded (at the agent) or applied (at the leader) so far. */
 uint64_t kq_run_delta_serial (const KqRunDeltaState *t);
 /* At the agent: the changes from the last list to this one, which becomes the last.
  * Strings point into `rows`; the arrays are owned by t and valid until the next call. */
 void kq_run_delta_encode (KqRunDeltaState *t, const KqRunRow *rows, size_t n,
                           KqRunDelta *out);
-/* At the leader: applies changes to the last list. False: they don't follow on it. */
+/* At the leader: applies the changes to the last list. False: they were made from another
+ * list, or are damaged. */
 bool kq_run_delta_apply (KqRunDeltaState *t, const KqRunDelta *c);
 /* All runs of the last list. Strings are owned by t and valid until the next call; the
  * caller frees the array. */
--- a/src/agent/starts.c
+++ b/src/agent/starts.c
@@ -10,7 +10,8 @@
  * runner. */
 #define START_TIMEOUT (KQ_AGENT_CALL_MS * KQ_MS)
 
-/* Queues a start again that found no verified connection. */
+/* Queues the call's start again if it wasn't sent and START_TIMEOUT isn't over. False:
+ * the call has ended. */
 static bool
 requeue_start (KqAgentRunner *runner, KqAgentCall *c, const KqRunnerReply *r, KqTime now)
 {
@@ -64,8 +65,8 @@
                    (KqRunnerCallback){ kq_agent_runner_on_outcome, c });
 }
 
-/* Refuses all queued starts; none of them was sent. The leader may take the runner away
- * from this agent as it handles a report. */
+/* Reports all queued starts as refused; none of them was sent. The leader may take the
+ * runner away from this agent while it handles such a report. */
 static void
 refuse_starts (KqAgentCall *c, KqTime now)
 {
@@ -85,8 +86,8 @@
     }
 }
 
-/* The list isn't reported: the reply to a poll in flight may be older and would replace
- * it. */
+/* The runner's list isn't reported to the leader: the reply to a poll in flight may be
+ * older, and would replace this list. */
 static void
 on_verification (void *arg, const KqRunnerReply *r, KqTime now)
 {
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -11,9 +11,9 @@
 #include <stdlib.h>
 
 #define PART "lead"
-/* Renewals within the length of a lease, so that two may be lost. They don't wait for
- * each other's answers: on a busy link an answer takes a second, and it extends the lease
- * only from when its renewal was sent. */
+/* Number of renewals sent within the length of a lease, so that two may be lost. A
+ * renewal doesn't wait for the answer to the one before: on a busy link an answer takes a
+ * second, and it extends the lease only from when its renewal was sent. */
 #define RENEWALS_PER_LEASE 4
 /* Delay after a renewal that was refused. */
 #define RENEWAL_RETRY_MS 120
@@ -31,9 +31,9 @@
 {
   FOLLOWING, /* another node leads, or the next election is scheduled */
   READING_TERM,
-  LEASING,
-  WRITING,
-  CHECKING, /* the write had no answer: reading who leads */
+  REQUESTING_LEASE,
+  WRITING_RECORD,
+  CHECKING_RECORD, /* the write got no answer: reading the record to see who leads */
   LEADING
 } Phase;
 
@@ -50,12 +50,14 @@
   uint64_t lease;
   uint64_t term_revision;
   uint32_t term;
-  uint32_t known_term; /* as in the last record read; the term key was written with it */
-  uint64_t known_term_at; /* revision of the term key then; 0: not known */
-  KqTime leased_at;       /* when the lease was requested */
+  uint32_t known_term; /* the term in the last record read, which the term key has too */
+  uint64_t known_term_revision; /* revision of the term key that goes with known_term; 0:
+                                   not known */
+  KqTime lease_requested_at;    /* when the lease was requested */
   KqTime valid_until;
   KqTime write_sent;
-  uint64_t serial; /* of the attempt; answers to earlier ones are dropped */
+  uint64_t serial; /* of the attempt to lead; answers to calls of earlier attempts are
+                      dropped */
   uint64_t *elections;
   uint64_t *losses;
 };
@@ -70,7 +72,7 @@
 static void renew (KqElection *e);
 
 static KqKvCallback
-callback (KqElection *e, void (*done) (void *, const KqKvReply *, KqTime))
+new_callback (KqElection *e, void (*done) (void *, const KqKvReply *, KqTime))
 {
   Call *c = kq_alloc (sizeof *c);
   c->election = e;
@@ -171,7 +173,7 @@
 {
   set_timer (e, (int)(e->config.ttl_ms / RENEWALS_PER_LEASE));
   kq_kv_lease_renew (e->config.kv, e->lease, (int)e->config.ttl_ms,
-                     callback (e, on_renewed));
+                     new_callback (e, on_renewed));
 }
 
 static void
@@ -181,7 +183,7 @@
   e->record.node = e->config.node;
   e->record.address = e->config.address;
   e->record.epoch = epoch;
-  e->valid_until = e->leased_at + e->config.ttl_ms * KQ_MS;
+  e->valid_until = e->lease_requested_at + e->config.ttl_ms * KQ_MS;
   ++*e->elections;
   kq_log (KQ_LOG_INFO, PART, "Leading. epoch=%llu term=%u lease=%llu",
           (unsigned long long)epoch, e->term, (unsigned long long)e->lease);
@@ -227,7 +229,8 @@
   return ok;
 }
 
-/* After a write without an answer: this node leads if the record has its lease. */
+/* Reply to the read after a write without an answer: this node leads if the leader's
+ * record has its lease. */
 static void
 on_checked (void *arg, const KqKvReply *r, KqTime now)
 {
@@ -253,12 +256,13 @@
     become_leader (e, r->revision, now);
   else if (r->result == KQ_KV_UNKNOWN)
     {
-      e->phase = CHECKING;
-      kq_kv_get (e->config.kv, kq_leader_key, STORE_TIMEOUT_MS, callback (e, on_checked));
+      e->phase = CHECKING_RECORD;
+      kq_kv_get (e->config.kv, kq_leader_key, STORE_TIMEOUT_MS,
+                 new_callback (e, on_checked));
     }
   else
     {
-      e->known_term_at = 0; /* the known term may be outdated */
+      e->known_term_revision = 0; /* the known term may be outdated */
       schedule_election (e, ELECTION_RETRY_MS);
     }
 }
@@ -280,7 +284,7 @@
       return;
     }
   e->lease = r->lease;
-  e->leased_at = r->called_at;
+  e->lease_requested_at = r->called_at;
   if (r->ttl_ms > 0)
     e->config.ttl_ms = r->ttl_ms;
   e->term++;
@@ -290,17 +294,17 @@
   checks[1] = (KqKvCheck){ term_key, e->term_revision };
   puts[0] = (KqKvPut){ kq_leader_key, kq_buf_str (&record), e->lease };
   puts[1] = (KqKvPut){ term_key, kq_str (term), 0 };
-  e->phase = WRITING;
-  kq_kv_txn (e->config.kv, &t, STORE_TIMEOUT_MS, callback (e, on_written));
+  e->phase = WRITING_RECORD;
+  kq_kv_txn (e->config.kv, &t, STORE_TIMEOUT_MS, new_callback (e, on_written));
   kq_buf_free (&record);
 }
 
 static void
 request_lease (KqElection *e)
 {
-  e->phase = LEASING;
+  e->phase = REQUESTING_LEASE;
   kq_kv_lease_grant (e->config.kv, e->config.ttl_ms, STORE_TIMEOUT_MS,
-                     callback (e, on_leased));
+                     new_callback (e, on_leased));
 }
 
 static void
@@ -327,18 +331,19 @@
 start_election (KqElection *e)
 {
   e->serial++;
-  if (e->known_term_at != 0)
+  if (e->known_term_revision != 0)
     {
       e->term = e->known_term;
-      e->term_revision = e->known_term_at;
+      e->term_revision = e->known_term_revision;
       request_lease (e);
       return;
     }
   e->phase = READING_TERM;
-  kq_kv_get (e->config.kv, term_key, STORE_TIMEOUT_MS, callback (e, on_term));
+  kq_kv_get (e->config.kv, term_key, STORE_TIMEOUT_MS, new_callback (e, on_term));
 }
 
-/* No other process uses this node's address: such a record is of an earlier process. */
+/* Whether the record has this node's name and address but another lease. No other process
+ * uses this node's address, so an earlier process of this node has written the record. */
 static bool
 written_by_earlier_process (const KqElection *e, const KqLeaderRecord *record,
                             uint64_t lease)
@@ -352,7 +357,8 @@
 {
   kq_log (KQ_LOG_INFO, PART, "Ending the lease of an earlier process. epoch=%llu",
           (unsigned long long)e->record.epoch);
-  kq_kv_lease_revoke (e->config.kv, lease, STORE_TIMEOUT_MS, callback (e, ignore_reply));
+  kq_kv_lease_revoke (e->config.kv, lease, STORE_TIMEOUT_MS,
+                      new_callback (e, ignore_reply));
 }
 
 static void
@@ -371,8 +377,8 @@
     }
   record.epoch = i->revision;
   e->known_term = extra.term;
-  e->known_term_at = extra.term > 0 ? i->revision : 0;
-  if (e->phase == WRITING && extra.lease == e->lease)
+  e->known_term_revision = extra.term > 0 ? i->revision : 0;
+  if (e->phase == WRITING_RECORD && extra.lease == e->lease)
     return; /* the answer to our own write is still to come */
   if (e->phase == LEADING && i->revision <= e->record.epoch)
     return;
@@ -492,7 +498,7 @@
   stop_leading (e, why, now);
   if (was_leader)
     kq_kv_lease_revoke (e->config.kv, lease, STORE_TIMEOUT_MS,
-                        callback (e, ignore_reply));
+                        new_callback (e, ignore_reply));
   if (was_leader && retry)
     schedule_election (e, ELECTION_RETRY_MS);
 }
--- a/src/election/election.h
+++ b/src/election/election.h
@@ -8,7 +8,8 @@
  * is conditional on that key still having that revision, so a leader that has lost it
  * can't change anything in the store. The term counts leaders; it is kept in a key of its
  * own that outlives the lease. A process that finds its address in the record of an
- * earlier process revokes that one's lease, so that nobody waits until it expires. */
+ * earlier process revokes the lease of that process, so that no node has to wait until it
+ * expires. */
 
 #include "base/counter.h"
 #include "port/kv.h"
@@ -33,7 +34,7 @@
   int rank_ms; /* extra delay before an election, larger on less suitable nodes */
   KqCounters *counters;
   void *arg;
-  /* Another node leads, or there is no leader. */
+  /* Called when another node leads, or there is no leader. */
   void (*changed) (void *arg, const KqLeaderRecord *r, KqTime now);
   /* This node has become leader. */
   void (*elected) (void *arg, uint64_t epoch, uint32_t term, KqTime now);
@@ -47,7 +48,8 @@
 
 KqElection *kq_election_new (const KqElectionConfig *c);
 void kq_election_free (KqElection *e);
-/* Until when this node's lease is certainly good; 0: this node isn't the leader. */
+/* The time until which this node's lease is certainly good; 0: this node isn't the
+ * leader. */
 KqTime kq_election_valid_until (const KqElection *e);
 bool kq_election_is_leader (const KqElection *e);
 const KqLeaderRecord *kq_election_record (const KqElection *e);
--- a/src/election/handover.h
+++ b/src/election/handover.h
@@ -15,13 +15,13 @@
 typedef struct
 {
   int own_milli;                 /* share of a cpu that this node has, in thousandths */
-  int other_milli;               /* the same of the other node */
+  int other_milli;               /* the other node's share of a cpu, in thousandths */
   KqTime other_reached_store_at; /* when the store last answered the other node; 0: not
                                     known */
   KqTime handed_over_at; /* when this node last handed leadership over; 0: never */
 } KqHandover;
 
-/* Whether to hand leadership over to the other node now. */
+/* Whether this node should hand leadership over to the other node now. */
 bool kq_handover_due (const KqHandover *h, KqTime now);
 
 #endif
--- a/src/election/lease_expiry.c
+++ b/src/election/lease_expiry.c
@@ -5,7 +5,7 @@
 /* Longest time that a leader continues after its lease may have expired: about as long as
  * a new leader waits for runners that don't answer. */
 #define MAX_UNRENEWED (9 * KQ_SEC)
-/* How long a peer's report of the store counts: a few of its heartbeats. */
+/* For how long a peer's report that it reaches the store counts: a few heartbeats. */
 #define PEER_REPORT_VALID (2700 * KQ_MS)
 /* A renewal takes a handshake and a call, of 100 ms each between regions. */
 #define RENEWAL_TIMEOUT (300 * KQ_MS)
--- a/src/election/lease_expiry.h
+++ b/src/election/lease_expiry.h
@@ -19,7 +19,7 @@
   KqTime length;      /* of a whole lease */
   KqTime
       peer_reached_store_at; /* when the store last answered another node; 0: not known */
-  int peers;                 /* other nodes that are connected */
+  int peers;                 /* number of other nodes that are connected */
   KqTime renewal_sent_at; /* when a renewal was requested because a peer had reached the
                       store; 0: none since the lease was last good */
 } KqLeaseExpiry;
@@ -32,8 +32,8 @@
   KQ_LEASE_EXPIRY_RESIGN,   /* resign */
 } KqLeaseExpiryAction;
 
-/* To be called often; changes renewal_sent_at. *why: set to the reason with
- * KQ_LEASE_EXPIRY_RESIGN, a constant string. */
+/* Returns what the leader has to do now. Call it often; it changes renewal_sent_at. With
+ * KQ_LEASE_EXPIRY_RESIGN, *why is set to the reason, a constant string. */
 KqLeaseExpiryAction kq_lease_expiry_action (KqLeaseExpiry *e, KqTime now,
                                             const char **why);
 
