--- a/src/agent/frame.h
+++ b/src/agent/frame.h
@@ -58,8 +58,9 @@
     KqOrder order;
     struct
     {
-      uint64_t call;
-      int64_t value; /* KqJobState, or a number of jobs */
+      uint64_t call; /* number of the ASK */
+      int64_t
+          value; /* KqJobState, KqAcceptResult or a number of jobs; below 0: not known */
       KqStr text;
     } answer;
     struct
@@ -73,7 +74,7 @@
     } welcome;
     struct
     {
-      int64_t kind;
+      int64_t kind; /* as received */
     } unknown;
     struct
     {
@@ -102,14 +103,14 @@
     } unreached;
     struct
     {
-      uint64_t call;
+      uint64_t call; /* the node's number of this query */
       KqAskKind what;
       KqStr about; /* job id or queue; of ACCEPT the job */
     } ask;
     struct
     {
-      KqStr stored;
-      uint64_t revision;
+      KqStr stored;      /* the job as it is stored */
+      uint64_t revision; /* of the job's key */
     } job;
     struct
     {
--- a/src/agent/lease.c
+++ b/src/agent/lease.c
@@ -44,7 +44,7 @@
   if (n->started_ms != 0)
     l->started_ms = n->started_ms;
   if (!first && !restarted && n->clock_ms < l->clock_ms)
-    return false; /* an answer to a later call has arrived already */
+    return false; /* an answer that the runner gave later arrived before */
   l->clock_ms = n->clock_ms;
   l->clock_at = now;
   /* Another agent may have granted a lease of full length just before. */
--- a/src/agent/starts.c
+++ b/src/agent/starts.c
@@ -11,7 +11,7 @@
 #define START_TIMEOUT (KQ_AGENT_CALL_MS * KQ_MS)
 
 /* Queues the call's start again if it wasn't sent and START_TIMEOUT isn't over. False:
- * the call has ended. */
+ * nothing was queued. */
 static bool
 requeue_start (KqAgentRunner *runner, KqAgentCall *c, const KqRunnerReply *r, KqTime now)
 {
--- a/src/fleet/accepts.c
+++ b/src/fleet/accepts.c
@@ -9,21 +9,21 @@
 #include <stdlib.h>
 
 #define PART "accepts"
-/* Shorter by a round trip than the node's LEADER_WRITE_TIMEOUT for the answer (front.c).
- */
-#define WRITE_MS 700
+/* Timeout of a write: shorter by a round trip than LEADER_WRITE_TIMEOUT (front.c), for
+ * which the node waits for the answer. */
+#define WRITE_TIMEOUT_MS 700
 /* No jobs are written for this long after a write without an answer: by then the leader's
  * other calls have shown whether it still reaches the store. */
 #define PAUSE_AFTER_UNKNOWN (700 * KQ_MS)
-/* Outstanding writes; each holds a copy of its job. */
-#define CALLS_MAX 500
+/* Maximum number of outstanding writes; each holds a copy of its job. */
+#define WRITES_MAX 500
 
 typedef struct
 {
   KqAccepts *accepts; /* NULL: freed meanwhile */
   KqPeer *peer;       /* NULL: disconnected meanwhile */
-  uint64_t call;
-  KqBuf stored;
+  uint64_t call;      /* the peer's number of its query */
+  KqBuf stored;       /* the job in its stored form */
 } Call;
 
 struct KqAccepts
@@ -111,7 +111,7 @@
   KqKvCheck check = { key, 0 };
   KqKvPut put = { key, kq_buf_str (&c->stored), 0 };
   KqKvTxn t = { &check, 1, &put, 1, NULL, 0 };
-  kq_kv_txn (a->kv, &t, WRITE_MS, (KqKvCallback){ on_written, c });
+  kq_kv_txn (a->kv, &t, WRITE_TIMEOUT_MS, (KqKvCallback){ on_written, c });
   free ((char *)key.ptr);
 }
 
@@ -121,7 +121,7 @@
   bool paused = a->unknown_at != 0 && now - a->unknown_at < PAUSE_AFTER_UNKNOWN;
   KqSpec spec;
   Call *c;
-  if (paused || a->calls->len >= CALLS_MAX || !kq_spec_unpack (stored, &spec))
+  if (paused || a->calls->len >= WRITES_MAX || !kq_spec_unpack (stored, &spec))
     {
       kq_log (KQ_LOG_INFO, PART,
               "Refusing to write a job for a node. doubt=%d under_way=%u bytes=%zu",
--- a/src/fleet/accepts.h
+++ b/src/fleet/accepts.h
@@ -4,7 +4,8 @@
 /* accepts: the leader writes jobs to the store for nodes that cannot reach it.
  *
  * The store may refuse a third of the nodes for seconds and serve the rest. Clients keep
- * their connections, so without this every job sent to those nodes would be refused.
+ * their connections, so if the leader didn't write for them, every job sent to those
+ * nodes would be refused.
  *
  * The leader makes one write per job and replies with its result; a job whose write got
  * no answer may have been accepted. After such a write no jobs are written for a while:
@@ -36,10 +37,10 @@
 /* To be called before kv is freed; the results of outstanding writes are ignored. */
 void kq_accepts_free (KqAccepts *a);
 /* Writes a job in its stored form, unless it cannot be decoded, too many writes are
- * outstanding or the last one got no answer. The peer gets the result as the
+ * outstanding or a write got no answer a moment ago. The peer gets the result as the
  * KQ_AGENT_ITEM_ANSWER to `call`. */
 void kq_accepts_write (KqAccepts *a, KqPeer *p, uint64_t call, KqStr stored, KqTime now);
-/* The peer has disconnected: it gets no more answers. */
+/* Records that the peer has disconnected: it gets no more answers. */
 void kq_accepts_peer_left (KqAccepts *a, const KqPeer *p);
 
 #endif
--- a/src/fleet/batch.c
+++ b/src/fleet/batch.c
@@ -35,7 +35,7 @@
   bool batch_open;         /* rows hold the scheduler's batch, which isn't stored yet */
   bool runners_sent;       /* the last write included `runners` */
   KqProgress rows[ROWS_MAX];
-  size_t n;
+  size_t n_rows;
   KqBuf runners;     /* the list of runners to be written; empty: none */
   KqBuf learned;     /* the learned data as last written */
   KqTime learned_at; /* when `learned` was written */
@@ -94,7 +94,7 @@
   bool runners = b->runners_sent;
   b->last_write_unknown = false;
   b->batch_open = false;
-  b->n = 0;
+  b->n_rows = 0;
   if (runners)
     {
       kq_buf_clear (&b->runners);
@@ -184,13 +184,13 @@
       handle_conflict (b, r, now);
       break;
     case KQ_KV_UNKNOWN:
-      kq_log (KQ_LOG_WARN, PART, "No answer to a write of progress. rows=%zu", b->n);
+      kq_log (KQ_LOG_WARN, PART, "No answer to a write of progress. rows=%zu", b->n_rows);
       b->last_write_unknown = true;
       b->retry_at = now + RETRY_DELAY;
       break;
     default:
-      kq_log (KQ_LOG_WARN, PART, "Progress was not written. rows=%zu result=%d", b->n,
-              r->result);
+      kq_log (KQ_LOG_WARN, PART, "Progress was not written. rows=%zu result=%d",
+              b->n_rows, r->result);
       b->retry_at = now + RETRY_DELAY;
       break;
     }
@@ -221,7 +221,7 @@
       puts[t.n_puts++]
           = (KqKvPut){ KQ_STR (KQ_KEY_LEARNED), kq_buf_str (&b->learned), 0 };
     }
-  for (size_t i = 0; i < b->n; i++)
+  for (size_t i = 0; i < b->n_rows; i++)
     {
       const KqProgress *p = &b->rows[i];
       if (!p->remove)
@@ -257,9 +257,9 @@
     {
       if (b->runners.len == 0)
         kq_sched_used_runners_pack (b->config.sched, &b->runners);
-      b->n = kq_sched_store_begin (b->config.sched, b->rows, ROWS_MAX, now);
-      b->batch_open = b->n > 0;
+      b->n_rows = kq_sched_store_begin (b->config.sched, b->rows, ROWS_MAX, now);
+      b->batch_open = b->n_rows > 0;
     }
-  if (b->n > 0 || b->runners.len > 0)
+  if (b->n_rows > 0 || b->runners.len > 0)
     write_rows (b, now);
 }
--- a/src/fleet/fleet.c
+++ b/src/fleet/fleet.c
@@ -22,14 +22,14 @@
 #include <stdlib.h>
 
 #define PART "fleet"
-/* Leader lease. When a leader dies, no decisions are made for about this long. A slow
- * host or one lost renewal must not end it. */
+/* Length of the leader's lease. When a leader dies, no decisions are made for about this
+ * long. A slow host or one lost renewal must not end the lease. */
 #define LEADER_LEASE_MS 1500
-/* Runner lease. It must outlast a change of leader and a slow host; the tasks of a dead
- * runner start elsewhere only when it has expired. */
+/* Length of a runner's lease. It must outlast a change of leader and a slow host; the
+ * tasks of a dead runner start elsewhere only when it has expired. */
 #define RUNNER_LEASE_MS 5000
-/* Longest election. Nodes without a leader renew runner leases for the old leader's lease
- * plus this. */
+/* Longest time that an election takes. Nodes without a leader renew runner leases for the
+ * length of the old leader's lease plus this time. */
 #define ELECTION_MS 2500
 #define CHECK_PERIOD_S 0.2
 /* Shortest time between a planned stop and the end: the platform routes new connections
@@ -37,8 +37,8 @@
 #define STOP_MIN (3200 * KQ_MS)
 /* The process ends this long before the platform would kill it. */
 #define STOP_MARGIN (500 * KQ_MS)
-/* Delay before a node without cpu share stands for election, so that stronger nodes win:
- * those with a larger share wait less, those near the store have shorter calls. */
+/* Delay before a node with a cpu share of 0 stands for election. A larger share shortens
+ * the delay, so that stronger nodes win; nodes near the store have shorter calls. */
 #define CANDIDACY_DELAY_MS 200
 
 struct KqFleet
@@ -59,9 +59,9 @@
   KqQueueKeys *queues;
   KqAgentInfo self;
   KqReach store;
-  KqLeaseExpiry lease_expiry; /* while this node leads */
-  KqHandover handover; /* its other_ fields: the strongest node since the election */
-  bool store_down;     /* an outage has been logged */
+  KqLeaseExpiry lease_expiry; /* used while this node leads */
+  KqHandover handover; /* other_ fields: the strongest node since this one was elected */
+  bool store_down;     /* the store's present outage has been logged */
   bool stopping;
   bool stopped;
   KqTime stopping_at;
@@ -460,7 +460,7 @@
 }
 
 static bool
-start_parts (KqFleet *f)
+create_parts (KqFleet *f)
 {
   const KqFleetSettings *s = f->config.settings;
   KqLoop *loop = f->config.loop;
@@ -534,7 +534,7 @@
     f->maintenance = kq_maintenance_new (c->loop, kq_str (c->settings->control_plane));
   ev_timer_init (&f->check_timer, on_check, CHECK_PERIOD_S, CHECK_PERIOD_S);
   f->check_timer.data = f;
-  if (!start_parts (f))
+  if (!create_parts (f))
     {
       kq_fleet_free (f);
       return NULL;
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -15,8 +15,8 @@
   KqLoop *loop;
   const KqFleetSettings *settings;
   KqCounters *counters;
-  /* Called once after kq_fleet_stop. whole: all requests have been answered; false: the
-   * grace period ended first. */
+  /* Called once after kq_fleet_stop. whole: all requests have been answered; if false,
+   * the grace period ended first. */
   void (*stopped) (void *arg, bool whole);
   void *arg;
 } KqFleetConfig;
--- a/src/fleet/follow.c
+++ b/src/fleet/follow.c
@@ -9,12 +9,12 @@
 
 #define PART "follow"
 #define LIST_TIMEOUT_MS 1500
-/* Delay after a failed call, doubled up to the bound so that a store in trouble isn't
- * overloaded. */
+/* Delay after a failed call; doubled with each failure up to the maximum, so that a store
+ * in trouble isn't overloaded. */
 #define RETRY_DELAY_MS 100
 #define RETRY_DELAY_MAX_MS 400
-/* The bound if the answer was cut off. Such an answer uses link capacity for nothing, so
- * longer delays leave more of it to other calls. */
+/* The maximum delay if the answer was cut off. Such an answer uses link capacity for
+ * nothing, so longer delays leave more of it to other calls. */
 #define CUT_RETRY_DELAY_MAX_MS 3200
 
 struct KqFollow
@@ -28,10 +28,10 @@
   int failures; /* consecutive */
   KqRand rand;
   ev_timer timer;
-  GHashTable *revisions; /* key -> revision, in the pointer */
-  GHashTable *listed;    /* while listing: keys seen so far */
-  char *after;           /* last key of the previous page; NULL: first page */
-  uint64_t from;         /* the next watch starts after this revision */
+  GHashTable *revisions;  /* key -> revision, in the pointer */
+  GHashTable *listed;     /* while listing: keys seen so far */
+  char *after;            /* last key of the previous page; NULL: first page */
+  uint64_t seen_revision; /* the next watch starts after this revision */
   bool listing;
   bool call_pending; /* a call is outstanding */
   bool freed;        /* freed while a call was outstanding or a callback running */
@@ -118,7 +118,8 @@
     {
       g_hash_table_remove (f->revisions, g_ptr_array_index (gone, i));
       if (f->owner.gone != NULL)
-        f->owner.gone (f->owner.arg, kq_str (g_ptr_array_index (gone, i)), f->from, now);
+        f->owner.gone (f->owner.arg, kq_str (g_ptr_array_index (gone, i)),
+                       f->seen_revision, now);
     }
   g_ptr_array_free (gone, TRUE);
 }
@@ -127,7 +128,7 @@
 handle_page (KqFollow *f, const KqKvReply *r, KqTime now)
 {
   if (f->after == NULL)
-    f->from = r->revision; /* changes during later pages are seen by the watch */
+    f->seen_revision = r->revision; /* changes during later pages are seen by the watch */
   for (size_t i = 0; i < r->n_items && !f->freed; i++)
     handle_item (f, &r->items[i], now);
   if (r->more && r->n_items > 0)
@@ -189,8 +190,8 @@
         {
           for (size_t i = 0; i < r->n_items && !f->freed; i++)
             handle_item (f, &r->items[i], now);
-          if (r->revision > f->from)
-            f->from = r->revision;
+          if (r->revision > f->seen_revision)
+            f->seen_revision = r->revision;
           pause = r->n_items > 0 ? f->pause_ms : 0;
         }
       break;
@@ -198,7 +199,7 @@
       kq_log (
           KQ_LOG_INFO, PART,
           "The watch's revision has been compacted; listing again. prefix=%s from=%llu",
-          f->prefix, (unsigned long long)f->from);
+          f->prefix, (unsigned long long)f->seen_revision);
       start_listing (f);
       break;
     default:
@@ -219,7 +220,8 @@
     call_store (f);
 }
 
-/* The first watch after a failure doesn't wait for a change. Otherwise the store's
+/* Makes the next call: for a page of the listing, or a watch. The first watch after a
+ * failure doesn't wait for a change. Otherwise the store's
  * recovery is noticed only at the end of the wait, 1.5 s late, and clients' jobs are
  * refused until then (29 of 380 jobs in an outage of 4.2 s). */
 static void
@@ -231,7 +233,7 @@
   if (f->listing)
     kq_kv_range (f->kv, kq_str (f->prefix), kq_str (f->after), LIST_TIMEOUT_MS, cb);
   else
-    kq_kv_watch (f->kv, kq_str (f->prefix), f->from, wait_ms, cb);
+    kq_kv_watch (f->kv, kq_str (f->prefix), f->seen_revision, wait_ms, cb);
 }
 
 KqFollow *
--- a/src/fleet/follow.h
+++ b/src/fleet/follow.h
@@ -15,6 +15,7 @@
 typedef struct
 {
   void *arg;
+  /* A key was listed or written. */
   void (*item) (void *arg, const KqKvItem *i, KqTime now);
   /* The key doesn't exist at that revision. May be NULL. */
   void (*gone) (void *arg, KqStr key, uint64_t revision, KqTime now);
--- a/src/fleet/front.c
+++ b/src/fleet/front.c
@@ -15,8 +15,8 @@
 /* Timeout of one write. A write without an answer may safely be retried: it is
  * conditional on the job's key not existing. */
 #define WRITE_TIMEOUT_MS 900
-/* Retries end after this long; the client can decide better whether to go on. */
-#define TRY_MAX (1000 * KQ_MS)
+/* Retries end after this time; the client can decide better whether to go on. */
+#define RETRY_PERIOD_MAX (1000 * KQ_MS)
 /* Part of the client's deadline that is reserved for sending the reply. */
 #define DEADLINE_SLACK_MS 250
 /* Timeout of the read that precedes a write while the store is suspected. A read without
@@ -24,12 +24,13 @@
 #define PROBE_TIMEOUT_MS 400
 /* Delay before a call without an answer is retried, doubled each time. A store in trouble
  * resets connections at once: without a delay nine nodes made 500 calls a second. */
-#define RETRY_FIRST (80 * KQ_MS)
-#define RETRY_LONGEST (640 * KQ_MS)
+#define RETRY_DELAY_MIN (80 * KQ_MS)
+#define RETRY_DELAY_MAX (640 * KQ_MS)
 /* Timeout of a query to the leader; then the store is read. */
 #define LEADER_TIMEOUT (500 * KQ_MS)
 /* Timeout of a job that the leader writes: a round trip between regions and its call. */
 #define LEADER_WRITE_TIMEOUT (1000 * KQ_MS)
+/* Period of the check for late queries and due retries. */
 #define SWEEP_PERIOD_S 0.04
 /* Retry-After of refusals: outages of the store last seconds, and earlier retries of many
  * clients would only add load. */
@@ -43,7 +44,7 @@
   SUBMIT_PROBE,  /* reads the job's key to see whether the store answers */
   SUBMIT_LEADER, /* the leader writes the job */
   STATE_LEADER,  /* waits for the state from the leader */
-  READ_PROGRESS,
+  READ_PROGRESS, /* the READ_ steps find a job's state in the store */
   READ_CANCEL,
   READ_JOB,
   CANCEL_READ,
@@ -62,10 +63,10 @@
   KqTime received_at;
   KqTime deadline;
   KqTime leader_deadline;
-  KqTime retry_at; /* while in the list of retries */
+  KqTime retry_at; /* set while in `retries` */
   KqTime retry_delay;
   uint64_t revision;  /* of the job's key */
-  bool write_unknown; /* the outcome of some write is unknown */
+  bool write_unknown; /* a write of this request got no answer */
 } Request;
 
 static const char *const step_names[]
@@ -137,7 +138,7 @@
 may_retry (const Request *q, KqTime now)
 {
   return now + (DEADLINE_SLACK_MS + 50) * KQ_MS < q->deadline
-         && now - q->received_at < TRY_MAX;
+         && now - q->received_at < RETRY_PERIOD_MAX;
 }
 
 static int
@@ -148,7 +149,7 @@
 }
 
 static void
-report_reach (Request *q, const KqKvReply *r, KqTime now)
+report_store_call (Request *q, const KqKvReply *r, KqTime now)
 {
   if (r->result != KQ_KV_UNKNOWN && r->result != KQ_KV_REFUSED)
     q->handler->config.answered (q->handler->config.arg, r->called_at, now);
@@ -169,9 +170,9 @@
 schedule_retry (Request *q, Step step, KqTime now)
 {
   q->step = step;
-  q->retry_delay = q->retry_delay == 0 ? RETRY_FIRST : 2 * q->retry_delay;
-  if (q->retry_delay > RETRY_LONGEST)
-    q->retry_delay = RETRY_LONGEST;
+  q->retry_delay = q->retry_delay == 0 ? RETRY_DELAY_MIN : 2 * q->retry_delay;
+  if (q->retry_delay > RETRY_DELAY_MAX)
+    q->retry_delay = RETRY_DELAY_MAX;
   q->retry_at = now + q->retry_delay;
   ++*q->handler->counts.retried;
   g_ptr_array_add (q->handler->retries, q);
@@ -196,7 +197,7 @@
 on_submit_written (void *arg, const KqKvReply *r, KqTime now)
 {
   Request *q = arg;
-  report_reach (q, r, now);
+  report_store_call (q, r, now);
   switch (r->result)
     {
     case KQ_KV_OK:
@@ -248,7 +249,7 @@
 on_cancel_written (void *arg, const KqKvReply *r, KqTime now)
 {
   Request *q = arg;
-  report_reach (q, r, now);
+  report_store_call (q, r, now);
   if (r->result == KQ_KV_OK)
     {
       notify_cancel (q, now);
@@ -275,7 +276,7 @@
   free ((char *)mark.ptr);
 }
 
-/* Replies with the job's stored final state, or goes on with the cancellation's key. */
+/* Replies with the job's stored final state, or else reads the cancellation's key. */
 static void
 handle_progress (Request *q, const KqKvReply *r, KqTime now)
 {
@@ -291,7 +292,7 @@
 on_read (void *arg, const KqKvReply *r, KqTime now)
 {
   Request *q = arg;
-  report_reach (q, r, now);
+  report_store_call (q, r, now);
   if (r->result != KQ_KV_OK && r->result != KQ_KV_NOT_FOUND)
     {
       if (q->step == CANCEL_READ)
@@ -393,7 +394,7 @@
                 MIN (left, LEADER_WRITE_TIMEOUT), now);
 }
 
-/* result: a KqAcceptResult; any other value: the leader hasn't tried. */
+/* result: a KqAcceptResult; any other value: the leader hasn't tried to write the job. */
 static void
 on_leader_written (Request *q, int64_t result, KqTime now)
 {
@@ -526,7 +527,7 @@
 }
 
 static void
-sweep_queries (KqFrontHandler *h, KqTime now)
+expire_queries (KqFrontHandler *h, KqTime now)
 {
   GHashTableIter it;
   gpointer value;
@@ -542,14 +543,14 @@
     {
       uint64_t call = g_array_index (late, uint64_t, i);
       const Request *q = g_hash_table_lookup (h->queries, &call);
-      bool writes = q != NULL && q->step == SUBMIT_LEADER;
-      kq_front_handler_answer (h, call, writes ? KQ_ACCEPT_UNKNOWN : -1, now);
+      bool is_write = q != NULL && q->step == SUBMIT_LEADER;
+      kq_front_handler_answer (h, call, is_write ? KQ_ACCEPT_UNKNOWN : -1, now);
     }
   g_array_free (late, TRUE);
 }
 
 static void
-sweep_retries (KqFrontHandler *h, KqTime now)
+run_due_retries (KqFrontHandler *h, KqTime now)
 {
   for (guint i = 0; i < h->retries->len; i++)
     {
@@ -568,8 +569,8 @@
   KqFrontHandler *h = w->data;
   KqTime now = kq_loop_now (h->config.loop);
   (void)events;
-  sweep_queries (h, now);
-  sweep_retries (h, now);
+  expire_queries (h, now);
+  run_due_retries (h, now);
   if (g_hash_table_size (h->queries) == 0 && h->retries->len == 0)
     ev_timer_stop (ev, w);
 }
--- a/src/fleet/front.h
+++ b/src/fleet/front.h
@@ -23,10 +23,11 @@
   KqKv *kv;
   KqCounters *counters;
   void *arg;
-  const KqQueueTable *(*table) (void *arg); /* NULL: none yet */
+  /* The configuration of queues; NULL: none yet. */
+  const KqQueueTable *(*table) (void *arg);
   /* The store's state as seen by this node; no calls are made while KQ_REACH_DOWN. */
   KqReachState (*store_state) (void *arg, KqTime now);
-  /* Whether the leader reaches the store. */
+  /* Whether the leader reaches the store, so that it can write this node's jobs. */
   bool (*store_via_leader) (void *arg, KqTime now);
   /* Sends a query to the leader; the reply is passed to kq_front_handler_answer, possibly
    * before this returns. False: there is no leader, and no reply will come. */
--- a/src/fleet/front_counts.h
+++ b/src/fleet/front_counts.h
@@ -11,13 +11,13 @@
 typedef struct
 {
   uint64_t *replies[KQ_REPLY_KINDS]; /* by KqReplyKind */
-  KqHistogram took;
-  uint64_t *refused_store;
-  uint64_t *refused_start;
-  uint64_t *refused_leader;
-  uint64_t *retried;
-  uint64_t *from_store;
-  uint64_t *via_leader;
+  KqHistogram took;                  /* time to answer a request */
+  uint64_t *refused_store;           /* refusals because of the store */
+  uint64_t *refused_start;           /* refusals before the first configuration */
+  uint64_t *refused_leader;          /* refusals because there was no leader */
+  uint64_t *retried;                 /* calls to the store that were repeated */
+  uint64_t *from_store;              /* reads of the store */
+  uint64_t *via_leader;              /* jobs that the leader was asked to write */
 } KqFrontCounts;
 
 void kq_front_counts_init (KqFrontCounts *f, KqCounters *c);
--- a/src/fleet/leader.c
+++ b/src/fleet/leader.c
@@ -15,8 +15,8 @@
 
 #define PART "leader"
 #define CALL_TIMEOUT_MS 1500
-/* Longest wait of a watch, and pauses after an answer so that changes are collected. The
- * pause for jobs is longer: nodes report accepted jobs, the watch finds missed ones. */
+/* Longest wait of a watch, and pauses before the next one, so that changes are collected.
+ * Jobs have a longer pause: nodes report them, and the watch only finds lost reports. */
 #define WATCH_MS 2000
 #define JOBS_PAUSE_MS 250
 #define RUNNERS_PAUSE_MS 50
@@ -40,19 +40,19 @@
   KqWaves *waves; /* NULL until loaded */
   KqFollow *jobs;
   KqFollow *entries;
-  GPtrArray *peers;          /* by agent number; NULL: disconnected */
+  GPtrArray *peers;          /* KqPeer by agent number; NULL: disconnected */
   GHashTable *early_cancels; /* ids of cancelled jobs that haven't been received yet */
-  int own_agent;
+  int own_agent;             /* agent number of this node */
   LoadPhase phase;
   char *page_after; /* last key of the previous page of progress */
   int failures;     /* consecutive failed calls while loading */
   KqRand rand;
-  ev_timer retry; /* of a failed call while loading */
-  ev_timer timer;
+  ev_timer retry; /* repeats a failed call while loading */
+  ev_timer timer; /* the next run of the scheduler or write of the batch */
   ev_prepare before_poll;
-  KqTime next_at;    /* the scheduler's next run is due */
+  KqTime next_at;    /* when the scheduler's next run is due */
   bool dirty;        /* input has arrived since the last run */
-  bool call_pending; /* a call of on_loaded is outstanding */
+  bool call_pending; /* a call with the callback on_loaded is outstanding */
   bool freed;        /* freed while that call was outstanding */
   bool closing;      /* the owner's deposed callback is running */
 };
@@ -103,7 +103,7 @@
 }
 
 static void
-on_batch_deposed (void *arg, const char *why, KqTime now)
+on_deposed (void *arg, const char *why, KqTime now)
 {
   KqLeader *l = arg;
   l->config.deposed (l->config.arg, why, now);
@@ -242,7 +242,7 @@
                       .epoch = l->config.epoch,
                       .arg = l,
                       .changed = on_waves_changed,
-                      .deposed = on_batch_deposed,
+                      .deposed = on_deposed,
                       .answered = on_answered };
   l->waves = kq_waves_new (&c);
 }
@@ -341,8 +341,8 @@
   load (l);
 }
 
-/* Loads what the scheduler needs before its first decision. The order matters: progress
- * refers to jobs, and the runs that runners list refer to jobs and their progress. */
+/* Starts the present phase of loading. The order of the phases matters: progress refers
+ * to jobs, and the runs that runners list refer to jobs and their progress. */
 static void
 load (KqLeader *l)
 {
@@ -397,7 +397,7 @@
                           .epoch = c->epoch,
                           .counters = c->counters,
                           .arg = l,
-                          .deposed = on_batch_deposed,
+                          .deposed = on_deposed,
                           .answered = on_answered };
   l->config = *c;
   l->config.self.leader = true;
@@ -440,7 +440,7 @@
     destroy (l);
 }
 
-/* A node that reconnects has released its runners: any older connection has ended. */
+/* Ends the older connection of a node that has reconnected and released its runners. */
 static void
 end_earlier_connection (KqLeader *l, const KqAgentInfo *info, KqTime now)
 {
--- a/src/fleet/leader.h
+++ b/src/fleet/leader.h
@@ -18,14 +18,14 @@
   KqKv *kv;
   uint64_t epoch;
   uint32_t term;
-  int64_t lease_ms; /* of runners */
+  int64_t lease_ms; /* length of runners' leases */
   int64_t
       renew_without_leader_ms; /* how long nodes renew runners' leases without a leader */
   int64_t keep_ms;             /* how long ended jobs are kept */
   int64_t maintenance_ms;      /* how long a host is down for maintenance */
   KqCounters *counters;
   KqAgentInfo self;
-  KqAgent *agent;                   /* of this node */
+  KqAgent *agent;                   /* the agent of this node */
   KqMaintenanceClient *maintenance; /* NULL: there is no control plane */
   void *arg;
   /* Another node is leader: the store, a runner or the control plane has a newer epoch.
@@ -38,10 +38,12 @@
 KqLeader *kq_leader_new (const KqLeaderConfig *c, KqTime now);
 void kq_leader_free (KqLeader *l);
 
+/* Handles a node's HELLO: the scheduler may assign runners to its agent from now on. */
 void kq_leader_node_joined (KqLeader *l, KqPeer *p, const KqAgentInfo *info, KqTime now);
-/* The node's cpu share in thousandths of a processor; 0: it hasn't joined. */
+/* Returns the node's cpu share in thousandths of a processor; 0: it hasn't joined. */
 int kq_leader_node_share (const KqLeader *l, const KqPeer *p);
-/* planned: the node has announced its stop and released its runners. */
+/* Handles the end of a node's connection. planned: the node has announced its stop and
+ * released its runners. */
 void kq_leader_node_left (KqLeader *l, KqPeer *p, bool planned, KqTime now);
 /* Handles a LIST, OUTCOME, UNREACHED, FENCED, ADVICE, JOB or CANCEL; ignores other kinds.
  * p NULL: from this node's own agent. */
--- a/src/fleet/link.c
+++ b/src/fleet/link.c
@@ -14,12 +14,12 @@
 
 #define PART "link"
 /* Interval of heartbeats in both directions. A host that hangs for a second soon loses
- * its tasks, so this has to be well below. */
+ * its tasks, so the interval has to be well below a second. */
 #define HEARTBEAT_S 0.3
 /* A connection that has been silent for this long is closed. Several heartbeats may be
  * late: hosts are slow at times, and links between regions queue. */
 #define PEER_TIMEOUT (1400 * KQ_MS)
-/* Time within which the leader surely notices that it has lost nodes: more than
+/* Time within which the leader certainly notices that it has lost nodes: more than
  * PEER_TIMEOUT, a heartbeat and the period of its checks. */
 #define LOSS_DETECTION (2 * KQ_SEC)
 #define RECONNECT_DELAY (150 * KQ_MS)
@@ -29,15 +29,15 @@
   KqLink *link;
   KqConn *conn;
   int agent;
-  bool joined;
+  bool joined;  /* has sent HELLO, and no LEAVE since */
   bool damaged; /* has sent invalid data: it has to reconnect */
   bool unknown_logged;
   bool in_message;               /* one of its messages is being handled */
   bool closed;                   /* closed meanwhile: freed after the message */
   GHashTable *reports;           /* runner -> RunnerReport */
   KqTime heartbeat_sent_at;      /* time of its last heartbeat, by its clock */
-  KqTime exclusive_heartbeat_at; /* the same for heartbeats received before
-                                    exclusive_until */
+  KqTime exclusive_heartbeat_at; /* heartbeat_sent_at of the last heartbeat that
+                                    was received before exclusive_until */
   KqBuf out;
 };
 
@@ -54,18 +54,18 @@
   KqLinkConfig config;
   int port;
   int fd;
-  ev_io acceptable;
+  ev_io listen_watcher;
   ev_timer heartbeat_timer;
   ev_prepare before_poll;
   GPtrArray *peers;
   uint64_t own_epoch;     /* of this node's leadership; 0: it isn't leader */
   KqTime exclusive_until; /* no other node can be leader until then */
   bool nodes_lost;        /* some node has disconnected unplanned and isn't back */
-  KqConn *leader_conn;    /* to the leader; NULL: none */
+  KqConn *leader_conn;    /* connection to the leader; NULL: none */
   bool leader_connected;
   uint32_t leader_version;
   bool leaving;  /* the planned stop has been announced */
-  KqName leader; /* its address; "": none */
+  KqName leader; /* the leader's address; "": no leader */
   uint64_t leader_epoch;
   KqTime connect_tried_at;
   KqBuf out;          /* items for the leader */
@@ -89,7 +89,8 @@
   free (p);
 }
 
-/* The caller has removed the peer from the list. */
+/* Closes the connection to a peer that the caller has removed from `peers`, and frees the
+ * peer, after its present message if one is being handled. */
 static void
 close_peer (KqPeer *p, const char *why, KqTime now)
 {
@@ -116,8 +117,10 @@
   l->config.owner.joined (l->config.owner.arg, p, &i->u.hello.info, now);
 }
 
+/* Returns the runner's last list under this assignment; adds an empty one if there is
+ * none. */
 static KqRunDeltaState *
-reported_runs (KqPeer *p, KqStr runner, uint64_t assignment)
+find_or_add_runs (KqPeer *p, KqStr runner, uint64_t assignment)
 {
   char *id = kq_str_dup (runner);
   RunnerReport *t = g_hash_table_lookup (p->reports, id);
@@ -134,13 +137,13 @@
   return t->runs;
 }
 
-/* Applies the changes to the last list and passes the new list on in their place. */
+/* Applies the changes to the runner's last list, and passes the new list on as a LIST. */
 static void
 apply_changes (KqPeer *p, uint64_t epoch, const KqAgentItem *i, KqTime now)
 {
   KqLink *l = p->link;
   KqAgentItem list = { .kind = KQ_AGENT_ITEM_LIST, .runner = i->runner };
-  KqRunDeltaState *runs = reported_runs (p, i->runner, i->u.changes.list.assignment);
+  KqRunDeltaState *runs = find_or_add_runs (p, i->runner, i->u.changes.list.assignment);
   KqRunRow *rows = NULL;
   if (!kq_run_delta_apply (runs, &i->u.changes.running))
     {
@@ -159,7 +162,7 @@
   free (rows);
 }
 
-/* Items of a later version are logged once per connection. */
+/* Logs an item of an unknown kind, which a later version sent; once per connection. */
 static void
 log_unknown (KqPeer *p, int64_t kind)
 {
@@ -365,8 +368,8 @@
   kq_buf_clear (out);
 }
 
-/* Items are sent early at this size, so that one more item cannot exceed the maximum size
- * of a frame. */
+/* Items collected for a connection are sent early at this size in bytes, so that one more
+ * item cannot exceed the maximum size of a frame. */
 #define FLUSH_AT (KQ_FRAME_MAX / 4)
 
 void
@@ -418,13 +421,13 @@
   kq_link_send (l, l->leader_epoch, &i);
 }
 
-/* Returns which heartbeat the next ping acknowledges. A node renews runner leases for a
- * while after the heartbeat that is acknowledged, so a leader that may have been replaced
- * must not acknowledge newer ones. A leader that still hears all nodes can have been
- * replaced only through nodes that were cut off a moment ago, so it acknowledges
- * heartbeats from before. */
+/* Returns the send time up to which the next ping acknowledges heartbeats. A node renews
+ * runner leases for a while after the last acknowledged heartbeat, so a leader that may
+ * have been replaced must not acknowledge newer ones. A leader that still hears all
+ * nodes can have been replaced only through nodes that were cut off within the last
+ * LOSS_DETECTION, so it acknowledges heartbeats from before that. */
 static KqTime
-acknowledged_heartbeat (const KqPeer *p, KqTime now)
+acknowledged_until (const KqPeer *p, KqTime now)
 {
   if (now < p->link->exclusive_until)
     return p->heartbeat_sent_at;
@@ -444,7 +447,7 @@
       KqPeer *p = g_ptr_array_index (l->peers, n);
       if (now - kq_conn_heard_at (p->conn) <= PEER_TIMEOUT)
         {
-          i.u.ping.heartbeat_sent_at = acknowledged_heartbeat (p, now);
+          i.u.ping.heartbeat_sent_at = acknowledged_until (p, now);
           kq_link_send_peer (p, &i);
           n++;
           continue;
@@ -515,11 +518,11 @@
   l->fd = fd;
   l->port = port;
   l->peers = g_ptr_array_new ();
-  ev_io_init (&l->acceptable, on_acceptable, fd, EV_READ);
+  ev_io_init (&l->listen_watcher, on_acceptable, fd, EV_READ);
   ev_timer_init (&l->heartbeat_timer, on_heartbeat_timer, HEARTBEAT_S, HEARTBEAT_S);
   ev_prepare_init (&l->before_poll, on_before_poll);
-  l->acceptable.data = l->heartbeat_timer.data = l->before_poll.data = l;
-  ev_io_start (ev, &l->acceptable);
+  l->listen_watcher.data = l->heartbeat_timer.data = l->before_poll.data = l;
+  ev_io_start (ev, &l->listen_watcher);
   ev_timer_start (ev, &l->heartbeat_timer);
   ev_prepare_start (ev, &l->before_poll);
   return l;
@@ -541,7 +544,7 @@
     }
   g_ptr_array_free (l->peers, TRUE);
   kq_buf_free (&l->out);
-  ev_io_stop (ev, &l->acceptable);
+  ev_io_stop (ev, &l->listen_watcher);
   ev_timer_stop (ev, &l->heartbeat_timer);
   ev_prepare_stop (ev, &l->before_poll);
   close (l->fd);
--- a/src/fleet/link.h
+++ b/src/fleet/link.h
@@ -15,15 +15,17 @@
 typedef struct
 {
   void *arg;
-  /* On the leader. */
+  /* On the leader: a node has connected and sent HELLO. */
   void (*joined) (void *arg, KqPeer *p, const KqAgentInfo *info, KqTime now);
-  /* p is freed after this, unless planned: the node has announced its stop and released
-   * all its runners. */
+  /* On the leader: a node has left. p is freed after the call, unless planned: the node
+   * has announced its stop and released all its runners. */
   void (*left) (void *arg, KqPeer *p, bool planned, KqTime now);
+  /* On the leader: an item from a node, which knows a leader of that epoch. */
   void (*from_node) (void *arg, KqPeer *p, uint64_t epoch, const KqAgentItem *i,
                      KqTime now);
-  /* On the other nodes. */
+  /* On the other nodes: the connection to the leader has been opened. */
   void (*connected) (void *arg, KqTime now);
+  /* On the other nodes: an item from the leader of that epoch. */
   void (*from_leader) (void *arg, uint64_t epoch, const KqAgentItem *i, KqTime now);
   /* Time since the store's last answer to this node; -1: none yet. */
   int64_t (*store_age_ms) (void *arg, KqTime now);
@@ -43,13 +45,14 @@
 void kq_link_free (KqLink *l);
 int kq_link_port (const KqLink *l);
 
-/* Connects to this leader, and again whenever the connection ends. address "ip:port"; "":
- * there is no leader. */
+/* Connects to the leader at `address`, "ip:port", and connects again whenever the
+ * connection ends. "": there is no leader. */
 void kq_link_set_leader (KqLink *l, KqStr address, uint64_t epoch, KqTime now);
 /* Announces this node's planned stop to the leader, and never connects again. */
 void kq_link_leave (KqLink *l);
 bool kq_link_connected (const KqLink *l);
-/* Sends to the leader; drops the item when there is no connection. */
+/* Sends an item for the leader of that epoch on the present connection; drops the item
+ * when there is no connection. */
 void kq_link_send (KqLink *l, uint64_t epoch, const KqAgentItem *i);
 
 /* Starts accepting nodes as the leader of this epoch; 0: no longer leader. Closes all
@@ -60,9 +63,12 @@
  * heartbeats that are older than the time it takes to detect lost nodes; with nodes_lost,
  * only heartbeats received before that time. */
 void kq_link_set_exclusive_until (KqLink *l, KqTime until, bool nodes_lost);
+/* On the leader: sends an item to a node. */
 void kq_link_send_peer (KqPeer *p, const KqAgentItem *i);
+/* The scheduler's number of the node's agent; -1: none. */
 void kq_peer_set_agent (KqPeer *p, int agent);
 int kq_peer_agent (const KqPeer *p);
+/* On the leader: the number of connected nodes. */
 size_t kq_link_peer_count (const KqLink *l);
 
 #endif
--- a/src/fleet/reach.c
+++ b/src/fleet/reach.c
@@ -5,7 +5,8 @@
 /* Without an answer for this long the store counts as unreachable. Watches answer at
  * least every 1.5 s. */
 #define DOWN_AFTER (2600 * KQ_MS)
-/* So do this many consecutive failed calls; a single call may fail by chance. */
+/* After this many consecutive failed calls the store also counts as unreachable; a single
+ * call may fail by chance. */
 #define DOWN_FAILURES 3
 /* Without an answer for this long the store is suspected. The leader reports its calls
  * three times a second and always has several outstanding. */
--- a/src/fleet/reach.h
+++ b/src/fleet/reach.h
@@ -26,16 +26,17 @@
   int failures;              /* failed calls that were sent after answered_at */
 } KqReach;
 
-/* The store has sent an answer, or part of one. */
+/* Records that the store has sent this node an answer, or part of one. */
 void kq_reach_answered (KqReach *r, KqTime now);
-/* A call sent at sent_at got no answer or was refused. */
+/* Records that a call sent at sent_at got no answer or was refused. */
 void kq_reach_failed (KqReach *r, KqTime sent_at);
-/* The store answered the leader at that time of this node's clock. */
+/* Records that the store answered the leader at that time of this node's clock. */
 void kq_reach_leader_answered (KqReach *r, KqTime at);
-/* The leader's answers clear a suspicion, but not KQ_REACH_DOWN: only this node may be
- * cut off from the store. */
+/* The store's answers to the leader clear a suspicion, but not KQ_REACH_DOWN: only this
+ * node may be cut off from the store. */
 KqReachState kq_reach_state (const KqReach *r, KqTime now);
-/* Whether the leader has had an answer recently. */
+/* Whether the store can be reached via the leader: it has answered the leader recently.
+ */
 bool kq_reach_via_leader (const KqReach *r, KqTime now);
 /* Whether the state isn't KQ_REACH_DOWN. */
 bool kq_reach_up (const KqReach *r, KqTime now);
--- a/src/fleet/waves.c
+++ b/src/fleet/waves.c
@@ -9,13 +9,14 @@
 #include <stdlib.h>
 
 #define PART "waves"
-/* No call is urgent: requests for maintenance are rare, and may wait for tens of seconds.
- */
+/* None of the calls below is urgent: requests for maintenance are rare, and may wait for
+ * tens of seconds. */
 #define WATCH_MS 2000 /* longest wait of one watch for requests */
 #define WRITE_TIMEOUT_MS 1200
 #define MAINTENANCE_TIMEOUT_MS 1500 /* of a call to the control plane */
 #define RETRY_DELAY (300 * KQ_MS)   /* after a failed write of the waves' state */
-/* Waves whose status one transaction can write besides our record and the check. */
+/* Maximum number of waves whose status one transaction can write besides `record` and the
+ * check. */
 #define STATUS_MAX (KQ_KV_TXN_MAX - 2)
 
 struct KqWaves
@@ -27,7 +28,7 @@
   int calls_pending; /* outstanding calls to the control plane */
   KqTime retry_at;
   KqBuf record;           /* state of all waves, for the next leader */
-  KqBuf keys[STATUS_MAX]; /* status of each wave, for operators */
+  KqBuf keys[STATUS_MAX]; /* keys and values of the status of each wave, for operators */
   KqBuf values[STATUS_MAX];
   size_t n_statuses;
 };
@@ -40,7 +41,7 @@
 } MaintenanceCall;
 
 static void
-destroy (KqWaves *w)
+destroy_if_idle (KqWaves *w)
 {
   if (w->write_pending || w->calls_pending > 0)
     return;
@@ -114,7 +115,7 @@
     return;
   kq_follow_free (w->requests);
   w->freed = true;
-  destroy (w);
+  destroy_if_idle (w);
 }
 
 static void
@@ -124,7 +125,7 @@
   KqWaves *w = c->waves;
   w->calls_pending--;
   if (w->freed)
-    destroy (w);
+    destroy_if_idle (w);
   else
     {
       kq_sched_maintenance_ended (w->config.sched, c->wave, kq_str (c->host), r, now);
@@ -160,7 +161,7 @@
   w->write_pending = false;
   if (w->freed)
     {
-      destroy (w);
+      destroy_if_idle (w);
       return;
     }
   if (r->result == KQ_KV_OK)
--- a/src/node/core.c
+++ b/src/node/core.c
@@ -8,8 +8,8 @@
 
 #define PART "node"
 /* How often a host list is read. The platform updates it with a delay of seconds, so
- * reading it more often would gain nothing. Half the time after which a worker whose
- * lease isn't renewed is suspected. */
+ * reading it more often would gain nothing. The interval is half the time
+ * after which a worker whose lease isn't renewed is suspected. */
 #define HOSTS_READ_INTERVAL (2 * KQ_SEC)
 /* How long this node serves the runners of a shard that it no longer owns, as long as no
  * successor is known. After a loss: the time within which this node may own the shard
@@ -66,23 +66,23 @@
   KqCore *c = kq_alloc (sizeof *c);
   c->config = *config;
   c->rand = kq_rand (config->seed);
-  c->first = (uint32_t)kq_settings_first_shard (s, kq_name_str (&s->region));
+  c->first_shard = (uint32_t)kq_settings_first_shard (s, kq_name_str (&s->region));
   for (int i = 0; i < s->n_regions; i++)
     {
       if (kq_name_eq (&s->regions[i].name, &s->region))
         c->n_shards = (uint32_t)s->regions[i].shards;
     }
-  jc.first_shard = c->first;
+  jc.first_shard = c->first_shard;
   jc.n_shards = c->n_shards;
   c->member = kq_member_new (&mc, config->seed + 1);
-  c->owner = kq_owner_new (&config->self, c->first, c->n_shards, config->seed + 2);
+  c->owner = kq_owner_new (&config->self, c->first_shard, c->n_shards, config->seed + 2);
   kq_owner_set_times (c->owner, &ot);
   c->dist = kq_table_dist_new (config->self.id, config->seed + 3);
   c->shards = kq_alloc (c->n_shards * sizeof (KqShard *));
   c->hosts_announced = kq_alloc (c->n_shards * sizeof *c->hosts_announced);
   c->gone_due_at = kq_alloc (c->n_shards * sizeof *c->gone_due_at);
   for (uint32_t i = 0; i < c->n_shards; i++)
-    c->shards[i] = kq_shard_new (c->first + i, total, config->self.id, &jc);
+    c->shards[i] = kq_shard_new (c->first_shard + i, total, config->self.id, &jc);
   return c;
 }
 
@@ -111,9 +111,9 @@
 KqShard *
 kq_core_shard (KqCore *c, uint32_t shard)
 {
-  if (shard < c->first || shard >= c->first + c->n_shards)
+  if (shard < c->first_shard || shard >= c->first_shard + c->n_shards)
     return NULL;
-  return c->shards[shard - c->first];
+  return c->shards[shard - c->first_shard];
 }
 
 KqShard *
@@ -126,11 +126,12 @@
   return s;
 }
 
-/* Jobs and claims stop at once. Requests are sent to the shard's runners until the
- * digests show a successor, for at most `linger`. That is safe because requests aren't
- * fenced by epochs and runners refuse requests beyond their slots. Without it even
- * idempotent requests would fail between two owners: in the case store-loses-answers of
- * faults_live 69 of about 400 GETs were refused with NO_TARGET. */
+/* Drops the shard: its jobs and claims stop at once. Requests are still sent to its
+ * runners until the digests show a successor, for at most `linger`. That is safe because
+ * requests aren't fenced by epochs and runners refuse requests beyond their slots. If
+ * requests stopped at once too, even idempotent requests would fail between two owners:
+ * in the case store-loses-answers of faults_live 69 of about 400 GETs were refused with
+ * NO_TARGET. */
 static void
 drop_shard (KqCore *c, uint32_t shard, KqTime linger, KqTime now)
 {
@@ -138,11 +139,12 @@
   if (kq_shard_state (s) == KQ_SHARD_IDLE)
     return;
   kq_shard_drop (s);
-  c->hosts_announced[shard - c->first] = false;
-  c->gone_due_at[shard - c->first] = now + linger;
+  c->hosts_announced[shard - c->first_shard] = false;
+  c->gone_due_at[shard - c->first_shard] = now + linger;
 }
 
-/* Announces that a shard is gone, once a successor is known or the time is over. */
+/* Announces that a shard is gone, once a successor is known or its linger time is over.
+ */
 static void
 announce_gone_shards (KqCore *c, KqTime now)
 {
@@ -152,10 +154,10 @@
         continue;
       if (kq_shard_state (c->shards[i]) == KQ_SHARD_ACTIVE)
         c->gone_due_at[i] = 0; /* this node owns the shard again */
-      else if (now >= c->gone_due_at[i] || kq_core_has_successor (c, c->first + i))
+      else if (now >= c->gone_due_at[i] || kq_core_has_successor (c, c->first_shard + i))
         {
           c->gone_due_at[i] = 0;
-          kq_core_add_notice (c, KQ_NOTICE_SHARD_GONE)->shard = c->first + i;
+          kq_core_add_notice (c, KQ_NOTICE_SHARD_GONE)->shard = c->first_shard + i;
         }
     }
 }
@@ -244,7 +246,7 @@
 {
   const KqSettings *settings = c->config.settings;
   KqShard *s = kq_core_owned_shard (c, shard, now);
-  uint32_t i = shard - c->first;
+  uint32_t i = shard - c->first_shard;
   KqNotice *n;
   if (s == NULL || kq_shard_state (s) != KQ_SHARD_ACTIVE)
     return;
@@ -256,15 +258,15 @@
   kq_shard_set_hosts (s, &n->hosts, now, out);
 }
 
-/* Passes the hosts to shards that have become active, without waiting for the next read
- * of the lists. */
+/* Passes their hosts to shards that have become active, without waiting for the next read
+ * of the host lists. */
 static void
 announce_first_hosts (KqCore *c, KqTime now, KqOutbox *out)
 {
   for (uint32_t i = 0; i < c->n_shards; i++)
     {
       if (!c->hosts_announced[i] && c->all_lists_read)
-        announce_hosts (c, c->first + i, now, out);
+        announce_hosts (c, c->first_shard + i, now, out);
     }
 }
 
@@ -304,7 +306,7 @@
   c->list_read[d] = true;
   c->all_lists_read = every_list_read (c);
   for (uint32_t i = 0; i < c->n_shards && c->all_lists_read; i++)
-    announce_hosts (c, c->first + i, now, out);
+    announce_hosts (c, c->first_shard + i, now, out);
 }
 
 void
@@ -384,14 +386,14 @@
 }
 
 static void
-announce_release (KqCore *c)
+announce_shards_released (KqCore *c)
 {
   if (!c->draining || c->release_announced)
     return;
   for (uint32_t i = 0; i < c->n_shards; i++)
     {
       if (kq_shard_state (c->shards[i]) != KQ_SHARD_IDLE
-          || kq_owner_state (c->owner, c->first + i) != KQ_OWN_NONE
+          || kq_owner_state (c->owner, c->first_shard + i) != KQ_OWN_NONE
           || c->gone_due_at[i] != 0)
         return;
     }
@@ -412,10 +414,10 @@
   kq_table_dist_tick (c->dist, now, out);
   announce_table_events (c, now);
   for (uint32_t i = 0; i < c->n_shards; i++)
-    tick_shard (c, c->first + i, store_ok, now, out);
+    tick_shard (c, c->first_shard + i, store_ok, now, out);
   announce_first_hosts (c, now, out);
   read_host_lists (c, now, out);
-  announce_release (c);
+  announce_shards_released (c);
 }
 
 void
@@ -481,7 +483,7 @@
 uint32_t
 kq_core_first_shard (const KqCore *c)
 {
-  return c->first;
+  return c->first_shard;
 }
 
 uint32_t
--- a/src/node/core.h
+++ b/src/node/core.h
@@ -26,7 +26,7 @@
 typedef enum
 {
   KQ_NOTICE_TABLE,          /* a new table is in force */
-  KQ_NOTICE_SHARD_HOSTS,    /* the present hosts of a shard that this node owns */
+  KQ_NOTICE_SHARD_HOSTS,    /* new list of the hosts of a shard that this node owns */
   KQ_NOTICE_SHARD_GONE,     /* this node no longer serves the shard's runners */
   KQ_NOTICE_NODE,           /* a node joined, changed or is gone */
   KQ_NOTICE_TABLE_RESULT,   /* a table change started here has ended */
@@ -37,7 +37,7 @@
 {
   KqNoticeKind kind;
   uint32_t shard;
-  bool taken_over;  /* SHARD_HOSTS: the first one since the shard became active */
+  bool taken_over;  /* SHARD_HOSTS: the shard's first list since it became active here */
   KqHostList hosts; /* SHARD_HOSTS: the receiver frees it */
   KqNode node;      /* NODE: without its shards */
   KqTableResult result;
@@ -49,22 +49,25 @@
 /* Does everything that is due at `now`. Call it periodically, and after the functions
  * below. */
 void kq_core_tick (KqCore *c, KqTime now, KqOutbox *out);
+/* Handles the reply to a store call of the outbox. */
 void kq_core_store_reply (KqCore *c, const KqStoreReply *r, KqTime now, KqOutbox *out);
+/* Handles the reply to a worker call of the outbox. */
 void kq_core_worker_reply (KqCore *c, const KqWorkerReply *r, KqTime now, KqOutbox *out);
-/* HEARTBEAT, TABLE, TABLE_REQUEST, JOB_SUBMIT, JOB_CALL, JOB_MOVE, JOB_MOVED,
- * CLAIM_BEGIN, CLAIM_DONE. */
+/* Handles a HEARTBEAT, TABLE, TABLE_REQUEST, JOB_SUBMIT, JOB_CALL, JOB_MOVE, JOB_MOVED,
+ * CLAIM_BEGIN or CLAIM_DONE. */
 void kq_core_message (KqCore *c, KqNodeId from, const KqMsg *m, KqTime now,
                       KqOutbox *out);
-/* The mesh connection to a peer was made or lost. */
+/* Records that the mesh connection to a peer was made (up) or lost. */
 void kq_core_peer_changed (KqCore *c, KqNodeId peer, bool up, KqTime now);
-/* The dispatcher's service digests, sent with this node's heartbeats. Copied. */
+/* Sets the dispatcher's service digests, which are sent with this node's heartbeats.
+ * Copies them. */
 void kq_core_set_services (KqCore *c, const KqServiceDigest *s, size_t n);
 /* Starts a table change; its result comes as KQ_NOTICE_TABLE_RESULT. */
 void kq_core_change_table (KqCore *c, uint64_t call, const KqRowChange *ch, size_t n,
                            KqTime now, KqOutbox *out);
 /* Planned stop: releases all shards, then emits KQ_NOTICE_SHARDS_RELEASED. */
 void kq_core_drain (KqCore *c);
-/* After KQ_NOTICE_SHARDS_RELEASED: deletes the node's key in the store. */
+/* Deletes the node's key in the store. Call it after KQ_NOTICE_SHARDS_RELEASED. */
 void kq_core_leave (KqCore *c, KqTime now, KqOutbox *out);
 
 /* Takes the next notice from the queue; false if it is empty. */
@@ -76,14 +79,16 @@
  * reached. *why is set to the reason if not, otherwise to "". */
 bool kq_core_ready (KqCore *c, KqTime now, const char **why);
 
+/* The table in force; NULL: none yet. */
 KqTable *kq_core_table (KqCore *c);
 const KqMember *kq_core_member (const KqCore *c);
 const KqOwner *kq_core_owner (const KqCore *c);
 bool kq_core_draining (const KqCore *c);
-/* The shards of this node's region: first number, count, and the state of one; NULL if
- * the shard isn't of this region. */
+/* The lowest number of the shards of this node's region. */
 uint32_t kq_core_first_shard (const KqCore *c);
+/* How many shards this node's region has; their numbers are consecutive. */
 uint32_t kq_core_shards (const KqCore *c);
+/* The state of one shard; NULL if the shard isn't of this node's region. */
 KqShard *kq_core_shard (KqCore *c, uint32_t shard);
 
 #endif
--- a/src/node/core_route.c
+++ b/src/node/core_route.c
@@ -8,10 +8,12 @@
 
 /* Routing of messages between nodes, and the shards' digests in heartbeats. */
 
+/* Stands for no particular shard: in a JOB_SUBMIT whose shard isn't chosen yet, and in
+ * the digest of a node without active shards. */
 #define SHARD_ANY UINT32_MAX
 
-/* The digest of the shard with the highest epoch in the nodes' heartbeats, or NULL. Sets
- * *owner to the node that sent it, if owner isn't NULL. */
+/* Returns the shard's digest with the highest epoch in the nodes' heartbeats, or NULL.
+ * Sets *owner to the node that sent that digest, if owner isn't NULL. */
 static const KqShardDigest *
 find_owner_digest (const KqCore *c, uint32_t shard, const KqNode **owner)
 {
@@ -38,6 +40,7 @@
   return find_owner_digest (c, shard, NULL);
 }
 
+/* Whether the node's digests show services. */
 static bool
 serves_requests (const KqNode *n)
 {
@@ -54,7 +57,7 @@
 {
   const KqNode *owner = NULL;
   const KqShardDigest *d = find_owner_digest (c, shard, &owner);
-  if (d == NULL || d->epoch <= kq_shard_epoch (c->shards[shard - c->first]))
+  if (d == NULL || d->epoch <= kq_shard_epoch (c->shards[shard - c->first_shard]))
     return false;
   /* A new owner's heartbeat may show the shard up to one heartbeat before it shows the
    * services of the shard's runners. */
@@ -68,9 +71,10 @@
          && size->accelerators <= room->accelerators;
 }
 
-/* The cost of placing a job in a shard: the number of queued jobs if a worker has room
- * now, otherwise more than that, by queued jobs per worker. INT64_MAX if the job doesn't
- * fit even into the largest worker while it is empty. */
+/* The cost of placing a job in a shard. If a worker has room for the job now, the cost is
+ * the number of queued jobs; otherwise it is 1000000 or more, and grows with the queued
+ * jobs per worker. INT64_MAX if the job doesn't fit even into the largest worker when
+ * empty. */
 static int64_t
 shard_cost (const KqShardDigest *d, const KqSize *size)
 {
@@ -81,15 +85,15 @@
   return 1000000 + (int64_t)d->queued_jobs * 1000 / d->workers;
 }
 
-/* For a job without an idempotency key: the cheaper of two random shards of this region,
- * or the first shard that can hold the job if neither of them can. Choosing among all
- * shards would make every entry node send to the one that the last digests showed as the
- * emptiest. */
+/* Chooses the shard of a job without an idempotency key: the cheaper of two random shards
+ * of this region, or the first shard that can hold the job if neither of them can.
+ * Choosing among all shards would make every entry node send to the one that the last
+ * digests showed as the emptiest. */
 static uint32_t
 choose_shard (KqCore *c, const KqJobSpec *spec)
 {
-  uint32_t best = c->first + (uint32_t)kq_rand_below (&c->rand, c->n_shards);
-  uint32_t other = c->first + (uint32_t)kq_rand_below (&c->rand, c->n_shards);
+  uint32_t best = c->first_shard + (uint32_t)kq_rand_below (&c->rand, c->n_shards);
+  uint32_t other = c->first_shard + (uint32_t)kq_rand_below (&c->rand, c->n_shards);
   int64_t cost = shard_cost (find_digest (c, best), &spec->size);
   int64_t other_cost = shard_cost (find_digest (c, other), &spec->size);
   if (other_cost < cost)
@@ -99,15 +103,16 @@
     }
   for (uint32_t i = 0; i < c->n_shards && cost == INT64_MAX; i++)
     {
-      cost = shard_cost (find_digest (c, c->first + i), &spec->size);
+      cost = shard_cost (find_digest (c, c->first_shard + i), &spec->size);
       if (cost != INT64_MAX)
-        best = c->first + i;
+        best = c->first_shard + i;
     }
   return best;
 }
 
+/* Chooses the shard and the id of a job, unless the message has a shard already. */
 static void
-fill_submit (KqCore *c, KqMsgJobSubmit *s)
+choose_shard_and_id (KqCore *c, KqMsgJobSubmit *s)
 {
   uint64_t low_bits;
   if (s->shard != SHARD_ANY)
@@ -234,7 +239,7 @@
       break;
     case KQ_MSG_JOB_SUBMIT:
       copy = *m;
-      fill_submit (c, &copy.u.job_submit);
+      choose_shard_and_id (c, &copy.u.job_submit);
       route_to_shard (c, from, &copy, now, out);
       break;
     case KQ_MSG_JOB_CALL:
@@ -263,7 +268,7 @@
         continue;
       for (uint32_t s = 0; s < total; s++)
         {
-          const KqShardDigest *d = s != c->first + i ? find_digest (c, s) : NULL;
+          const KqShardDigest *d = s != c->first_shard + i ? find_digest (c, s) : NULL;
           if (d != NULL)
             all[n++] = *d;
         }
@@ -277,13 +282,13 @@
 {
   KqShardDigest *own;
   size_t n = 0;
-  if (now < c->digest_at)
+  if (now < c->digests_due_at)
     return;
-  c->digest_at = now + c->config.settings->heartbeat_ms * KQ_MS / 2;
+  c->digests_due_at = now + c->config.settings->heartbeat_ms * KQ_MS / 2;
   own = kq_alloc ((c->n_shards + 1) * sizeof *own);
   for (uint32_t i = 0; i < c->n_shards; i++)
     {
-      if (kq_core_owned_shard (c, c->first + i, now) != NULL
+      if (kq_core_owned_shard (c, c->first_shard + i, now) != NULL
           && kq_shard_digest (c->shards[i], now, &own[n]))
         n++;
     }
@@ -322,14 +327,14 @@
   notice->node.n_shards = 0;
 }
 
-/* The process of a node has died or was restarted: nobody will report the end of the
- * claims that the former process opened. */
+/* Tells this node's shards that the process of a node has died or was restarted: nobody
+ * will report the end of the claims that the former process opened. */
 static void
-node_gone (KqCore *c, KqNodeId id, uint64_t incarnation, KqTime now, KqOutbox *out)
+notify_node_gone (KqCore *c, KqNodeId id, uint64_t incarnation, KqTime now, KqOutbox *out)
 {
   for (uint32_t i = 0; i < c->n_shards; i++)
     {
-      if (kq_core_owned_shard (c, c->first + i, now) != NULL)
+      if (kq_core_owned_shard (c, c->first_shard + i, now) != NULL)
         kq_shard_node_gone (c->shards[i], id, incarnation, now, out);
     }
 }
@@ -346,9 +351,9 @@
   if (a == NULL)
     return;
   if (a->incarnation != n->info.incarnation)
-    node_gone (c, a->id, a->incarnation, now, out);
+    notify_node_gone (c, a->id, a->incarnation, now, out);
   else if (a->state != KQ_NODE_GONE && n->state == KQ_NODE_GONE)
-    node_gone (c, a->id, a->incarnation, now, out);
+    notify_node_gone (c, a->id, a->incarnation, now, out);
   if (a->state != n->state || a->draining != n->draining
       || a->incarnation != n->info.incarnation)
     announce_node (c, n);
@@ -360,7 +365,7 @@
 {
   KqNode gone = { .state = KQ_NODE_GONE };
   gone.info.id = c->announced[i].id;
-  node_gone (c, c->announced[i].id, c->announced[i].incarnation, now, out);
+  notify_node_gone (c, c->announced[i].id, c->announced[i].incarnation, now, out);
   announce_node (c, &gone);
   c->announced[i] = c->announced[--c->n_announced];
 }
@@ -369,9 +374,9 @@
 kq_core_announce_nodes (KqCore *c, KqTime now, KqOutbox *out)
 {
   uint64_t version = kq_member_version (c->member);
-  if (version == c->member_version)
+  if (version == c->announced_version)
     return;
-  c->member_version = version;
+  c->announced_version = version;
   for (size_t i = 0; i < kq_member_count (c->member); i++)
     announce_if_changed (c, kq_member_at (c->member, i), now, out);
   for (size_t i = c->n_announced; i > 0; i--)
--- a/src/node/node_task.c
+++ b/src/node/node_task.c
@@ -15,16 +15,17 @@
 #define PART "node"
 /* Period of kq_core_tick in seconds, and the longest delay of a due commit or renewal. */
 #define TICK_S 0.02
-/* Time for the store call that deletes this node's key at the end of a planned stop. */
+/* Time allowed for the store call that deletes this node's key at the end of a planned
+ * stop. */
 #define LEAVE_TIME (300 * KQ_MS)
 
 /* A table change in progress, and who requested it. */
 typedef struct Change
 {
   struct Change *next;
-  uint64_t number; /* of the call to the core */
-  uint64_t call;   /* of the requester */
-  KqNodeId asker;
+  uint64_t number; /* `call` of kq_core_change_table */
+  uint64_t call;   /* the requester's number of its query */
+  KqNodeId requester;
 } Change;
 
 struct KqNodeTask
@@ -43,10 +44,10 @@
   bool gateway_drained;
   bool runners_drained;
   bool shards_released;
-  bool leaving;
-  bool replaced;
-  KqTime leave_until;
-  KqTime drain_until;
+  bool leaving;       /* the deletion of this node's key was started */
+  bool replaced;      /* another process has this node's key in the store */
+  KqTime leave_until; /* when the process ends if it is `leaving` */
+  KqTime drain_until; /* the latest end of a planned stop */
   uint64_t *stale_calls;
 };
 
@@ -81,7 +82,7 @@
 }
 
 static void
-drain_outbox (KqNodeTask *n, KqTime now)
+send_outbox (KqNodeTask *n, KqTime now)
 {
   KqOut item;
   while (kq_outbox_take (&n->out, &item))
@@ -169,7 +170,7 @@
   else
     kq_buf_printf (&text, "row %zu: %s", r->change_index + 1,
                    kq_result_meaning (r->code));
-  answer (n, c->asker, c->call, r->code, kq_buf_str (&text));
+  answer (n, c->requester, c->call, r->code, kq_buf_str (&text));
   kq_buf_free (&text);
   free (c);
 }
@@ -220,7 +221,7 @@
       n->leaving = true;
       n->leave_until = now + LEAVE_TIME;
       kq_core_leave (n->core, now, &n->out);
-      drain_outbox (n, now);
+      send_outbox (n, now);
     }
   if (n->leaving && now >= n->leave_until)
     n->config.stopped (n->config.arg, true);
@@ -246,7 +247,7 @@
 {
   kq_core_tick (n->core, now, &n->out);
   handle_notices (n);
-  drain_outbox (n, now);
+  send_outbox (n, now);
   advance_drain (n, now);
   check_replaced (n);
 }
@@ -260,7 +261,7 @@
 }
 
 static void
-start_change (KqNodeTask *n, KqNodeId asker, const KqMsgQuery *q, KqTime now)
+start_change (KqNodeTask *n, KqNodeId requester, const KqMsgQuery *q, KqTime now)
 {
   KqBuf detail = { 0 };
   KqRowChange *rows = NULL;
@@ -271,13 +272,13 @@
       Change *c = kq_alloc (sizeof *c);
       c->number = ++n->next_change;
       c->call = q->call;
-      c->asker = asker;
+      c->requester = requester;
       c->next = n->changes;
       n->changes = c;
       kq_core_change_table (n->core, c->number, rows, count, now, &n->out);
     }
   else
-    answer (n, asker, q->call, r, kq_buf_str (&detail));
+    answer (n, requester, q->call, r, kq_buf_str (&detail));
   kq_buf_free (&detail);
   free (rows);
 }
@@ -462,7 +463,7 @@
       assert (!"mail kind not handled by the node task");
       break;
     }
-  drain_outbox (n, now);
+  send_outbox (n, now);
   kq_mail_free (mail);
 }
 
--- a/src/node/node_task.h
+++ b/src/node/node_task.h
@@ -12,8 +12,8 @@
 typedef struct
 {
   KqCounters *counters;
-  /* The process should end. `complete`: a planned stop has finished; false: it exceeded
-   * its time limit, or another process has taken over this node's name. */
+  /* Called when the process should end. `complete`: a planned stop has finished; false:
+   * it exceeded its time limit, or another process has taken over this node's name. */
   void (*stopped) (void *arg, bool complete);
   void *arg;
 } KqNodeTaskConfig;
@@ -38,8 +38,9 @@
  */
 void kq_node_task_start (KqNodeTask *n, const KqNodeTaskPeers *p, const KqCoreConfig *c);
 KqTask *kq_node_task_get_task (KqNodeTask *n);
-/* Starts a planned stop: no new work is accepted, shards are released. */
+/* Starts a planned stop: no new work is accepted, and the shards are released. */
 void kq_node_task_drain (KqNodeTask *n, KqTime now);
+/* As kq_core_ready. */
 bool kq_node_task_ready (KqNodeTask *n, KqTime now, const char **why);
 
 #endif
--- a/src/node/queries.c
+++ b/src/node/queries.c
@@ -2,7 +2,8 @@
 
 #include <stdlib.h>
 
-/* A larger import is taken for a mistake or an attack. */
+/* Maximum number of rows of a change; a larger one is taken for a mistake or an attack.
+ */
 #define CHANGES_MAX 20000
 #define FAULTS_MAX 16
 
@@ -88,8 +89,9 @@
   return a;
 }
 
+/* Adds the shard's state on this node to `o`. */
 static void
-add_own_shard (KqCore *c, KqShard *s, KqTime now, json_t *o)
+add_local_state (KqCore *c, KqShard *s, KqTime now, json_t *o)
 {
   const KqClaims *claims = kq_shard_claims (s);
   (void)c;
@@ -114,7 +116,7 @@
       json_t *o = json_pack ("{s:I}", "shard", (json_int_t)shard);
       json_object_set_new (o, "owner",
                            n != NULL ? name_json (&n->info.name) : json_null ());
-      add_own_shard (c, kq_core_shard (c, shard), now, o);
+      add_local_state (c, kq_core_shard (c, shard), now, o);
       json_array_append_new (a, o);
     }
   return a;
--- a/src/node/queries.h
+++ b/src/node/queries.h
@@ -7,12 +7,16 @@
 
 #include <jansson.h>
 
-/* Each returns a new JSON value. */
+/* Each of the functions kq_query_NAME returns a new JSON value, which the caller frees.
+ */
+
+/* The state of this node. */
 json_t *kq_query_node (KqCore *c, KqTime now);
 /* All nodes known to this one. */
 json_t *kq_query_nodes (KqCore *c);
 /* All shards of this region: the owner known to this node, and the state here. */
 json_t *kq_query_shards (KqCore *c, KqTime now);
+/* The workers of each active shard of this node. */
 json_t *kq_query_workers (KqCore *c, KqTime now);
 /* Numbers of jobs of each active shard of this node. Every accepted job is counted as
  * queued, running or ended. */
--- a/src/node/shard.c
+++ b/src/node/shard.c
@@ -92,9 +92,10 @@
   kq_journal_open (s->journal, epoch, now, out);
 }
 
-/* Whether an item can be sent without waiting for the commits before it. Renewals of
- * worker leases acknowledge only what is committed already, and must not wait: with a
- * slow store the leases would expire and every task would be started again. */
+/* Whether an item can be sent without waiting for the commits before it. after: number of
+ * the record that the item's call wrote; 0: none. Renewals of worker leases
+ * acknowledge only what is committed already, and must not wait: with a slow store the
+ * leases would expire and every task would be started again. */
 static bool
 needs_no_wait (const KqOut *item, KqSeq after)
 {
@@ -105,7 +106,8 @@
   return item->kind == KQ_OUT_SEND && after == 0;
 }
 
-/* Keeps the items that a call produced until its record is in the store. */
+/* Keeps the items that a call produced until its record is in the store. after: number of
+ * that record; 0: the call wrote none. */
 static void
 hold_until_committed (KqShard *s, KqSeq after, KqOutbox *items)
 {
@@ -117,8 +119,9 @@
   kq_outbox_free (&held);
 }
 
+/* Moves the items that can be sent now to `out`. */
 static void
-release_committed (KqShard *s, KqOutbox *out)
+send_committed (KqShard *s, KqOutbox *out)
 {
   KqOut item;
   while (kq_outbox_take (&s->immediate, &item))
@@ -223,7 +226,7 @@
       kq_outbox_free (&items);
     }
   kq_journal_tick (s->journal, now, out);
-  release_committed (s, out);
+  send_committed (s, out);
   return KQ_OK;
 }
 
@@ -243,7 +246,7 @@
   hold_until_committed (s, kq_jobs_worker_reply (s->jobs, r, now, &items), &items);
   kq_outbox_free (&items);
   kq_journal_tick (s->journal, now, out);
-  release_committed (s, out);
+  send_committed (s, out);
 }
 
 static KqTime
@@ -287,7 +290,7 @@
   hold_until_committed (s, handle_message (s, m, now, &items), &items);
   kq_outbox_free (&items);
   kq_journal_tick (s->journal, now, out);
-  release_committed (s, out);
+  send_committed (s, out);
 }
 
 void
@@ -310,7 +313,7 @@
   hold_until_committed (s, kq_jobs_set_hosts (s->jobs, l->hosts, l->n_hosts, now, &items),
                         &items);
   kq_outbox_free (&items);
-  release_committed (s, out);
+  send_committed (s, out);
 }
 
 void
@@ -331,7 +334,7 @@
       s, kq_claims_node_gone (s->claims, node, incarnation, now, &items), &items);
   kq_outbox_free (&items);
   kq_journal_tick (s->journal, now, out);
-  release_committed (s, out);
+  send_committed (s, out);
 }
 
 bool
--- a/src/node/shard.h
+++ b/src/node/shard.h
@@ -39,28 +39,29 @@
 void kq_shard_release (KqShard *s);
 /* Whether the shard is idle, or RELEASING with nothing left to commit or send. */
 bool kq_shard_released (const KqShard *s, KqTime now);
-/* Returns KQ_OK, or the reason why the caller must drop the shard: KQ_ERR_FENCED or
- * KQ_ERR_JOURNAL_DAMAGED. */
+/* Does everything that is due at `now`. store_ok: the store has answered this node
+ * recently. Returns KQ_OK, or the reason why the caller must drop the shard:
+ * KQ_ERR_FENCED or KQ_ERR_JOURNAL_DAMAGED. */
 KqResult kq_shard_tick (KqShard *s, bool store_ok, KqTime now, KqOutbox *out);
-/* False when the reply isn't for the shard's journal. */
+/* Passes a reply of the store to the shard's journal. False: the reply isn't for it. */
 bool kq_shard_store_reply (KqShard *s, const KqStoreReply *r, KqTime now, KqOutbox *out);
 void kq_shard_worker_reply (KqShard *s, const KqWorkerReply *r, KqTime now,
                             KqOutbox *out);
-/* JOB_SUBMIT, JOB_CALL, JOB_MOVE, JOB_MOVED, CLAIM_BEGIN or CLAIM_DONE,
- * each for this shard. */
+/* Handles a JOB_SUBMIT, JOB_CALL, JOB_MOVE, JOB_MOVED, CLAIM_BEGIN or CLAIM_DONE for this
+ * shard, which must be active. */
 void kq_shard_message (KqShard *s, const KqMsg *m, KqTime now, KqOutbox *out);
 void kq_shard_set_table (KqShard *s, KqTable *table, KqTime now);
 void kq_shard_set_hosts (KqShard *s, const KqHostList *l, KqTime now, KqOutbox *out);
-/* The digests of the other shards; copied. */
+/* Sets the digests of the other shards. Copies them. */
 void kq_shard_set_other_digests (KqShard *s, const KqShardDigest *d, size_t n,
                                  KqTime now);
-/* The process of the node with this incarnation has ended: the outcome of the claims that
- * it opened is unknown. */
+/* Records that the process of the node with this incarnation has ended: the outcome of
+ * the claims that it opened is unknown. */
 void kq_shard_node_gone (KqShard *s, KqNodeId node, uint64_t incarnation, KqTime now,
                          KqOutbox *out);
-/* False when the shard isn't active. */
+/* Writes the shard's digest to *out. False: the shard isn't active. */
 bool kq_shard_digest (KqShard *s, KqTime now, KqShardDigest *out);
-/* NULL unless the shard is active. */
+/* The shard's jobs, and its claims; both NULL unless the shard is active. */
 const KqJobs *kq_shard_jobs (const KqShard *s);
 const KqClaims *kq_shard_claims (const KqShard *s);
 /* How long the oldest uncommitted record has been waiting; 0: there is none. */
