--- a/src/agent/frame.c
+++ b/src/agent/frame.c
@@ -291,6 +291,7 @@
 static size_t
 count_fields (const KqAgentItem *i)
 {
+  /* By KqAgentItemKind, and for orders by KqOrderKind. */
   static const uint8_t of_kind[] = { 0, 0, 3, 2, 4, 2, 8, 7, 3, 0, 3, 2, 1, 4, 1, 10, 0 };
   static const uint8_t of_order[] = { 4, 2, 7, 4, 5, 5, 4, 3 };
   if (i->kind == KQ_AGENT_ITEM_ORDER)
--- a/src/agent/state.h
+++ b/src/agent/state.h
@@ -50,7 +50,7 @@
   GQueue starts;  /* KqStart, waiting for a verified connection */
   bool verifying; /* a call that only verifies a connection is in flight */
   int failures;   /* polls without an answer, in a row */
-  uint64_t halt;  /* not 0: no lease is granted until an order RENEW names this number */
+  uint64_t halt;  /* if not 0, no lease is granted until an order RENEW has this number */
   KqTime silence_reported_at; /* when the runner was last reported as unreachable; 0: it
                                  has answered since */
 } KqAgentRunner;
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -45,15 +45,15 @@
   Phase phase;
   ev_timer timer;
   KqRand rand;
-  bool candidate;
-  bool synced; /* the leader key has been read once */
-  uint64_t lease;
-  uint64_t term_revision;
-  uint32_t term;
+  bool candidate;         /* may stand for election */
+  bool synced;            /* the leader key has been read once */
+  uint64_t lease;         /* id of this node's last lease in the store */
+  uint64_t term_revision; /* of the term key as last read; 0: it doesn't exist */
+  uint32_t term;          /* the term as last read, then this node's own */
   uint32_t known_term; /* the term in the last record read, which the term key has too */
   uint64_t known_term_revision; /* revision of the term key that goes with known_term; 0:
                                    not known */
-  KqTime lease_requested_at;    /* when the lease was requested */
+  KqTime lease_requested_at;
   KqTime valid_until;
   KqTime write_sent;
   uint64_t serial; /* of the attempt to lead; answers to calls of earlier attempts are
--- a/src/fleet/fleet.c
+++ b/src/fleet/fleet.c
@@ -101,10 +101,10 @@
 }
 
 static bool
-store_via_leader (void *arg, KqTime now)
+store_reached_by_leader (void *arg, KqTime now)
 {
   const KqFleet *f = arg;
-  return kq_reach_via_leader (&f->store, now);
+  return kq_reach_up_at_leader (&f->store, now);
 }
 
 static int64_t
@@ -479,8 +479,8 @@
                         .owner = { f, on_joined, on_left, on_from_node, on_connected,
                                    on_from_leader, store_age_ms } };
   KqFrontHandlerConfig handler
-      = { loop,           f->kv,       f->config.counters, f,
-          queue_table,    store_state, store_via_leader,   query_leader,
+      = { loop,           f->kv,       f->config.counters,      f,
+          queue_table,    store_state, store_reached_by_leader, query_leader,
           send_to_leader, on_answered, on_store_failed };
   KqFrontCallbacks owner = { f, on_request, ready, stopping, body_max };
   KqAcceptsOwner accepts = { f, on_accepted, on_answered };
--- a/src/fleet/front.c
+++ b/src/fleet/front.c
@@ -383,7 +383,7 @@
 {
   KqFrontHandler *h = q->handler;
   KqTime left = q->deadline - DEADLINE_SLACK_MS * KQ_MS - now;
-  if (left <= 0 || !h->config.store_via_leader (h->config.arg, now))
+  if (left <= 0 || !h->config.store_reached_by_leader (h->config.arg, now))
     {
       refuse (q, "the store is away", RETRY_STORE_MS, h->counts.refused_store, now);
       return;
--- a/src/fleet/front.h
+++ b/src/fleet/front.h
@@ -28,7 +28,7 @@
   /* The store's state as seen by this node; no calls are made while KQ_REACH_DOWN. */
   KqReachState (*store_state) (void *arg, KqTime now);
   /* Whether the leader reaches the store, so that it can write this node's jobs. */
-  bool (*store_via_leader) (void *arg, KqTime now);
+  bool (*store_reached_by_leader) (void *arg, KqTime now);
   /* Sends a query to the leader; the reply is passed to kq_front_handler_answer, possibly
    * before this returns. False: there is no leader, and no reply will come. */
   bool (*query_leader) (void *arg, const KqAgentItem *query, KqTime now);
--- a/src/fleet/front_test.c
+++ b/src/fleet/front_test.c
@@ -88,7 +88,7 @@
 }
 
 static bool
-store_via_leader (void *arg, KqTime now)
+store_reached_by_leader (void *arg, KqTime now)
 {
   (void)arg;
   (void)now;
@@ -141,7 +141,7 @@
   Test *t = kq_alloc (sizeof *t);
   KqFrontHandlerConfig c = { .table = table,
                              .store_state = store,
-                             .store_via_leader = store_via_leader,
+                             .store_reached_by_leader = store_reached_by_leader,
                              .query_leader = query_leader,
                              .notify_leader = notify_leader,
                              .answered = answered,
--- a/src/fleet/reach.c
+++ b/src/fleet/reach.c
@@ -43,7 +43,7 @@
 }
 
 bool
-kq_reach_via_leader (const KqReach *r, KqTime now)
+kq_reach_up_at_leader (const KqReach *r, KqTime now)
 {
   return r->leader_answered_at != 0 && now - r->leader_answered_at < SUSPECT_AFTER;
 }
--- a/src/fleet/reach.h
+++ b/src/fleet/reach.h
@@ -35,9 +35,8 @@
 /* The store's answers to the leader clear a suspicion, but not KQ_REACH_DOWN: only this
  * node may be cut off from the store. */
 KqReachState kq_reach_state (const KqReach *r, KqTime now);
-/* Whether the store can be reached via the leader: it has answered the leader recently.
- */
-bool kq_reach_via_leader (const KqReach *r, KqTime now);
+/* Whether the leader reaches the store: the store has answered it recently. */
+bool kq_reach_up_at_leader (const KqReach *r, KqTime now);
 /* Whether the state isn't KQ_REACH_DOWN. */
 bool kq_reach_up (const KqReach *r, KqTime now);
 
--- a/src/fleet/reach_test.c
+++ b/src/fleet/reach_test.c
@@ -88,10 +88,10 @@
   (void)state;
   kq_reach_answered (&r, START);
   assert_int_equal (kq_reach_state (&r, START + 3 * KQ_SEC), KQ_REACH_DOWN);
-  assert_false (kq_reach_via_leader (&r, START + 3 * KQ_SEC));
+  assert_false (kq_reach_up_at_leader (&r, START + 3 * KQ_SEC));
   kq_reach_leader_answered (&r, START + 2900 * KQ_MS);
-  assert_true (kq_reach_via_leader (&r, START + 3 * KQ_SEC));
-  assert_false (kq_reach_via_leader (&r, START + 4 * KQ_SEC));
+  assert_true (kq_reach_up_at_leader (&r, START + 3 * KQ_SEC));
+  assert_false (kq_reach_up_at_leader (&r, START + 4 * KQ_SEC));
 }
 
 int
