--- a/src/agent/frame.c
+++ b/src/agent/frame.c
@@ -286,10 +286,12 @@
     }
 }
 
-/* The number of fields after kind and runner: an array is preceded by its length. */
+/* The number of the item's fields after kind and runner. It is needed before they are
+ * packed, as an array is preceded by its length. */
 static size_t
 count_fields (const KqAgentItem *i)
 {
+  /* By KqAgentItemKind, and for orders by KqOrderKind. */
   static const uint8_t of_kind[] = { 0, 0, 3, 2, 4, 2, 8, 7, 3, 0, 3, 2, 1, 4, 1, 10, 0 };
   static const uint8_t of_order[] = { 4, 2, 7, 4, 5, 5, 4, 3 };
   if (i->kind == KQ_AGENT_ITEM_ORDER)
