--- a/src/member/lease.c
+++ b/src/member/lease.c
@@ -4,7 +4,8 @@
 
 #include <assert.h>
 
-/* Two renewals in a row may fail before the lease expires. */
+/* How often the lease is renewed within its duration: two renewals in a row may fail
+ * before it expires. */
 #define RENEWALS_PER_LEASE 3
 /* Delay of the first retry after a failure; doubles up to a third of the lease. Its
  * second half is random, so that the nodes don't all call a recovered store at the same
@@ -15,7 +16,7 @@
 kq_node_lease_init (KqNodeLease *l, KqStr name, KqStr value, KqTime lease, KqRand *rand)
 {
   assert (lease >= KQ_SEC);
-  *l = (KqNodeLease){ .lease = lease, .rand = rand };
+  *l = (KqNodeLease){ .lease_time = lease, .rand = rand };
   kq_buf_add_str (&l->key, KQ_STR ("node/"));
   kq_buf_add_str (&l->key, name);
   kq_buf_add_str (&l->value, value);
@@ -32,10 +33,10 @@
 retry_wait (KqNodeLease *l)
 {
   KqTime wait = RETRY_MIN;
-  for (int i = 0; i < l->failures && wait < l->lease / RENEWALS_PER_LEASE; i++)
+  for (int i = 0; i < l->failures && wait < l->lease_time / RENEWALS_PER_LEASE; i++)
     wait *= 2;
-  if (wait > l->lease / RENEWALS_PER_LEASE)
-    wait = l->lease / RENEWALS_PER_LEASE;
+  if (wait > l->lease_time / RENEWALS_PER_LEASE)
+    wait = l->lease_time / RENEWALS_PER_LEASE;
   l->failures++;
   return wait / 2 + (KqTime)kq_rand_below (l->rand, (uint64_t)(wait / 2));
 }
@@ -46,7 +47,7 @@
   KqStoreOp op = { .kind = kind, .call_class = KQ_STORE_URGENT, .part = KQ_PART_MEMBER };
   op.token = ++*token;
   op.lease = l->id;
-  op.lease_ms = (int)(l->lease / KQ_MS);
+  op.lease_ms = (int)(l->lease_time / KQ_MS);
   if (kind == KQ_STORE_PUT)
     {
       op.key = kq_buf_str (&l->key);
@@ -82,11 +83,11 @@
     case KQ_NODE_LEASE_REVOKED:
       return;
     }
-  l->call_timeout_at = now + l->lease / RENEWALS_PER_LEASE;
+  l->call_timeout_at = now + l->lease_time / RENEWALS_PER_LEASE;
 }
 
 static void
-lease_lost (KqNodeLease *l, KqTime now)
+drop_lost_lease (KqNodeLease *l, KqTime now)
 {
   kq_log (KQ_LOG_WARN, "member", "The node's lease is lost. lease=%llu",
           (unsigned long long)l->id);
@@ -105,7 +106,8 @@
     {
       l->state = KQ_NODE_LEASE_HELD;
       l->put_revision = r->revision;
-      l->next_call_at = l->valid_until - l->lease + l->lease / RENEWALS_PER_LEASE;
+      l->next_call_at
+          = l->valid_until - l->lease_time + l->lease_time / RENEWALS_PER_LEASE;
       l->failures = 0;
     }
   else if (r->result == KQ_ERR_STORE_CONFLICT)
@@ -115,7 +117,7 @@
       l->next_call_at = now;
     }
   else if (r->result == KQ_ERR_STORE_LEASE_LOST)
-    lease_lost (l, now);
+    drop_lost_lease (l, now);
   else
     l->next_call_at = now + retry_wait (l);
 }
@@ -125,15 +127,15 @@
 {
   if (r->result == KQ_OK)
     {
-      assert (r->sent_at + l->lease >= l->valid_until);
-      l->valid_until = r->sent_at + l->lease;
-      l->next_call_at = r->sent_at + l->lease / RENEWALS_PER_LEASE;
+      assert (r->sent_at + l->lease_time >= l->valid_until);
+      l->valid_until = r->sent_at + l->lease_time;
+      l->next_call_at = r->sent_at + l->lease_time / RENEWALS_PER_LEASE;
       l->failures = 0;
     }
   else if (r->result == KQ_ERR_STORE_LEASE_LOST)
     {
       l->expect = 0;
-      lease_lost (l, now);
+      drop_lost_lease (l, now);
     }
   else
     l->next_call_at = now + retry_wait (l);
@@ -152,7 +154,7 @@
       if (r->result == KQ_OK)
         {
           l->id = r->lease;
-          l->valid_until = r->sent_at + l->lease;
+          l->valid_until = r->sent_at + l->lease_time;
           l->state = KQ_NODE_LEASE_GRANTED;
         }
       else
@@ -178,7 +180,7 @@
 }
 
 void
-kq_node_lease_replaced (KqNodeLease *l, uint64_t revision)
+kq_node_lease_check_replaced (KqNodeLease *l, uint64_t revision)
 {
   if (l->state != KQ_NODE_LEASE_HELD || revision <= l->put_revision)
     return;
--- a/src/member/member.c
+++ b/src/member/member.c
@@ -13,28 +13,28 @@
  * answer counts as lost after this plus WATCH_GRACE. */
 #define WATCH_WAIT (15 * KQ_SEC)
 #define WATCH_GRACE (3 * KQ_SEC)
-/* Delay between lists after a failure, or that are wanted because of a heartbeat of an
- * unknown node. */
+/* Time between two lists of the keys: after a failure (see list_retry), and at least this
+ * long when a heartbeat of an unknown node calls for a new list. */
 #define LIST_WAIT (1 * KQ_SEC)
-#define LIST_DOUBLINGS 3   /* of LIST_WAIT after failures: 1, 2, 4, 8 s */
-#define BUNDLE_INTERVALS 4 /* heartbeats per bundle to another region */
+#define LIST_DOUBLINGS 3   /* times LIST_WAIT doubles after failures: 1, 2, 4, 8 s */
+#define BUNDLE_INTERVALS 4 /* heartbeat intervals between bundles to another region */
 /* Digests are sent with a heartbeat when this rate to all peers of the region together
  * allows it, and at the latest after DIGEST_AGE_MAX. With few nodes that is every
  * heartbeat; at the target size (12 nodes per region, 2.4 KB per shard) every few
  * seconds. */
 #define DIGEST_BYTES_PER_S 6000 /* per sending node */
 #define DIGEST_AGE_MAX (4 * KQ_SEC)
-/* The same for a bundle, per pair of regions and including the forwarding. The receiver
- * forwards it to its whole region, which costs more than the link between the regions:
- * 18 KB to 11 nodes from each of 7 regions. */
+/* The same limits for the digests in bundles, per pair of regions and including the
+ * forwarding. The receiver forwards a bundle to its whole region, which costs more than
+ * the link between the regions: 18 KB to 11 nodes from each of 7 regions. */
 #define BUNDLE_DIGEST_BYTES_PER_S 6000
 #define BUNDLE_DIGEST_AGE_MAX (60 * KQ_SEC)
 #define REMOTE_REGIONS_MAX 32
-/* A gap between ticks of more heartbeat intervals than this was a pause of this process;
- * the others weren't silent. */
+/* A gap between ticks of more than this many heartbeat intervals counts as a pause of
+ * this process, in which the other nodes weren't silent. */
 #define PAUSE_INTERVALS 2
 
-/* The digests last sent to another region. */
+/* When digests were last sent to another region. */
 typedef struct
 {
   KqName region;
@@ -51,12 +51,13 @@
   KqNodeList list;
   KqNodeTimes times;
   KqNodeEntry *self;
-  /* The watch on node/, or the list that is read first and after a failure. */
+  /* The watch on the prefix node/, or the list of its keys that is read at the start and
+   * after a failure. */
   uint64_t watch_token; /* of the call in flight; 0: none */
   KqTime watch_timeout_at;
   KqTime next_watch_at;
-  uint64_t watch_revision; /* watch from here; 0: list first */
-  bool list_wanted;        /* a heartbeat of an unknown node arrived */
+  uint64_t watch_revision; /* the next watch continues from here; 0: list first */
+  bool list_wanted;        /* list again: a heartbeat of an unknown node arrived */
   KqTime listed_at;
   int list_failures;
   /* Heartbeats. */
@@ -73,9 +74,10 @@
   bool draining;
 };
 
-/* Whether the shards, their epochs and their numbers of services are unchanged; other
- * values don't count. A new service must be reported at once, as no node sends requests
- * for it to the owner before its digest lists the service. */
+/* Whether the shards, their epochs and their numbers of services are unchanged since the
+ * last digests; other values of the digests may differ. A new service must be reported at
+ * once, as no node sends requests for it to the owner before its digest lists the
+ * service. */
 static bool
 same_shards (const KqNodeEntry *e, const KqShardDigest *s, size_t n)
 {
@@ -138,7 +140,8 @@
   h.draining = draining;
   h.shards = (KqShardDigest *)s;
   h.n_shards = n;
-  kq_node_list_heard (&m->list, m->self, &h, m->last_tick > 0 ? m->last_tick : 0);
+  kq_node_list_apply_heartbeat (&m->list, m->self, &h,
+                                m->last_tick > 0 ? m->last_tick : 0);
 }
 
 void
@@ -213,8 +216,8 @@
   m->list_failures = 0;
   m->watch_revision = r->revision;
   uint64_t other_revision
-      = kq_node_list_store (&m->list, r->items, r->n_items, &m->times, now);
-  kq_node_lease_replaced (&m->lease, other_revision);
+      = kq_node_list_apply_store (&m->list, r->items, r->n_items, &m->times, now);
+  kq_node_lease_check_replaced (&m->lease, other_revision);
 }
 
 void
@@ -276,10 +279,10 @@
   msg->u.heartbeat.n_shards = 0;
 }
 
-/* The live node of a region with the highest hash with `salt`. All nodes with the same
- * list choose the same one, and different salts spread the choice over the nodes. If no
- * node is alive, all that aren't gone are chosen in turn, so that a restored link is
- * found. */
+/* The live node of a region for which the hash of its id and `salt` is highest. All nodes
+ * with the same list choose the same one, and different salts spread the choice over the
+ * nodes. If no node is alive, all that aren't gone are chosen in turn, so that a restored
+ * link is found. */
 static KqNodeEntry *
 choose_node (const KqMember *m, const KqName *region, uint64_t salt)
 {
@@ -351,9 +354,9 @@
   return true;
 }
 
-/* Sends our region's heartbeats to another region, those of each node to a different
- * receiver. Forwarding is the most expensive part, and this spreads it over the receiving
- * region. */
+/* Sends our region's heartbeats to another region. The heartbeat of each node goes to the
+ * receiver chosen by that node's id: forwarding is the most expensive part, and the
+ * choice spreads it over the receiving region. */
 static void
 send_bundle (KqMember *m, const KqName *region, KqTime now, KqOutbox *out)
 {
@@ -452,7 +455,7 @@
     m->times.resumed_at = now;
   m->last_tick = now;
   m->times.store_silent = kq_member_store_silence (m, now) > m->config.lease;
-  kq_node_list_age (&m->list, &m->times, now);
+  kq_node_list_update_states (&m->list, &m->times, now);
   kq_node_lease_tick (&m->lease, &m->token, now, out);
   if (m->lease.state != KQ_NODE_LEASE_REVOKED)
     tick_watch (m, now, out);
@@ -492,7 +495,7 @@
       && KQ_HEARTBEAT_NUMBER (h->sequence)
              <= KQ_HEARTBEAT_NUMBER (e->last_heartbeat->u.heartbeat.sequence))
     return;
-  kq_node_list_heard (&m->list, e, h, now);
+  kq_node_list_apply_heartbeat (&m->list, e, h, now);
   if (!same_region (m, e))
     forward_heartbeat (m, h, out);
 }
--- a/src/member/nodes.c
+++ b/src/member/nodes.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 #define INFO_VERSION 1
-/* A node that is gone and silent stays in the list this long, for operators to see. */
+/* How long a node that is gone and silent stays in the list, for operators to see. */
 #define FORGET_AFTER (60 * KQ_SEC)
 
 void
@@ -186,8 +186,8 @@
 }
 
 uint64_t
-kq_node_list_store (KqNodeList *l, const KqStoreItem *items, size_t n,
-                    const KqNodeTimes *t, KqTime now)
+kq_node_list_apply_store (KqNodeList *l, const KqStoreItem *items, size_t n,
+                          const KqNodeTimes *t, KqTime now)
 {
   uint64_t other_revision = 0;
   KqNodeEntry *self = kq_node_list_find (l, l->self);
@@ -224,7 +224,7 @@
 }
 
 void
-kq_node_list_age (KqNodeList *l, const KqNodeTimes *t, KqTime now)
+kq_node_list_update_states (KqNodeList *l, const KqNodeTimes *t, KqTime now)
 {
   size_t kept = 0;
   for (size_t i = 0; i < l->n; i++)
@@ -272,8 +272,8 @@
   return (h->sequence & KQ_HEARTBEAT_NO_DIGESTS) != 0;
 }
 
-/* Stores the heartbeat; one without digests keeps the digests that the same process sent
- * before. */
+/* Stores the heartbeat as the node's last one. If it is sent without digests, those that
+ * the same process sent before are kept. */
 static void
 store_heartbeat (KqNodeEntry *e, const KqMsgHeartbeat *h)
 {
@@ -296,7 +296,8 @@
 }
 
 void
-kq_node_list_heard (KqNodeList *l, KqNodeEntry *e, const KqMsgHeartbeat *h, KqTime now)
+kq_node_list_apply_heartbeat (KqNodeList *l, KqNodeEntry *e, const KqMsgHeartbeat *h,
+                              KqTime now)
 {
   store_heartbeat (e, h);
   e->node.shards = e->last_heartbeat->u.heartbeat.shards;
--- a/src/port/store_http.c
+++ b/src/port/store_http.c
@@ -109,7 +109,7 @@
 
 /* Answers a call that was never sent. */
 static void
-refuse (Call *c, KqResult result)
+answer_unsent (Call *c, KqResult result)
 {
   KqStoreReply r = { .result = result };
   kq_meter_unsent (&c->port->meters[c->out.u.store.kind], result);
@@ -421,13 +421,13 @@
       if (now >= until)
         {
           g_queue_unlink (q, l);
-          refuse (c, KQ_ERR_STORE_BUSY);
+          answer_unsent (c, KQ_ERR_STORE_BUSY);
           continue;
         }
       if (too_many_watches (p, c))
         {
           g_queue_unlink (q, l);
-          refuse (c, KQ_ERR_STORE_BUSY);
+          answer_unsent (c, KQ_ERR_STORE_BUSY);
           continue;
         }
       if (!may_open (p, c, urgent))
@@ -489,9 +489,9 @@
   mail->u.out = (KqOut){ .kind = KQ_OUT_STORE };
   kq_mail_free (mail);
   if (c->out.u.store.value.len > KQ_STORE_VALUE_MAX)
-    refuse (c, KQ_ERR_STORE_TOO_LARGE);
+    answer_unsent (c, KQ_ERR_STORE_TOO_LARGE);
   else if ((int)q->length >= p->config.queue_max)
-    refuse (c, KQ_ERR_STORE_BUSY);
+    answer_unsent (c, KQ_ERR_STORE_BUSY);
   else
     g_queue_push_tail_link (q, &c->link);
   schedule (p, now);
--- a/src/port/worker_http.c
+++ b/src/port/worker_http.c
@@ -96,7 +96,7 @@
 
 /* Answers a call that was never sent. */
 static void
-refuse (Call *c)
+answer_unsent (Call *c)
 {
   KqWorkerReply r = { .result = KQ_ERR_WORKER_UNREACHABLE };
   kq_meter_unsent (&c->port->meters[c->out.u.worker.kind], r.result);
@@ -254,7 +254,7 @@
       if (c->queued_at > queued_before)
         continue;
       g_queue_unlink (&worker->waiting, l);
-      refuse (c);
+      answer_unsent (c);
     }
 }
 
@@ -292,7 +292,7 @@
   c->worker = worker;
   if (worker == NULL || (int)worker->waiting.length >= p->config.queue_max)
     {
-      refuse (c);
+      answer_unsent (c);
       return;
     }
   if (call->kind == KQ_WORKER_LEASE)
--- a/src/shard/hold.c
+++ b/src/shard/hold.c
@@ -18,8 +18,9 @@
   *h = (KqHold){ 0 };
 }
 
-/* Reuses the space of released items. Under steady load the queue is never empty, so
- * without this the array would grow for as long as the process runs. */
+/* Makes room for one more item, first by reusing the space of released items. Under
+ * steady load the queue is never empty, so without the reuse the array would grow for as
+ * long as the process runs. */
 static void
 make_room (KqHold *h)
 {
--- a/src/shard/hold.h
+++ b/src/shard/hold.h
@@ -26,8 +26,9 @@
 
 void kq_hold_init (KqHold *h);
 void kq_hold_free (KqHold *h); /* discards the items still held */
-/* Takes all items of `from` and holds them until the record `after` is committed. 0:
- * they need no record, but still leave after the items held before them. */
+/* Takes all items of `from` and holds them until the record `after` is committed. If
+ * `after` is 0, the items depend on no record, but still leave after the items that are
+ * already held. */
 void kq_hold_add (KqHold *h, KqSeq after, KqOutbox *from);
 /* Moves to `out` the items at the front whose records are committed. */
 void kq_hold_release (KqHold *h, KqSeq committed, KqOutbox *out);
--- a/src/shard/journal.c
+++ b/src/shard/journal.c
@@ -116,7 +116,7 @@
 }
 
 void
-kq_journal_fenced_by (KqJournal *j, uint64_t epoch)
+kq_journal_set_fenced (KqJournal *j, uint64_t epoch)
 {
   kq_log (KQ_LOG_WARN, PART, "Fenced by a successor. shard=%u epoch=%llu successor=%llu",
           j->shard, (unsigned long long)j->epoch, (unsigned long long)epoch);
@@ -125,7 +125,7 @@
 }
 
 uint64_t
-kq_journal_write_id (KqJournal *j)
+kq_journal_new_write_id (KqJournal *j)
 {
   return kq_rand_next (&j->rand);
 }
@@ -208,7 +208,8 @@
   kq_journal_snapshot_reply (j, r, now);
 }
 
-/* Calls without a reply are handled as if the store were unreachable. */
+/* Ends calls that have had no reply for KQ_JOURNAL_REPLY_TIMEOUT, as if the store were
+ * unreachable. */
 static void
 expire_calls (KqJournal *j, KqTime now)
 {
@@ -256,8 +257,9 @@
   if (r->part != KQ_PART_SHARD || r->token >> 32 != j->shard
       || call_number >= CALL_NUMBER_LIMIT)
     return false;
-  /* A late or repeated reply matches neither lane. Its call was handled before, by the
-   * first reply or as unanswered, and then the outcome is read from the store. */
+  /* A late or repeated reply matches neither lane and is ignored. Its call was already
+   * handled: by its first reply, or as a call without an answer, whose outcome is read
+   * from the store. */
   if (call_number != 0 && call_number == j->log.call_number)
     log_reply (j, r, now);
   else if (call_number != 0 && call_number == j->snap.call_number)
--- a/src/shard/journal.h
+++ b/src/shard/journal.h
@@ -39,9 +39,10 @@
 {
   KQ_JOURNAL_CLOSED,     /* this node isn't the owner */
   KQ_JOURNAL_RECOVERING, /* reading log and snapshot */
-  KQ_JOURNAL_FENCING,    /* fence record being written */
+  KQ_JOURNAL_FENCING,    /* the fence block is being written */
   KQ_JOURNAL_OPEN,
-  KQ_JOURNAL_FENCED, /* a successor has written; the caller drops the shard's state */
+  KQ_JOURNAL_FENCED, /* a later owner has written to the log or the snapshot; the caller
+                        must drop the shard's state */
   KQ_JOURNAL_DAMAGED /* can't be read or continued; see kq_journal_damage */
 } KqJournalState;
 
@@ -50,7 +51,7 @@
 {
   KqResult code;    /* KQ_ERR_JOURNAL_DAMAGED, _VERSION or _FULL */
   char key[96];     /* the key in the store; "" if no single key is at fault */
-  const char *what; /* a sentence, static */
+  const char *what; /* description, a static string */
 } KqJournalDamage;
 
 /* Totals since kq_journal_new. */
@@ -88,7 +89,7 @@
 /* Appends a copy of a record and returns its sequence number. The journal must be OPEN
  * and replayed (asserted). */
 KqSeq kq_journal_append (KqJournal *j, const KqRecord *r, KqCommitClass c, KqTime now);
-/* The last record that is in the store, with all before it. */
+/* The last record such that it and all records before it are in the store. */
 KqSeq kq_journal_committed (const KqJournal *j);
 /* Cancels a record that isn't in a write yet. KQ_OK: it will never be written.
  * KQ_ERR_COMMIT_UNKNOWN: its write has been prepared or sent, or it is committed. */
@@ -96,8 +97,9 @@
 /* Age of the oldest record that isn't in the store yet, at least 1; 0: there is none. */
 KqTime kq_journal_lag (const KqJournal *j, KqTime now);
 
-/* True when a snapshot is due. The caller then adds, between _begin and _end, the records
- * that rebuild its present state; it appends nothing in between (asserted). */
+/* True when a snapshot is due. The caller then calls kq_journal_snapshot_begin, adds the
+ * records that rebuild its present state, and calls kq_journal_snapshot_end. It must not
+ * append records between begin and end (asserted). */
 bool kq_journal_snapshot_due (const KqJournal *j);
 void kq_journal_snapshot_begin (KqJournal *j);
 void kq_journal_snapshot_add (KqJournal *j, const KqRecord *r);
@@ -109,14 +111,16 @@
 /* Handles the reply to a store call; false: not a call of this journal. Call numbers
  * below 2^31 belong to the journal, those from 2^31 up to the owner module. */
 bool kq_journal_reply (KqJournal *j, const KqStoreReply *r, KqTime now, KqOutbox *out);
-/* Time at which the next tick has something to do; KQ_TIME_NEVER: not before a reply. */
+/* Time at which kq_journal_tick next has something to do; KQ_TIME_NEVER: nothing to do
+ * until a reply or another call changes the state. */
 KqTime kq_journal_due (const KqJournal *j);
 
-/* Sets the commit rate to an equal share of the fleet's rate. 4 per second with 64
- * shards, which is the default. */
+/* Sets this journal's commit rate to KQ_JOURNAL_FLEET_COMMITS_PER_S / n_shards. The
+ * default is 64 shards, 4 commits per second. */
 void kq_journal_set_share (KqJournal *j, uint32_t n_shards);
-/* For the module that owns the record's type, if it can't read a replayed record (unknown
- * type or version, malformed body): the journal becomes DAMAGED with the code `why`. */
+/* Makes the journal DAMAGED with the code `why`. Called by the module that owns the
+ * record's type when it can't read a replayed record (unknown type or version, malformed
+ * body). */
 void kq_journal_refuse (KqJournal *j, const KqRecord *r, KqResult why);
 const KqJournalDamage *kq_journal_damage (const KqJournal *j); /* NULL: not damaged */
 const KqJournalCount *kq_journal_count (const KqJournal *j);
--- a/src/shard/journal_block.c
+++ b/src/shard/journal_block.c
@@ -8,7 +8,7 @@
 
 #define MAGIC "KQJ"
 #define MAGIC_LEN 3
-#define N_FIELDS 9 /* before the records */
+#define N_FIELDS 9 /* entries of the payload's array before the records */
 #define FIELDS_PER_RECORD 3
 
 static void
@@ -27,7 +27,8 @@
   return v;
 }
 
-/* Covers version and payload, so that any corrupted byte after the magic is detected. */
+/* The digest covers version and payload, so that any corrupted byte after the magic is
+ * detected. */
 static uint64_t
 digest_of (uint8_t version, KqStr payload)
 {
--- a/src/shard/journal_block.h
+++ b/src/shard/journal_block.h
@@ -33,9 +33,9 @@
   KqStr parts;    /* SNAPSHOT: the parts' digests, 8 bytes each */
   KqRecord *records;
   size_t n_records;
-  char *bytes; /* decoded block: owned buffer that all strings point into */
+  char *bytes; /* of a decoded block: owned buffer that all its strings point into */
   size_t n_bytes;
-  uint64_t digest;
+  uint64_t digest; /* of version and payload */
 } KqBlock;
 
 /* Appends the encoded block to `out` and sets b->digest. */
--- a/src/shard/journal_commit.c
+++ b/src/shard/journal_commit.c
@@ -25,9 +25,9 @@
   *p = (KqPendingRecord){ *r, now, c };
   p->record.body = kq_str_own (r->body);
   j->n_urgent += c == KQ_COMMIT_URGENT;
-  j->last++;
-  assert (j->sent + (j->len - j->first) == j->last);
-  return j->last;
+  j->last_appended++;
+  assert (j->last_in_block + (j->len - j->first) == j->last_appended);
+  return j->last_appended;
 }
 
 KqSeq
@@ -39,11 +39,11 @@
 KqResult
 kq_journal_withdraw (KqJournal *j, KqSeq seq)
 {
-  if (seq <= j->sent)
+  if (seq <= j->last_in_block)
     return KQ_ERR_COMMIT_UNKNOWN;
-  /* Not in a block yet. An empty record takes its place, so that sequence numbers have no
-   * gaps. */
-  size_t i = j->first + (size_t)(seq - j->sent - 1);
+  /* The record isn't in a block yet. An empty record takes its place, so that sequence
+   * numbers have no gaps. */
+  size_t i = j->first + (size_t)(seq - j->last_in_block - 1);
   if (i < j->len)
     {
       KqRecord *r = &j->pending[i].record;
@@ -52,12 +52,12 @@
       j->n_urgent -= j->pending[i].commit_class == KQ_COMMIT_URGENT;
       j->pending[i].commit_class = KQ_COMMIT_NORMAL;
     }
-  kq_journal_snapshot_withdrawn (j, seq);
+  kq_journal_snapshot_withdraw (j, seq);
   return KQ_OK;
 }
 
-/* At least 1, also for a record appended just now: 0 means that no record is pending, and
- * a handover would then discard it. */
+/* The age of a pending record, at least 1. A lag of 0 would mean that no record is
+ * pending, and a handover would discard a record that was appended just now. */
 static KqTime
 record_age (KqTime appended_at, KqTime now)
 {
@@ -85,7 +85,8 @@
   j->write_pending = false;
 }
 
-/* Encodes the block for the next position. Its bytes are final from here on. */
+/* Encodes the block for the next position of the log. The encoded bytes don't change
+ * afterwards. */
 static void
 prepare_write (KqJournal *j, KqBlock *b)
 {
@@ -95,16 +96,16 @@
   b->shard = j->shard;
   b->epoch = j->epoch;
   b->writer = j->self;
-  b->write_id = kq_journal_write_id (j);
+  b->write_id = kq_journal_new_write_id (j);
   b->index = j->next_index;
-  b->seq = j->sent + 1;
+  b->seq = j->last_in_block + 1;
   kq_buf_clear (&w->value);
   kq_block_encode (b, &w->value);
   w->index = b->index;
   w->write_id = b->write_id;
   w->expect = j->slot_revision[b->index % KQ_JOURNAL_SLOTS];
-  w->last = j->sent + b->n_records;
-  j->sent = w->last;
+  w->last_seq = j->last_in_block + b->n_records;
+  j->last_in_block = w->last_seq;
   j->write_pending = true;
   kq_journal_set_step (&j->log, KQ_STEP_WRITE);
 }
@@ -153,7 +154,7 @@
   return rate_allows_at (j);
 }
 
-/* Packs as many pending records as fit into a block. */
+/* Prepares the write of a block with as many pending records as fit. */
 static void
 pack_pending (KqJournal *j)
 {
@@ -232,28 +233,29 @@
   send_write (j, now, out);
 }
 
-/* The prepared block is in the store. */
+/* Records that the prepared block is in the store at `revision`. */
 static void
 slot_committed (KqJournal *j, uint64_t revision)
 {
   const KqSlotWrite *w = &j->slot_write;
   size_t slot = w->index % KQ_JOURNAL_SLOTS;
-  assert (w->index == j->next_index && w->last >= j->committed);
+  assert (w->index == j->next_index && w->last_seq >= j->committed);
   j->slot_revision[slot] = revision;
-  j->slot_last[slot] = w->last;
+  j->slot_last[slot] = w->last_seq;
   j->log_bytes += w->value.len;
   j->next_index++;
-  j->count.committed_records += w->last - j->committed;
+  j->count.committed_records += w->last_seq - j->committed;
   j->count.commits++;
   j->count.commit_bytes += w->value.len;
-  j->committed = w->last;
+  j->committed = w->last_seq;
   j->write_pending = false;
   j->state = KQ_JOURNAL_OPEN;
   kq_journal_set_step (&j->log, KQ_STEP_IDLE);
 }
 
-/* The slot's revision isn't the expected one. `value` (revision 0: none) is our own write
- * whose answer was lost, a block of another owner, or damage. */
+/* Handles a write that failed because the slot's revision isn't the expected one.
+ * `value`, the slot's present value (revision 0: none), is our own block from a write
+ * whose answer was lost, a block of another owner, or damaged. */
 static void
 slot_conflict (KqJournal *j, KqStr value, uint64_t revision, KqTime now)
 {
@@ -281,10 +283,10 @@
       kq_journal_back_off (j, &j->log, now);
     }
   else
-    kq_journal_fenced_by (j, epoch);
+    kq_journal_set_fenced (j, epoch);
 }
 
-/* The slot was read because its write got no answer: an unchanged revision means that the
+/* Handles the read of a slot whose write got no answer. If the revision is unchanged, the
  * write must be repeated. */
 static void
 read_back_reply (KqJournal *j, const KqStoreReply *r, KqTime now)
@@ -319,7 +321,7 @@
     case KQ_ERR_STORE_CONFLICT:
       slot_conflict (j, r->value, r->revision, now);
       break;
-    case KQ_ERR_STORE_BUSY: /* call limit of this node or the store: no effect */
+    case KQ_ERR_STORE_BUSY: /* over the rate of this node or the store; not written */
       kq_journal_back_off (j, &j->log, now);
       break;
     default:
--- a/src/shard/journal_recover.c
+++ b/src/shard/journal_recover.c
@@ -39,7 +39,7 @@
   kq_part_keys_free (&j->parts);
   kq_part_keys_free (&j->obsolete_parts);
   j->head_revision = 0;
-  j->covered = j->covered_index = 0;
+  j->covered_seq = j->covered_index = 0;
   j->log_bytes = j->snapshot_bytes = 0;
   j->state = KQ_JOURNAL_RECOVERING;
   kq_journal_set_step (&j->log, KQ_STEP_READ_LOG);
@@ -73,8 +73,8 @@
   return kq_str_to_u64 (rest, slot) && *slot < KQ_JOURNAL_SLOTS;
 }
 
-/* A value that can't be read ends the recovery: it may hold the newest records, which may
- * have been acknowledged. */
+/* Decodes one slot of the log. A slot that can't be read ends the recovery: it may hold
+ * the newest records, which may have been acknowledged. */
 static bool
 load_slot (KqJournal *j, const KqStoreItem *item)
 {
@@ -174,7 +174,7 @@
       return false;
     }
   j->head_revision = item->revision;
-  j->covered = j->head.seq;
+  j->covered_seq = j->head.seq;
   j->covered_index = j->head.index;
   j->snapshot_bytes = item->value.len;
   size_t n = j->head.parts.len / 8;
@@ -190,8 +190,8 @@
   return true;
 }
 
-/* Remembers all keys under snap/ but the head. They may be deleted once we have written a
- * head of our own. */
+/* Remembers all part keys under snap/<shard>/. These parts may be deleted once we have
+ * written a head of our own. */
 static void
 remember_part_keys (KqJournal *j, const KqStoreReply *r)
 {
@@ -216,12 +216,13 @@
   j->n_blocks -= n;
 }
 
-/* Positions and sequence numbers must be without gaps, and epochs must not decrease. */
+/* Checks that positions and sequence numbers have no gaps and that epochs don't decrease,
+ * and sets j->last_appended; false: the journal is DAMAGED. */
 static bool
 check_continuity (KqJournal *j, uint64_t last_index)
 {
   uint64_t index = j->covered_index;
-  KqSeq last = j->covered;
+  KqSeq last = j->covered_seq;
   uint64_t epoch = 0;
   for (size_t i = 0; i < j->n_blocks; i++)
     {
@@ -241,11 +242,12 @@
       j->log_bytes += b->n_bytes;
     }
   assert (index == last_index);
-  j->last = last > j->covered ? last : j->covered;
+  j->last_appended = last > j->covered_seq ? last : j->covered_seq;
   return true;
 }
 
-/* Log and snapshot are read: checks that they are consistent, then prepares the fence. */
+/* Called when log and snapshot are read: checks that they are consistent, then prepares
+ * the fence. */
 static void
 finish_read (KqJournal *j, KqTime now)
 {
@@ -253,7 +255,7 @@
   uint64_t epoch = j->n_blocks > 0 ? j->blocks[j->n_blocks - 1].epoch : 0;
   if (epoch > j->epoch)
     {
-      kq_journal_fenced_by (j, epoch);
+      kq_journal_set_fenced (j, epoch);
       return;
     }
   if (last_index < j->covered_index)
@@ -272,7 +274,7 @@
   if (!check_continuity (j, last_index))
     return;
   j->next_index = last_index + 1;
-  j->committed = j->sent = j->last;
+  j->committed = j->last_in_block = j->last_appended;
   j->replaying = true;
   kq_journal_fence (j, now);
 }
@@ -304,13 +306,13 @@
   return i < j->n_blocks ? &j->blocks[i] : NULL;
 }
 
-/* Whether the record at the replay position has to be applied: it isn't covered by the
- * snapshot and wasn't withdrawn. */
+/* Whether the record at the replay position has to be applied, because the snapshot
+ * doesn't cover it and it wasn't withdrawn. */
 static bool
 must_apply (const KqJournal *j, const KqBlock *b)
 {
   const KqRecord *r = &b->records[j->replay_record];
-  bool covered = b->kind == KQ_BLOCK_SLOT && b->seq + j->replay_record <= j->covered;
+  bool covered = b->kind == KQ_BLOCK_SLOT && b->seq + j->replay_record <= j->covered_seq;
   return !covered && r->type != KQ_RECORD_VOID;
 }
 
--- a/src/shard/journal_snapshot.c
+++ b/src/shard/journal_snapshot.c
@@ -6,9 +6,9 @@
 #include <string.h>
 
 /* A snapshot may include the effect of records that aren't committed yet. It is written
- * only after they are, and is discarded if one of them is withdrawn. The keys of parts
- * contain the snapshot's write id, so no writer ever changes a part that another head
- * refers to; only the head is replaced, by compare-and-swap. */
+ * only after these are committed, and is discarded if one of them is withdrawn. The keys
+ * of parts contain the snapshot's write id, so no writer ever changes a part that another
+ * head refers to; only the head is replaced, by compare-and-swap. */
 
 bool
 kq_journal_snapshot_due (const KqJournal *j)
@@ -49,7 +49,7 @@
 }
 
 void
-kq_journal_snapshot_withdrawn (KqJournal *j, KqSeq seq)
+kq_journal_snapshot_withdraw (KqJournal *j, KqSeq seq)
 {
   KqSnapshot *s = &j->snapshot;
   if ((!s->building && !s->ready) || seq > s->covers)
@@ -65,8 +65,8 @@
   assert (j->state == KQ_JOURNAL_OPEN && !j->replaying && !s->building && !s->ready);
   assert (j->snap.step == KQ_STEP_IDLE);
   s->building = true;
-  s->covers = j->last;
-  s->write_id = kq_journal_write_id (j);
+  s->covers = j->last_appended;
+  s->write_id = kq_journal_new_write_id (j);
 }
 
 /* Sets the fields that the head and the parts have in common. */
@@ -101,7 +101,7 @@
 {
   KqSnapshot *s = &j->snapshot;
   assert (s->building && r->type >= 100);
-  assert (s->covers == j->last); /* nothing may be appended in between */
+  assert (s->covers == j->last_appended); /* nothing may be appended in between */
   size_t size = r->body.len + 16;
   assert (size < KQ_JOURNAL_BLOCK_BYTES);
   if (s->open_bytes + size > KQ_JOURNAL_BLOCK_BYTES)
@@ -122,7 +122,7 @@
 kq_journal_snapshot_end (KqJournal *j, KqTime now, KqOutbox *out)
 {
   KqSnapshot *s = &j->snapshot;
-  assert (s->building && s->covers == j->last);
+  assert (s->building && s->covers == j->last_appended);
   if (s->n_parts > 0)
     finish_part (j);
   s->building = false;
@@ -141,7 +141,7 @@
   return index;
 }
 
-/* Encodes the head. If there are no parts it holds the records itself. */
+/* Encodes the head. If the snapshot has no parts, the head holds the records itself. */
 static void
 make_head (KqJournal *j)
 {
@@ -223,8 +223,8 @@
     }
 }
 
-/* The head is in the store: slots that it covers may be overwritten, and the parts of
- * earlier snapshots are deleted. */
+/* Records that the head is in the store at `revision`: the slots that it covers may be
+ * overwritten, and the deletion of earlier snapshots' parts begins. */
 static void
 head_committed (KqJournal *j, uint64_t revision)
 {
@@ -233,8 +233,8 @@
   KqResult result = kq_block_decode (kq_buf_str (&s->head), &head);
   assert (result == KQ_OK);
   (void)result;
-  assert (head.seq >= j->covered && head.index >= j->covered_index);
-  j->covered = head.seq;
+  assert (head.seq >= j->covered_seq && head.index >= j->covered_index);
+  j->covered_seq = head.seq;
   j->covered_index = head.index;
   kq_block_free (&head);
   j->head_revision = revision;
@@ -253,9 +253,9 @@
                        j->obsolete_parts.n > 0 ? KQ_STEP_DELETE_PART : KQ_STEP_IDLE);
 }
 
-/* The head's revision isn't the expected one. If the head is a previous owner's, written
- * late, it is an older snapshot of the same log and is replaced. A successor's head means
- * that we are fenced. */
+/* Handles a write of the head that failed because its revision isn't the expected one. If
+ * the head in the store is a previous owner's, written late, it is an older snapshot of
+ * the same log and is replaced. A successor's head means that we are fenced. */
 static void
 head_conflict (KqJournal *j, KqStr value, uint64_t revision)
 {
@@ -275,7 +275,7 @@
   if (ours)
     head_committed (j, revision);
   else if (epoch > j->epoch)
-    kq_journal_fenced_by (j, epoch);
+    kq_journal_set_fenced (j, epoch);
   else
     {
       j->head_revision = revision;
@@ -308,7 +308,8 @@
     }
 }
 
-/* Nobody else uses the part's key, so a conflict is an earlier try of the same write. */
+/* Handles the reply to the write of a part. Nobody else writes to the part's key, so a
+ * conflict means that an earlier try of the same write took effect. */
 static void
 part_reply (KqJournal *j, const KqStoreReply *r, KqTime now)
 {
--- a/src/shard/log_port.h
+++ b/src/shard/log_port.h
@@ -12,14 +12,15 @@
   KQ_LOG_PORT_FAKE
 } KqLogPortKind;
 
-/* Keeps copies of all records. The test sets what counts as committed and the lag. */
+/* A log for tests that keeps copies of all records. The test sets `committed` and `lag`.
+ */
 typedef struct
 {
   KqRecord *records;
   size_t n_records;
   size_t capacity;
-  KqSeq committed;
-  KqTime lag; /* returned by kq_log_port_lag */
+  KqSeq committed; /* returned by kq_log_port_committed */
+  KqTime lag;      /* returned by kq_log_port_lag */
 } KqFakeLog;
 
 typedef struct
@@ -32,9 +33,11 @@
   } u;
 } KqLogPort;
 
+/* The same as the functions of kq_journal_* with these names (shard/journal.h). */
 KqSeq kq_log_port_append (KqLogPort p, const KqRecord *r, KqCommitClass c, KqTime now);
 KqSeq kq_log_port_committed (KqLogPort p);
 KqTime kq_log_port_lag (KqLogPort p, KqTime now);
+/* Frees the copied records and empties the log. */
 void kq_fake_log_free (KqFakeLog *f);
 
 #endif
--- a/src/shard/owner.c
+++ b/src/shard/owner.c
@@ -183,8 +183,8 @@
 }
 
 /* Whether ownership that was taken under the lease id `lease` is still valid. If our
- * present lease has another id, the one named in own/<shard> expired in between, and
- * another node may have owned the shard since. */
+ * present lease has another id, the lease named in own/<shard> expired in between,
+ * and another node may have owned the shard since. */
 static bool
 ownership_valid (const KqOwner *o, const KqMember *m, uint64_t lease, KqTime now)
 {
@@ -200,7 +200,7 @@
 }
 
 KqNodeId
-kq_owner_reported (const KqMember *m, uint32_t shard, uint64_t *epoch)
+kq_owner_find_reported (const KqMember *m, uint32_t shard, uint64_t *epoch)
 {
   KqNodeId id = 0;
   for (size_t k = 0; k < kq_member_count (m); k++)
@@ -224,14 +224,14 @@
   const KqOwnEntry *e = entry_of (o, shard);
   uint64_t epoch = e != NULL && e->holding ? e->mine.epoch : 0;
   KqNodeId id = epoch > 0 ? o->self.id : 0;
-  KqNodeId reported = kq_owner_reported (m, shard, &epoch);
+  KqNodeId reported = kq_owner_find_reported (m, shard, &epoch);
   return reported != 0 ? reported : id;
 }
 
-/* True if our lease is live and the list of nodes that we read has our own key: then we
- * know every node that was in the store before us. */
+/* Requires that our lease is live and that the list of nodes read from the store has our
+ * own key. The list then also has every node that registered before us. */
 bool
-kq_owner_may_take (const KqOwner *o, const KqMember *m, KqTime now)
+kq_owner_may_take_shards (const KqOwner *o, const KqMember *m, KqTime now)
 {
   const KqNode *self = kq_member_find (m, o->self.id);
   return self != NULL && self->in_store && kq_member_lease (m) != 0
@@ -260,7 +260,7 @@
 reported_by_peer (const KqOwner *o, uint32_t i, const KqMember *m)
 {
   uint64_t epoch = 0;
-  KqNodeId by = kq_owner_reported (m, o->first + i, &epoch);
+  KqNodeId by = kq_owner_find_reported (m, o->first + i, &epoch);
   return by != 0 && by != o->self.id;
 }
 
@@ -316,11 +316,11 @@
       kq_owner_reset_entry (o, i);
       e->uncertain = true; /* own/<shard> still names us */
     }
-  /* The owner's digests no longer list the shard: don't wait for the watch, which may be
-   * slower or silent. */
+  /* If the owner's digest no longer lists the shard, read own/<shard> now instead of
+   * waiting for the watch, which may be slower or silent. */
   if (e->step == KQ_OWNER_WATCH && (!wanted || !reported_by_peer (o, i, m)))
     kq_owner_reset_entry (o, i);
-  if (e->step != KQ_OWNER_IDLE || !kq_owner_may_take (o, m, now))
+  if (e->step != KQ_OWNER_IDLE || !kq_owner_may_take_shards (o, m, now))
     return;
   if (e->state == KQ_OWN_NONE && wanted)
     start_take (o, i, m, now);
@@ -342,7 +342,7 @@
   for (uint32_t i = 0; i < o->n; i++)
     {
       uint64_t epoch = o->entries[i].mine.epoch;
-      if (o->entries[i].holding && kq_owner_reported (m, o->first + i, &epoch) != 0)
+      if (o->entries[i].holding && kq_owner_find_reported (m, o->first + i, &epoch) != 0)
         kq_owner_reset_entry (o, i);
     }
 }
@@ -400,8 +400,8 @@
   KqOwnEntry *e = entry_of (o, (uint32_t)(r->token >> 32));
   if (r->part != KQ_PART_SHARD || (call_number & CALL_NUMBER_BIT) == 0 || e == NULL)
     return false;
-  /* Late or repeated: the call was handled before, by the first reply or as unanswered,
-   * and then the outcome is read from the store. */
+  /* A late or repeated reply is ignored. Its call was already handled: by its first
+   * reply, or as a call without an answer, whose outcome is read from the store. */
   if (e->call_number != call_number)
     return true;
   uint32_t i = (uint32_t)(e - o->entries);
--- a/src/shard/owner_pick.c
+++ b/src/shard/owner_pick.c
@@ -2,17 +2,18 @@
 
 #include <math.h>
 
-/* Weighted rendezvous hashing. The hash of node and shard gives a uniform number between
- * 0 and 1; the node with the lowest -ln (number) / weight is the wanted owner. When a
- * node goes, only its shards move, and they spread over all others.
+/* The wanted owner is chosen by weighted rendezvous hashing. The hash of node and shard
+ * gives a uniform number between 0 and 1; the node with the lowest -ln (number) / weight
+ * is the wanted owner. When a node goes, only its shards move, and they spread over all
+ * others.
  *
  * A node's weight is 1 / sqrt (number of nodes in its depot), a compromise for depots of
  * different size. Take a depot of four nodes and one of a single node. With equal weights
  * the larger depot would hold four fifths of the shards, and its loss would stop nearly
- * all. With equal shares per depot the single node would carry four times the load of
- * each other node. With the square root the larger depot holds two thirds, and the single
- * node carries twice the load. The size counts all known nodes of the depot, also those
- * that are gone, so that a node's failure doesn't change the weights. */
+ * all shards. With equal shares per depot the single node would carry four times the load
+ * of each other node. With the square root the larger depot holds two thirds, and the
+ * single node carries twice the load. The size counts all known nodes of the depot, also
+ * those that are gone, so that a node's failure doesn't change the weights. */
 
 static double
 weight (const KqMember *m, const KqNode *node)
--- a/src/shard/owner_state.h
+++ b/src/shard/owner_state.h
@@ -11,32 +11,36 @@
 #include "shard/backoff.h"
 #include "shard/owner.h"
 
-/* Planned moves of one node at a time. A move stops its shard for a few store calls;
- * without a limit a node that joins would stop most shards of the region at once. */
+/* How many planned moves a node may have in progress. A move stops its shard for a few
+ * store calls; without a limit a node that joins would stop most shards of the region at
+ * once. */
 #define KQ_OWNER_MOVES_MAX 2
-/* The same at a planned stop, where a long wait costs more than the short stops. */
+/* The same limit at a planned stop of the node, where a long wait costs more than the
+ * short stops. */
 #define KQ_OWNER_DRAIN_MOVES_MAX 4
 /* Delay before the first move of a planned stop: two heartbeats, so that the next owners
  * know of the stop and watch for the releases. Without it the first shards released would
  * have no owner until those nodes hear of the stop. */
 #define KQ_OWNER_DRAIN_WAIT (1 * KQ_SEC)
-/* Shards that one node takes at a time. A takeover needs about six store calls (owner
- * key, node key, swap, two lists, fence); after the loss of a depot all takeovers at once
- * would overload the store. */
+/* How many shards a node may be taking at a time. A takeover needs about six store calls
+ * (owner key, node key, swap, two lists, fence); after the loss of a depot all takeovers
+ * at once would overload the store. */
 #define KQ_OWNER_TAKES_MAX 4
 /* Planned moves wait until the members haven't changed for this long. Otherwise a node
  * that flaps would move shards back and forth. */
 #define KQ_OWNER_SETTLE_TIME (3 * KQ_SEC)
 /* Delay before another try at a shard that can't be taken at present. */
 #define KQ_OWNER_RECHECK (1 * KQ_SEC)
-/* Duration of one watch for a shard's release, and watches of one node at a time. Without
- * the watch the next owner learns of a release only by the next heartbeat. Only the
- * wanted owner watches, and only while the present owner's digest lists the shard. */
+/* Duration of one watch for a shard's release, and how many such watches a node may have
+ * open. Without the watch the next owner learns of a release only by the next heartbeat.
+ * Only the wanted owner watches, and only while the present owner's digest lists the
+ * shard. */
 #define KQ_OWNER_WATCH_MS 10000
 #define KQ_OWNER_WATCHES_MAX 4
 /* A journal that can't be opened makes each owner step down right after taking the shard.
  * The delay before the next try is KQ_OWNER_RECHECK, doubled at most this many times
- * (64 s), and starts again once a shard was held for KQ_OWNER_STABLE_TIME. */
+ * (64 s); it starts again at KQ_OWNER_RECHECK once a shard was held for
+ * KQ_OWNER_STABLE_TIME. */
 #define KQ_OWNER_STEP_DOWN_DOUBLINGS 6
 #define KQ_OWNER_STABLE_TIME (60 * KQ_SEC)
 /* Times relative to the lease time (a fifth of it is four heartbeats by default).
@@ -89,15 +93,15 @@
 {
   KqOwnState state;
   KqOwnerStep step;
-  bool holding; /* between the event TAKEN and LOST or kq_owner_released */
-  bool handover_sent;
+  bool holding;       /* between the event TAKEN and LOST or kq_owner_released */
+  bool handover_sent; /* the event HANDOVER was added for the present move */
   bool uncertain; /* own/<shard> may name us, or a write of ours may still take effect,
                      though we don't hold the shard */
   KqNodeId wanted;
   uint32_t call_number; /* of the call in flight; 0: none */
-  KqTime sent_at;
-  KqTime wait_until;
-  KqTime backoff;
+  KqTime sent_at;       /* when the call in flight was sent */
+  KqTime wait_until;    /* the next call or take isn't started before */
+  KqTime backoff;       /* last delay after a failure; see kq_backoff_next */
   /* Backoff of reads at the end of a handover, while the owner is alive but its digest no
    * longer lists the shard. */
   KqTime handover_backoff;
@@ -106,7 +110,7 @@
   KqOwnValue stored;       /* value of own/<shard> as last read */
   KqOwnValue mine;         /* our last value for own/<shard>, being written or written */
   KqTime taken_at;
-  int step_downs;    /* consecutive ones soon after taking the shard */
+  int step_downs;    /* consecutive step-downs soon after taking the shard */
   KqTime gone_since; /* when the owner in `stored` was first found gone; 0: not gone */
 } KqOwnEntry;
 
@@ -121,26 +125,29 @@
   KqOwnerTimes times;
   KqOwnerCount count;
   bool draining;
-  bool picked; /* wanted owners were chosen for the members' `version` */
-  uint64_t version;
-  KqTime ticked_at;    /* last tick */
-  KqTime resumed_at;   /* the first tick after the last long gap between ticks */
-  KqTime next_pick_at; /* wanted owners are chosen again then at the latest */
-  KqTime moves_allowed_at;
-  KqTime drain_at; /* first move of a planned stop; 0: not set yet */
+  bool picked;             /* wanted owners were chosen, for the members' `version` */
+  uint64_t version;        /* kq_member_version at that time */
+  KqTime ticked_at;        /* last tick */
+  KqTime resumed_at;       /* the first tick after the last long gap between ticks */
+  KqTime next_pick_at;     /* wanted owners are chosen again then at the latest */
+  KqTime moves_allowed_at; /* planned moves wait until then; see KQ_OWNER_SETTLE_TIME */
+  KqTime drain_at;         /* first move of a planned stop; 0: not set yet */
   KqOwnerEvent *events;
   size_t first_event, n_events, events_capacity;
 };
 
+/* Functions with a parameter `i` take the index of an entry: shard - first. */
+
 /* owner.c */
 void kq_owner_add_event (KqOwner *o, KqOwnerEventKind kind, uint32_t i);
 /* Resets the entry to KQ_OWN_NONE; adds the event LOST if we held the shard. */
 void kq_owner_reset_entry (KqOwner *o, uint32_t i);
 /* The node, not gone, whose digest lists the shard with the highest epoch above *epoch,
  * and that epoch; 0: none. */
-KqNodeId kq_owner_reported (const KqMember *m, uint32_t shard, uint64_t *epoch);
-/* Whether this node may take shards now. */
-bool kq_owner_may_take (const KqOwner *o, const KqMember *m, KqTime now);
+KqNodeId kq_owner_find_reported (const KqMember *m, uint32_t shard, uint64_t *epoch);
+/* Whether this node may take shards now: its lease is live and it knows the other nodes.
+ */
+bool kq_owner_may_take_shards (const KqOwner *o, const KqMember *m, KqTime now);
 
 /* owner_pick.c */
 /* Chooses the wanted owner of every shard; true when any of them changed. */
@@ -152,6 +159,7 @@
 /* Handles the reply to the call of the present step. */
 void kq_owner_handle_reply (KqOwner *o, uint32_t i, const KqStoreReply *r,
                             const KqMember *m, KqTime now);
+/* Begins to write own/<shard> without an owner. */
 void kq_owner_start_release (KqOwner *o, uint32_t i);
 
 #endif
--- a/src/shard/owner_swap.c
+++ b/src/shard/owner_swap.c
@@ -130,8 +130,8 @@
   e->wait_until = kq_backoff_next (&e->backoff, &o->rand, now);
 }
 
-/* The shard can't be taken at present. The delay before the next try is random between
- * 0.5 and 1.5 of KQ_OWNER_RECHECK. */
+/* Gives up taking the shard for now. The next try follows after a random delay between
+ * 0.5 and 1.5 times KQ_OWNER_RECHECK. */
 static void
 retry_later (KqOwner *o, uint32_t i, KqTime now)
 {
@@ -141,8 +141,9 @@
         + (KqTime)kq_rand_below (&o->rand, (uint64_t)KQ_OWNER_RECHECK);
 }
 
-/* Takes the value of own/<shard> from a reply. False when it can't be read: that is
- * logged and the shard isn't taken, as its owner isn't known. */
+/* Stores the value of own/<shard> from a reply in the entry. False when the value can't
+ * be read: then the error is logged and the shard isn't taken, as its owner isn't known.
+ */
 static bool
 load_stored (KqOwner *o, uint32_t i, const KqStoreReply *r, KqTime now)
 {
@@ -177,8 +178,8 @@
   next_step (e, KQ_OWNER_SWAP);
 }
 
-/* The named owner's key is gone. If its heartbeats still arrive, KQ_OWNER_GRACE must have
- * passed first. */
+/* Takes the shard from an owner whose node key is gone. If the owner's heartbeats still
+ * arrive, waits until the key has been gone for KQ_OWNER_GRACE. */
 static void
 take_from_gone (KqOwner *o, uint32_t i, const KqMember *m, KqTime now)
 {
@@ -194,13 +195,13 @@
     start_swap (o, i, m);
 }
 
-/* Next step of taking a shard, after own/<shard> was read. */
+/* Chooses the next step of taking a shard, after own/<shard> was read. */
 static void
 continue_take (KqOwner *o, uint32_t i, const KqMember *m, KqTime now)
 {
   KqOwnEntry *e = &o->entries[i];
   const KqNode *node = kq_member_find (m, e->stored.owner);
-  if (!kq_owner_may_take (o, m, now))
+  if (!kq_owner_may_take_shards (o, m, now))
     retry_later (o, i, now);
   else if (e->stored.owner == 0 || e->stored.owner == o->self.id)
     start_swap (o, i, m); /* released, or taken by us in an earlier process or lease */
@@ -209,19 +210,20 @@
     {
       uint64_t epoch = 0;
       retry_later (o, i, now);
-      if (kq_owner_reported (m, o->first + i, &epoch) != 0)
+      if (kq_owner_find_reported (m, o->first + i, &epoch) != 0)
         {
           e->watch_revision = e->revision;
           next_step (e, KQ_OWNER_WATCH);
         }
-      else /* its digest no longer lists the shard: the release is being written */
+      else /* the owner's digest no longer lists the shard: it is writing the release */
         e->wait_until = kq_backoff_next (&e->handover_backoff, &o->rand, now);
     }
   else
     next_step (e, KQ_OWNER_READ_NODE);
 }
 
-/* The watch is for a key prefix, so it may report keys of other shards only. */
+/* Handles the reply to WATCH. A watch is for a key prefix, so the reply may have only
+ * keys of other shards (own/1 is a prefix of own/12). */
 static void
 watch_reply (KqOwner *o, uint32_t i, const KqStoreReply *r, const KqMember *m, KqTime now)
 {
@@ -246,7 +248,7 @@
   continue_take (o, i, m, now);
 }
 
-/* The reply to READ_NODE. */
+/* Handles the reply to READ_NODE. */
 static void
 node_reply (KqOwner *o, uint32_t i, const KqStoreReply *r, const KqMember *m, KqTime now)
 {
@@ -271,8 +273,8 @@
     retry_later (o, i, now);
 }
 
-/* Our write is in the store. It makes us owner only if the lease that it names is still
- * our present one and live. */
+/* Called when our SWAP is in the store. It makes us owner only if the lease named in the
+ * value is still our present one and live. */
 static void
 swap_committed (KqOwner *o, uint32_t i, uint64_t revision, const KqMember *m, KqTime now)
 {
@@ -296,7 +298,7 @@
 }
 
 static bool
-is_ours (const KqOwnEntry *e)
+stored_is_ours (const KqOwnEntry *e)
 {
   return e->mine.write_id != 0 && e->stored.write_id == e->mine.write_id;
 }
@@ -322,7 +324,7 @@
     }
   if (!load_stored (o, i, r, now))
     return;
-  if (is_ours (e))
+  if (stored_is_ours (e))
     swap_committed (o, i, e->revision, m, now);
   else if (read_back && e->revision == expect)
     next_step (e, KQ_OWNER_SWAP);
@@ -374,12 +376,12 @@
     }
   if (!load_stored (o, i, r, now))
     return;
-  /* Either own/<shard> names us although we no longer hold the shard, or a write of ours
-   * may still take effect against this revision. A release ends both, as it removes the
-   * owner and changes the revision. */
+  /* The release is written again if own/<shard> names us although we no longer hold the
+   * shard, or if a write of ours may still take effect against this revision. A release
+   * ends both states, as it removes the owner and changes the revision. */
   bool named
       = e->stored.owner == o->self.id && e->stored.incarnation == o->self.incarnation;
-  bool released_by_us = is_ours (e) && e->stored.owner == 0;
+  bool released_by_us = stored_is_ours (e) && e->stored.owner == 0;
   if (released_by_us)
     release_done (o, i, now);
   else if (named || e->revision == expect)
