--- a/src/port/advice.h
+++ b/src/port/advice.h
@@ -5,8 +5,9 @@
  * allows to run a step. It issues a ticket for each of them; a runner refuses a start
  * without a ticket.
  *
- * The service answers one call of a host at a time and takes longer the more runners are
- * asked about. Its answer for a step and a runner doesn't change. */
+ * The service answers only one call at a time from each calling host, and takes longer
+ * the more runners are asked about. Its answer for a given step and runner never changes.
+ */
 
 #include "base/str.h"
 #include "base/task.h"
@@ -19,7 +20,7 @@
 typedef enum
 {
   KQ_ADVICE_OK,
-  KQ_ADVICE_BUSY,   /* too many calls are queued there: retry later */
+  KQ_ADVICE_BUSY,   /* too many calls are queued at the service: retry later */
   KQ_ADVICE_UNKNOWN /* no answer, or one that can't be parsed */
 } KqAdviceResult;
 
@@ -43,7 +44,8 @@
   void *arg;
 } KqAdviceCallback;
 
-/* step: "job.occurrence.step". The callback is called exactly once, always after this
+/* Asks which of the n runners (KQ_ADVICE_RUNNERS_MAX at most) may run the step. step:
+ * "job.occurrence.step". The callback is called exactly once, always after this
  * function has returned. */
 void kq_advice_ask (KqAdviceClient *c, KqStr step, const KqStr *runners, size_t n,
                     int timeout_ms, KqAdviceCallback cb);
--- a/src/port/budget.c
+++ b/src/port/budget.c
@@ -14,8 +14,9 @@
   *b = (KqBudget){ per_second, burst, reserve, burst * TOKEN, now };
 }
 
-/* The span is limited to a second for each call of burst, which fills the bucket at any
- * rate, so that the product doesn't overflow. */
+/* The tokens in the bucket at `now`. The time since filled_at is limited to `burst`
+ * seconds so that the product doesn't overflow; that time fills the bucket at any rate.
+ */
 static int64_t
 level_at (const KqBudget *b, KqTime now)
 {
@@ -25,8 +26,7 @@
     return b->level;
   if (span > b->burst * KQ_SEC)
     span = b->burst * KQ_SEC;
-  level = b->level
-          + span * b->per_second; /* calls a second are millionths of a call a us */
+  level = b->level + span * b->per_second; /* 1 call/s is 1 millionth of a call per us */
   return level < b->burst * TOKEN ? level : b->burst * TOKEN;
 }
 
--- a/src/port/etag_cache.h
+++ b/src/port/etag_cache.h
@@ -5,10 +5,10 @@
  * conditional HTTP reads.
  *
  * The host list of a depot is read every two seconds and changes some tens of times a
- * day. Transferred in full each time, it was the largest part of a node's traffic (about
- * 115 bytes a second for each host of the depot, docs/CAPACITY-SHARDS.md). With the tag
- * in If-None-Match the platform answers 304 without a body while the list is unchanged; a
- * platform without entity tags sends the full list. */
+ * day. When it was transferred in full each time, it was the largest part of a node's
+ * traffic (about 115 bytes a second for each host of the depot, docs/CAPACITY-SHARDS.md).
+ * With the tag in If-None-Match the platform answers 304 without a body while the list is
+ * unchanged; a platform without entity tags sends the full list. */
 
 #include "base/str.h"
 
--- a/src/port/front.h
+++ b/src/port/front.h
@@ -1,8 +1,8 @@
 #ifndef KQ_PORT_FRONT_H
 #define KQ_PORT_FRONT_H
 
-/* front: the port to client accounts: their requests about jobs of steps, and the
- * answers. */
+/* front: the port to client accounts: receives their requests about jobs (which consist
+ * of steps) and sends the answers. */
 
 #include "base/task.h"
 #include "steps/spec.h"
@@ -22,28 +22,31 @@
   KqFrontKind kind;
   KqStr host;
   KqStr path;
-  KqSpec *spec;        /* SUBMIT: with steps, text and times; NULL: couldn't be parsed */
+  KqSpec *spec; /* SUBMIT: the job's steps, text and times, valid during the callback;
+                   NULL: the body couldn't be parsed */
   int64_t deadline_ms; /* how long the client waits for the answer */
 } KqFrontRequest;
 
 typedef enum
 {
-  KQ_REPLY_DONE, /* accepted, or cancelled */
-  KQ_REPLY_STATE,
-  KQ_REPLY_WAITING,
+  KQ_REPLY_DONE,    /* the job was accepted or cancelled */
+  KQ_REPLY_STATE,   /* the job's state, in `state` */
+  KQ_REPLY_WAITING, /* the queue's number of waiting jobs, in `waiting` */
   KQ_REPLY_NO_JOB,
   KQ_REPLY_NO_QUEUE,
-  KQ_REPLY_REFUSED, /* not done and never will be: the client may retry later */
+  KQ_REPLY_REFUSED, /* the request was not and won't be carried out: the client may retry
+                       later */
   KQ_REPLY_BAD,     /* the request is invalid */
   KQ_REPLY_TOO_LARGE,
-  KQ_REPLY_UNKNOWN /* it may have been done: the client should retry at once */
+  KQ_REPLY_UNKNOWN /* the request may have been carried out: the client should retry at
+                      once */
 } KqReplyKind;
 
 typedef struct
 {
   KqReplyKind kind;
-  int state;        /* KqJobState */
-  int64_t waiting;  /* jobs */
+  int state;        /* STATE: a KqJobState */
+  int64_t waiting;  /* WAITING: number of jobs */
   int64_t retry_ms; /* REFUSED: delay before a retry */
   const char *why;  /* REFUSED, BAD: the reason, a few words; NULL: none */
 } KqFrontReply;
@@ -56,8 +59,8 @@
   void *arg;
   /* Must lead to exactly one kq_front_exchange_reply, at once or later. */
   void (*request) (void *arg, KqFrontExchange *e, const KqFrontRequest *r, KqTime now);
-  bool (*ready) (void *arg, KqTime now); /* answer of the readiness check */
-  bool (*leaving) (void *arg);     /* connections are to be closed after their answers */
+  bool (*ready) (void *arg, KqTime now); /* whether the readiness check succeeds */
+  bool (*leaving) (void *arg);     /* whether to close each connection after its answer */
   int64_t (*body_max) (void *arg); /* longest accepted request body, in bytes */
 } KqFrontCallbacks;
 
@@ -66,6 +69,7 @@
  * one can't be bound. */
 KqFront *kq_front_new (KqLoop *loop, KqStr front, KqStr ready,
                        const KqFrontCallbacks *callbacks);
+/* The ports that the two servers are bound to (for an address with port 0). */
 void kq_front_ports (const KqFront *f, int *front, int *ready);
 void kq_front_free (KqFront *f);
 size_t kq_front_open_requests (const KqFront *f); /* requests without an answer */
--- a/src/port/hosts.c
+++ b/src/port/hosts.c
@@ -5,7 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* More than any host has; sums over a fleet stay far below the limit of 64 bits. */
+/* Limit for each field of a size: more than any host has, and small enough that sums over
+ * a fleet stay far below the limit of 64 bits. */
 #define SIZE_FIELD_MAX ((int64_t)1 << 40)
 #define SLOTS_MAX 100000
 
--- a/src/port/hosts.h
+++ b/src/port/hosts.h
@@ -13,7 +13,7 @@
   KqStr address; /* base URL for requests, no trailing slash */
   int slots;
   int connections;
-  KqName *services; /* the services it serves; none: all */
+  KqName *services; /* the services that the runner serves; none: all */
   size_t n_services;
 } KqHostRunner;
 
@@ -21,7 +21,7 @@
 {
   KQ_HOST_LIVE,
   KQ_HOST_LEAVING,
-  KQ_HOST_GONE /* guarantees that nothing runs there any more */
+  KQ_HOST_GONE /* the platform guarantees that nothing runs on the host any more */
 } KqHostState;
 
 typedef struct
@@ -44,7 +44,8 @@
   size_t n_hosts;
 } KqHostList;
 
-/* Parses the platform's JSON. KQ_OK or KQ_ERR_PLATFORM_FORMAT; then *out is empty. */
+/* Parses the platform's JSON. Returns KQ_OK, or KQ_ERR_PLATFORM_FORMAT with *out empty.
+ */
 KqResult kq_hosts_parse (KqStr text, KqHostList *out);
 void kq_hosts_free (KqHostList *l);
 /* A deep copy. */
--- a/src/port/json_reader.h
+++ b/src/port/json_reader.h
@@ -14,12 +14,13 @@
 
 typedef struct
 {
-  const json_t *at;
-  bool bad;
+  const json_t *at; /* the object whose fields are read */
+  bool bad;         /* a field was invalid */
 } KqJsonReader;
 
 /* NULL when the text isn't a JSON object. Freed by json_decref. */
 json_t *kq_json_parse (KqStr text);
+/* Whether the field exists; doesn't set `bad`. */
 bool kq_json_has (const KqJsonReader *r, const char *key);
 KqStr kq_json_str (KqJsonReader *r, const char *key);    /* points into the JSON */
 KqName kq_json_name (KqJsonReader *r, const char *key);  /* "" or a valid name */
--- a/src/port/kv.h
+++ b/src/port/kv.h
@@ -30,7 +30,7 @@
   KqStr value;
   uint64_t revision; /* of the last write */
   uint64_t lease;    /* 0: none */
-  bool deleted;      /* in a watch only */
+  bool deleted;      /* watch: the change was the key's deletion */
 } KqKvItem;
 
 typedef struct
@@ -38,12 +38,13 @@
   KqKvResult result;
   const KqKvItem *items;
   size_t n_items;
-  bool more;         /* range: there are more keys after the last item's key */
-  bool partial;      /* KQ_KV_UNKNOWN: part of the answer had arrived */
+  bool more;    /* range: there are more keys after the last item's key */
+  bool partial; /* KQ_KV_UNKNOWN: part of the answer arrived before the call failed */
   uint64_t revision; /* the store's revision; of a txn: the revision of its write */
   uint64_t lease;    /* of a grant: the lease's id */
   int64_t ttl_ms;    /* of a grant or a renewal */
-  KqTime called_at;  /* the holder of a lease counts its ttl from here */
+  KqTime called_at;  /* when the call was made; the holder of a lease counts its ttl from
+                        this time */
 } KqKvReply;
 
 typedef struct
@@ -88,9 +89,9 @@
  * the reply's revision. An answer that has begun is received like that of a range. */
 void kq_kv_watch (KqKv *kv, KqStr prefix, uint64_t after, int wait_ms, KqKvCallback cb);
 void kq_kv_txn (KqKv *kv, const KqKvTxn *t, int timeout_ms, KqKvCallback cb);
-/* Grants a lease. */
+/* Asks the store for a new lease of ttl_ms. */
 void kq_kv_lease_grant (KqKv *kv, int64_t ttl_ms, int timeout_ms, KqKvCallback cb);
-/* Renews a lease. */
+/* Renews a lease; NOT_FOUND if it has ended. */
 void kq_kv_lease_renew (KqKv *kv, uint64_t lease, int timeout_ms, KqKvCallback cb);
 /* Revokes a lease; its keys are deleted. */
 void kq_kv_lease_revoke (KqKv *kv, uint64_t lease, int timeout_ms, KqKvCallback cb);
--- a/src/port/maintenance.h
+++ b/src/port/maintenance.h
@@ -18,21 +18,21 @@
   int64_t number;
   const KqStr *hosts;
   size_t n_hosts;
-  int64_t duration_ms; /* time in which all its hosts must be done */
+  int64_t duration_ms; /* time in which each of the hosts must have had its maintenance */
   int32_t cap;         /* maximum number of hosts down at once */
 } KqWaveInfo;
 
 typedef enum
 {
-  KQ_MAINTENANCE_OK,      /* maintenance has begun, or was done already */
+  KQ_MAINTENANCE_OK,      /* maintenance has begun, or has taken place already */
   KQ_MAINTENANCE_FENCED,  /* a higher fencing token has been used for that host */
   KQ_MAINTENANCE_BUSY,    /* the host isn't up */
   KQ_MAINTENANCE_FOREIGN, /* the host isn't in that wave, or doesn't exist */
-  KQ_MAINTENANCE_LIMITED, /* too many calls: nothing was done */
+  KQ_MAINTENANCE_LIMITED, /* too many calls, or the call wasn't sent: nothing was done */
   KQ_MAINTENANCE_UNKNOWN  /* no answer: maintenance may have begun */
 } KqMaintenanceResult;
 
-/* For logs. */
+/* The result's name in logs. */
 const char *kq_maintenance_result_name (KqMaintenanceResult r);
 
 typedef struct
@@ -41,9 +41,9 @@
   void *arg;
 } KqMaintenanceCallback;
 
-/* Begins the maintenance of a host. holder and token identify the caller; each host is
- * fenced separately. The callback is called exactly once, always after this function has
- * returned. */
+/* Begins the maintenance of a host. holder names the caller, and token is its fencing
+ * token for this host (each host is fenced separately). The callback is called exactly
+ * once, always after this function has returned. */
 void kq_maintenance_begin (KqMaintenanceClient *c, KqStr host, int64_t wave, KqStr holder,
                            uint64_t token, int timeout_ms, KqMaintenanceCallback cb);
 
--- a/src/port/meter.c
+++ b/src/port/meter.c
@@ -2,7 +2,8 @@
 
 #include <stdio.h>
 
-/* From a fast store's latency to the longest timeout; the last bucket is unbounded. */
+/* Upper bounds of the histogram's buckets, from a fast store's latency to the longest
+ * timeout; the last bucket has none. */
 static const int bounds_ms[KQ_METER_BUCKETS - 1]
     = { 1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000 };
 
@@ -39,8 +40,8 @@
   m->bytes_in = counter (m, "body_bytes_total", "way", "in", "Bytes of bodies");
 }
 
-/* A kind of call has few results, so the list is searched linearly. If it is full, the
- * last entry also counts the results that have none. */
+/* A kind of call has few results, so the list is searched linearly. If the list
+ * is full, its last entry also counts the results that have no entry. */
 static void
 count_result (KqMeter *m, KqResult r)
 {
--- a/src/port/meter.h
+++ b/src/port/meter.h
@@ -34,7 +34,10 @@
 
 /* port and kind must stay valid as long as the meter. */
 void kq_meter_init (KqMeter *m, KqCounters *c, const char *port, const char *kind);
+/* Counts the body of a request that was sent. */
 void kq_meter_sent (KqMeter *m, size_t bytes);
+/* Counts a call that was sent and has ended: its result, the time it took (span) and the
+ * size of the answer's body. */
 void kq_meter_answered (KqMeter *m, KqResult r, KqTime span, size_t bytes);
 /* Counts a call that was answered without being sent; only its result is counted. */
 void kq_meter_unsent (KqMeter *m, KqResult r);
--- a/src/port/outbox.h
+++ b/src/port/outbox.h
@@ -5,7 +5,7 @@
  *
  * Decision modules do no input or output: they append store calls, messages to nodes
  * (also to their own node) and worker calls here. The driver (the daemon's tasks, or a
- * test with fakes) carries them out in order and passes the replies to the module's
+ * test with fakes) carries out the items in order and passes the replies to the module's
  * functions. */
 
 #include "port/store.h"
@@ -45,13 +45,16 @@
 
 void kq_outbox_init (KqOutbox *o);
 void kq_outbox_free (KqOutbox *o);
+/* Whether the outbox has no items. */
 bool kq_outbox_empty (const KqOutbox *o);
-void kq_outbox_store (KqOutbox *o, const KqStoreOp *op);          /* copies */
-void kq_outbox_send (KqOutbox *o, KqNodeId to, const KqMsg *msg); /* copies */
-void kq_outbox_worker (KqOutbox *o, const KqWorkerCall *call);    /* copies */
-void kq_outbox_move (KqOutbox *o, KqOut *item); /* takes over what the item owns */
-/* Removes the oldest item; false when there is none. The caller frees what it owns by
- * kq_out_clear or passes it on. */
+/* Append a copy of a store call, a message to a node, or a worker call. */
+void kq_outbox_store (KqOutbox *o, const KqStoreOp *op);
+void kq_outbox_send (KqOutbox *o, KqNodeId to, const KqMsg *msg);
+void kq_outbox_worker (KqOutbox *o, const KqWorkerCall *call);
+/* Appends the item itself, with what it owns, and leaves *item empty. */
+void kq_outbox_move (KqOutbox *o, KqOut *item);
+/* Removes the oldest item and stores it in *item; false when there is none. The caller
+ * frees what the item owns by kq_out_clear or passes the item on. */
 bool kq_outbox_take (KqOutbox *o, KqOut *item);
 /* Frees what the item owns. */
 void kq_out_clear (KqOut *item);
--- a/src/port/source.h
+++ b/src/port/source.h
@@ -1,14 +1,14 @@
 #ifndef KQ_PORT_SOURCE_H
 #define KQ_PORT_SOURCE_H
 
-/* source: the keys of the operators' configuration, the maintenance waves and the
- * runners' entries in the store, and how their values are parsed. */
+/* source: names the store's keys for the operators' configuration, the maintenance waves
+ * and the runners' entries, and parses their values. */
 
 #include "port/maintenance.h"
 #include "port/runner.h"
 #include "steps/queues.h"
 
-/* Prefixes of the store's keys to watch. */
+/* Prefixes of the keys to watch, for the configuration and for the runners' entries. */
 KqStr kq_source_config_prefix (void);
 KqStr kq_source_runners_prefix (void);
 
@@ -17,14 +17,15 @@
 KqQueueTable *kq_source_config (KqStr key, KqStr value, bool *bad);
 /* The prefix of the maintenance waves that operators request. */
 KqStr kq_source_waves_prefix (void);
-/* Parses a wave and calls take with it; false: not a wave, or an invalid one. */
+/* Parses a wave and calls take with it; false: the key or value is not that of a valid
+ * wave, and take isn't called. */
 bool kq_source_wave (KqStr key, KqStr value,
                      void (*take) (void *arg, const KqWaveInfo *w), void *arg);
 /* Appends the key and value that report the state of a wave: in progress or completed. */
 void kq_source_wave_state (int64_t number, bool completed, KqBuf *key, KqBuf *value);
 
-/* Parses a runner's entry and calls take with it; false: it describes no usable runner.
- * *id receives the runner's id in both cases. */
+/* Parses a runner's entry and calls take with it; false: the entry describes no usable
+ * runner, and take isn't called. *id receives the runner's id in both cases. */
 bool kq_source_runner (KqStr key, KqStr value, KqStr *id,
                        void (*take) (void *arg, const KqRunnerEntry *e), void *arg);
 
--- a/src/port/store.h
+++ b/src/port/store.h
@@ -21,14 +21,15 @@
 
 typedef enum
 {
-  KQ_STORE_GET,          /* key -> value, revision; NOT_FOUND */
+  KQ_STORE_GET,          /* reads the value and revision of `key`; NOT_FOUND */
   KQ_STORE_PUT,          /* compare-and-swap: the key's revision must be `expect`; on
                             CONFLICT the reply holds the current value and revision */
   KQ_STORE_DELETE,       /* compare-and-swap as for PUT */
   KQ_STORE_LIST,         /* all keys under the prefix `key`, with values */
-  KQ_STORE_LEASE_GRANT,  /* -> lease id; it expires lease_ms after the store's answer */
-  KQ_STORE_LEASE_RENEW,  /* lease; LEASE_LOST when it has expired */
-  KQ_STORE_LEASE_REVOKE, /* lease; its keys are deleted at once */
+  KQ_STORE_LEASE_GRANT,  /* replies with the id of a new lease, which expires lease_ms
+                            after  the store's answer */
+  KQ_STORE_LEASE_RENEW,  /* renews `lease`; LEASE_LOST when it has expired */
+  KQ_STORE_LEASE_REVOKE, /* ends `lease`; its keys are deleted at once */
   KQ_STORE_WATCH,        /* waits until a key under the prefix `key` has a revision above
                             `expect`, or for wait_ms; answers like LIST */
   KQ_STORE_HOSTS         /* the platform's host list of depot `key`, as JSON in `value`;
@@ -58,13 +59,14 @@
   KqStoreOpKind kind;
   KqStoreClass call_class;
   KqPart part;
-  uint64_t token; /* chosen by the caller, echoed in the reply */
-  KqStr key;      /* copied by kq_outbox_store */
-  KqStr value;    /* likewise */
-  uint64_t expect;
-  uint64_t lease; /* PUT: the key is deleted when this lease expires; 0: never */
-  int lease_ms;
-  int wait_ms;
+  uint64_t token;  /* chosen by the caller, echoed in the reply */
+  KqStr key;       /* copied by kq_outbox_store */
+  KqStr value;     /* copied by kq_outbox_store */
+  uint64_t expect; /* PUT, DELETE: expected revision; WATCH: revision to wait beyond */
+  uint64_t lease;  /* PUT: the key is deleted when this lease expires; 0: never. RENEW,
+                      REVOKE: the lease */
+  int lease_ms;    /* GRANT, RENEW: duration of the lease */
+  int wait_ms;     /* WATCH */
 } KqStoreOp;
 
 typedef struct
@@ -74,9 +76,10 @@
   uint64_t revision;
 } KqStoreItem;
 
-/* Valid only during the call that delivers it. result: KQ_OK, KQ_ERR_STORE_* or
- * KQ_ERR_PLATFORM_FORMAT. After UNREACHABLE a write may or may not have taken effect:
- * the caller must read the key and look for its own write id in the value. */
+/* A reply is valid only during the function call that delivers it. result: KQ_OK,
+ * KQ_ERR_STORE_* or KQ_ERR_PLATFORM_FORMAT. After UNREACHABLE a write may or may not have
+ * taken effect: the caller must read the key and look for its own write id in the value.
+ */
 typedef struct
 {
   KqStoreOpKind kind;
--- a/src/port/store_fake.c
+++ b/src/port/store_fake.c
@@ -15,7 +15,7 @@
   EV_EXPIRE     /* a lease may have expired */
 } EventKind;
 
-/* op and reply own their strings. */
+/* An event of the simulation. Its op and reply own their strings. */
 typedef struct
 {
   EventKind kind;
@@ -42,7 +42,7 @@
   uint64_t next_call;
   Event **heap; /* binary heap by (at, serial) */
   size_t n_heap, heap_capacity;
-  Event **watches; /* waiting */
+  Event **watches; /* watch calls that wait for a change */
   size_t n_watches, watches_capacity;
   Event *delivered; /* the answer returned last */
   bool script_on;
@@ -302,7 +302,8 @@
     drop_lease (s, e->op.lease, e->at);
 }
 
-/* True: the reply is filled in; false: the watch waits. */
+/* Carries out a watch. True: a change exists and the reply is filled in; false: it waits.
+ */
 static bool
 do_watch (KqStoreFake *s, Event *e)
 {
--- a/src/port/store_fake.h
+++ b/src/port/store_fake.h
@@ -42,7 +42,7 @@
   bool watches_silent;                  /* watches never answer before their timeout */
   bool cut_to[KQ_STORE_FAKE_CLIENTS];   /* the client's calls don't arrive */
   bool cut_from[KQ_STORE_FAKE_CLIENTS]; /* answers don't reach the client */
-  KqTime paused_until[KQ_STORE_FAKE_CLIENTS]; /* answers are held back */
+  KqTime paused_until[KQ_STORE_FAKE_CLIENTS]; /* the client gets no answer before */
 } KqStoreFaults;
 
 typedef struct
@@ -58,22 +58,24 @@
 
 KqStoreFake *kq_store_fake_new (uint64_t seed);
 void kq_store_fake_free (KqStoreFake *s);
-/* May be changed at any time. */
+/* The faults to inject. The caller may change them at any time. */
 KqStoreFaults *kq_store_fake_faults (KqStoreFake *s);
-/* Gives `fault` to one call: of the calls of this kind whose key starts with `prefix`,
- * the one after the next `skip`. Replaces an earlier script; copies `prefix`. */
+/* Injects `fault` into one call: of the calls of this kind whose key starts with
+ * `prefix`, the first `skip` are left alone and the next one gets the fault. Replaces an
+ * earlier script; copies `prefix`. */
 void kq_store_fake_script (KqStoreFake *s, KqStoreOpKind kind, const char *prefix,
                            int skip, KqStoreCallFault fault);
 /* True after the script's call has been made. */
 bool kq_store_fake_script_done (const KqStoreFake *s);
 
+/* Sends a call of the client `client`. */
 void kq_store_fake_call (KqStoreFake *s, int client, const KqStoreOp *op, KqTime now);
 /* The next answer due by `now`; valid until the next call of any function here. */
 bool kq_store_fake_next (KqStoreFake *s, KqTime now, int *client, KqStoreReply *out);
 /* Time of the store's next event; KQ_TIME_NEVER: there is none. */
 KqTime kq_store_fake_next_time (const KqStoreFake *s);
-/* Drops the answers that have not reached the client yet, as when its process has died.
- * Its calls still take effect. */
+/* Drops the answers that have not reached the client yet, as if its process had died. The
+ * calls still take effect. */
 void kq_store_fake_drop_answers (KqStoreFake *s, int client);
 
 /* Ends a lease before its time. */
--- a/src/port/store_fake_keys.h
+++ b/src/port/store_fake_keys.h
@@ -15,7 +15,7 @@
   KqStr value;
   uint64_t revision; /* of the last write or deletion */
   uint64_t lease;
-  bool present;
+  bool present; /* false: the key is deleted */
 } KqFakeRow;
 
 typedef struct
@@ -36,7 +36,8 @@
   uint64_t last_lease;
 } KqFakeKeys;
 
-KqStr kq_fake_copy (KqStr s); /* "" isn't allocated */
+/* A copy of s, freed by free (); for "" nothing is allocated. */
+KqStr kq_fake_copy (KqStr s);
 /* Index of the first row whose key is not below `key`. */
 size_t kq_fake_keys_lower_bound (const KqFakeKeys *k, KqStr key);
 KqFakeRow *kq_fake_keys_find (const KqFakeKeys *k, KqStr key);
--- a/src/port/store_http.c
+++ b/src/port/store_http.c
@@ -16,9 +16,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Limit of the open watches, each on a connection of its own; a node needs one or two. */
+/* Most open watches. Each occupies a connection of its own; a node needs one or two. */
 #define WATCHES_MAX 8
-/* A longer answer is an error; a list of the largest journal is shorter. */
+/* A longer answer is an error. A list of the largest journal's keys is shorter. */
 #define ANSWER_MAX_BYTES (64 * 1024 * 1024)
 #define N_KINDS (KQ_STORE_HOSTS + 1)
 
@@ -57,8 +57,8 @@
   int watches;
   KqTime answered_at;
   KqTime no_reuse_until; /* until then calls use new connections */
-  KqTime logged_at;
-  ev_timer send_timer; /* next run of schedule () */
+  KqTime logged_at;      /* last log of an invalid answer */
+  ev_timer send_timer;   /* runs schedule () when the next queued call is due */
   KqMeter meters[N_KINDS];
   uint64_t *bytes_out;
   uint64_t *bytes_in;
@@ -197,7 +197,8 @@
   return KQ_OK;
 }
 
-/* A 304 to a request without a tag is invalid. */
+/* Handles the status 304 (unchanged): the reply gets the cached host list. A 304 to a
+ * request without a tag is invalid. */
 static KqResult
 read_unchanged (const Call *c, KqStoreReply *r)
 {
@@ -303,9 +304,9 @@
   r.result = read_answer (c, outcome, j, &r);
   if (r.result != KQ_ERR_STORE_UNREACHABLE && r.result != KQ_ERR_PLATFORM_FORMAT)
     p->answered_at = now;
-  /* What broke one connection has probably broken the other pooled ones too, and each
-   * would cost a timeout. When this time is over, they have been idle for longer than
-   * idle_ms and aren't reused. */
+  /* What broke one connection has probably broken the other pooled connections too, and
+   * each of them would cost a timeout. When no_reuse_until has passed, these have been
+   * idle for longer than idle_ms and aren't reused. */
   if (outcome != KQ_HTTP_DONE)
     p->no_reuse_until = now + p->config.idle_ms * KQ_MS + KQ_SEC;
   log_invalid_answer (p, c, r.result, now);
@@ -335,7 +336,8 @@
     }
 }
 
-/* Fills in *h with the condition of a host list read; returns the number of headers. */
+/* For the read of a host list, sets *h to the If-None-Match header if a tag is cached.
+ * Returns the number of headers set: 0 or 1. */
 static size_t
 add_condition (const KqStorePort *p, const KqStoreOp *op, KqHeader *h)
 {
@@ -407,9 +409,9 @@
   return open < (urgent ? p->config.connections : p->config.connections * 3 / 4);
 }
 
-/* Sends queued calls while budget and connections allow; refuses those that have waited
- * too long. Returns when to call it again; KQ_TIME_NEVER: when the next call ends or is
- * queued. */
+/* Sends queued calls while budget and connections allow, and answers those that have
+ * waited too long. Returns the time of the next run; KQ_TIME_NEVER: no run is needed
+ * until a call ends or is queued. */
 static KqTime
 send_queued (KqStorePort *p, GQueue *q, bool urgent, KqTime now)
 {
--- a/src/port/store_http.h
+++ b/src/port/store_http.h
@@ -3,8 +3,8 @@
 
 /* store_http: the task that carries out store calls over HTTP (docs/PLATFORM.md).
  *
- * Takes KQ_MAIL_OUT with KQ_OUT_STORE items and sends exactly one KQ_MAIL_STORE_REPLY
- * for each to the receiver, in the order of the answers.
+ * The task takes KQ_MAIL_OUT with KQ_OUT_STORE items. For each it sends exactly one
+ * KQ_MAIL_STORE_REPLY to the receiver, in the order in which the answers arrive.
  *
  * Each call takes a token of the node's budget (budget.h). NORMAL calls without a token
  * wait in a queue of at most `queue_max` calls; when it is full, a call is answered
@@ -16,9 +16,10 @@
  * WATCH after its wait_ms plus watch_margin_ms. A call that times out is answered
  * KQ_ERR_STORE_UNREACHABLE, and calls for some time after it use new connections.
  *
- * Results: 200 OK; 404 NOT_FOUND; 409 CONFLICT; 410 LEASE_LOST; 413 TOO_LARGE; 429 BUSY;
- * any other status, and a broken or missing answer, UNREACHABLE; an answer that can't be
- * parsed KQ_ERR_PLATFORM_FORMAT (a write may then have taken effect). */
+ * Results by HTTP status: 200 OK; 404 NOT_FOUND; 409 CONFLICT; 410 LEASE_LOST; 413
+ * TOO_LARGE; 429 BUSY; any other status, and a broken or missing answer, UNREACHABLE; an
+ * answer that can't be parsed KQ_ERR_PLATFORM_FORMAT (a write may then have taken
+ * effect). */
 
 #include "base/counter.h"
 #include "base/task.h"
@@ -27,19 +28,19 @@
 typedef struct
 {
   KqStr url; /* "http://ip:port", no trailing slash; copied */
-  /* 0 selects the default, given for each. */
+  /* 0 selects the default, which stands last in each comment. */
   int calls_per_second; /* this node's share of the store's rate; 200 */
-  int burst;            /* calls; calls_per_second */
-  int reserve;          /* calls; a quarter of burst */
-  int queue_max;        /* 256 */
-  int connections;      /* 16 */
-  int connect_ms;       /* 500 */
-  int read_ms;          /* 2000 */
-  int write_ms;         /* 2000 */
-  int watch_margin_ms;  /* 1000 */
+  int burst;            /* of the budget, in calls; calls_per_second */
+  int reserve;          /* of the budget, in calls; a quarter of burst */
+  int queue_max;        /* longest queue, in calls; 256 */
+  int connections;      /* most open connections for calls other than watches; 16 */
+  int connect_ms;       /* timeout of a connection attempt; 500 */
+  int read_ms;          /* timeout of reads, and longest wait in a queue; 2000 */
+  int write_ms;         /* timeout of writes and lease calls; 2000 */
+  int watch_margin_ms;  /* timeout of a watch beyond its wait_ms; 1000 */
   int idle_ms;          /* an idle connection is reused for so long; 5000 */
   KqCounters *counters;
-  KqTask *receiver;
+  KqTask *receiver; /* gets the replies */
 } KqStoreHttpConfig;
 
 typedef struct KqStorePort KqStorePort;
--- a/src/port/worker.h
+++ b/src/port/worker.h
@@ -49,13 +49,13 @@
   uint32_t shard;
   uint64_t epoch;
   uint64_t token; /* chosen by the caller, echoed in the reply */
-  /* LEASE */
+  /* Used by LEASE: */
   uint64_t echo_stamp; /* the stamp of the worker's last answer; 0: none yet */
   int lease_ms;
   KqTaskKey *acks; /* ended tasks whose end is committed; owned by the call */
   size_t n_acks;
   uint64_t list_stamp; /* set by the port (worker_list.h); decision modules leave it 0 */
-  /* START, STOP, CHECKPOINT, THROTTLE */
+  /* Used by START, STOP, CHECKPOINT and THROTTLE: */
   KqTaskKey task;
   KqSize size;
   KqName class_name;
@@ -80,7 +80,8 @@
   KqTaskKey task;
   KqTaskState state;
   KqName checkpoint;
-  int64_t run_us; /* time run; of a running task: as of its last change of state */
+  int64_t run_us; /* how long the task has run; while it runs, as of its last change of
+                     state */
   KqSize size;    /* what the task was started with */
   KqName class_name;
   bool latency_critical;
@@ -106,7 +107,7 @@
   bool leaving;
 } KqRunnerReport;
 
-/* Valid only during the call that delivers it. result: KQ_OK,
+/* A reply is valid only during the function call that delivers it. result: KQ_OK,
  * KQ_ERR_WORKER_UNREACHABLE (the command may have been carried out),
  * KQ_ERR_WORKER_REFUSED (it was not carried out), KQ_ERR_OLD_EPOCH, KQ_ERR_OLD_ATTEMPT,
  * KQ_ERR_NO_LEASE, KQ_ERR_NO_ROOM, KQ_ERR_PLATFORM_FORMAT. */
@@ -125,11 +126,13 @@
   uint64_t worker_epoch; /* the highest epoch the worker has seen */
   bool lease_live; /* LEASE: the caller's lease is in force; needs a valid echo_stamp */
   bool leaving;
-  KqSize capacity;     /* the worker's capacity */
-  KqTaskReport *tasks; /* all tasks of the worker, in every reply of a port */
+  KqSize capacity; /* the worker's capacity */
+  KqTaskReport
+      *tasks; /* LEASE: all tasks of the worker; the port completes partial lists */
   size_t n_tasks;
-  uint64_t tasks_since; /* used by the port, like list_tag (worker_list.h) */
-  uint64_t list_tag;
+  /* Used by the port only (worker_list.h). */
+  uint64_t tasks_since; /* not 0: `tasks` has only those changed at this stamp or later */
+  uint64_t list_tag;    /* hash over the full list; 0: not given */
   KqUsageReport *usage;
   size_t n_usage;
   KqRunnerReport *runners;
--- a/src/port/worker_fake.c
+++ b/src/port/worker_fake.c
@@ -159,10 +159,10 @@
     }
 }
 
-/* The lease runs from the echoed stamp, which is never later than the sender counts it,
- * so that a renewal delayed in the network doesn't extend it beyond what the sender
- * assumes. A stamp from before an expiry of the lease or from an earlier epoch extends
- * nothing. */
+/* Renews the lease. It runs from the echoed stamp, which is never later than the time
+ * from which the sender counts it, so that a renewal delayed in the network doesn't
+ * extend it beyond what the sender assumes. A stamp from before an expiry of the lease or
+ * from an earlier epoch extends nothing. */
 static void
 renew (KqWorkerFake *w, const KqWorkerCall *c, KqTime now)
 {
@@ -188,8 +188,9 @@
   return key.attempt > seen;
 }
 
-/* The run time of a new task in us. A checkpoint id is "c.JOB.ATTEMPT.LEFT_US", with the
- * remaining run time, so any worker can resume from it. */
+/* The remaining run time of a new task, in microseconds. A checkpoint id is
+ * "c.JOB.ATTEMPT.LEFT_US", with the remaining run time, so any worker can resume from it.
+ */
 static int64_t
 run_time_us (const KqWorkerCall *c)
 {
@@ -245,7 +246,8 @@
   return KQ_OK;
 }
 
-/* A repeated call gets the same answer, because the first may have been lost. */
+/* Carries out CHECKPOINT. A repeated call gets the same answer, because the first answer
+ * may have been lost. */
 static KqResult
 checkpoint (KqWorkerFake *w, const KqWorkerCall *c, KqWorkerReply *r)
 {
@@ -282,8 +284,8 @@
   return KQ_OK;
 }
 
-/* Model: a task's slowdown is 1 plus half of the share of the worker's cpu that the other
- * tasks use. */
+/* Measures the running tasks' usage. In this model a task's slowdown is 1 plus half of
+ * the share of the worker's cpu that the other tasks use. */
 static void
 take_usage (const KqWorkerFake *w, KqWorkerFakeUsage *to, KqTime now)
 {
@@ -309,9 +311,9 @@
     }
 }
 
-/* Reports are repeated until the caller echoes a stamp that was sent with them or later.
- * Sent just once, they would be lost with a lost answer; sent always, they would be
- * counted several times. */
+/* Adds the usage reports to the answer. Reports are repeated until the caller echoes a
+ * stamp that was sent with them or later. If they were sent just once, they would be lost
+ * with a lost answer; if they were always sent, they would be counted several times. */
 static void
 report_usage (KqWorkerFake *w, const KqWorkerCall *c, KqTime now, KqWorkerReply *r)
 {
@@ -332,8 +334,8 @@
     }
 }
 
-/* The full list, or the tasks that changed since the answer that the caller's list is
- * from. */
+/* Adds the tasks to the answer: all of them, or only those that changed at or after the
+ * stamp of the caller's cached list. */
 static void
 report_tasks (const KqWorkerFake *w, const KqWorkerCall *c, KqTime now, KqWorkerReply *r)
 {
--- a/src/port/worker_fake.h
+++ b/src/port/worker_fake.h
@@ -15,25 +15,25 @@
   KqTaskReport report;
   int64_t left_us; /* remaining run time at full speed; below 0: runs until stopped */
   int throttle_percent;
-  KqTime updated; /* up to when it has been run */
-  KqTime changed; /* when it started or ended */
+  KqTime updated; /* time up to which the task's run is simulated */
+  KqTime changed; /* when the task started or ended */
 } KqWorkerFakeTask;
 
 typedef struct
 {
   KqUsageReport *list;
   size_t n;
-  KqTime taken_at;
+  KqTime taken_at; /* when the usage was measured */
 } KqWorkerFakeUsage;
 
 /* What happened to one job on all workers that share a KqWorkerFakeEffects. */
 typedef struct
 {
   struct KqWorkerFake *worker; /* of the last start */
-  int starts;
-  int running;
-  int max_running;
-  int finished;
+  int starts;                  /* how often the job was started */
+  int running;                 /* copies of the job that run now */
+  int max_running;             /* most copies that ever ran at once */
+  int finished;                /* how often the job has run to its end */
 } KqWorkerFakeEffect;
 
 typedef struct
@@ -54,7 +54,8 @@
   uint64_t epoch;      /* highest seen */
   uint64_t live_epoch; /* epoch of the lease's holder */
   KqTime lease_until;
-  KqTime stamps_valid_from; /* earlier stamps renew nothing */
+  KqTime
+      stamps_valid_from; /* a call that echoes an earlier stamp doesn't renew the lease */
   KqWorkerFakeTask *tasks;
   GHashTable *attempts;            /* job -> highest attempt seen */
   KqWorkerFakeUsage reported;      /* sent in answers until the caller has received it */
@@ -69,7 +70,8 @@
 void kq_worker_fake_effects_free (KqWorkerFakeEffects *e);
 void kq_worker_fake_init (KqWorkerFake *w, KqWorkerFakeEffects *e, KqSize capacity);
 void kq_worker_fake_free (KqWorkerFake *w);
-/* Runs the tasks up to now; stops them at the end of the lease if it has expired. */
+/* Simulates the tasks up to `now`. If the lease has expired by then, the tasks are
+ * stopped at its end. */
 void kq_worker_fake_advance (KqWorkerFake *w, KqTime now);
 /* Carries the call out. Fills *r except for the runners; its arrays are freed by
  * kq_worker_answer_free (worker_json.h). */
--- a/src/port/worker_http.c
+++ b/src/port/worker_http.c
@@ -13,7 +13,7 @@
 #include <assert.h>
 #include <stdlib.h>
 
-/* A longer answer is an error: that of a worker with 16 tasks has some 5 KB. */
+/* A longer answer is an error. The answer of a worker with 16 tasks has some 5 KB. */
 #define ANSWER_MAX_BYTES (4 * 1024 * 1024)
 /* Interval of the check for calls that have waited too long. */
 #define EXPIRE_INTERVAL_S 0.1
@@ -26,7 +26,7 @@
   int open;              /* calls sent and not yet answered */
   GQueue waiting;        /* of Call */
   GList pending_link;    /* in the port's list of workers with waiting calls */
-  bool pending;          /* in that list */
+  bool pending;          /* this worker is in that list */
   bool gone;             /* removed; freed with its last open call */
   KqTime no_reuse_until; /* until then calls use new connections */
   KqWorkerList list;
@@ -139,9 +139,9 @@
   (void)http;
   g_queue_unlink (&p->open, &c->link);
   r.result = read_answer (c, outcome, &r);
-  /* What broke one connection to the worker has probably broken the other pooled ones
-   * too. When this time is over, they have been idle for longer than idle_ms and aren't
-   * reused. */
+  /* What broke one connection to the worker has probably broken the other pooled
+   * connections too. When no_reuse_until has passed, these have been idle for longer than
+   * idle_ms and aren't reused. */
   if (outcome != KQ_HTTP_DONE)
     c->worker->no_reuse_until = now + p->config.idle_ms * KQ_MS + KQ_SEC;
   if (r.result == KQ_ERR_PLATFORM_FORMAT && now - p->logged_at >= KQ_SEC)
--- a/src/port/worker_http.h
+++ b/src/port/worker_http.h
@@ -3,10 +3,10 @@
 
 /* worker_http: the task that carries out worker calls over HTTP (docs/PLATFORM.md).
  *
- * Takes KQ_MAIL_OUT with KQ_OUT_WORKER items and sends exactly one
- * KQ_MAIL_WORKER_REPLY for each to the receiver. Takes KQ_MAIL_HOSTS, the host list
- * of one or more depots: sets the addresses of its workers and removes the workers that
- * it lists as gone; workers that aren't in it stay unchanged.
+ * The task takes KQ_MAIL_OUT with KQ_OUT_WORKER items. For each it sends exactly one
+ * KQ_MAIL_WORKER_REPLY to the receiver. It also takes KQ_MAIL_HOSTS, the host list of one
+ * or more depots: it sets the addresses of the workers in the list and removes those that
+ * are listed as gone; workers that aren't in the list stay unchanged.
  *
  * A call to an unknown worker is answered KQ_ERR_WORKER_UNREACHABLE at once. At most
  * `per_worker` calls are in flight to one worker and `total` to all. Up to `queue_max`
@@ -15,9 +15,11 @@
  * waiting commands, because the worker's tasks end with its lease.
  *
  * A connection without a byte for silent_ms is closed and its call answered
- * KQ_ERR_WORKER_UNREACHABLE; calls to that worker for some time after it use new
- * connections. Each answer must carry the token, epoch and kind of its call, otherwise
- * the result is KQ_ERR_PLATFORM_FORMAT: no call takes the answer to another. */
+ * KQ_ERR_WORKER_UNREACHABLE; for some time afterwards, calls to that worker use
+ * new connections. Each answer must carry the token, epoch and kind of its call,
+ * otherwise the result is KQ_ERR_PLATFORM_FORMAT, so that no call takes the answer to
+ * another call.
+ */
 
 #include "base/counter.h"
 #include "base/task.h"
@@ -25,13 +27,13 @@
 
 typedef struct
 {
-  /* 0 selects the default, given for each. */
-  int per_worker; /* 4 */
-  int total;      /* 512 */
-  int queue_max;  /* 64, for each worker */
-  int connect_ms; /* 300 */
-  int silent_ms;  /* 1000 */
-  int call_ms;    /* 3000, for the whole call */
+  /* 0 selects the default, which stands last in each comment. */
+  int per_worker; /* most calls in flight to one worker; 4 */
+  int total;      /* most calls in flight to all workers; 512 */
+  int queue_max;  /* most calls that wait for each worker; 64 */
+  int connect_ms; /* timeout of a connection attempt; 300 */
+  int silent_ms;  /* longest time without a byte received; 1000 */
+  int call_ms;    /* timeout of the whole call, and longest wait in the queue; 3000 */
   int idle_ms;    /* an idle connection is reused for so long; 5000 */
   KqCounters *counters;
   KqTask *receiver;
--- a/src/port/worker_json.c
+++ b/src/port/worker_json.c
@@ -7,7 +7,7 @@
 
 #define SIZE_FIELD_MAX ((int64_t)1 << 40)
 #define SLOTS_MAX 100000
-/* Fits 64 bits in microseconds too. */
+/* Longest run time accepted, in ms. It fits 64 bits in microseconds too. */
 #define RUN_MS_MAX (INT64_MAX / 4000)
 
 static const char *const call_names[]
--- a/src/port/worker_json.h
+++ b/src/port/worker_json.h
@@ -7,7 +7,8 @@
 
 #include "port/worker.h"
 
-/* The last segment of the call's path, and the reverse; false: no such call. */
+/* The last segment of the path of a call of this kind, and the kind for such a segment
+ * (false: there is none). */
 const char *kq_worker_call_name (KqWorkerCallKind kind);
 bool kq_worker_call_kind (KqStr name, KqWorkerCallKind *out);
 /* The request body; freed by free (). */
@@ -16,10 +17,10 @@
 bool kq_worker_call_read (KqStr text, KqWorkerCallKind kind, KqWorkerCall *c);
 /* The answer's body; freed by free (). The HTTP status is 200 for KQ_OK, else 409. */
 char *kq_worker_answer_json (const KqWorkerReply *r);
-/* Parses the answer to the call; ok: its status was 200. Fills the fields of *r that come
- * from the worker (not those that repeat the call) and returns the result;
- * KQ_ERR_PLATFORM_FORMAT for an invalid answer, or one whose kind, token or epoch isn't
- * the call's. */
+/* Parses the answer to the call c; ok: the answer's HTTP status was 200. Fills the fields
+ * of *r that come from the worker (not those that repeat the call) and returns the
+ * result; KQ_ERR_PLATFORM_FORMAT for an invalid answer, or one whose kind, token or epoch
+ * isn't the call's. */
 KqResult kq_worker_answer_read (KqStr text, bool ok, const KqWorkerCall *c,
                                 KqWorkerReply *r);
 void kq_worker_answer_free (KqWorkerReply *r);
--- a/src/port/worker_list.c
+++ b/src/port/worker_list.c
@@ -47,7 +47,7 @@
   *at = *t;
 }
 
-/* The worker removes an ended task from its list when it is acknowledged. */
+/* Removes an acknowledged task if it has ended, as the worker does from its own list. */
 static void
 acknowledge (KqWorkerList *l, KqTaskKey key)
 {
--- a/src/port/worker_list.h
+++ b/src/port/worker_list.h
@@ -5,8 +5,8 @@
  * carries only the tasks that changed.
  *
  * Most renewals find no change. If each answer carried the full list, 16 tasks would be
- * 3.5 KB, and 41 workers renewed every 3 s would cost a node 48 KB a second, of an
- * allowed 20 (make bench-platform).
+ * 3.5 KB, and 41 workers renewed every 3 s would cost a node 48 KB a second, while
+ * 20 KB a second are allowed (make bench-platform).
  *
  * A LEASE call carries the stamp of the answer that the cached list is from; the worker
  * may answer with just the tasks that changed at that stamp or later. The answer's tag is
@@ -22,7 +22,7 @@
   KqTaskReport *tasks;
   size_t n;
   size_t capacity;
-  uint64_t stamp; /* of the answer it is from; 0: nothing is cached */
+  uint64_t stamp; /* of the answer that the list is from; 0: nothing is cached */
 } KqWorkerList;
 
 void kq_worker_list_free (KqWorkerList *l);
