--- a/src/port/advice.h
+++ b/src/port/advice.h
@@ -6,8 +6,7 @@
  * without a ticket.
  *
  * The service answers only one call at a time from each calling host, and takes longer
- * the more runners are asked about. Its answer for a given step and runner never changes.
- */
+ * the more runners are asked about. Its answer for a step and a runner never changes. */
 
 #include "base/str.h"
 #include "base/task.h"
--- a/src/port/budget.c
+++ b/src/port/budget.c
@@ -15,8 +15,7 @@
 }
 
 /* The tokens in the bucket at `now`. The time since filled_at is limited to `burst`
- * seconds so that the product doesn't overflow; that time fills the bucket at any rate.
- */
+ * seconds so that the product doesn't overflow; this fills the bucket at any rate. */
 static int64_t
 level_at (const KqBudget *b, KqTime now)
 {
--- a/src/port/hosts.h
+++ b/src/port/hosts.h
@@ -44,8 +44,7 @@
   size_t n_hosts;
 } KqHostList;
 
-/* Parses the platform's JSON. Returns KQ_OK, or KQ_ERR_PLATFORM_FORMAT with *out empty.
- */
+/* Parses the platform's JSON. KQ_OK, or KQ_ERR_PLATFORM_FORMAT with *out empty. */
 KqResult kq_hosts_parse (KqStr text, KqHostList *out);
 void kq_hosts_free (KqHostList *l);
 /* A deep copy. */
--- a/src/port/runner.h
+++ b/src/port/runner.h
@@ -29,12 +29,11 @@
   KqStr failure_domain;
   KqStr kind;
   KqStr rack;
-  KqStr host;    /* the host it runs on; "" if not given */
-  bool draining; /* will end soon; gets no new tasks */
-  int64_t
-      remaining_ms;   /* while draining: the shortest time until its end; 0: not given */
-  int64_t started_ms; /* start of the runner's process, Unix time; 0: not given */
-  KqRoom room;        /* its capacity */
+  KqStr host;           /* the host it runs on; "" if not given */
+  bool draining;        /* will end soon; gets no new tasks */
+  int64_t remaining_ms; /* while draining: minimum time until its end; 0: not given */
+  int64_t started_ms;   /* start of the runner's process, Unix time; 0: not given */
+  KqRoom room;          /* its capacity */
 } KqRunnerEntry;
 
 typedef enum
@@ -80,8 +79,8 @@
   KQ_ORDER_UNHEALTHY,    /* refused without doing anything */
   KQ_ORDER_OTHER_RUNNER, /* another runner answers at that address */
   KQ_ORDER_BAD,          /* the order is invalid */
-  KQ_ORDER_UNKNOWN       /* no answer: the order was carried out, wasn't, or will be some
-                            seconds       later */
+  KQ_ORDER_UNKNOWN       /* no answer: the order was carried out, wasn't, or will be
+                            some seconds later */
 } KqOrderResult;
 
 /* Names of the values in logs. */
--- a/src/port/store.h
+++ b/src/port/store.h
@@ -27,7 +27,7 @@
   KQ_STORE_DELETE,       /* compare-and-swap as for PUT */
   KQ_STORE_LIST,         /* all keys under the prefix `key`, with values */
   KQ_STORE_LEASE_GRANT,  /* replies with the id of a new lease, which expires lease_ms
-                            after  the store's answer */
+                            after the store's answer */
   KQ_STORE_LEASE_RENEW,  /* renews `lease`; LEASE_LOST when it has expired */
   KQ_STORE_LEASE_REVOKE, /* ends `lease`; its keys are deleted at once */
   KQ_STORE_WATCH,        /* waits until a key under the prefix `key` has a revision above
--- a/src/port/store_fake.c
+++ b/src/port/store_fake.c
@@ -302,8 +302,7 @@
     drop_lease (s, e->op.lease, e->at);
 }
 
-/* Carries out a watch. True: a change exists and the reply is filled in; false: it waits.
- */
+/* Carries out a watch. True: the reply is filled in; false: the watch waits. */
 static bool
 do_watch (KqStoreFake *s, Event *e)
 {
--- a/src/port/store_fake.h
+++ b/src/port/store_fake.h
@@ -42,7 +42,7 @@
   bool watches_silent;                  /* watches never answer before their timeout */
   bool cut_to[KQ_STORE_FAKE_CLIENTS];   /* the client's calls don't arrive */
   bool cut_from[KQ_STORE_FAKE_CLIENTS]; /* answers don't reach the client */
-  KqTime paused_until[KQ_STORE_FAKE_CLIENTS]; /* the client gets no answer before */
+  KqTime paused_until[KQ_STORE_FAKE_CLIENTS]; /* no answer reaches the client before */
 } KqStoreFaults;
 
 typedef struct
--- a/src/port/store_http.c
+++ b/src/port/store_http.c
@@ -18,7 +18,7 @@
 
 /* Most open watches. Each occupies a connection of its own; a node needs one or two. */
 #define WATCHES_MAX 8
-/* A longer answer is an error. A list of the largest journal's keys is shorter. */
+/* A longer answer is an error. The answer to a LIST of the largest journal is shorter. */
 #define ANSWER_MAX_BYTES (64 * 1024 * 1024)
 #define N_KINDS (KQ_STORE_HOSTS + 1)
 
--- a/src/port/worker.h
+++ b/src/port/worker.h
@@ -127,8 +127,8 @@
   bool lease_live; /* LEASE: the caller's lease is in force; needs a valid echo_stamp */
   bool leaving;
   KqSize capacity; /* the worker's capacity */
-  KqTaskReport
-      *tasks; /* LEASE: all tasks of the worker; the port completes partial lists */
+  /* LEASE: all tasks of the worker; the port completes partial lists. */
+  KqTaskReport *tasks;
   size_t n_tasks;
   /* Used by the port only (worker_list.h). */
   uint64_t tasks_since; /* not 0: `tasks` has only those changed at this stamp or later */
--- a/src/port/worker_fake.c
+++ b/src/port/worker_fake.c
@@ -189,8 +189,7 @@
 }
 
 /* The remaining run time of a new task, in microseconds. A checkpoint id is
- * "c.JOB.ATTEMPT.LEFT_US", with the remaining run time, so any worker can resume from it.
- */
+ * "c.JOB.ATTEMPT.LEFT_US", with the remaining run time, so any worker can resume. */
 static int64_t
 run_time_us (const KqWorkerCall *c)
 {
--- a/src/port/worker_fake.h
+++ b/src/port/worker_fake.h
@@ -54,8 +54,7 @@
   uint64_t epoch;      /* highest seen */
   uint64_t live_epoch; /* epoch of the lease's holder */
   KqTime lease_until;
-  KqTime
-      stamps_valid_from; /* a call that echoes an earlier stamp doesn't renew the lease */
+  KqTime stamps_valid_from; /* calls that echo an earlier stamp don't renew the lease */
   KqWorkerFakeTask *tasks;
   GHashTable *attempts;            /* job -> highest attempt seen */
   KqWorkerFakeUsage reported;      /* sent in answers until the caller has received it */
--- a/src/port/worker_http.h
+++ b/src/port/worker_http.h
@@ -18,8 +18,7 @@
  * KQ_ERR_WORKER_UNREACHABLE; for some time afterwards, calls to that worker use
  * new connections. Each answer must carry the token, epoch and kind of its call,
  * otherwise the result is KQ_ERR_PLATFORM_FORMAT, so that no call takes the answer to
- * another call.
- */
+ * another call. */
 
 #include "base/counter.h"
 #include "base/task.h"
--- a/src/shard/journal_state.h
+++ b/src/shard/journal_state.h
@@ -29,8 +29,8 @@
 #define KQ_JOURNAL_BLOCK_BYTES ((size_t)900 * 1000)
 /* Burst of the commit rate limit, in commits, and the burst added to it while urgent
  * records are pending. Eight commits cover the start and the end of a job. The urgent
- * burst equals 2 s of the rate at 4
- * per second, longer than the 1.6 s within which urgent work must start. */
+ * burst equals 2 s of the rate at 4 per second, longer than the 1.6 s within which urgent
+ * work must start. */
 #define KQ_JOURNAL_BURST 8
 #define KQ_JOURNAL_URGENT_BURST 8
 /* A call without a reply counts as KQ_ERR_STORE_UNREACHABLE after this time. The store
@@ -62,7 +62,7 @@
   KqStep step;
   uint32_t call_number; /* of the call in flight; 0: none */
   KqTime sent_at;       /* when the call in flight was sent */
-  KqTime wait_until;    /* the next call isn't sent before */
+  KqTime wait_until;    /* the next call isn't sent before this time */
   KqTime backoff;       /* last delay after a failure; see kq_backoff_next */
 } KqStoreLane;
 
--- a/src/shard/log_port.h
+++ b/src/shard/log_port.h
@@ -12,8 +12,7 @@
   KQ_LOG_PORT_FAKE
 } KqLogPortKind;
 
-/* A log for tests that keeps copies of all records. The test sets `committed` and `lag`.
- */
+/* For tests: keeps copies of all records. The test sets `committed` and `lag`. */
 typedef struct
 {
   KqRecord *records;
--- a/src/shard/owner_state.h
+++ b/src/shard/owner_state.h
@@ -100,7 +100,7 @@
   KqNodeId wanted;
   uint32_t call_number; /* of the call in flight; 0: none */
   KqTime sent_at;       /* when the call in flight was sent */
-  KqTime wait_until;    /* the next call or take isn't started before */
+  KqTime wait_until;    /* the next call or take doesn't start before this time */
   KqTime backoff;       /* last delay after a failure; see kq_backoff_next */
   /* Backoff of reads at the end of a handover, while the owner is alive but its digest no
    * longer lists the shard. */
@@ -145,8 +145,8 @@
 /* The node, not gone, whose digest lists the shard with the highest epoch above *epoch,
  * and that epoch; 0: none. */
 KqNodeId kq_owner_find_reported (const KqMember *m, uint32_t shard, uint64_t *epoch);
-/* Whether this node may take shards now: its lease is live and it knows the other nodes.
- */
+/* Whether this node may take shards now: its lease is live and the store's list of nodes
+ * has its key. */
 bool kq_owner_may_take_shards (const KqOwner *o, const KqMember *m, KqTime now);
 
 /* owner_pick.c */
--- a/src/shard/owner_swap.c
+++ b/src/shard/owner_swap.c
@@ -142,8 +142,7 @@
 }
 
 /* Stores the value of own/<shard> from a reply in the entry. False when the value can't
- * be read: then the error is logged and the shard isn't taken, as its owner isn't known.
- */
+ * be read: the error is logged and the shard isn't taken, as its owner isn't known. */
 static bool
 load_stored (KqOwner *o, uint32_t i, const KqStoreReply *r, KqTime now)
 {
