--- a/bench/place_main.c
+++ b/bench/place_main.c
@@ -309,7 +309,7 @@
   int steps = 4000;
   for (uint32_t i = 0; i < SHARDS; i++)
     {
-      kq_quota_team (&q[i], &name);
+      kq_quota_find_or_add_team (&q[i], &name);
       q[i].teams[0].row = (KqTeamRow){ .weight = 1, .limit = { LIMIT * 1000, 0, 0 } };
       d[i] = (KqShardDigest){ .shard = i, .teams = &old[i], .n_teams = 1 };
       fresh[i].team = old[i].team = name;
--- a/fuzz/fuzz_record.c
+++ b/fuzz/fuzz_record.c
@@ -52,7 +52,7 @@
   memset (&interference, 0, sizeof interference);
   if (kq_learned_apply (r, &classes, &sizes, &interference, 1) != KQ_OK)
     return;
-  need = kq_sizes_need (&sizes, 0, (KqSize){ 1000, 512, 0 }, largest);
+  need = kq_sizes_required_size (&sizes, 0, (KqSize){ 1000, 512, 0 }, largest);
   kq_fuzz_check (need.cpu_milli >= 0 && need.memory_mb >= 0, "a size isn't negative");
   kq_fuzz_check (kq_size_fits (&need, &largest), "a size fits the largest worker");
 }
--- a/src/job/jobs_change.c
+++ b/src/job/jobs_change.c
@@ -84,7 +84,7 @@
 static void
 init_new_job (KqJobs *j, KqJob *job, KqTime now)
 {
-  job->team = (uint16_t)kq_quota_team (&j->quota, &job->spec.team);
+  job->team = (uint16_t)kq_quota_find_or_add_team (&j->quota, &job->spec.team);
   job->queued_at = now;
   job->throttle_percent = 100;
   job->class_index = kq_classes_find_or_add (&j->classes, &job->spec.class_name);
--- a/src/job/jobs_tick.c
+++ b/src/job/jobs_tick.c
@@ -194,7 +194,8 @@
 {
   if (!kq_jobs_policy (j)->learned_sizes)
     return job->declared_size;
-  return kq_sizes_need (&j->sizes, job->class_index, job->declared_size, j->largest);
+  return kq_sizes_required_size (&j->sizes, job->class_index, job->declared_size,
+                                 j->largest);
 }
 
 bool
--- a/src/job/learn_size.c
+++ b/src/job/learn_size.c
@@ -80,7 +80,8 @@
 }
 
 KqSize
-kq_sizes_need (const KqSizes *s, uint16_t class_index, KqSize declared, KqSize largest)
+kq_sizes_required_size (const KqSizes *s, uint16_t class_index, KqSize declared,
+                        KqSize largest)
 {
   const KqLearnedSize *l = &s->classes[class_index];
   if (l->reports < REPORTS_MIN)
--- a/src/job/learn_size.h
+++ b/src/job/learn_size.h
@@ -47,7 +47,7 @@
  * otherwise the declared size; accelerators always as declared. In each resource in which
  * the declared size fits the largest worker (`largest`), the estimate is capped at that.
  */
-KqSize kq_sizes_need (const KqSizes *s, uint16_t class_index, KqSize declared,
-                      KqSize largest);
+KqSize kq_sizes_required_size (const KqSizes *s, uint16_t class_index, KqSize declared,
+                               KqSize largest);
 
 #endif
--- a/src/job/policy_test.c
+++ b/src/job/policy_test.c
@@ -36,23 +36,24 @@
   KqSize need;
   (void)state;
   report_sizes (&s, 10, 1000, 2000, 1);
-  need = kq_sizes_need (&s, 0, declared, largest);
+  need = kq_sizes_required_size (&s, 0, declared, largest);
   assert_int_equal (need.cpu_milli, 10000); /* too little evidence */
   report_sizes (&s, 300, 1000, 2000, 1);
-  need = kq_sizes_need (&s, 0, declared, largest);
+  need = kq_sizes_required_size (&s, 0, declared, largest);
   assert_in_range (need.cpu_milli, 1000, 1250);
   assert_in_range (need.memory_mb, 2000, 2500);
   assert_int_equal (need.accelerators, 2);
   report_sizes (&s, 1, 1000, 30000, 1);
-  need = kq_sizes_need (&s, 0, declared, largest);
+  need = kq_sizes_required_size (&s, 0, declared, largest);
   assert_int_equal (need.memory_mb, 30000);
   report_sizes (&s, 20, 1000, 2000, 1);
-  need = kq_sizes_need (&s, 0, declared, largest);
+  need = kq_sizes_required_size (&s, 0, declared, largest);
   assert_in_range (need.memory_mb, 20000, 30000);
   report_sizes (&s, 500, 1000, 2000, 1);
-  assert_in_range (kq_sizes_need (&s, 0, declared, largest).memory_mb, 2000, 2500);
+  assert_in_range (kq_sizes_required_size (&s, 0, declared, largest).memory_mb, 2000,
+                   2500);
   report_sizes (&s, 1, 1000, 90000, 1);
-  assert_int_equal (kq_sizes_need (&s, 0, declared, largest).memory_mb, 60000);
+  assert_int_equal (kq_sizes_required_size (&s, 0, declared, largest).memory_mb, 60000);
 }
 
 /* Tasks that starve each other use less. If their use weren't scaled by their slowdown,
@@ -64,7 +65,7 @@
   KqSize size = { 2000, 2000, 0 };
   (void)state;
   report_sizes (&s, 400, 1000, 2000, 2.0);
-  assert_true (kq_sizes_need (&s, 0, size, size).cpu_milli >= 1900);
+  assert_true (kq_sizes_required_size (&s, 0, size, size).cpu_milli >= 1900);
 }
 
 /* Two classes run beside the victim in random numbers, and each report gives the slowdown
@@ -281,7 +282,7 @@
 add_team (KqQuota *q, const char *name, KqTeamRow row)
 {
   KqName n = kq_name (kq_str (name));
-  size_t i = kq_quota_team (q, &n);
+  size_t i = kq_quota_find_or_add_team (q, &n);
   q->teams[i].row = row;
   return i;
 }
--- a/src/job/quota.c
+++ b/src/job/quota.c
@@ -11,7 +11,7 @@
 }
 
 size_t
-kq_quota_team (KqQuota *q, const KqName *name)
+kq_quota_find_or_add_team (KqQuota *q, const KqName *name)
 {
   for (size_t i = 0; i < q->n; i++)
     if (kq_name_eq (&q->teams[i].name, name))
@@ -33,7 +33,7 @@
       size_t k;
       if (row->kind != KQ_ROW_TEAM)
         continue;
-      k = kq_quota_team (q, &row->name); /* may move the array */
+      k = kq_quota_find_or_add_team (q, &row->name); /* may move the array */
       team = &q->teams[k];
       team->in_table = true;
       team->row = row->u.team;
@@ -58,7 +58,7 @@
   for (size_t i = 0; i < n; i++)
     for (size_t k = 0; d[i].shard != self && k < d[i].n_teams; k++)
       {
-        size_t at = kq_quota_team (q, &d[i].teams[k].team);
+        size_t at = kq_quota_find_or_add_team (q, &d[i].teams[k].team);
         KqTeam *team = &q->teams[at];
         team->others_used = kq_size_add (team->others_used, d[i].teams[k].used);
         team->others_wanted = kq_size_add (team->others_wanted, d[i].teams[k].queued);
--- a/src/job/quota.h
+++ b/src/job/quota.h
@@ -50,7 +50,7 @@
 void kq_quota_clear (KqQuota *q);
 /* Returns the team's index. Adds the team if it is new, which may move the array
  * q->teams. */
-size_t kq_quota_team (KqQuota *q, const KqName *name);
+size_t kq_quota_find_or_add_team (KqQuota *q, const KqName *name);
 /* Takes over the teams' rows; the table may be NULL. */
 void kq_quota_set_table (KqQuota *q, const KqTable *t);
 /* Takes over the digests of a round; that of shard `self` is skipped. */
