--- a/src/ctl/call.c
+++ b/src/ctl/call.c
@@ -11,8 +11,10 @@
   return size * n;
 }
 
-/* Maps a response's status to an exit code. If the store's answer to a write of the table
- * was lost, the outcome is unknown, whatever the member "ran" says. */
+/* Maps a response to an exit code. The member "ran" of an error answer tells whether the
+ * request ran: "no", "yes" or "unknown". KQ_ERR_STORE_UNREACHABLE and
+ * KQ_ERR_COMMIT_UNKNOWN can mean that a write was done and the store's answer to it lost:
+ * for every method but GET the outcome then counts as unknown, whatever "ran" says. */
 static int
 exit_code_of_status (const char *method, long status, const json_t *problem)
 {
--- a/src/fleet/front.c
+++ b/src/fleet/front.c
@@ -32,11 +32,11 @@
 #define LEADER_WRITE_TIMEOUT (1000 * KQ_MS)
 /* Period of the check for late queries and due retries. */
 #define SWEEP_PERIOD_S 0.04
-/* Retry-After of refusals: outages of the store last seconds, and earlier retries of many
- * clients would only add load. */
-#define RETRY_STORE_MS 1000
-#define RETRY_LEADER_MS 1000
-#define RETRY_START_MS 1000
+/* Retry-After of refusals, by their reason. Earlier retries of many clients would only
+ * add load. */
+#define RETRY_STORE_MS 1000  /* store unreachable or refused; outages last seconds */
+#define RETRY_LEADER_MS 1000 /* there is no leader, or it didn't answer the query */
+#define RETRY_START_MS 1000  /* this node has no configuration yet */
 
 typedef enum
 {
--- a/src/shard/owner.c
+++ b/src/shard/owner.c
@@ -316,8 +316,9 @@
       kq_owner_reset_entry (o, i);
       e->uncertain = true; /* own/<shard> still names us */
     }
-  /* If the owner's digest no longer lists the shard, read own/<shard> now instead of
-   * waiting for the watch, which may be slower or silent. */
+  /* Stop watching if we are no longer the shard's wanted owner. Also stop if no peer's
+   * digest lists the shard any more: own/<shard> is then read now, as the watch may be
+   * slower or silent. */
   if (e->step == KQ_OWNER_WATCH && (!wanted || !reported_by_peer (o, i, m)))
     kq_owner_reset_entry (o, i);
   if (e->step != KQ_OWNER_IDLE || !kq_owner_may_take_shards (o, m, now))
--- a/src/shard/owner_test.c
+++ b/src/shard/owner_test.c
@@ -343,7 +343,7 @@
   run (g, 3 * KQ_SEC);
   assert_int_equal (expect_settled (g, 2), 0);
   taken = kq_owner_count (g->owners[0])->taken - taken;
-  assert_in_range (taken, 0, had); /* no other node's shards moved */
+  assert_in_range (taken, 0, had); /* node 0 took no more than node 2 had */
   rig_free (g);
 }
 
--- a/src/table/dist_test.c
+++ b/src/table/dist_test.c
@@ -288,13 +288,13 @@
   KqTableSim *f = kq_table_sim_new (15, 3, 1, false);
   uint64_t rev;
   KqStr old;
-  uint64_t at;
+  uint64_t old_revision; /* not used */
   KqBuf keep = { 0 };
   (void)state;
   kq_table_sim_run (f, KQ_SEC);
   assert_int_equal (set_weight (f, 0, "a", 1, 0, &rev), KQ_OK);
   kq_table_sim_run (f, KQ_SEC);
-  assert_true (kq_store_fake_get (f->store, KQ_STR ("table/head"), &old, &at));
+  assert_true (kq_store_fake_get (f->store, KQ_STR ("table/head"), &old, &old_revision));
   kq_buf_add_str (&keep, old);
   assert_int_equal (set_weight (f, 0, "a", 2, UINT64_MAX, &rev), KQ_OK);
   kq_table_sim_run (f, KQ_SEC);
