--- a/src/fleet/follow.c
+++ b/src/fleet/follow.c
@@ -221,9 +221,9 @@
 }
 
 /* Makes the next call: for a page of the listing, or a watch. The first watch after a
- * failure doesn't wait for a change. Otherwise the store's
- * recovery is noticed only at the end of the wait, 1.5 s late, and clients' jobs are
- * refused until then (29 of 380 jobs in an outage of 4.2 s). */
+ * failure doesn't wait for a change. Otherwise the store's recovery is noticed only at
+ * the end of the wait, 1.5 s late, and clients' jobs are refused until then (29 of 380
+ * jobs in an outage of 4.2 s). */
 static void
 call_store (KqFollow *f)
 {
--- a/src/request/route.h
+++ b/src/request/route.h
@@ -5,11 +5,10 @@
  * the caller's connection; an owner passes requests to the runners of its shards.
  *
  * Heartbeats carry a load digest of each service at each owner. Owners are drawn at
- * random, weighted by what they can serve: slots over run time, or less
- * if there is a queue. The own depot is preferred, then the own region. Another ("far")
- * region is used only if the saved wait justifies the bytes sent over the link, for which
- * there is a budget. Only the part of the requests that evens out the waits goes to the
- * next tier.
+ * random, weighted by what they can serve: slots over run time, or less if there is a
+ * queue. The own depot is preferred, then the own region. Another ("far") region is used
+ * only if the saved wait justifies the bytes sent over the link, for which there is a
+ * budget. Only the part of the requests that evens out the waits goes to the next tier.
  *
  * Always choosing the less loaded of two owners was worse than drawing at random
  * (bench-load, owners, seed 1: p50 61 ms against 28 ms): digests are half a second old,
--- a/src/sched/load_trend.c
+++ b/src/sched/load_trend.c
@@ -11,8 +11,8 @@
  * period of about 14 s, so that its slope changes by 0.2 a second. */
 #define SLOPE_NOISE 0.05
 /* Larger differences between report and estimate are cut to ERROR_MAX_DEVIATIONS
- * standard deviations: a filling task that has just started
- * shows in the tail before it shows in the cpu in use. */
+ * standard deviations: a filling task that has just started shows in the tail before it
+ * shows in the cpu in use. */
 #define ERROR_MAX_DEVIATIONS 2.5
 /* Without reports the slope is extrapolated for this long; after that the level is
  * constant. */
--- a/src/sched/runners.c
+++ b/src/sched/runners.c
@@ -516,9 +516,10 @@
         }
 }
 
-/* If not, the runner is left out of the stored list, so that a later leader doesn't wait
- * for its lease. A draining runner without runs is left out only once all its ends are
- * stored: a later leader would not hear of the others, and start those tasks again. */
+/* Whether runs may exist on the runner or be started there. A runner for which this is
+ * false is left out of the stored list, so that a later leader doesn't wait for its
+ * lease. A draining runner without runs stays in it until all its ends are stored:
+ * otherwise a later leader would not hear of the others, and start those tasks again. */
 bool
 kq_runners_may_run (const KqRunnerState *r)
 {
